--- a/cmd/larkreach/config_on.go
+++ b/cmd/larkreach/config_on.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
 	"mulleinbeam/internal/cluster/entry"
 	"mulleinbeam/internal/cluster/node"
 	"mulleinbeam/internal/settings"
@@ -34,17 +34,17 @@
 }
 
 // commit has a change decided as of a revision, and waits until it is in force where that is asked for.
-func (c configChange) commit(io streams, changes []council.EntryChange) error {
+func (c configChange) commit(io streams, changes []controlplane.EntryChange) error {
 	status, err := c.look()
 	if err != nil {
 		return err
 	}
-	cmd := council.Command{Kind: council.Configure, From: status.State.Configured, Entries: changes}
+	cmd := controlplane.Command{Kind: controlplane.Configure, From: status.State.Configured, Entries: changes}
 	if c.Revision != nil {
 		cmd.From = *c.Revision
 	}
 	switch err := c.decide(cmd); {
-	case err != nil && err.Error() == council.ErrLater.Error():
+	case err != nil && err.Error() == controlplane.ErrLater.Error():
 		return fmt.Errorf("nothing was committed: the configuration is not at revision %d any more, look again", cmd.From)
 	case err != nil:
 		return fmt.Errorf("nothing was committed: %w", err)
@@ -96,13 +96,13 @@
 	if err != nil {
 		return err
 	}
-	var changes []council.EntryChange
+	var changes []controlplane.EntryChange
 	for _, e := range entries {
 		content, err := e.Encode()
 		if err != nil {
 			return err
 		}
-		changes = append(changes, council.EntryChange{Key: e.Key(), Content: content})
+		changes = append(changes, controlplane.EntryChange{Key: e.Key(), Content: content})
 	}
 	return c.commit(io, changes)
 }
@@ -114,9 +114,9 @@
 
 // Run deletes entries.
 func (c configRemoveCmd) Run(io streams) error {
-	var changes []council.EntryChange
+	var changes []controlplane.EntryChange
 	for _, key := range c.Keys {
-		changes = append(changes, council.EntryChange{Key: key, Deleted: true})
+		changes = append(changes, controlplane.EntryChange{Key: key, Deleted: true})
 	}
 	return c.commit(io, changes)
 }
@@ -164,7 +164,7 @@
 
 // configStatus is what status prints as JSON.
 type configStatus struct {
-	council.Rollout
+	controlplane.Rollout
 	Entries map[string]uint64 `json:"entries"` // committed, with the revisions at which they were set
 }
 
--- a/cmd/larkreach/fleet_faults_test.go
+++ b/cmd/larkreach/fleet_faults_test.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"mulleinbeam/internal/cluster/copies"
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
 	"mulleinbeam/internal/cluster/links"
 	"mulleinbeam/internal/cluster/node"
+	"mulleinbeam/internal/cluster/replication"
 	"mulleinbeam/internal/lab/cluster"
 	"mulleinbeam/internal/routing/wal"
 )
@@ -151,13 +151,13 @@
 func TestFleetLaterVersion(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, cluster.Setup{Members: 3}, nil)
-	join := council.Command{Kind: council.Join, Life: council.Life{Name: "later"}, Token: "t", Address: "127.0.0.1:1", Zone: "z9", Version: node.Version + 1}
+	join := controlplane.Command{Kind: controlplane.Join, Life: controlplane.Life{Name: "later"}, Token: "t", Address: "127.0.0.1:1", Zone: "z9", Version: node.Version + 1}
 	must(t, f.Order(f.ctx, join))
 	must(t, f.Await(f.ctx, 0, "later member", func(s node.Status) bool { return s.State.Members["later"] != nil }))
 	s, err := f.Look(0)
 	must(t, err)
-	life := council.Life{Name: "later", Number: s.State.Members["later"].Life}
-	must(t, f.Order(f.ctx, council.Command{Kind: council.Keepers, Life: life, From: s.State.Members["later"].Changed, Set: []string{"n1"}}))
+	life := controlplane.Life{Name: "later", Number: s.State.Members["later"].Life}
+	must(t, f.Order(f.ctx, controlplane.Command{Kind: controlplane.Keepers, Life: life, From: s.State.Members["later"].Changed, Set: []string{"n1"}}))
 	p := links.NewPeer(f.Members[1].Links)
 	defer p.Close()
 	clock := func() time.Time { return time.Now().Add(-time.Hour) }
@@ -166,12 +166,12 @@
 	}
 	owed, ran := message(1, "unsafe-later", "unsafe"), message(2, "keyed-later", "keyed")
 	ran.Attempts, ran.MayRun, ran.RanAt = 1, true, clock().Add(-time.Minute) // its window is over
-	var ack copies.Ack
-	must(t, p.Call(f.ctx, "Copies.Append", copies.Batch{Life: life}, &ack))
-	batch := copies.Batch{Life: life, Shelf: ack.Shelf, Clock: clock().UnixNano(), Snapshot: 1, Last: true, UpTo: 3}
-	batch.Records = []copies.Record{{Payload: wal.Condense(owed)[0]}, {Payload: []byte{200, 1, 42}}} // a kind of tomorrow, of message 1
+	var ack replication.Ack
+	must(t, p.Call(f.ctx, "Copies.Append", replication.Batch{Life: life}, &ack))
+	batch := replication.Batch{Life: life, Shelf: ack.Shelf, Clock: clock().UnixNano(), Snapshot: 1, Last: true, UpTo: 3}
+	batch.Records = []replication.Record{{Payload: wal.Condense(owed)[0]}, {Payload: []byte{200, 1, 42}}} // a kind of tomorrow, of message 1
 	for _, r := range wal.Condense(ran) {
-		batch.Records = append(batch.Records, copies.Record{Payload: r})
+		batch.Records = append(batch.Records, replication.Record{Payload: r})
 	}
 	must(t, p.Call(f.ctx, "Copies.Append", batch, &ack))
 	if ack.Have != 3 {
--- a/cmd/larkreach/fleet_on.go
+++ b/cmd/larkreach/fleet_on.go
@@ -14,7 +14,7 @@
 
 	"github.com/rs/zerolog"
 
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
 	"mulleinbeam/internal/cluster/node"
 	"mulleinbeam/internal/cluster/plan"
 	"mulleinbeam/internal/lab/cluster"
@@ -40,16 +40,16 @@
 	}
 	setup := node.Config{
 		Name: cfg.Name, Zone: c.Zone, Region: c.Region, Listen: c.Listen, Via: c.Via, Copies: c.Copies, Space: int64(c.Space),
-		Timing:   council.Timing{Tick: time.Duration(c.Tick), Lease: time.Duration(c.Lease), Margin: time.Duration(c.Margin)},
+		Timing:   controlplane.Timing{Tick: time.Duration(c.Tick), Lease: time.Duration(c.Lease), Margin: time.Duration(c.Margin)},
 		Patience: time.Duration(c.Patience), Alone: map[string]bool{}, Folder: filepath.Clean(cfg.State), Check: time.Duration(c.Check),
 		Durability: store.Process, Logger: logger, Beat: time.Duration(c.Beat), CatchUp: int64(c.CatchUp),
 		Believe: time.Duration(c.Believe),
 	}
 	for _, f := range founders {
-		setup.Founders = append(setup.Founders, council.Founder{Name: f.Name, Address: f.Address})
+		setup.Founders = append(setup.Founders, controlplane.Founder{Name: f.Name, Address: f.Address})
 	}
 	for _, r := range relays {
-		setup.Relays = append(setup.Relays, council.Relay{Zone: r.Zone, Address: r.Address})
+		setup.Relays = append(setup.Relays, controlplane.Relay{Zone: r.Zone, Address: r.Address})
 	}
 	for _, class := range c.Alone {
 		setup.Alone[class] = true
@@ -133,7 +133,7 @@
 func (r refused) Error() string { return string(r) }
 
 // decide has the council decide something.
-func (a at) decide(cmd council.Command) error {
+func (a at) decide(cmd controlplane.Command) error {
 	ctx, cancel := context.WithTimeout(context.Background(), lookFor)
 	defer cancel()
 	r, err := node.Order(ctx, a.At, cmd)
@@ -240,7 +240,7 @@
 	}
 	rows := [][]string{{"DESTINATION", "ROUTE", "FACT", "ORIGIN", "AGE", "LEFT", "PER SECOND"}}
 	for _, f := range s.Facts {
-		row := []string{fmt.Sprint(f.Destination), f.Endpoint, f.Kind.String(), council.Life{Name: f.Origin, Number: f.Life}.String(), short(f.Age), "", ""}
+		row := []string{fmt.Sprint(f.Destination), f.Endpoint, f.Kind.String(), controlplane.Life{Name: f.Origin, Number: f.Life}.String(), short(f.Age), "", ""}
 		if f.Left > 0 {
 			row[5] = short(f.Left)
 		}
@@ -267,7 +267,7 @@
 }
 
 // order has the council decide something of a member.
-func (n named) order(io streams, cmd council.Command, done string) error {
+func (n named) order(io streams, cmd controlplane.Command, done string) error {
 	cmd.Life.Name = n.Name
 	if err := n.decide(cmd); err != nil {
 		return err
@@ -280,21 +280,21 @@
 
 // Run drains.
 func (c drainCmd) Run(io streams) error {
-	return c.order(io, council.Command{Kind: council.Leave, On: true}, "keeps no new copies; others are chosen in its place")
+	return c.order(io, controlplane.Command{Kind: controlplane.Leave, On: true}, "keeps no new copies; others are chosen in its place")
 }
 
 type returnCmd struct{ named }
 
 // Run takes a drain back.
 func (c returnCmd) Run(io streams) error {
-	return c.order(io, council.Command{Kind: council.Leave}, "keeps copies again")
+	return c.order(io, controlplane.Command{Kind: controlplane.Leave}, "keeps copies again")
 }
 
 type removeCmd struct{ named }
 
 // Run removes.
 func (c removeCmd) Run(io streams) error {
-	return c.order(io, council.Command{Kind: council.Remove}, "belongs no longer")
+	return c.order(io, controlplane.Command{Kind: controlplane.Remove}, "belongs no longer")
 }
 
 type foundersCmd struct{ at }
@@ -316,14 +316,14 @@
 
 // Run takes a member in.
 func (c foundCmd) Run(io streams) error {
-	return c.order(io, council.Command{Kind: council.Found, On: true}, "learns what the council has decided, and votes then (cluster founders)")
+	return c.order(io, controlplane.Command{Kind: controlplane.Found, On: true}, "learns what the council has decided, and votes then (cluster founders)")
 }
 
 type unfoundCmd struct{ named }
 
 // Run lets a founder go.
 func (c unfoundCmd) Run(io streams) error {
-	return c.order(io, council.Command{Kind: council.Found}, "is no founder any more; take it out of everybody's settings")
+	return c.order(io, controlplane.Command{Kind: controlplane.Found}, "is no founder any more; take it out of everybody's settings")
 }
 
 type rebuildCmd struct {
@@ -334,12 +334,12 @@
 
 // Run rebuilds.
 func (c rebuildCmd) Run(io streams) error {
-	keeper, kept, err := council.OpenKeeper(fsys.Dir(filepath.Join(c.Folder, node.CouncilDir)), func(line string) { fmt.Fprintln(io.err, line) })
+	keeper, kept, err := controlplane.OpenKeeper(fsys.Dir(filepath.Join(c.Folder, node.CouncilDir)), func(line string) { fmt.Fprintln(io.err, line) })
 	if err != nil {
 		return err
 	}
 	defer keeper.Close()
-	fresh, err := council.Rebuild(kept, c.Founders)
+	fresh, err := controlplane.Rebuild(kept, c.Founders)
 	if err != nil {
 		return err
 	}
--- a/cmd/larkreach/fleet_plan_test.go
+++ b/cmd/larkreach/fleet_plan_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
 	"mulleinbeam/internal/cluster/node"
 	"mulleinbeam/internal/cluster/plan"
 	"mulleinbeam/internal/lab"
@@ -152,14 +152,14 @@
 	var seen uint64
 	must(t, f.AwaitPlan(f.ctx, 3, "demand", func(s node.PlanStatus) bool { seen = s.Ordered; return grant(s, "z0", "z0").Rate > 0 }))
 	order := func(at int, from uint64, place string, on bool) string {
-		r, err := node.Order(f.ctx, f.Members[at].Links, council.Command{Kind: council.Evacuate, Place: place, On: on, From: from})
+		r, err := node.Order(f.ctx, f.Members[at].Links, controlplane.Command{Kind: controlplane.Evacuate, Place: place, On: on, From: from})
 		must(t, err)
 		return r.Refused
 	}
 	if refused := order(0, seen, "z0", true); refused != "" {
 		t.Fatal(refused)
 	}
-	if refused := order(1, seen, "z1", true); refused != council.ErrLater.Error() {
+	if refused := order(1, seen, "z1", true); refused != controlplane.ErrLater.Error() {
 		t.Errorf("the second operator was told %q", refused)
 	}
 	must(t, f.AwaitPlan(f.ctx, 0, "empty place", func(s node.PlanStatus) bool {
--- a/cmd/larkreach/fleet_test.go
+++ b/cmd/larkreach/fleet_test.go
@@ -16,10 +16,10 @@
 	"testing"
 	"time"
 
-	"mulleinbeam/internal/cluster/council"
-	"mulleinbeam/internal/cluster/facts"
+	"mulleinbeam/internal/cluster/controlplane"
 	"mulleinbeam/internal/cluster/links"
 	"mulleinbeam/internal/cluster/node"
+	"mulleinbeam/internal/cluster/observation"
 	"mulleinbeam/internal/lab"
 	"mulleinbeam/internal/lab/cluster"
 )
@@ -509,7 +509,7 @@
 func (f *fleetSite) votes(at int, names ...string) {
 	f.t.Helper()
 	must(f.t, f.Await(f.ctx, at, fmt.Sprint("council of ", names), func(s node.Status) bool {
-		return slices.EqualFunc(s.Founders, names, func(x council.Founder, name string) bool { return x.Name == name && !x.Learns })
+		return slices.EqualFunc(s.Founders, names, func(x controlplane.Founder, name string) bool { return x.Name == name && !x.Learns })
 	}))
 }
 
@@ -711,20 +711,20 @@
 	must(t, err)
 	p := links.NewPeer(f.Members[0].Links)
 	defer p.Close()
-	lies := []facts.Fact{
-		{Kind: facts.Wait, Destination: cluster.Group, Left: 365 * 24 * time.Hour},
-		{Kind: facts.Down, Destination: cluster.Group, Age: -time.Hour},
-		{Kind: facts.Limit, Destination: cluster.Group, Rate: math.Inf(1)},
-		{Kind: facts.Limit, Destination: cluster.Group, Rate: -1},
+	lies := []observation.Fact{
+		{Kind: observation.Wait, Destination: cluster.Group, Left: 365 * 24 * time.Hour},
+		{Kind: observation.Down, Destination: cluster.Group, Age: -time.Hour},
+		{Kind: observation.Limit, Destination: cluster.Group, Rate: math.Inf(1)},
+		{Kind: observation.Limit, Destination: cluster.Group, Rate: -1},
 		{Kind: 200, Destination: -1, Left: -time.Second},
 	}
 	for i := range lies {
 		lies[i].Origin, lies[i].Life, lies[i].Serial = "n2", liar, 1e6+uint64(i)
 	}
-	lies = append(lies, facts.Fact{Kind: facts.Wait, Destination: cluster.Group, Left: time.Minute, Origin: "nobody", Life: 1, Serial: 1})
-	must(t, p.Call(f.ctx, "Facts.Push", node.FactsPush{From: council.Life{Name: "n2", Number: liar}, Facts: lies}, &node.FactsAnswer{}))
+	lies = append(lies, observation.Fact{Kind: observation.Wait, Destination: cluster.Group, Left: time.Minute, Origin: "nobody", Life: 1, Serial: 1})
+	must(t, p.Call(f.ctx, "Facts.Push", node.FactsPush{From: controlplane.Life{Name: "n2", Number: liar}, Facts: lies}, &node.FactsAnswer{}))
 	must(t, f.AwaitFacts(f.ctx, 0, "account of lies", func(s node.FactsStatus) bool { return s.Counts.Bounded == 2 && s.Counts.Absurd == 2 }))
-	if _, seen := f.Members[0].Sees(string(facts.LongWait)); !seen {
+	if _, seen := f.Members[0].Sees(string(observation.LongWait)); !seen {
 		t.Error("no line of the log tells of it")
 	}
 	must(t, f.AwaitFacts(f.ctx, 1, "word that it passed on", func(s node.FactsStatus) bool { return s.Counts.News > 0 }))
--- a/cmd/larkreach/plan_on.go
+++ b/cmd/larkreach/plan_on.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
 	"mulleinbeam/internal/cluster/node"
 	"mulleinbeam/internal/cluster/plan"
 )
@@ -130,7 +130,7 @@
 }
 
 // order has the council decide an operator's order, as of what the operator has seen.
-func (a at) order(io streams, seen uint64, cmd council.Command, done string) error {
+func (a at) order(io streams, seen uint64, cmd controlplane.Command, done string) error {
 	cmd.From = seen
 	var late refused
 	switch err := a.decide(cmd); {
@@ -149,7 +149,7 @@
 	if err != nil {
 		return err
 	}
-	return a.order(io, s.Ordered, council.Command{Kind: council.Freeze, On: on}, done)
+	return a.order(io, s.Ordered, controlplane.Command{Kind: controlplane.Freeze, On: on}, done)
 }
 
 type planFreezeCmd struct{ at }
@@ -193,7 +193,7 @@
 	if shed > 0 && !c.Force {
 		return fmt.Errorf("%.1f calls a second would fit nowhere and be turned away; --force does it all the same", shed)
 	}
-	return c.order(io, s.Ordered, council.Command{Kind: council.Evacuate, Place: c.Place, On: true}, fmt.Sprintf("%s empties within %d windows", c.Place, windows+2))
+	return c.order(io, s.Ordered, controlplane.Command{Kind: controlplane.Evacuate, Place: c.Place, On: true}, fmt.Sprintf("%s empties within %d windows", c.Place, windows+2))
 }
 
 type planReturnCmd struct {
@@ -210,5 +210,5 @@
 	if !slices.Contains(s.Evacuating, c.Place) {
 		return fmt.Errorf("%s is not being evacuated", c.Place)
 	}
-	return c.order(io, s.Ordered, council.Command{Kind: council.Evacuate, Place: c.Place}, c.Place+" takes traffic again")
+	return c.order(io, s.Ordered, controlplane.Command{Kind: controlplane.Evacuate, Place: c.Place}, c.Place+" takes traffic again")
 }
--- a/cmd/larkreach/relay_on.go
+++ b/cmd/larkreach/relay_on.go
@@ -7,7 +7,7 @@
 	"os/signal"
 	"syscall"
 
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
 	"mulleinbeam/internal/cluster/relay"
 	"mulleinbeam/internal/settings"
 )
@@ -29,7 +29,7 @@
 	defer log.close()
 	cfg := relay.Config{Listen: c.Listen, Logger: log.logger(c.Listen)}
 	for _, v := range voters {
-		cfg.Voters = append(cfg.Voters, council.Founder{Name: v.Name, Address: v.Address})
+		cfg.Voters = append(cfg.Voters, controlplane.Founder{Name: v.Name, Address: v.Address})
 	}
 	server, err := relay.Open(cfg)
 	if err != nil {
--- a/internal/cluster/council/state.go
+++ b/internal/cluster/controlplane/state.go
@@ -1,10 +1,10 @@
-// Package council is what the forwarders of a fleet decide in common: who belongs, which life of each is the one that counts,
+// Package controlplane is what the forwarders of a fleet decide in common: who belongs, which life of each is the one that counts,
 // who keeps counted copies for whom, and who takes over what an ended life owed. A few of them hold a Raft group for it; the
 // rest follow. No message on its way waits for any of this.
 //
 // State is the decided value, changed by commands alone and equal on all that have applied the same ones. Leases is what only
 // the leader knows. Core runs Raft without a clock, a socket or a goroutine; Server drives it.
-package council
+package controlplane
 
 import (
 	"cmp"
--- a/internal/cluster/council/wire_test.go
+++ b/internal/cluster/controlplane/wire_test.go
@@ -1,4 +1,4 @@
-package council
+package controlplane
 
 import (
 	"bytes"
--- a/internal/cluster/node/configuration.go
+++ b/internal/cluster/node/configuration.go
@@ -6,7 +6,7 @@
 	"sync"
 
 	mb "mulleinbeam"
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
 	"mulleinbeam/internal/cluster/entry"
 	"mulleinbeam/internal/routing"
 )
@@ -49,9 +49,9 @@
 	changes, refused := c.active.Update(state.EntryContents(), n.allows)
 	n.router.Configure(destinations(changes))
 	c.limits.change(changes)
-	report := council.ConfigReport{Revision: state.Configured}
+	report := controlplane.ConfigReport{Revision: state.Configured}
 	for _, r := range refused {
-		report.Refused = append(report.Refused, council.RefusedEntry{Key: r.Key, Why: r.Why})
+		report.Refused = append(report.Refused, controlplane.RefusedEntry{Key: r.Key, Why: r.Why})
 	}
 	report = report.Bounded()
 	n.mu.Lock()
@@ -100,11 +100,11 @@
 }
 
 // logConfiguration tells of what is in force now, and of entries that are refused for the first time.
-func (n *Node) logConfiguration(before, now council.ConfigReport) {
+func (n *Node) logConfiguration(before, now controlplane.ConfigReport) {
 	if now.Revision != before.Revision {
 		n.cfg.Logger.Info().Str("part", "configuration").Uint64("revision", now.Revision).Int("refused", len(now.Refused)).Msg("configuration in force")
 	}
-	known := map[council.RefusedEntry]bool{}
+	known := map[controlplane.RefusedEntry]bool{}
 	for _, r := range before.Refused {
 		known[r] = true
 	}
@@ -124,7 +124,7 @@
 }
 
 // configReport is what goes with a lease renewal.
-func (n *Node) configReport() *council.ConfigReport {
+func (n *Node) configReport() *controlplane.ConfigReport {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	report := n.reported
--- a/internal/cluster/node/configuration_test.go
+++ b/internal/cluster/node/configuration_test.go
@@ -8,7 +8,7 @@
 	"github.com/rs/zerolog"
 
 	mb "mulleinbeam"
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
 	"mulleinbeam/internal/cluster/entry"
 	"mulleinbeam/internal/routing"
 	"mulleinbeam/internal/routing/wal"
@@ -26,8 +26,8 @@
 	t.Helper()
 	address := "127.0.0.1:0"
 	n, err := Open(Config{
-		Name: "n0", Listen: address, Founders: []council.Founder{{Name: "n0", Address: address}}, Copies: 1, Folder: t.TempDir(),
-		Timing: council.Timing{Tick: 10 * time.Millisecond, Lease: time.Minute, Margin: 10 * time.Second}, Logger: zerolog.Nop(),
+		Name: "n0", Listen: address, Founders: []controlplane.Founder{{Name: "n0", Address: address}}, Copies: 1, Folder: t.TempDir(),
+		Timing: controlplane.Timing{Tick: 10 * time.Millisecond, Lease: time.Minute, Margin: 10 * time.Second}, Logger: zerolog.Nop(),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -70,15 +70,15 @@
 	n := newAlone(t)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	cmd := council.Command{Kind: council.Configure}
+	cmd := controlplane.Command{Kind: controlplane.Configure}
 	for _, e := range []entry.Entry{{Class: &entry.Class{Name: "safe", Rate: 0.01}}, {Class: &entry.Class{Name: "unheard", Rate: 1}}} {
 		content, err := e.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
-		cmd.Entries = append(cmd.Entries, council.EntryChange{Key: e.Key(), Content: content})
+		cmd.Entries = append(cmd.Entries, controlplane.EntryChange{Key: e.Key(), Content: content})
 	}
-	committed, err := n.client.Do(ctx, council.Request{Command: &cmd})
+	committed, err := n.client.Do(ctx, controlplane.Request{Command: &cmd})
 	if err != nil || committed.Refused != "" {
 		t.Fatalf("%+v, %v", committed, err)
 	}
@@ -93,8 +93,8 @@
 	if report.Revision != committed.Version || len(report.Refused) != 1 || report.Refused[0].Key != entry.ClassKey("unheard") {
 		t.Errorf("report %+v, committed at %d", report, committed.Version)
 	}
-	bad := council.Command{Kind: council.Configure, From: committed.Version, Entries: []council.EntryChange{{Key: "class/safe", Content: []byte("{}")}}}
-	if r, err := n.client.Do(ctx, council.Request{Command: &bad}); err != nil || r.Refused == "" {
+	bad := controlplane.Command{Kind: controlplane.Configure, From: committed.Version, Entries: []controlplane.EntryChange{{Key: "class/safe", Content: []byte("{}")}}}
+	if r, err := n.client.Do(ctx, controlplane.Request{Command: &bad}); err != nil || r.Refused == "" {
 		t.Errorf("an entry that can't be used: %+v, %v", r, err)
 	}
 }
--- a/internal/cluster/node/facts.go
+++ b/internal/cluster/node/facts.go
@@ -8,11 +8,11 @@
 	"time"
 
 	mb "mulleinbeam"
-	"mulleinbeam/internal/cluster/council"
-	"mulleinbeam/internal/cluster/facts"
+	"mulleinbeam/internal/cluster/controlplane"
+	"mulleinbeam/internal/cluster/observation"
 )
 
-// What members tell each other of partners: package facts with a clock and links. The council's word says who the members are; a
+// What members tell each other of partners: package observation with a clock and links. The council's word says who the members are; a
 // push that fails is all that suspects one.
 
 const (
@@ -24,8 +24,8 @@
 // talk is a node's part in it.
 type talk struct {
 	mu       sync.Mutex
-	book     *facts.Book
-	spread   *facts.Spread
+	book     *observation.Book
+	spread   *observation.Spread
 	out      map[string]bool      // a push is on its way
 	unheard  map[string]time.Time // since when a member has not answered one
 	complain map[string]time.Time // when a member's absurd facts were last logged
@@ -33,14 +33,14 @@
 
 // FactsPush is what one member tells another.
 type FactsPush struct {
-	From    council.Life
-	Facts   []facts.Fact
+	From    controlplane.Life
+	Facts   []observation.Fact
 	Compare bool
 	Digest  uint64
 }
 
 // FactsAnswer holds what the other should know as well, where the two were to compare.
-type FactsAnswer struct{ Facts []facts.Fact }
+type FactsAnswer struct{ Facts []observation.Fact }
 
 type factsRPC struct{ n *Node }
 
@@ -58,12 +58,14 @@
 }
 
 // known says whether a life is one of the fleet's.
-func known(state *council.State) func(origin string, life uint64) bool {
-	return func(origin string, life uint64) bool { return state.Alive(council.Life{Name: origin, Number: life}) }
+func known(state *controlplane.State) func(origin string, life uint64) bool {
+	return func(origin string, life uint64) bool {
+		return state.Alive(controlplane.Life{Name: origin, Number: life})
+	}
 }
 
 // hear takes facts that a member has told, its own or others'.
-func (n *Node) hear(from string, list []facts.Fact) {
+func (n *Node) hear(from string, list []observation.Fact) {
 	_, state := n.latest()
 	belongs := known(state)
 	t := &n.talk
@@ -77,7 +79,7 @@
 		if news {
 			t.spread.Tell(len(state.Members), f)
 		}
-		if why != facts.Fine && time.Since(t.complain[f.Origin]) > complainFor {
+		if why != observation.Fine && time.Since(t.complain[f.Origin]) > complainFor {
 			t.complain[f.Origin] = time.Now()
 			n.cfg.Logger.Warn().Str("part", "facts").Str("origin", f.Origin).Str("from", from).Stringer("kind", f.Kind).Int64("destination", f.Destination).
 				Stringer("age", f.Age).Stringer("left", f.Left).Float64("rate", f.Rate).Str("why", string(why)).Msg("an absurd fact is bounded or dropped")
@@ -90,7 +92,7 @@
 	beat := time.NewTicker(n.cfg.Beat)
 	defer beat.Stop()
 	var others []string
-	var listed *council.State // from which others was made
+	var listed *controlplane.State // from which others was made
 	for {
 		select {
 		case <-beat.C:
@@ -132,7 +134,7 @@
 }
 
 // othersOf are the members that live, but for one, in their order.
-func othersOf(state *council.State, name string) (out []string) {
+func othersOf(state *controlplane.State, name string) (out []string) {
 	for _, other := range state.Names() {
 		if other != name && state.Members[other].Alive {
 			out = append(out, other)
@@ -142,7 +144,7 @@
 }
 
 // push tells one member.
-func (n *Node) push(ctx context.Context, mine council.Life, p facts.Push, address string) {
+func (n *Node) push(ctx context.Context, mine controlplane.Life, p observation.Push, address string) {
 	call, cancel := context.WithTimeout(ctx, appendFor)
 	defer cancel()
 	var a FactsAnswer
@@ -160,18 +162,18 @@
 
 // newTalk is the talk of a member that knows nothing yet.
 func newTalk(cfg Config) talk {
-	book := facts.NewBook(facts.Config{Name: cfg.Name, HalfLife: cfg.Believe, Longest: cfg.Window, Keys: factKeys})
+	book := observation.NewBook(observation.Config{Name: cfg.Name, HalfLife: cfg.Believe, Longest: cfg.Window, Keys: factKeys})
 	return talk{
-		book: book, spread: facts.NewSpread(book, rand.Uint64()), out: map[string]bool{}, unheard: map[string]time.Time{},
+		book: book, spread: observation.NewSpread(book, rand.Uint64()), out: map[string]bool{}, unheard: map[string]time.Time{},
 		complain: map[string]time.Time{},
 	}
 }
 
 // FactsStatus is what a member knows of partners by others' words and its own.
 type FactsStatus struct {
-	Facts  []facts.Fact     `json:"facts"`
-	Heeded []mb.LearnedLane `json:"heeded"` // what its module is told, beside what it sees itself
-	Counts facts.Counts     `json:"counts"`
+	Facts  []observation.Fact `json:"facts"`
+	Heeded []mb.LearnedLane   `json:"heeded"` // what its module is told, beside what it sees itself
+	Counts observation.Counts `json:"counts"`
 }
 
 // Facts tells it.
--- a/internal/cluster/node/lives.go
+++ b/internal/cluster/node/lives.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"mulleinbeam/internal/cluster/changelog"
-	"mulleinbeam/internal/cluster/copies"
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
+	"mulleinbeam/internal/cluster/replication"
 	"mulleinbeam/internal/routing/wal"
 )
 
@@ -61,7 +61,7 @@
 	case !r.Granted: // that life is over
 		n.frozen()
 		n.mu.Lock()
-		n.mine, n.owner, n.asked, n.waiters = council.Life{}, nil, nil, nil // marks are a life's own
+		n.mine, n.owner, n.asked, n.waiters = controlplane.Life{}, nil, nil, nil // marks are a life's own
 		n.mu.Unlock()
 		n.cfg.Logger.Warn().Str("part", "node").Stringer("life", mine).Msg("this life was ended, another begins")
 		return 0
@@ -85,11 +85,11 @@
 }
 
 // resume lets the router go on with what it holds, once it is known whose that is.
-func (n *Node) resume(ctx context.Context, mine council.Life) {
+func (n *Node) resume(ctx context.Context, mine controlplane.Life) {
 	n.mu.Lock()
 	had, state := n.folder.Number, n.view.State()
 	n.mu.Unlock()
-	before := council.Life{Name: mine.Name, Number: had}
+	before := controlplane.Life{Name: mine.Name, Number: had}
 	if job := state.Job(before); had > 0 && had != mine.Number && job != nil && !job.Done && job.Taker == mine {
 		n.takeBack(ctx, before, mine, state) // asks again with the next beat if it can't
 		return
@@ -98,10 +98,10 @@
 }
 
 // thaw tells the router which messages are its own.
-func (n *Node) thaw(before, mine council.Life, state *council.State) {
+func (n *Node) thaw(before, mine controlplane.Life, state *controlplane.State) {
 	kept := before.Number == 0 || state.Holder(before) == mine
 	n.router.Thaw(func(m *wal.Message) bool {
-		if m.Owner != "" && state.Holder(council.Life{Name: m.Owner, Number: m.Life}) != mine {
+		if m.Owner != "" && state.Holder(controlplane.Life{Name: m.Owner, Number: m.Life}) != mine {
 			return false // it was never this forwarder's, or is not any more
 		}
 		return kept || m.Alone
@@ -133,8 +133,8 @@
 	n.mu.Lock()
 	had := n.folder
 	n.mu.Unlock()
-	join := council.Command{
-		Kind: council.Join, Life: council.Life{Name: n.cfg.Name, Number: had.Number}, Whole: had.Number > 0, Token: n.token,
+	join := controlplane.Command{
+		Kind: controlplane.Join, Life: controlplane.Life{Name: n.cfg.Name, Number: had.Number}, Whole: had.Number > 0, Token: n.token,
 		Past: had.Token, Address: n.cfg.Listen, Zone: n.cfg.Zone, Region: n.cfg.Region, Version: Version, Space: n.cfg.Space,
 	}
 	if err := n.catchUp(ctx, 1); err != nil { // before there is a lease to hold meanwhile
@@ -142,7 +142,7 @@
 	}
 	call, cancel := context.WithTimeout(ctx, askFor+n.cfg.Timing.Lease+n.cfg.Timing.Margin)
 	defer cancel()
-	r, err := n.client.Do(call, council.Request{Command: &join, Watch: n.watch()})
+	r, err := n.client.Do(call, controlplane.Request{Command: &join, Watch: n.watch()})
 	if err != nil {
 		return err
 	}
@@ -159,11 +159,11 @@
 		return err
 	}
 	n.putIntoForce() // before anything is taken on in this life
-	mine := council.Life{Name: n.cfg.Name, Number: m.Life}
+	mine := controlplane.Life{Name: n.cfg.Name, Number: m.Life}
 	n.mu.Lock()
 	n.figures.Lives++
 	n.knows.Store(false)
-	n.mine, n.owner, n.asked, n.waiters = mine, copies.NewOwner(mine), nil, nil
+	n.mine, n.owner, n.asked, n.waiters = mine, replication.NewOwner(mine), nil, nil
 	n.mu.Unlock()
 	n.nudge()
 	if n.steering != nil {
@@ -177,7 +177,7 @@
 func (n *Node) MayAct() bool { return time.Duration(n.lease.Load()) > n.now() && n.thawed.Load() }
 
 // watch is what is asked for of what is decided.
-func (n *Node) watch() *council.Watch {
+func (n *Node) watch() *controlplane.Watch {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.view.Watch()
@@ -185,7 +185,7 @@
 
 // learn takes an answer about what is decided; true says that more of it is to be asked for at once. One that is not to what was last
 // asked for changes nothing.
-func (n *Node) learn(c *council.Changes) (more bool) {
+func (n *Node) learn(c *controlplane.Changes) (more bool) {
 	if c == nil {
 		return false
 	}
@@ -224,14 +224,14 @@
 }
 
 // tidy drops copies of lives that nobody will ask for any more.
-func (n *Node) tidy(s *council.State) {
+func (n *Node) tidy(s *controlplane.State) {
 	n.shelfMu.Lock()
 	for _, life := range n.shelf.Lives() {
 		if j := s.Job(life); j != nil || !s.Alive(life) && s.Members[life.Name] != nil && s.Members[life.Name].Life >= life.Number {
 			n.shelf.End(life)
 		}
 	}
-	gone := n.shelf.Drop(func(l council.Life) bool {
+	gone := n.shelf.Drop(func(l controlplane.Life) bool {
 		m := s.Members[l.Name]
 		if m == nil || l.Number > m.Life || s.Alive(l) {
 			return true // nothing is known of it yet, or it goes on
@@ -253,7 +253,7 @@
 		if _, state := n.latest(); state.Version >= version {
 			return nil
 		}
-		r, err := n.client.Do(ctx, council.Request{Watch: n.watch()})
+		r, err := n.client.Do(ctx, controlplane.Request{Watch: n.watch()})
 		if err != nil {
 			return err
 		}
@@ -267,10 +267,10 @@
 }
 
 // decide has the council decide something. Once it has, this member knows that.
-func (n *Node) decide(ctx context.Context, cmd council.Command) (council.Response, error) {
+func (n *Node) decide(ctx context.Context, cmd controlplane.Command) (controlplane.Response, error) {
 	call, cancel := context.WithTimeout(ctx, askFor)
 	defer cancel()
-	r, err := n.client.Do(call, council.Request{Command: &cmd, Watch: n.watch()})
+	r, err := n.client.Do(call, controlplane.Request{Command: &cmd, Watch: n.watch()})
 	if err != nil {
 		return r, err
 	}
--- a/internal/cluster/node/node.go
+++ b/internal/cluster/node/node.go
@@ -20,9 +20,9 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"mulleinbeam/internal/cluster/copies"
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
 	"mulleinbeam/internal/cluster/links"
+	"mulleinbeam/internal/cluster/replication"
 	"mulleinbeam/internal/routing"
 	"mulleinbeam/internal/routing/wal"
 	"mulleinbeam/internal/routing/wal/fsys"
@@ -37,11 +37,11 @@
 	Name         string
 	Zone, Region string
 	Listen       string // where its links listen, and where others reach them
-	Founders     []council.Founder
-	Relays       []council.Relay   // that carry requests to the voters, in no order; a voter itself uses none
-	Via          map[string]string // what is dialled for an address, where that differs
-	Copies       int               // of each message, the owner's own included
-	Timing       council.Timing
+	Founders     []controlplane.Founder
+	Relays       []controlplane.Relay // that carry requests to the voters, in no order; a voter itself uses none
+	Via          map[string]string    // what is dialled for an address, where that differs
+	Copies       int                  // of each message, the owner's own included
+	Timing       controlplane.Timing
 	Patience     time.Duration   // how long a keeper may be out of reach before it is replaced
 	Space        int64           // bytes of copies for others
 	Alone        map[string]bool // classes that go on without a copy when nobody can keep one
@@ -95,9 +95,9 @@
 	cfg      Config
 	listener net.Listener
 	peers    *links.Peers
-	client   *council.Client
-	server   *council.Server // a founder, or one that may become it
-	keeper   *council.Keeper
+	client   *controlplane.Client
+	server   *controlplane.Server // a founder, or one that may become it
+	keeper   *controlplane.Keeper
 	token    string
 	folder   life // what was found
 
@@ -108,29 +108,29 @@
 	knows  atomic.Bool  // the ids that were over in the life before
 
 	mu       sync.Mutex
-	mine     council.Life
-	owner    *copies.Owner
-	view     *council.View
+	mine     controlplane.Life
+	owner    *replication.Owner
+	view     *controlplane.View
 	waiters  []waiter
 	sending  map[string]bool      // keepers to which a sender is on its way
 	missed   map[string]time.Time // keepers out of reach, and since when
 	heard    map[string]time.Time // when a keeper last answered
-	taking   map[council.Life]bool
+	taking   map[controlplane.Life]bool
 	wake     chan struct{}
-	asked    *council.Command     // for other keepers, and not known to be decided or refused
-	asking   bool                 // the council, just now
-	reported council.ConfigReport // of the configuration that is in force here
+	asked    *controlplane.Command     // for other keepers, and not known to be decided or refused
+	asking   bool                      // the council, just now
+	reported controlplane.ConfigReport // of the configuration that is in force here
 	figures  Figures
 
 	configuring configuring
 
 	talk     talk
-	steering *steering     // nil: traffic goes everywhere
-	renewal  council.Lease // live's goroutine only
+	steering *steering          // nil: traffic goes everywhere
+	renewal  controlplane.Lease // live's goroutine only
 
 	shelfMu sync.Mutex
-	shelf   *copies.Shelf
-	disk    *copies.Disk
+	shelf   *replication.Shelf
+	disk    *replication.Disk
 
 	tasks *errgroup.Group
 }
@@ -162,8 +162,8 @@
 	}
 	n := &Node{
 		cfg: cfg, peers: &links.Peers{Other: cfg.Via}, token: fmt.Sprintf("%016x", rand.Uint64()), began: time.Now(),
-		view: council.NewView(), renewal: council.Lease{Length: cfg.Timing.Lease}, sending: map[string]bool{}, missed: map[string]time.Time{}, heard: map[string]time.Time{}, taking: map[council.Life]bool{},
-		wake: make(chan struct{}, 1), configuring: configuring{changed: make(chan struct{}, 1)}, shelf: copies.NewShelf(rand.Uint64()), talk: newTalk(cfg),
+		view: controlplane.NewView(), renewal: controlplane.Lease{Length: cfg.Timing.Lease}, sending: map[string]bool{}, missed: map[string]time.Time{}, heard: map[string]time.Time{}, taking: map[controlplane.Life]bool{},
+		wake: make(chan struct{}, 1), configuring: configuring{changed: make(chan struct{}, 1)}, shelf: replication.NewShelf(rand.Uint64()), talk: newTalk(cfg),
 	}
 	if cfg.Place != nil {
 		n.steering = newSteering(n, *cfg.Place)
@@ -180,7 +180,7 @@
 	report := func(part string) func(string) {
 		return func(line string) { cfg.Logger.Warn().Str("part", part).Msg(line) }
 	}
-	n.disk, err = copies.OpenDisk(fsys.Dir(filepath.Join(cfg.Folder, copiesDir)), max(spaceLeast, cfg.Space), cfg.Durability,
+	n.disk, err = replication.OpenDisk(fsys.Dir(filepath.Join(cfg.Folder, copiesDir)), max(spaceLeast, cfg.Space), cfg.Durability,
 		report("copies"), n.shelf.Restore)
 	if err != nil {
 		return nil, err
@@ -196,21 +196,21 @@
 
 // found opens the part in the council, of a founder or of one that may become it, and the way to the others.
 func (n *Node) found(report func(string)) error {
-	keeper, kept, err := council.OpenKeeper(fsys.Dir(filepath.Join(n.cfg.Folder, CouncilDir)), report)
+	keeper, kept, err := controlplane.OpenKeeper(fsys.Dir(filepath.Join(n.cfg.Folder, CouncilDir)), report)
 	if err != nil {
 		return err
 	}
 	n.keeper = keeper
-	core, err := council.NewCore(n.cfg.Name, n.cfg.Founders, kept)
+	core, err := controlplane.NewCore(n.cfg.Name, n.cfg.Founders, kept)
 	if err != nil {
 		return errors.Join(err, keeper.Close())
 	}
-	n.server = council.NewServer(core, keeper, n.cfg.Timing, n.cfg.Logger)
+	n.server = controlplane.NewServer(core, keeper, n.cfg.Timing, n.cfg.Logger)
 	n.server.Dial = func(address string) *links.Peer { return links.NewPeer(n.peers.Via(address)) }
 	n.server.Furthest, n.server.CheckEntry = n.furthest, checkEntry
-	n.client = council.NewClient(n.cfg.Founders, n.peers.At, n.cfg.Name, n.server)
-	if !slices.ContainsFunc(n.cfg.Founders, func(f council.Founder) bool { return f.Name == n.cfg.Name }) {
-		n.client.Via(council.RankRelays(n.cfg.Relays, n.cfg.Name, n.cfg.Zone))
+	n.client = controlplane.NewClient(n.cfg.Founders, n.peers.At, n.cfg.Name, n.server)
+	if !slices.ContainsFunc(n.cfg.Founders, func(f controlplane.Founder) bool { return f.Name == n.cfg.Name }) {
+		n.client.Via(controlplane.RankRelays(n.cfg.Relays, n.cfg.Name, n.cfg.Zone))
 	}
 	return nil
 }
@@ -298,7 +298,7 @@
 func (n *Node) now() time.Duration { return time.Since(n.began) }
 
 // latest is this life and what the council has decided, as far as is known here; n.mu is not held. What is decided is never changed.
-func (n *Node) latest() (mine council.Life, decided *council.State) {
+func (n *Node) latest() (mine controlplane.Life, decided *controlplane.State) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.mine, n.view.State()
@@ -505,7 +505,7 @@
 
 // wanted are members that are to get the log and do not count yet: the best ranked, as many as are missing of those that do. n.mu is
 // held.
-func (n *Node) wanted(m *council.Member) []string {
+func (n *Node) wanted(m *controlplane.Member) []string {
 	missing := max(0, n.cfg.Copies-1)
 	for _, name := range m.Keepers {
 		if n.usable(name) {
@@ -520,7 +520,7 @@
 }
 
 // send brings a keeper up to date.
-func (n *Node) send(ctx context.Context, owner *copies.Owner, name, address string) {
+func (n *Node) send(ctx context.Context, owner *replication.Owner, name, address string) {
 	defer func() {
 		n.mu.Lock()
 		delete(n.sending, name)
@@ -547,7 +547,7 @@
 		if !some {
 			return
 		}
-		var ack copies.Ack
+		var ack replication.Ack
 		call, cancel := context.WithTimeout(ctx, appendFor)
 		err := peer.Call(call, "Copies.Append", b, &ack)
 		cancel()
@@ -584,7 +584,7 @@
 	}
 }
 
-func batchSize(b copies.Batch) (size int64) {
+func batchSize(b replication.Batch) (size int64) {
 	for _, r := range b.Records {
 		size += int64(len(r.Payload))
 	}
@@ -592,7 +592,7 @@
 }
 
 // snapshot has a keeper go on from all that is held now.
-func (n *Node) snapshot(owner *copies.Owner, name string) (ok bool) {
+func (n *Node) snapshot(owner *replication.Owner, name string) (ok bool) {
 	var records [][]byte
 	add := func(past []wal.Past) {
 		for _, p := range past {
@@ -660,7 +660,7 @@
 		return
 	}
 	n.owner.Ask(set)
-	n.asked = &council.Command{Kind: council.Keepers, Life: n.mine, From: m.Changed, Set: set}
+	n.asked = &controlplane.Command{Kind: controlplane.Keepers, Life: n.mine, From: m.Changed, Set: set}
 	n.askForKeepers(ctx)
 }
 
--- a/internal/cluster/node/node_test.go
+++ b/internal/cluster/node/node_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"mulleinbeam/internal/cluster/copies"
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
+	"mulleinbeam/internal/cluster/replication"
 )
 
 // A life that ends while somebody waits for its keepers: a class that may goes on alone, a strict one learns that nobody knows,
@@ -15,7 +15,7 @@
 func TestALifeEndsWhileItsKeepersAreWaitedFor(t *testing.T) {
 	for class, strict := range map[string]bool{"safe": false, "unsafe": true} {
 		n := &Node{cfg: Config{Copies: 2, Alone: map[string]bool{"safe": true}, Patience: time.Millisecond}, began: time.Now()}
-		n.owner = copies.NewOwner(council.Life{Name: "n", Number: 1})
+		n.owner = replication.NewOwner(controlplane.Life{Name: "n", Number: 1})
 		n.owner.SetKeepers([]string{"k"}, nil)
 		n.lease.Store(math.MaxInt64)
 		n.thawed.Store(true)
--- a/internal/cluster/node/plans.go
+++ b/internal/cluster/node/plans.go
@@ -12,7 +12,7 @@
 	"time"
 
 	mb "mulleinbeam"
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
 	"mulleinbeam/internal/cluster/plan"
 	"mulleinbeam/internal/routing"
 )
@@ -258,7 +258,7 @@
 }
 
 // heard takes the plan that is decided, as an asking sent at a moment has found it.
-func (s *steering) heard(sent time.Duration, decided council.Plan) {
+func (s *steering) heard(sent time.Duration, decided controlplane.Plan) {
 	if decided.Number == 0 {
 		return
 	}
@@ -308,7 +308,7 @@
 		return
 	}
 	now := s.n.now()
-	leads := s.n.server.Ask(council.Request{}).Leader == s.n.cfg.Name
+	leads := s.n.server.Ask(controlplane.Request{}).Leader == s.n.cfg.Name
 	s.mu.Lock()
 	r := s.report
 	maps.DeleteFunc(r.Paths, func(p plan.Path, _ plan.Tally) bool { return !s.lists(p) }) // of a list that is over
@@ -362,7 +362,7 @@
 }
 
 // step plans and has it decided.
-func (s *steering) step(ctx context.Context, state *council.State) {
+func (s *steering) step(ctx context.Context, state *controlplane.State) {
 	in := plan.Input{Zones: map[string]plan.Summary{}, Members: map[string]int{}, State: state.Version, Frozen: state.Plan.Frozen, Evacuate: map[string]bool{}}
 	for _, place := range state.Plan.Evacuating {
 		in.Evacuate[place] = true
@@ -400,7 +400,7 @@
 		s.n.cfg.Logger.Error().Str("part", "plan").Int("bytes", b.Len()).Err(err).Msg("a plan that can't be proposed")
 		return
 	}
-	r, err := s.n.decide(ctx, council.Command{Kind: council.Propose, From: state.Plan.Number, Number: next.Version, Content: b.Bytes()})
+	r, err := s.n.decide(ctx, controlplane.Command{Kind: controlplane.Propose, From: state.Plan.Number, Number: next.Version, Content: b.Bytes()})
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil || r.Refused != "" { // it may be decided yet: from what is, with the next window
--- a/internal/cluster/node/status.go
+++ b/internal/cluster/node/status.go
@@ -4,26 +4,26 @@
 	"context"
 	"time"
 
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
 	"mulleinbeam/internal/cluster/links"
 	"mulleinbeam/internal/routing/wal/store"
 )
 
 // Status is what a member knows, for operators.
 type Status struct {
-	Name     string             `json:"name"`
-	Life     council.Life       `json:"life"`
-	MayAct   bool               `json:"may_act"`
-	Silent   bool               `json:"silent"`      // a founder that does not vote yet
-	Knows    bool               `json:"knows_ended"` // the ids that were over in the life before this one
-	Leader   string             `json:"leader"`      // of the council, as far as this member knows; only founders do
-	State    *council.State     `json:"state"`
-	Founders []council.Founder  `json:"founders"`  // of the council, as far as this member knows
-	Unheard  map[string]float64 `json:"unheard_s"` // seconds for which a member has not answered this one
-	Keepers  []KeeperStatus     `json:"keepers"`
-	Copies   []CopyStatus       `json:"copies"`
-	Disk     store.Stats        `json:"disk"`
-	Figures  Figures            `json:"figures"`
+	Name     string                 `json:"name"`
+	Life     controlplane.Life      `json:"life"`
+	MayAct   bool                   `json:"may_act"`
+	Silent   bool                   `json:"silent"`      // a founder that does not vote yet
+	Knows    bool                   `json:"knows_ended"` // the ids that were over in the life before this one
+	Leader   string                 `json:"leader"`      // of the council, as far as this member knows; only founders do
+	State    *controlplane.State    `json:"state"`
+	Founders []controlplane.Founder `json:"founders"`  // of the council, as far as this member knows
+	Unheard  map[string]float64     `json:"unheard_s"` // seconds for which a member has not answered this one
+	Keepers  []KeeperStatus         `json:"keepers"`
+	Copies   []CopyStatus           `json:"copies"`
+	Disk     store.Stats            `json:"disk"`
+	Figures  Figures                `json:"figures"`
 }
 
 // KeeperStatus is how far one that keeps copies for this member is.
@@ -38,12 +38,12 @@
 
 // CopyStatus is one that this member keeps.
 type CopyStatus struct {
-	Life     council.Life `json:"life"`
-	Has      uint64       `json:"has"`
-	Messages int          `json:"messages"`
-	Past     int          `json:"past"`
-	Unknown  int          `json:"unknown_records"`
-	SkewMS   float64      `json:"skew_ms"`
+	Life     controlplane.Life `json:"life"`
+	Has      uint64            `json:"has"`
+	Messages int               `json:"messages"`
+	Past     int               `json:"past"`
+	Unknown  int               `json:"unknown_records"`
+	SkewMS   float64           `json:"skew_ms"`
 }
 
 // Status is what this member knows now.
@@ -69,7 +69,7 @@
 	}
 	n.mu.Unlock()
 	s.MayAct, s.Knows = n.MayAct(), n.knows.Load()
-	r := n.server.Ask(council.Request{})
+	r := n.server.Ask(controlplane.Request{})
 	s.Leader, s.Silent = r.Leader, r.Silent
 	s.Founders = n.cfg.Founders
 	if len(s.State.Founders) > 0 {
@@ -104,10 +104,10 @@
 }
 
 // Command passes an operator's command to the council.
-func (s statusRPC) Command(c council.Command, out *council.Response) error {
+func (s statusRPC) Command(c controlplane.Command, out *controlplane.Response) error {
 	ctx, cancel := context.WithTimeout(context.Background(), askFor)
 	defer cancel()
-	r, err := s.n.client.Do(ctx, council.Request{Command: &c})
+	r, err := s.n.client.Do(ctx, controlplane.Request{Command: &c})
 	*out = r
 	return err
 }
@@ -130,14 +130,14 @@
 }
 
 // Order has the member at an address ask the council for a command.
-func Order(ctx context.Context, address string, c council.Command) (r council.Response, err error) {
+func Order(ctx context.Context, address string, c controlplane.Command) (r controlplane.Response, err error) {
 	p := links.NewPeer(address)
 	defer p.Close()
 	return r, p.Call(ctx, "Status.Command", c, &r)
 }
 
 // Rollout passes an operator's question on to whoever leads: how far the configuration is in force.
-func (s statusRPC) Rollout(_ bool, out *council.Rollout) error {
+func (s statusRPC) Rollout(_ bool, out *controlplane.Rollout) error {
 	ctx, cancel := context.WithTimeout(context.Background(), askFor)
 	defer cancel()
 	r, err := s.n.client.Rollout(ctx)
@@ -146,8 +146,8 @@
 }
 
 // LookRollout asks the member at an address how far the configuration is in force in the fleet.
-func LookRollout(ctx context.Context, address string) (council.Rollout, error) {
-	return look[council.Rollout](ctx, address, "Status.Rollout")
+func LookRollout(ctx context.Context, address string) (controlplane.Rollout, error) {
+	return look[controlplane.Rollout](ctx, address, "Status.Rollout")
 }
 
 // LookPlan asks the member at an address where traffic goes.
--- a/internal/cluster/node/taking.go
+++ b/internal/cluster/node/taking.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"mulleinbeam/internal/cluster/copies"
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
+	"mulleinbeam/internal/cluster/replication"
 	"mulleinbeam/internal/routing/wal"
 )
 
@@ -19,17 +19,17 @@
 type copiesRPC struct{ n *Node }
 
 // Append takes a batch of somebody's log. What it answers for is on the disk.
-func (c copiesRPC) Append(b copies.Batch, ack *copies.Ack) error {
+func (c copiesRPC) Append(b replication.Batch, ack *replication.Ack) error {
 	n := c.n
 	n.shelfMu.Lock()
 	keep, a := n.shelf.Take(b, time.Now().UnixNano())
 	last, err := n.disk.Save(keep)
 	if err != nil {
 		n.shelf.Doubt(b.Life) // half of it may be kept: it is sent anew, and until then what is here is the best there is
-		if !errors.Is(err, copies.ErrFull) {
+		if !errors.Is(err, replication.ErrFull) {
 			n.cfg.Logger.Warn().Str("part", "copies").Stringer("life", b.Life).Err(err).Msg("copy not kept")
 		}
-		a = copies.Ack{Shelf: a.Shelf, Full: true}
+		a = replication.Ack{Shelf: a.Shelf, Full: true}
 	}
 	n.shelfMu.Unlock()
 	if err == nil && last > 0 {
@@ -45,7 +45,7 @@
 }
 
 // Position says how far a copy goes.
-func (c copiesRPC) Position(life council.Life, have *uint64) error {
+func (c copiesRPC) Position(life controlplane.Life, have *uint64) error {
 	c.n.shelfMu.Lock()
 	defer c.n.shelfMu.Unlock()
 	c.n.shelf.End(life) // it stands still from here on
@@ -57,7 +57,7 @@
 
 // FetchRequest asks for a part of a copy: messages from a number on, behind so many ids that are over.
 type FetchRequest struct {
-	Life council.Life
+	Life controlplane.Life
 	From uint64
 	Past int
 }
@@ -121,7 +121,7 @@
 }
 
 // furthest asks keepers how far their copies go.
-func (n *Node) furthest(ctx context.Context, life council.Life, keepers []string, s *council.State) string {
+func (n *Node) furthest(ctx context.Context, life controlplane.Life, keepers []string, s *controlplane.State) string {
 	var mu sync.Mutex
 	best, most := "", uint64(0)
 	var wg sync.WaitGroup
@@ -191,29 +191,29 @@
 	}
 }
 
-// take takes over an ended life, as copies.Takeover says.
-func (n *Node) take(ctx context.Context, life, mine council.Life, keepers []string, s *council.State) (count int, err error) {
-	var content copies.Content
+// take takes over an ended life, as replication.Takeover says.
+func (n *Node) take(ctx context.Context, life, mine controlplane.Life, keepers []string, s *controlplane.State) (count int, err error) {
+	var content replication.Content
 	var mark uint64
-	for t := copies.NewTakeover(life, mine); ; {
+	for t := replication.NewTakeover(life, mine); ; {
 		switch t.Doing() {
-		case copies.Gather:
+		case replication.Gather:
 			found := false
 			if content, found = n.gather(ctx, life, keepers, s); !found {
 				err = errNoCopy
 			}
 			t.Gathered(found)
-		case copies.Adopt:
+		case replication.Adopt:
 			mark, err = n.router.Adopt(life.Name, life.Number, content.Ordered(), pastOf(content))
 			t.Adopted(err == nil)
-		case copies.Wait:
+		case replication.Wait:
 			err = n.copied(ctx, mark)
 			t.Held(err == nil)
-		case copies.Decide:
+		case replication.Decide:
 			var done bool
 			done, err = n.decideDone(ctx, life, mine)
 			t.Decided(err == nil, done)
-		case copies.Act:
+		case replication.Act:
 			if ok := n.MayAct(); ok {
 				count = n.router.Activate(life.Name, life.Number, true)
 				t.Acted(true)
@@ -221,17 +221,17 @@
 				err = errApart
 				t.Acted(false)
 			}
-		case copies.Undo:
+		case replication.Undo:
 			n.router.Activate(life.Name, life.Number, false)
 			err = errors.Join(err, errApart)
 			t.Undone()
-		case copies.Stop:
+		case replication.Stop:
 			return count, err
 		}
 	}
 }
 
-func pastOf(c copies.Content) (out []wal.Past) {
+func pastOf(c replication.Content) (out []wal.Past) {
 	for _, p := range c.Past {
 		out = append(out, p)
 	}
@@ -257,8 +257,8 @@
 	return ctx.Err()
 }
 
-func (n *Node) decideDone(ctx context.Context, life, mine council.Life) (bool, error) {
-	r, err := n.decide(ctx, council.Command{Kind: council.Done, Life: life, Taker: mine})
+func (n *Node) decideDone(ctx context.Context, life, mine controlplane.Life) (bool, error) {
+	r, err := n.decide(ctx, controlplane.Command{Kind: controlplane.Done, Life: life, Taker: mine})
 	if err != nil {
 		return false, err
 	}
@@ -267,7 +267,7 @@
 
 // takeBack goes on with what an earlier life of this very forwarder owed: its own journal has it, and keepers may know more
 // where the folder is an older one.
-func (n *Node) takeBack(ctx context.Context, before, mine council.Life, s *council.State) {
+func (n *Node) takeBack(ctx context.Context, before, mine controlplane.Life, s *controlplane.State) {
 	job := s.Job(before)
 	content, found := n.gather(ctx, before, job.Keepers, s)
 	if found {
@@ -303,8 +303,8 @@
 
 // learnPast asks whoever has what this forwarder's latest life owed for the ids that were over there, so that one which is handed
 // in here again is known. False says that it is to be asked again: nobody has taken over yet, or there was no answer.
-func (n *Node) learnPast(ctx context.Context, mine council.Life, s *council.State) bool {
-	var latest council.Life
+func (n *Node) learnPast(ctx context.Context, mine controlplane.Life, s *controlplane.State) bool {
+	var latest controlplane.Life
 	for _, j := range s.Jobs {
 		if j.Life.Name == mine.Name && j.Life.Number < mine.Number && j.Life.Number > latest.Number {
 			latest = j.Life
@@ -335,19 +335,19 @@
 }
 
 // gather merges the copies of a life that can be reached.
-func (n *Node) gather(ctx context.Context, life council.Life, keepers []string, s *council.State) (content copies.Content, found bool) {
+func (n *Node) gather(ctx context.Context, life controlplane.Life, keepers []string, s *controlplane.State) (content replication.Content, found bool) {
 	var mu sync.Mutex
-	add := func(c copies.Content) {
+	add := func(c replication.Content) {
 		mu.Lock()
 		defer mu.Unlock()
-		if content, found = copies.Merge(content, c), true; found {
+		if content, found = replication.Merge(content, c), true; found {
 			return
 		}
 	}
 	n.shelfMu.Lock()
 	n.shelf.End(life)
 	if h := n.shelf.Copy(life); h != nil && h.Have > 0 && slices.Contains(keepers, n.cfg.Name) {
-		add(copies.ContentOf(h.Content, h.Skew))
+		add(replication.ContentOf(h.Content, h.Skew))
 	}
 	n.shelfMu.Unlock()
 	var wg sync.WaitGroup
@@ -367,7 +367,7 @@
 }
 
 // fetch gets a copy from another keeper, piece by piece.
-func (n *Node) fetch(ctx context.Context, life council.Life, address string) (copies.Content, bool) {
+func (n *Node) fetch(ctx context.Context, life controlplane.Life, address string) (replication.Content, bool) {
 	call, cancel := context.WithTimeout(ctx, fetchFor)
 	defer cancel()
 	c := wal.NewCopy()
@@ -375,13 +375,13 @@
 	for {
 		var p FetchPiece
 		if err := n.peers.At(address).Call(call, "Copies.Fetch", next, &p); err != nil || p.Have == 0 {
-			return copies.Content{}, false
+			return replication.Content{}, false
 		}
 		for _, r := range p.Records {
 			_ = c.Apply(r) // kinds that are not known here go on with their message
 		}
 		if !p.More {
-			return copies.ContentOf(c, p.Skew), true // both keepers' clocks are taken for one, within the margin of the wait
+			return replication.ContentOf(c, p.Skew), true // both keepers' clocks are taken for one, within the margin of the wait
 		}
 		next = p.Next
 	}
@@ -404,9 +404,9 @@
 
 // CheckRequest has a keeper compare its copy with its owner's journal at an index.
 type CheckRequest struct {
-	Life   council.Life
+	Life   controlplane.Life
 	Index  uint64
-	Ranges [copies.RangeCount]uint64
+	Ranges [replication.RangeCount]uint64
 }
 
 // CheckAnswer says what came of it.
@@ -424,7 +424,7 @@
 		return nil
 	}
 	a.Compared = true
-	for i, d := range copies.Ranges(h.Content.Messages()) {
+	for i, d := range replication.Ranges(h.Content.Messages()) {
 		if d != r.Ranges[i] {
 			a.Differ++
 		}
@@ -444,7 +444,7 @@
 		}
 		var req CheckRequest
 		n.router.Inspect(func(log *wal.Log) {
-			req.Ranges = copies.Ranges(log.Live())
+			req.Ranges = replication.Ranges(log.Live())
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			if n.owner != nil {
--- a/internal/cluster/facts/book.go
+++ b/internal/cluster/observation/book.go
@@ -1,8 +1,8 @@
-// Package facts is what forwarders tell each other of their partners: a told wait, an outage, a return from one, a limit. It decides
+// Package observation is what forwarders tell each other of their partners: a told wait, an outage, a return from one, a limit. It decides
 // which of its own sights a forwarder tells, what it believes of others', and for how long. It has no clock, no socket and no
 // goroutine: time is the caller's, counted from the process's start, and facts travel with their age, so that no two clocks are
 // compared. What a fact lies on its way is not counted: ages are too low by that.
-package facts
+package observation
 
 import (
 	"cmp"
--- a/internal/cluster/facts/facts_test.go
+++ b/internal/cluster/observation/facts_test.go
@@ -1,4 +1,4 @@
-package facts
+package observation
 
 import (
 	"math"
--- a/internal/cluster/relay/core.go
+++ b/internal/cluster/relay/core.go
@@ -11,7 +11,7 @@
 
 import (
 	"mulleinbeam/internal/cluster/changelog"
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
 )
 
 // Ticket names a member's renewal to whoever waits for its reply.
@@ -20,7 +20,7 @@
 // Reply answers the renewal of a ticket.
 type Reply struct {
 	Ticket   Ticket
-	Response council.Response
+	Response controlplane.Response
 }
 
 // mostBatch bounds the lives in one request to the voters.
@@ -38,18 +38,18 @@
 // renewal is a member's request whose reply is owed.
 type renewal struct {
 	ticket   Ticket
-	life     council.Life
+	life     controlplane.Life
 	sequence uint64
-	watch    *council.Watch
+	watch    *controlplane.Watch
 }
 
 // Core is a relay's state machine. Its methods are not safe for concurrent use.
 type Core struct {
-	mirror   *changelog.Mirror[council.Item]
-	waiting  []renewal            // for the next batch, in the order of their coming
-	place    map[council.Life]int // of a life's renewal among those
-	sent     []renewal            // in the batch under way
-	batch    uint64               // number of the latest one
+	mirror   *changelog.Mirror[controlplane.Item]
+	waiting  []renewal                 // for the next batch, in the order of their coming
+	place    map[controlplane.Life]int // of a life's renewal among those
+	sent     []renewal                 // in the batch under way
+	batch    uint64                    // number of the latest one
 	underWay bool
 	more     bool   // the latest answer was a piece
 	leader   string // as the latest answer says
@@ -58,7 +58,7 @@
 
 // NewCore knows nothing yet.
 func NewCore() *Core {
-	return &Core{mirror: council.NewMirror(), place: map[council.Life]int{}}
+	return &Core{mirror: controlplane.NewMirror(), place: map[controlplane.Life]int{}}
 }
 
 // Counters are what it has done so far.
@@ -76,14 +76,16 @@
 }
 
 // Voters are those that have been decided on since the group began; none is those that it began with.
-func (c *Core) Voters() []council.Founder { return council.VotersIn(c.mirror) }
+func (c *Core) Voters() []controlplane.Founder { return controlplane.VotersIn(c.mirror) }
 
 // refusal sends a member elsewhere.
-func refusal() council.Response { return council.Response{Refused: council.ErrNoLeader.Error()} }
+func refusal() controlplane.Response {
+	return controlplane.Response{Refused: controlplane.ErrNoLeader.Error()}
+}
 
 // Renew takes a member's renewal. Its reply comes with the answer to a batch, or at once where a later renewal of the same life makes it
 // needless, or this relay cannot serve.
-func (c *Core) Renew(t Ticket, req council.Request) (replies []Reply) {
+func (c *Core) Renew(t Ticket, req controlplane.Request) (replies []Reply) {
 	if !c.Ready() {
 		return []Reply{{t, refusal()}}
 	}
@@ -102,18 +104,18 @@
 }
 
 // Look answers a member that asks for nothing but what is decided.
-func (c *Core) Look(watch *council.Watch) council.Response {
+func (c *Core) Look(watch *controlplane.Watch) controlplane.Response {
 	if !c.Ready() || watch != nil && watch.Cursor.Newest() > c.Revision() {
 		return refusal()
 	}
-	return c.answer(council.Response{Version: c.Revision()}, watch)
+	return c.answer(controlplane.Response{Version: c.Revision()}, watch)
 }
 
 // answer adds what every answer has.
-func (c *Core) answer(r council.Response, watch *council.Watch) council.Response {
+func (c *Core) answer(r controlplane.Response, watch *controlplane.Watch) controlplane.Response {
 	r.Leader = c.leader
 	if watch != nil {
-		r.Changes = council.ChangesFor(c.mirror.Log(), *watch)
+		r.Changes = controlplane.ChangesFor(c.mirror.Log(), *watch)
 	}
 	return r
 }
@@ -123,7 +125,7 @@
 
 // Batch gives what to ask the voters now: the renewals that wait, and what has been decided since. There is one at a time; Answered or Failed
 // has to follow.
-func (c *Core) Batch() (req council.Request, some bool) {
+func (c *Core) Batch() (req controlplane.Request, some bool) {
 	if c.underWay {
 		return req, false
 	}
@@ -140,12 +142,12 @@
 		req.Batch = append(req.Batch, r.life)
 	}
 	req.Sequence = c.batch
-	req.Watch = &council.Watch{Cursor: c.mirror.Cursor(), Selector: c.mirror.Selector()}
+	req.Watch = &controlplane.Watch{Cursor: c.mirror.Cursor(), Selector: c.mirror.Selector()}
 	return req, true
 }
 
 // Answered takes the voters' answer to a batch. One to another batch than that under way changes nothing.
-func (c *Core) Answered(r council.Response) []Reply {
+func (c *Core) Answered(r controlplane.Response) []Reply {
 	if !c.underWay || r.Sequence != c.batch {
 		return nil
 	}
@@ -158,15 +160,15 @@
 		c.leader = r.Leader
 	}
 	c.learn(r.Changes)
-	ended := make(map[council.Life]bool, len(r.Ended))
+	ended := make(map[controlplane.Life]bool, len(r.Ended))
 	for _, life := range r.Ended {
 		ended[life] = true
 	}
 	replies := make([]Reply, 0, len(c.sent))
 	for _, m := range c.sent {
-		out := council.Response{Granted: !ended[m.life], Sequence: m.sequence, Version: r.Version}
+		out := controlplane.Response{Granted: !ended[m.life], Sequence: m.sequence, Version: r.Version}
 		if !out.Granted {
-			out.Refused = council.ErrEnded.Error()
+			out.Refused = controlplane.ErrEnded.Error()
 		}
 		replies = append(replies, Reply{m.ticket, c.answer(out, m.watch)})
 	}
@@ -175,7 +177,7 @@
 }
 
 // learn takes what has been decided since.
-func (c *Core) learn(changes *council.Changes) {
+func (c *Core) learn(changes *controlplane.Changes) {
 	c.more = false
 	if changes == nil {
 		return
--- a/internal/cluster/relay/core_test.go
+++ b/internal/cluster/relay/core_test.go
@@ -6,30 +6,30 @@
 	"testing"
 
 	"mulleinbeam/internal/cluster/changelog"
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
 )
 
 // decisions is a change log as voters have it.
 type decisions struct {
-	*changelog.Log[council.Item]
+	*changelog.Log[controlplane.Item]
 }
 
 func newDecisions() decisions {
-	return decisions{changelog.NewLog(1, 0, 8, func(council.Change) int { return 100 })}
+	return decisions{changelog.NewLog(1, 0, 8, func(controlplane.Change) int { return 100 })}
 }
 
 // decide changes a member, or removes it.
-func (d decisions) decide(t interface{ Fatal(...any) }, name string, m *council.Member) {
-	change := council.Change{Key: council.MemberKey(name), Revision: d.Revision() + 1, Deleted: m == nil, Value: council.Item{Member: m}}
+func (d decisions) decide(t interface{ Fatal(...any) }, name string, m *controlplane.Member) {
+	change := controlplane.Change{Key: controlplane.MemberKey(name), Revision: d.Revision() + 1, Deleted: m == nil, Value: controlplane.Item{Member: m}}
 	if err := d.Put(change); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // answer is a voter's to a batch, which grants all but some.
-func (d decisions) answer(req council.Request, ended ...council.Life) council.Response {
-	return council.Response{
-		Leader: "n0", Granted: len(req.Batch) > 0, Sequence: req.Sequence, Version: d.Revision(), Ended: ended, Changes: council.ChangesFor(d.Log, *req.Watch),
+func (d decisions) answer(req controlplane.Request, ended ...controlplane.Life) controlplane.Response {
+	return controlplane.Response{
+		Leader: "n0", Granted: len(req.Batch) > 0, Sequence: req.Sequence, Version: d.Revision(), Ended: ended, Changes: controlplane.ChangesFor(d.Log, *req.Watch),
 	}
 }
 
@@ -50,11 +50,11 @@
 	return c
 }
 
-func renewalOf(life council.Life, sequence uint64) council.Request {
-	return council.Request{Renew: &life, Sequence: sequence, Watch: council.NewView().Watch()}
+func renewalOf(life controlplane.Life, sequence uint64) controlplane.Request {
+	return controlplane.Request{Renew: &life, Sequence: sequence, Watch: controlplane.NewView().Watch()}
 }
 
-var a1, b1 = council.Life{Name: "a", Number: 1}, council.Life{Name: "b", Number: 1}
+var a1, b1 = controlplane.Life{Name: "a", Number: 1}, controlplane.Life{Name: "b", Number: 1}
 
 // Renewals that came while a batch was out go in the next, each is answered by its own number, and with what has been decided.
 func TestRenewalsShareABatch(t *testing.T) {
@@ -66,7 +66,7 @@
 	if _, some := c.Batch(); some {
 		t.Error("two batches at once")
 	}
-	d.decide(t, "a", &council.Member{Life: 1, Alive: true})
+	d.decide(t, "a", &controlplane.Member{Life: 1, Alive: true})
 	replies := c.Answered(d.answer(first))
 	if len(replies) != 1 || replies[0].Ticket != 1 || !replies[0].Response.Granted || replies[0].Response.Sequence != 5 || replies[0].Response.Leader != "n0" {
 		t.Errorf("%+v", replies)
@@ -76,7 +76,7 @@
 	}
 	second, _ := c.Batch()
 	replies = c.Answered(d.answer(second, b1))
-	if len(replies) != 1 || replies[0].Response.Granted || replies[0].Response.Refused != council.ErrEnded.Error() || replies[0].Response.Sequence != 9 {
+	if len(replies) != 1 || replies[0].Response.Granted || replies[0].Response.Refused != controlplane.ErrEnded.Error() || replies[0].Response.Sequence != 9 {
 		t.Errorf("%+v", replies)
 	}
 }
@@ -85,12 +85,12 @@
 func TestAnswersToOtherBatches(t *testing.T) {
 	d := newDecisions()
 	c := readyCore(t, d)
-	if c.Answered(council.Response{Granted: true}) != nil {
+	if c.Answered(controlplane.Response{Granted: true}) != nil {
 		t.Error("an answer to nothing")
 	}
 	c.Renew(1, renewalOf(a1, 1))
 	first, _ := c.Batch()
-	if got := c.Failed(); len(got) != 1 || got[0].Response.Refused != council.ErrNoLeader.Error() {
+	if got := c.Failed(); len(got) != 1 || got[0].Response.Refused != controlplane.ErrNoLeader.Error() {
 		t.Errorf("%+v", got)
 	}
 	c.Renew(2, renewalOf(a1, 2))
@@ -113,14 +113,14 @@
 func TestARelayThatIsBehind(t *testing.T) {
 	d := newDecisions()
 	empty := NewCore()
-	if got := empty.Renew(1, renewalOf(a1, 1)); len(got) != 1 || got[0].Response.Granted || got[0].Response.Refused != council.ErrNoLeader.Error() {
+	if got := empty.Renew(1, renewalOf(a1, 1)); len(got) != 1 || got[0].Response.Granted || got[0].Response.Refused != controlplane.ErrNoLeader.Error() {
 		t.Errorf("%+v", got)
 	}
 	if got := empty.Look(nil); got.Refused == "" {
 		t.Errorf("%+v", got)
 	}
 	c := readyCore(t, d)
-	ahead := &council.Watch{Cursor: changelog.Cursor{Has: 100, Revision: 100}, Selector: council.Everything}
+	ahead := &controlplane.Watch{Cursor: changelog.Cursor{Has: 100, Revision: 100}, Selector: controlplane.Everything}
 	if got := c.Look(ahead); got.Refused == "" || got.Changes != nil {
 		t.Errorf("%+v", got)
 	}
@@ -140,11 +140,11 @@
 	c.Renew(1, renewalOf(a1, 1))
 	batch, _ := c.Batch()
 	answer := d.answer(batch)
-	answer.Changes = &council.Changes{From: batch.Watch.Cursor, To: changelog.Cursor{Has: 3, Revision: 9}}
+	answer.Changes = &controlplane.Changes{From: batch.Watch.Cursor, To: changelog.Cursor{Has: 3, Revision: 9}}
 	if got := c.Answered(answer); len(got) != 1 || !got[0].Response.Granted || c.Counters().Malformed != 1 || c.Revision() != d.Revision() {
 		t.Errorf("%+v, %+v", got, c.Counters())
 	}
-	d.decide(t, "a", &council.Member{Life: 1})
+	d.decide(t, "a", &controlplane.Member{Life: 1})
 	batch, _ = c.Batch()
 	if c.Answered(d.answer(batch)); c.Revision() != d.Revision() {
 		t.Errorf("at %d of %d", c.Revision(), d.Revision())
@@ -161,7 +161,7 @@
 		}
 	}
 	for i := range mostBatch {
-		c.Renew(Ticket(100+i), renewalOf(council.Life{Name: fmt.Sprint(i), Number: 1}, 1))
+		c.Renew(Ticket(100+i), renewalOf(controlplane.Life{Name: fmt.Sprint(i), Number: 1}, 1))
 	}
 	first, _ := c.Batch()
 	c.Failed()
@@ -178,8 +178,8 @@
 	if got := c.Voters(); got != nil {
 		t.Errorf("%v", got)
 	}
-	want := []council.Founder{{Name: "n3", Address: "a:1"}}
-	change := council.Change{Key: "voters", Revision: d.Revision() + 1, Value: council.Item{Voters: &council.Voters{List: want, Council: 2}}}
+	want := []controlplane.Founder{{Name: "n3", Address: "a:1"}}
+	change := controlplane.Change{Key: "voters", Revision: d.Revision() + 1, Value: controlplane.Item{Voters: &controlplane.Voters{List: want, Council: 2}}}
 	if err := d.Put(change); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/relay/reports.go
+++ b/internal/cluster/relay/reports.go
@@ -4,7 +4,7 @@
 	"maps"
 	"time"
 
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
 )
 
 // reportKeep is how long a member's report counts without another: some renewals. One that has gone to another relay is counted there as well
@@ -13,33 +13,33 @@
 
 // reports is what a relay's members say of the configuration that is in force there. It is not safe for concurrent use.
 type reports struct {
-	latest map[council.Life]report
+	latest map[controlplane.Life]report
 }
 
 // report is one member's.
 type report struct {
-	council.ConfigReport
+	controlplane.ConfigReport
 	at time.Duration
 }
 
 // take takes a member's report.
-func (r *reports) take(now time.Duration, life council.Life, said council.ConfigReport) {
+func (r *reports) take(now time.Duration, life controlplane.Life, said controlplane.ConfigReport) {
 	if r.latest == nil {
-		r.latest = map[council.Life]report{}
+		r.latest = map[controlplane.Life]report{}
 	}
 	r.latest[life] = report{said.Bounded(), now}
 }
 
 // summary adds up what was said of late; nil is nothing.
-func (r *reports) summary(now time.Duration) *council.ConfigSummary {
-	maps.DeleteFunc(r.latest, func(_ council.Life, said report) bool { return now-said.at > reportKeep })
+func (r *reports) summary(now time.Duration) *controlplane.ConfigSummary {
+	maps.DeleteFunc(r.latest, func(_ controlplane.Life, said report) bool { return now-said.at > reportKeep })
 	if len(r.latest) == 0 {
 		return nil
 	}
-	all := make(map[council.Life]council.ConfigReport, len(r.latest))
+	all := make(map[controlplane.Life]controlplane.ConfigReport, len(r.latest))
 	for life, said := range r.latest {
 		all[life] = said.ConfigReport
 	}
-	sum := council.Summarize(all)
+	sum := controlplane.Summarize(all)
 	return &sum
 }
--- a/internal/cluster/relay/server.go
+++ b/internal/cluster/relay/server.go
@@ -13,14 +13,14 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
 	"mulleinbeam/internal/cluster/links"
 )
 
 // Config is a relay's.
 type Config struct {
 	Listen string // host:port that members dial
-	Voters []council.Founder
+	Voters []controlplane.Founder
 	Logger zerolog.Logger
 }
 
@@ -39,15 +39,15 @@
 	cfg      Config
 	listener net.Listener
 	peers    *links.Peers
-	client   *council.Client
+	client   *controlplane.Client
 	wake     chan struct{}
 	commands chan struct{} // one for each under way
 
 	mu      sync.Mutex
 	core    *Core
 	ticket  Ticket
-	replies map[Ticket]chan council.Response
-	voters  []council.Founder // that the client was told of
+	replies map[Ticket]chan controlplane.Response
+	voters  []controlplane.Founder // that the client was told of
 	reports reports
 
 	token string // tells this process from other relays
@@ -62,8 +62,8 @@
 	}
 	peers := &links.Peers{}
 	return &Server{
-		cfg: cfg, listener: listener, peers: peers, client: council.NewClient(cfg.Voters, peers.At, "", nil), wake: make(chan struct{}, 1),
-		commands: make(chan struct{}, mostCommands), core: NewCore(), replies: map[Ticket]chan council.Response{},
+		cfg: cfg, listener: listener, peers: peers, client: controlplane.NewClient(cfg.Voters, peers.At, "", nil), wake: make(chan struct{}, 1),
+		commands: make(chan struct{}, mostCommands), core: NewCore(), replies: map[Ticket]chan controlplane.Response{},
 		token: fmt.Sprintf("relay %016x", rand.Uint64()), began: time.Now(),
 	}, nil
 }
@@ -159,11 +159,11 @@
 }
 
 // renew waits for the reply to a member's renewal.
-func (s *Server) renew(ctx context.Context, req council.Request) council.Response {
+func (s *Server) renew(ctx context.Context, req controlplane.Request) controlplane.Response {
 	s.mu.Lock()
 	s.ticket++
 	mine := s.ticket
-	answer := make(chan council.Response, 1)
+	answer := make(chan controlplane.Response, 1)
 	s.replies[mine] = answer
 	s.reply(s.core.Renew(mine, req))
 	if req.Report != nil {
@@ -189,7 +189,7 @@
 }
 
 // command carries a command, or an operator's question, to the leader. What has been decided is told from the mirror.
-func (s *Server) command(ctx context.Context, req council.Request) council.Response {
+func (s *Server) command(ctx context.Context, req controlplane.Request) controlplane.Response {
 	select {
 	case s.commands <- struct{}{}:
 		defer func() { <-s.commands }()
@@ -198,7 +198,7 @@
 	}
 	call, cancel := context.WithTimeout(ctx, commandFor)
 	defer cancel()
-	r, err := s.client.Do(call, council.Request{Command: req.Command, Rollout: req.Rollout})
+	r, err := s.client.Do(call, controlplane.Request{Command: req.Command, Rollout: req.Rollout})
 	if err != nil {
 		return refusal()
 	}
@@ -236,7 +236,7 @@
 }
 
 // Ask answers a request.
-func (c Calls) Ask(req council.Request, out *council.Response) error {
+func (c Calls) Ask(req controlplane.Request, out *controlplane.Response) error {
 	switch {
 	case req.Command != nil, req.Rollout:
 		*out = c.s.command(c.ctx, req)
--- a/internal/cluster/relay/server_test.go
+++ b/internal/cluster/relay/server_test.go
@@ -11,7 +11,7 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
 	"mulleinbeam/internal/cluster/links"
 	"mulleinbeam/internal/routing/wal/fsys"
 )
@@ -34,24 +34,24 @@
 const refusedKey = "class/unusable"
 
 // newVoter runs the only voter of a control plane.
-func newVoter(t *testing.T) council.Founder {
+func newVoter(t *testing.T) controlplane.Founder {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	voter := council.Founder{Name: "n0", Address: listener.Addr().String()}
-	store, kept, err := council.OpenKeeper(fsys.Dir(t.TempDir()), func(line string) { t.Log(line) })
+	voter := controlplane.Founder{Name: "n0", Address: listener.Addr().String()}
+	store, kept, err := controlplane.OpenKeeper(fsys.Dir(t.TempDir()), func(line string) { t.Log(line) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	core, err := council.NewCore(voter.Name, []council.Founder{voter}, kept)
+	core, err := controlplane.NewCore(voter.Name, []controlplane.Founder{voter}, kept)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = store.Close() })
-	timing := council.Timing{Tick: 10 * time.Millisecond, Lease: time.Minute, Margin: 10 * time.Second}
-	server := council.NewServer(core, store, timing, zerolog.Nop())
+	timing := controlplane.Timing{Tick: 10 * time.Millisecond, Lease: time.Minute, Margin: 10 * time.Second}
+	server := controlplane.NewServer(core, store, timing, zerolog.Nop())
 	server.CheckEntry = func(key string, _ []byte) error {
 		if key == refusedKey {
 			return errors.New("not usable")
@@ -66,14 +66,14 @@
 	return voter
 }
 
-func newRelay(t *testing.T, voters ...council.Founder) council.Relay {
+func newRelay(t *testing.T, voters ...controlplane.Founder) controlplane.Relay {
 	t.Helper()
 	s, err := Open(Config{Listen: "127.0.0.1:0", Voters: voters, Logger: zerolog.Nop()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	serve(t, s.Run)
-	return council.Relay{Address: s.Address()}
+	return controlplane.Relay{Address: s.Address()}
 }
 
 // A member that knows relays alone joins, holds its lease and learns what is decided; when its relay's address stands empty it goes to
@@ -82,20 +82,20 @@
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	t.Run("world", func(t *testing.T) {
 		voter := newVoter(t)
-		gone := func() council.Relay {
+		gone := func() controlplane.Relay {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer l.Close()
-			return council.Relay{Address: l.Addr().String()}
+			return controlplane.Relay{Address: l.Addr().String()}
 		}
-		for name, relays := range map[string][]council.Relay{
+		for name, relays := range map[string][]controlplane.Relay{
 			"one": {newRelay(t, voter)}, "first gone": {gone(), newRelay(t, voter)}, "all gone": {gone(), gone()},
 		} {
 			peers := &links.Peers{}
 			defer peers.Close()
-			client := council.NewClient([]council.Founder{voter}, peers.At, "", nil)
+			client := controlplane.NewClient([]controlplane.Founder{voter}, peers.At, "", nil)
 			client.Via(relays)
 			member(t, client, name)
 		}
@@ -103,19 +103,19 @@
 }
 
 // member joins, renews and follows until it knows of itself.
-func member(t *testing.T, client *council.Client, name string) {
+func member(t *testing.T, client *controlplane.Client, name string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	view := council.NewView()
-	r, err := client.Do(ctx, council.Request{Command: &council.Command{Kind: council.Join, Life: council.Life{Name: name}, Token: name, Address: "a:1"}})
+	view := controlplane.NewView()
+	r, err := client.Do(ctx, controlplane.Request{Command: &controlplane.Command{Kind: controlplane.Join, Life: controlplane.Life{Name: name}, Token: name, Address: "a:1"}})
 	if err != nil || r.Joined == nil || r.Joined.Life != 1 {
 		t.Fatalf("%s: %+v, %v", name, r, err)
 	}
 	if client.Leader() != "n0" {
 		t.Errorf("%s: %q leads, by the answer to a command", name, client.Leader())
 	}
-	life, lease := council.Life{Name: name, Number: 1}, council.Lease{Length: time.Minute}
+	life, lease := controlplane.Life{Name: name, Number: 1}, controlplane.Lease{Length: time.Minute}
 	for granted := false; !granted || view.State().Members[name] == nil; {
 		req := lease.Renewal(0, life)
 		req.Watch = view.Watch()
@@ -130,21 +130,21 @@
 	if client.Leader() != "n0" {
 		t.Errorf("%s: %q leads", name, client.Leader())
 	}
-	req := lease.Renewal(0, council.Life{Name: name, Number: 7})
-	if r, err = client.Do(ctx, req); err != nil || r.Granted || r.Refused != council.ErrEnded.Error() {
+	req := lease.Renewal(0, controlplane.Life{Name: name, Number: 7})
+	if r, err = client.Do(ctx, req); err != nil || r.Granted || r.Refused != controlplane.ErrEnded.Error() {
 		t.Errorf("%s: a life that never was: %+v, %v", name, r, err)
 	}
 }
 
 // Without a voter a relay answers, within a member's patience, that there is no leader.
 func TestARelayWithoutVoters(t *testing.T) {
-	gone := council.Founder{Name: "n0", Address: "127.0.0.1:1"}
+	gone := controlplane.Founder{Name: "n0", Address: "127.0.0.1:1"}
 	peers := &links.Peers{}
 	defer peers.Close()
 	peer := peers.At(newRelay(t, gone).Address)
-	for _, req := range []council.Request{{}, renewalOf(a1, 1), {Command: &council.Command{Kind: council.Leave}}} {
-		var r council.Response
-		if err := peer.Call(t.Context(), "Council.Ask", req, &r); err != nil || r.Refused != council.ErrNoLeader.Error() {
+	for _, req := range []controlplane.Request{{}, renewalOf(a1, 1), {Command: &controlplane.Command{Kind: controlplane.Leave}}} {
+		var r controlplane.Response
+		if err := peer.Call(t.Context(), "Council.Ask", req, &r); err != nil || r.Refused != controlplane.ErrNoLeader.Error() {
 			t.Errorf("%+v, %v", r, err)
 		}
 	}
@@ -156,19 +156,19 @@
 	voter := newVoter(t)
 	peers := &links.Peers{}
 	defer peers.Close()
-	clients := map[string]*council.Client{}
+	clients := map[string]*controlplane.Client{}
 	for _, name := range []string{"a", "b", "c"} {
-		clients[name] = council.NewClient([]council.Founder{voter}, peers.At, "", nil)
+		clients[name] = controlplane.NewClient([]controlplane.Founder{voter}, peers.At, "", nil)
 		if name != "c" {
-			clients[name].Via([]council.Relay{newRelay(t, voter)})
+			clients[name].Via([]controlplane.Relay{newRelay(t, voter)})
 		}
 		member(t, clients[name], name)
 	}
 	operator := clients["a"]
-	configure := func(from uint64, key string) council.Response {
+	configure := func(from uint64, key string) controlplane.Response {
 		t.Helper()
-		cmd := council.Command{Kind: council.Configure, From: from, Entries: []council.EntryChange{{Key: key, Content: []byte{1}}}}
-		r, err := operator.Do(t.Context(), council.Request{Command: &cmd})
+		cmd := controlplane.Command{Kind: controlplane.Configure, From: from, Entries: []controlplane.EntryChange{{Key: key, Content: []byte{1}}}}
+		r, err := operator.Do(t.Context(), controlplane.Request{Command: &cmd})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -181,23 +181,23 @@
 	if committed.Refused != "" {
 		t.Fatal(committed.Refused)
 	}
-	if r := configure(0, "class/safe"); r.Refused != council.ErrLater.Error() {
+	if r := configure(0, "class/safe"); r.Refused != controlplane.ErrLater.Error() {
 		t.Errorf("a second operator: %+v", r)
 	}
-	refusal := council.RefusedEntry{Key: "class/safe", Why: "no such class"}
-	lease := council.Lease{Length: time.Minute}
-	var got council.Rollout
+	refusal := controlplane.RefusedEntry{Key: "class/safe", Why: "no such class"}
+	lease := controlplane.Lease{Length: time.Minute}
+	var got controlplane.Rollout
 	for got.Summary.Current(committed.Version) < 3 {
 		for name, client := range clients {
-			req := lease.Renewal(0, council.Life{Name: name, Number: 1})
-			if req.Report = (&council.ConfigReport{Revision: committed.Version}); name == "b" {
-				req.Report.Refused = []council.RefusedEntry{refusal}
+			req := lease.Renewal(0, controlplane.Life{Name: name, Number: 1})
+			if req.Report = (&controlplane.ConfigReport{Revision: committed.Version}); name == "b" {
+				req.Report.Refused = []controlplane.RefusedEntry{refusal}
 			}
 			if _, err := client.Do(t.Context(), req); err != nil {
 				t.Fatal(err)
 			}
 		}
-		r, err := operator.Do(t.Context(), council.Request{Rollout: true})
+		r, err := operator.Do(t.Context(), controlplane.Request{Rollout: true})
 		if err != nil || r.Rollout == nil {
 			t.Fatalf("%+v, %v", r, err)
 		}
@@ -217,8 +217,8 @@
 	if r.summary(0) != nil {
 		t.Error("a summary of nobody")
 	}
-	r.take(0, a1, council.ConfigReport{Revision: 3})
-	r.take(reportKeep, b1, council.ConfigReport{Revision: 4})
+	r.take(0, a1, controlplane.ConfigReport{Revision: 3})
+	r.take(reportKeep, b1, controlplane.ConfigReport{Revision: 4})
 	if sum := r.summary(reportKeep); sum.Members() != 2 || sum.Current(4) != 1 {
 		t.Errorf("%+v", sum)
 	}
--- a/internal/cluster/relay/walk_test.go
+++ b/internal/cluster/relay/walk_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
 )
 
 // A walk of a small world: a leader, relays that stop, wake and are replaced, members, and a network that loses, doubles and reorders whatever
@@ -32,11 +32,11 @@
 
 // worldMember is a member's side.
 type worldMember struct {
-	life  council.Life
-	lease council.Lease
+	life  controlplane.Life
+	lease controlplane.Lease
 	sent  time.Duration
 	until time.Duration
-	view  *council.View
+	view  *controlplane.View
 	at    uint64 // the revision that it goes by
 }
 
@@ -47,8 +47,8 @@
 	now     time.Duration
 	log     decisions
 	old     decisions // a voter that is behind
-	leases  council.Leases
-	alive   map[council.Life]bool
+	leases  controlplane.Leases
+	alive   map[controlplane.Life]bool
 	members []*worldMember
 	relays  []*Core
 	tickets map[Ticket]int // whose renewal
@@ -59,15 +59,15 @@
 
 func newWorld(t *rapid.T, without safeguard) *world {
 	w := &world{
-		t: t, without: without, log: newDecisions(), old: newDecisions(), alive: map[council.Life]bool{}, tickets: map[Ticket]int{},
-		leases: council.Leases{Lease: worldLease, Margin: worldMargin},
+		t: t, without: without, log: newDecisions(), old: newDecisions(), alive: map[controlplane.Life]bool{}, tickets: map[Ticket]int{},
+		leases: controlplane.Leases{Lease: worldLease, Margin: worldMargin},
 	}
 	w.leases.Elected(0)
 	for i := range 3 {
-		m := &worldMember{life: council.Life{Name: fmt.Sprint("m", i), Number: 1}, lease: council.Lease{Length: worldLease}, view: council.NewView()}
+		m := &worldMember{life: controlplane.Life{Name: fmt.Sprint("m", i), Number: 1}, lease: controlplane.Lease{Length: worldLease}, view: controlplane.NewView()}
 		w.members = append(w.members, m)
 		w.alive[m.life] = true
-		w.decide(m.life.Name, &council.Member{Life: 1, Alive: true})
+		w.decide(m.life.Name, &controlplane.Member{Life: 1, Alive: true})
 	}
 	for range 2 {
 		c := NewCore()
@@ -79,7 +79,7 @@
 }
 
 // decide has the leader decide something; the other voter often hears of it.
-func (w *world) decide(name string, m *council.Member) {
+func (w *world) decide(name string, m *controlplane.Member) {
 	w.log.decide(w.t, name, m)
 	if w.old.Revision()+1 == w.log.Revision() && rapid.Bool().Draw(w.t, "heard") {
 		w.old.decide(w.t, name, m)
@@ -110,7 +110,7 @@
 	case 10:
 		m := w.members[w.pick(len(w.members), "member")]
 		if w.alive[m.life] {
-			w.decide(m.life.Name, &council.Member{Life: 1, Alive: true, Leaving: rapid.Bool().Draw(w.t, "leaving")})
+			w.decide(m.life.Name, &controlplane.Member{Life: 1, Alive: true, Leaving: rapid.Bool().Draw(w.t, "leaving")})
 		}
 	case 11:
 		m := w.members[w.pick(len(w.members), "member")]
@@ -163,14 +163,14 @@
 }
 
 // serve is a voter's answer: the leader's, or for what is decided alone that of one that is behind.
-func (w *world) serve(req council.Request) council.Response {
+func (w *world) serve(req controlplane.Request) controlplane.Response {
 	if len(req.Batch) == 0 && rapid.Bool().Draw(w.t, "other voter") {
 		if req.Watch.Cursor.Newest() > w.old.Revision() {
 			return refusal()
 		}
 		return w.old.answer(req)
 	}
-	var ended []council.Life
+	var ended []controlplane.Life
 	for _, life := range req.Batch {
 		if booked := w.leases.Asked(w.now, life); !booked || !w.alive[life] {
 			ended = append(ended, life)
@@ -187,7 +187,7 @@
 }
 
 // granted is a member's taking of an answer to a renewal.
-func (w *world) granted(m *worldMember, r council.Response) {
+func (w *world) granted(m *worldMember, r controlplane.Response) {
 	w.learn(m, r)
 	until, ok := m.lease.Granted(r)
 	switch w.without {
@@ -202,7 +202,7 @@
 }
 
 // learn is a member's taking of what is decided.
-func (w *world) learn(m *worldMember, r council.Response) {
+func (w *world) learn(m *worldMember, r controlplane.Response) {
 	if r.Changes == nil {
 		return
 	}
@@ -231,9 +231,9 @@
 	if m.at != w.log.Revision() {
 		return
 	}
-	all := council.NewView()
+	all := controlplane.NewView()
 	for more := true; more; {
-		_, more, _ = all.Learn(council.ChangesFor(w.log.Log, *all.Watch()))
+		_, more, _ = all.Learn(controlplane.ChangesFor(w.log.Log, *all.Watch()))
 	}
 	if known, decided := membersOf(m.view.State()), membersOf(all.State()); known != decided {
 		w.broken = fmt.Sprintf("%s knows %s as of %d, decided was %s", m.life, known, m.at, decided)
@@ -241,7 +241,7 @@
 }
 
 // membersOf tells all members of a state.
-func membersOf(s *council.State) string {
+func membersOf(s *controlplane.State) string {
 	var out []string
 	for _, name := range s.Names() {
 		out = append(out, fmt.Sprint(name, " ", s.Members[name].Alive, s.Members[name].Leaving))
@@ -256,7 +256,7 @@
 			continue
 		}
 		w.alive[m.life] = false
-		w.decide(m.life.Name, &council.Member{Life: 1})
+		w.decide(m.life.Name, &controlplane.Member{Life: 1})
 		if m.until > w.now {
 			w.broken = fmt.Sprintf("%s was ended at %v, and acts until %v", m.life, w.now, m.until)
 		}
--- a/internal/cluster/copies/copies_test.go
+++ b/internal/cluster/replication/copies_test.go
@@ -1,4 +1,4 @@
-package copies
+package replication
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"pgregory.net/rapid"
 
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
 	"mulleinbeam/internal/routing/wal"
 	"mulleinbeam/internal/routing/wal/fsys"
 	"mulleinbeam/internal/routing/wal/store"
@@ -18,7 +18,7 @@
 
 var (
 	epoch = time.Unix(1_700_000_000, 0)
-	life  = council.Life{Name: "n0", Number: 1}
+	life  = controlplane.Life{Name: "n0", Number: 1}
 )
 
 // content draws what one copy of a life's log may say of a few messages.
--- a/internal/cluster/copies/merge.go
+++ b/internal/cluster/replication/merge.go
@@ -1,4 +1,4 @@
-package copies
+package replication
 
 import (
 	"maps"
--- a/internal/cluster/copies/takeover.go
+++ b/internal/cluster/replication/takeover.go
@@ -1,6 +1,6 @@
-package copies
+package replication
 
-import "mulleinbeam/internal/cluster/council"
+import "mulleinbeam/internal/cluster/controlplane"
 
 // Doing is what a takeover wants done next; the answer to it is the event of its name.
 type Doing int
@@ -19,13 +19,13 @@
 
 // Takeover is the taking over of one ended life by one that lives, as a state machine.
 type Takeover struct {
-	Life, Taker council.Life
+	Life, Taker controlplane.Life
 	doing       Doing
 	failed      bool
 }
 
 // NewTakeover begins one that the council has assigned.
-func NewTakeover(life, taker council.Life) *Takeover { return &Takeover{Life: life, Taker: taker} }
+func NewTakeover(life, taker controlplane.Life) *Takeover { return &Takeover{Life: life, Taker: taker} }
 
 // Doing says what is to be done now.
 func (t *Takeover) Doing() Doing { return t.doing }
--- a/internal/lab/capacity/probe_configuration.go
+++ b/internal/lab/capacity/probe_configuration.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"mulleinbeam/internal/cluster/changelog"
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
 	"mulleinbeam/internal/cluster/entry"
 )
 
@@ -29,17 +29,17 @@
 }
 
 // entryChange is the change that sets it.
-func entryChange(i int, capacity float64) (council.EntryChange, error) {
+func entryChange(i int, capacity float64) (controlplane.EntryChange, error) {
 	e := configEntry(i, capacity)
 	content, err := e.Encode()
-	return council.EntryChange{Key: e.Key(), Content: content}, err
+	return controlplane.EntryChange{Key: e.Key(), Content: content}, err
 }
 
 // configuredState is a state with so many entries.
-func configuredState(entries int) (*council.State, error) {
-	s := council.NewState()
+func configuredState(entries int) (*controlplane.State, error) {
+	s := controlplane.NewState()
 	for begin := 0; begin < entries; begin += entriesAtOnce {
-		cmd := council.Command{Kind: council.Configure, From: s.Configured}
+		cmd := controlplane.Command{Kind: controlplane.Configure, From: s.Configured}
 		for i := begin; i < min(entries, begin+entriesAtOnce); i++ {
 			change, err := entryChange(i, 100)
 			if err != nil {
@@ -55,12 +55,12 @@
 }
 
 // configRecords are all entries of a state as a watcher gets them.
-func configRecords(s *council.State) (records []council.Change) {
+func configRecords(s *controlplane.State) (records []controlplane.Change) {
 	for key, e := range s.Entries {
-		records = append(records, council.Change{Key: "config/" + key, Revision: e.Revision, Value: council.Item{Entry: e}})
+		records = append(records, controlplane.Change{Key: "config/" + key, Revision: e.Revision, Value: controlplane.Item{Entry: e}})
 	}
-	revision := council.Item{Config: &council.ConfigRevision{Revision: s.Configured}}
-	return append(records, council.Change{Key: "configuration", Revision: s.Configured, Value: revision})
+	revision := controlplane.Item{Config: &controlplane.ConfigRevision{Revision: s.Configured}}
+	return append(records, controlplane.Change{Key: "configuration", Revision: s.Configured, Value: revision})
 }
 
 // probeConfiguration measures a configuration of so many entries.
@@ -86,7 +86,7 @@
 	}
 	records := configRecords(voter)
 	before := heap()
-	view := council.NewState().With(voter.Version, &changelog.Change[council.Item]{Whole: true, Records: records})
+	view := controlplane.NewState().With(voter.Version, &changelog.Change[controlplane.Item]{Whole: true, Records: records})
 	allowed := func(entry.Entry) error { return nil }
 	var active entry.Active
 	if _, refused := active.Update(view.EntryContents(), allowed); len(refused) > 0 {
@@ -98,21 +98,21 @@
 	}
 	var failed error
 	rate := 0.0
-	change := func() council.EntryChange {
+	change := func() controlplane.EntryChange {
 		rate++
 		c, err := entryChange(0, rate)
 		failed = errors.Join(failed, err)
 		return c
 	}
 	apply := timed(effort, func() {
-		cmd := council.Command{Kind: council.Configure, From: voter.Configured, Entries: []council.EntryChange{change()}}
+		cmd := controlplane.Command{Kind: controlplane.Configure, From: voter.Configured, Entries: []controlplane.EntryChange{change()}}
 		failed = errors.Join(failed, voter.Apply(voter.Version+1, cmd))
 	})
 	learn := timed(effort, func() {
 		c := change()
-		e := &council.ConfigEntry{Content: c.Content, Revision: view.Version + 1}
-		record := council.Change{Key: "config/" + c.Key, Revision: e.Revision, Value: council.Item{Entry: e}}
-		view = view.With(e.Revision, &changelog.Change[council.Item]{Records: []council.Change{record}})
+		e := &controlplane.ConfigEntry{Content: c.Content, Revision: view.Version + 1}
+		record := controlplane.Change{Key: "config/" + c.Key, Revision: e.Revision, Value: controlplane.Item{Entry: e}}
+		view = view.With(e.Revision, &changelog.Change[controlplane.Item]{Records: []controlplane.Change{record}})
 		if changes, _ := active.Update(view.EntryContents(), allowed); len(changes.Set) != 1 {
 			failed = errors.Join(failed, errors.New("a changed entry changes nothing"))
 		}
--- a/internal/lab/capacity/probe_control.go
+++ b/internal/lab/capacity/probe_control.go
@@ -14,7 +14,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 
 	"mulleinbeam/internal/cluster/changelog"
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
 	"mulleinbeam/internal/routing/wal/fsys"
 )
 
@@ -23,16 +23,16 @@
 func memberName(i int) string { return fmt.Sprintf("forwarder-%05d", i) }
 
 // fleetState is what is decided of a fleet of so many members in 22 zones of 6 regions, with one replica each.
-func fleetState(members int) (*council.State, error) {
-	s := council.NewState()
+func fleetState(members int) (*controlplane.State, error) {
+	s := controlplane.NewState()
 	version := uint64(1)
-	decide := func(c council.Command) error {
+	decide := func(c controlplane.Command) error {
 		version++
 		return s.Apply(version, c)
 	}
 	for i := range members {
-		join := council.Command{
-			Kind: council.Join, Life: council.Life{Name: memberName(i)}, Token: fmt.Sprintf("%016x", i), Address: fmt.Sprintf("10.%d.%d.%d:7100", i>>16, i>>8&255, i&255),
+		join := controlplane.Command{
+			Kind: controlplane.Join, Life: controlplane.Life{Name: memberName(i)}, Token: fmt.Sprintf("%016x", i), Address: fmt.Sprintf("10.%d.%d.%d:7100", i>>16, i>>8&255, i&255),
 			Zone: fmt.Sprintf("zone-%02d", i%22), Region: fmt.Sprintf("region-%d", i%6), Version: 1, Space: 64 << 20,
 		}
 		if err := decide(join); err != nil {
@@ -40,8 +40,8 @@
 		}
 	}
 	for i := range members {
-		replica := council.Command{
-			Kind: council.Keepers, Life: council.Life{Name: memberName(i), Number: 1}, From: s.Members[memberName(i)].Changed,
+		replica := controlplane.Command{
+			Kind: controlplane.Keepers, Life: controlplane.Life{Name: memberName(i), Number: 1}, From: s.Members[memberName(i)].Changed,
 			Set: []string{memberName((i + 1) % members)},
 		}
 		if err := decide(replica); err != nil {
@@ -80,7 +80,7 @@
 		var failed error
 		encode := timed(effort, func() { _, err := encodeGob(s); failed = errors.Join(failed, err) })
 		decode := timed(effort, func() {
-			failed = errors.Join(failed, gob.NewDecoder(bytes.NewReader(raw)).Decode(council.NewState()))
+			failed = errors.Join(failed, gob.NewDecoder(bytes.NewReader(raw)).Decode(controlplane.NewState()))
 		})
 		clone := timed(effort, func() { s.Clone() })
 		ranking := timed(effort, func() { s.Ranking(memberName(0), nil) })
@@ -120,9 +120,9 @@
 func changesOf(l leader, effort time.Duration) (values []float64, err error) {
 	var size bytes.Buffer
 	link := gob.NewEncoder(&size)
-	view := council.NewView()
-	read := func(w *council.Watch) (council.Response, error) {
-		r := l.server.Ask(council.Request{Watch: w})
+	view := controlplane.NewView()
+	read := func(w *controlplane.Watch) (controlplane.Response, error) {
+		r := l.server.Ask(controlplane.Request{Watch: w})
 		if r.Changes == nil {
 			return r, errors.New("the leader gives no changes")
 		}
@@ -144,7 +144,7 @@
 	}
 	snapshot := float64(size.Len())
 	before := view.Watch()
-	r := l.server.Ask(council.Request{Command: &council.Command{Kind: council.Leave, Life: council.Life{Name: memberName(0)}, On: true}})
+	r := l.server.Ask(controlplane.Request{Command: &controlplane.Command{Kind: controlplane.Leave, Life: controlplane.Life{Name: memberName(0)}, On: true}})
 	if r.Refused != "" {
 		return nil, errors.New(r.Refused)
 	}
@@ -157,14 +157,14 @@
 	var failed error
 	encodeOne := timed(effort, func() { _, err := read(before); failed = errors.Join(failed, err) })
 	learnOne := timed(effort, func() {
-		view.State().With(change.Version, &changelog.Change[council.Item]{Records: change.Changes.Records})
+		view.State().With(change.Version, &changelog.Change[controlplane.Item]{Records: change.Changes.Records})
 	})
 	return []float64{bytesOfOne, encodeOne, learnOne, snapshot, encode, learn}, failed
 }
 
 // leader is a control plane of one voter that begins with a state.
 type leader struct {
-	server *council.Server
+	server *controlplane.Server
 	end    func()
 }
 
@@ -177,28 +177,28 @@
 )
 
 // startLeader starts it and waits until it leads. Leases are so long that none ends meanwhile.
-func startLeader(ctx context.Context, s *council.State, tick time.Duration) (l leader, err error) {
-	store, kept, err := council.OpenKeeper(fsys.NewMem(), func(string) {})
+func startLeader(ctx context.Context, s *controlplane.State, tick time.Duration) (l leader, err error) {
+	store, kept, err := controlplane.OpenKeeper(fsys.NewMem(), func(string) {})
 	if err != nil {
 		return l, err
 	}
 	if s != nil {
-		kept.Snapshot = raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{Index: s.Version, Term: 1, ConfState: raftpb.ConfState{Voters: []uint64{council.ID(voterName)}}}}
+		kept.Snapshot = raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{Index: s.Version, Term: 1, ConfState: raftpb.ConfState{Voters: []uint64{controlplane.ID(voterName)}}}}
 		if kept.Snapshot.Data, err = encodeGob(s); err != nil {
 			return l, err
 		}
 	}
-	core, err := council.NewCore(voterName, []council.Founder{{Name: voterName}}, kept)
+	core, err := controlplane.NewCore(voterName, []controlplane.Founder{{Name: voterName}}, kept)
 	if err != nil {
 		return l, err
 	}
-	timing := council.Timing{Tick: tick, Lease: time.Hour, Margin: time.Minute}
-	l.server = council.NewServer(core, store, timing, zerolog.Nop())
+	timing := controlplane.Timing{Tick: tick, Lease: time.Hour, Margin: time.Minute}
+	l.server = controlplane.NewServer(core, store, timing, zerolog.Nop())
 	running, cancel := context.WithCancel(ctx)
 	ended := make(chan struct{})
 	go func() { defer close(ended); _ = l.server.Run(running) }()
 	l.end = func() { cancel(); <-ended; _ = store.Close() }
-	for l.server.Ask(council.Request{}).Leader == "" {
+	for l.server.Ask(controlplane.Request{}).Leader == "" {
 		select {
 		case <-time.After(10 * time.Millisecond):
 		case <-ctx.Done():
@@ -223,10 +223,10 @@
 		idle := idleLoad(effort)
 		watch := watchBehind(s)
 		renewal := perCall(effort, func(i int) {
-			l.server.Ask(council.Request{Renew: &council.Life{Name: memberName(i % n), Number: 1}, Watch: watch})
+			l.server.Ask(controlplane.Request{Renew: &controlplane.Life{Name: memberName(i % n), Number: 1}, Watch: watch})
 		})
 		change := perCall(effort, func(i int) {
-			l.server.Ask(council.Request{Command: &council.Command{Kind: council.Leave, Life: council.Life{Name: memberName(i % n)}, On: i%2 == 0}})
+			l.server.Ask(controlplane.Request{Command: &controlplane.Command{Kind: controlplane.Leave, Life: controlplane.Life{Name: memberName(i % n)}, On: i%2 == 0}})
 		})
 		l.end()
 		t.row(n, idle, renewal, change)
@@ -235,7 +235,7 @@
 }
 
 // startFleet starts a leader of a fleet of so many members.
-func startFleet(ctx context.Context, members int, tick time.Duration) (leader, *council.State, error) {
+func startFleet(ctx context.Context, members int, tick time.Duration) (leader, *controlplane.State, error) {
 	s, err := fleetState(members)
 	if err != nil {
 		return leader{}, nil, err
@@ -245,8 +245,8 @@
 }
 
 // watchBehind is that of a member which has all of a state.
-func watchBehind(s *council.State) *council.Watch {
-	return &council.Watch{Cursor: changelog.Cursor{Has: s.Version, Revision: s.Version}, Selector: council.Everything}
+func watchBehind(s *controlplane.State) *controlplane.Watch {
+	return &controlplane.Watch{Cursor: changelog.Cursor{Has: s.Version, Revision: s.Version}, Selector: controlplane.Everything}
 }
 
 // idleLoad is the processor time a second that this process takes by itself.
@@ -291,8 +291,8 @@
 		for range atOnce {
 			all.Go(func() {
 				for i := int(next.Add(1)) - 1; i < n; i = int(next.Add(1)) - 1 {
-					join := council.Command{Kind: council.Join, Life: council.Life{Name: memberName(i)}, Token: memberName(i), Zone: "z", Region: "r", Address: "10.0.0.1:7100"}
-					l.server.Ask(council.Request{Command: &join})
+					join := controlplane.Command{Kind: controlplane.Join, Life: controlplane.Life{Name: memberName(i)}, Token: memberName(i), Zone: "z", Region: "r", Address: "10.0.0.1:7100"}
+					l.server.Ask(controlplane.Request{Command: &join})
 				}
 			})
 		}
--- a/internal/lab/capacity/probe_forwarder.go
+++ b/internal/lab/capacity/probe_forwarder.go
@@ -12,8 +12,8 @@
 	"github.com/rs/zerolog"
 
 	mb "mulleinbeam"
-	"mulleinbeam/internal/cluster/copies"
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
+	"mulleinbeam/internal/cluster/replication"
 	"mulleinbeam/internal/routing"
 	"mulleinbeam/internal/routing/wal"
 )
@@ -189,8 +189,8 @@
 	t.column("replica.bytes", "held messages", "B", "of a snapshot of it on a link")
 	t.column("replica.take", "held messages", "s", "processor time to take the snapshot")
 	for _, n := range sizes {
-		life := council.Life{Name: "owner", Number: 1}
-		owner := copies.NewOwner(life)
+		life := controlplane.Life{Name: "owner", Number: 1}
+		owner := replication.NewOwner(life)
 		owner.SetKeepers([]string{"replica"}, nil)
 		var records [][]byte
 		for i := range n {
@@ -201,7 +201,7 @@
 			records = append(records, wal.Condense(m)...)
 		}
 		before := heap()
-		replica := copies.NewShelf(1)
+		replica := replication.NewShelf(1)
 		size, took := 0.0, 0.0
 		for first := true; ; first = false {
 			if !first && owner.NeedsSnapshot("replica") {
--- a/internal/lab/capacity/probe_links.go
+++ b/internal/lab/capacity/probe_links.go
@@ -11,7 +11,7 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
 	"mulleinbeam/internal/cluster/links"
 	"mulleinbeam/internal/cluster/relay"
 )
@@ -92,9 +92,9 @@
 		if err != nil {
 			return nil, err
 		}
-		batch := council.Request{Watch: watchBehind(s)}
+		batch := controlplane.Request{Watch: watchBehind(s)}
 		for i := range n {
-			batch.Batch = append(batch.Batch, council.Life{Name: memberName(i), Number: 1})
+			batch.Batch = append(batch.Batch, controlplane.Life{Name: memberName(i), Number: 1})
 		}
 		direct := perCall(effort, func(int) { l.server.Ask(batch) }) / float64(n)
 		relayed, err := renewThroughRelay(ctx, l, n, watchBehind(s), effort)
@@ -109,13 +109,13 @@
 
 // renewThroughRelay is the processor time of one renewal of members behind a relay, which all ask again as soon as they have an answer: so
 // each batch has all of them.
-func renewThroughRelay(ctx context.Context, l leader, n int, watch *council.Watch, effort time.Duration) (float64, error) {
+func renewThroughRelay(ctx context.Context, l leader, n int, watch *controlplane.Watch, effort time.Duration) (float64, error) {
 	address, stop, err := l.serve(&atomic.Int64{})
 	if err != nil {
 		return 0, err
 	}
 	defer stop()
-	r, err := relay.Open(relay.Config{Listen: "127.0.0.1:0", Voters: []council.Founder{{Name: voterName, Address: address}}, Logger: zerolog.Nop()})
+	r, err := relay.Open(relay.Config{Listen: "127.0.0.1:0", Voters: []controlplane.Founder{{Name: voterName, Address: address}}, Logger: zerolog.Nop()})
 	if err != nil {
 		return 0, err
 	}
@@ -143,13 +143,13 @@
 
 // renewOverSockets has so many members renew their leases at an address, each over a connection of its own and again as soon as it has its
 // answer.
-func renewOverSockets(ctx context.Context, address string, moved *atomic.Int64, n int, watch *council.Watch, effort time.Duration) (cpu, size float64, err error) {
+func renewOverSockets(ctx context.Context, address string, moved *atomic.Int64, n int, watch *controlplane.Watch, effort time.Duration) (cpu, size float64, err error) {
 	peers := make([]*links.Peer, n)
 	ask := func(i int) error {
-		var r council.Response
-		req := council.Request{Renew: &council.Life{Name: memberName(i), Number: 1}, Watch: watch}
+		var r controlplane.Response
+		req := controlplane.Request{Renew: &controlplane.Life{Name: memberName(i), Number: 1}, Watch: watch}
 		for !r.Granted { // a relay that has just begun refuses
-			r = council.Response{}
+			r = controlplane.Response{}
 			if err := peers[i].Call(ctx, "Council.Ask", req, &r); err != nil {
 				return err
 			}
--- a/internal/lab/cluster/fleet.go
+++ b/internal/lab/cluster/fleet.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
 	"mulleinbeam/internal/cluster/node"
 	"mulleinbeam/internal/lab"
 )
@@ -424,9 +424,9 @@
 }
 
 // Order has the council decide something, whichever member passes it on.
-func (f *Fleet) Order(ctx context.Context, c council.Command) error {
+func (f *Fleet) Order(ctx context.Context, c controlplane.Command) error {
 	for {
-		var r council.Response
+		var r controlplane.Response
 		err := ctx.Err()
 		for i := 0; i < len(f.Members) && err == nil; i++ {
 			if !f.Members[i].running {
@@ -500,7 +500,7 @@
 }
 
 // has says whether a member has the copy of a life up to an index.
-func (f *Fleet) has(name string, life council.Life, index uint64) bool {
+func (f *Fleet) has(name string, life controlplane.Life, index uint64) bool {
 	for i, m := range f.Members {
 		if m.Name != name {
 			continue
--- a/internal/lab/cluster/hollow.go
+++ b/internal/lab/cluster/hollow.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
 	"mulleinbeam/internal/cluster/entry"
 	"mulleinbeam/internal/cluster/links"
 	"mulleinbeam/internal/lab"
@@ -19,23 +19,23 @@
 	name   string
 	zone   string
 	peers  *links.Peers
-	client *council.Client
-	timing council.Timing
+	client *controlplane.Client
+	timing controlplane.Timing
 	began  time.Time
 
 	mu     sync.Mutex // client calls that end beside the renewals learn as well
-	view   *council.View
-	lease  council.Lease
+	view   *controlplane.View
+	lease  controlplane.Lease
 	active entry.Active // the configuration, as the program's own put it into force
-	life   council.Life
+	life   controlplane.Life
 	until  time.Duration // of the lease
 	// lapses counts leases that had ended before the next came, and lives those that were begun.
 	lapses, lives int
 
-	token string       // of this process
-	had   council.Life // of the process before it in its folder,
-	past  string       // and its token
-	end   func()       // ends it and returns when it has
+	token string            // of this process
+	had   controlplane.Life // of the process before it in its folder,
+	past  string            // and its token
+	end   func()            // ends it and returns when it has
 
 	learned func(version uint64) // is told of each state
 	booked  uint64               // the version up to which the measurement has booked it
@@ -48,21 +48,21 @@
 
 var errNoLife = errors.New("cluster: no life was given")
 
-func newHollow(name, zone string, voters []council.Founder, relays []council.Relay, timing council.Timing) *hollow {
+func newHollow(name, zone string, voters []controlplane.Founder, relays []controlplane.Relay, timing controlplane.Timing) *hollow {
 	h := &hollow{
 		token: fmt.Sprint(name, time.Now().UnixNano()), end: func() {},
-		name: name, zone: zone, peers: &links.Peers{}, timing: timing, began: time.Now(), view: council.NewView(),
-		lease: council.Lease{Length: timing.Lease}, learned: func(uint64) {},
+		name: name, zone: zone, peers: &links.Peers{}, timing: timing, began: time.Now(), view: controlplane.NewView(),
+		lease: controlplane.Lease{Length: timing.Lease}, learned: func(uint64) {},
 	}
-	h.client = council.NewClient(voters, h.peers.At, "", nil)
-	h.client.Via(council.RankRelays(relays, name, zone))
+	h.client = controlplane.NewClient(voters, h.peers.At, "", nil)
+	h.client.Via(controlplane.RankRelays(relays, name, zone))
 	return h
 }
 
 func (h *hollow) now() time.Duration { return time.Since(h.began) }
 
 // ask asks with what is known here, and learns from the answer.
-func (h *hollow) ask(ctx context.Context, req council.Request) (r council.Response, more bool, err error) {
+func (h *hollow) ask(ctx context.Context, req controlplane.Request) (r controlplane.Response, more bool, err error) {
 	h.mu.Lock()
 	req.Watch = h.view.Watch()
 	h.mu.Unlock()
@@ -125,15 +125,15 @@
 func (h *hollow) join(ctx context.Context) error {
 	for more := true; more || h.version() == 0; {
 		var err error
-		if _, more, err = h.ask(ctx, council.Request{}); err != nil {
+		if _, more, err = h.ask(ctx, controlplane.Request{}); err != nil {
 			return err
 		}
 	}
-	join := council.Command{
-		Kind: council.Join, Life: council.Life{Name: h.name, Number: h.had.Number}, Whole: h.had.Number > 0, Token: h.token, Past: h.past,
+	join := controlplane.Command{
+		Kind: controlplane.Join, Life: controlplane.Life{Name: h.name, Number: h.had.Number}, Whole: h.had.Number > 0, Token: h.token, Past: h.past,
 		Address: "127.0.0.1:1", Zone: h.zone, Version: 1,
 	}
-	r, _, err := h.ask(ctx, council.Request{Command: &join})
+	r, _, err := h.ask(ctx, controlplane.Request{Command: &join})
 	if err != nil {
 		return err
 	}
@@ -142,7 +142,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.life = council.Life{Name: h.name, Number: r.Joined.Life}
+	h.life = controlplane.Life{Name: h.name, Number: r.Joined.Life}
 	h.lives++
 	return nil
 }
@@ -151,7 +151,7 @@
 func (h *hollow) renew(ctx context.Context) (more bool, err error) {
 	h.mu.Lock()
 	req := h.lease.Renewal(h.now(), h.life)
-	req.Report = &council.ConfigReport{Revision: h.view.State().Configured}
+	req.Report = &controlplane.ConfigReport{Revision: h.view.State().Configured}
 	h.mu.Unlock()
 	call, cancel := context.WithTimeout(ctx, h.timing.Lease)
 	defer cancel()
@@ -168,7 +168,7 @@
 		}
 		h.until = until
 	} else if r.Sequence == 0 || !r.Granted {
-		h.life = council.Life{} // it was ended
+		h.life = controlplane.Life{} // it was ended
 	}
 	return more, nil
 }
--- a/internal/lab/cluster/hollowfleet.go
+++ b/internal/lab/cluster/hollowfleet.go
@@ -8,16 +8,16 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
 	"mulleinbeam/internal/lab"
 )
 
 // hollowFleet is hollow members in this process, and an operator who changes them.
 type hollowFleet struct {
 	members   []*hollow
-	voters    []council.Founder
-	relays    []council.Relay
-	timing    council.Timing
+	voters    []controlplane.Founder
+	relays    []controlplane.Relay
+	timing    controlplane.Timing
 	configure bool // changes are of the configuration
 	narrow    bool // members watch themselves, the plan and the voters alone
 	running   context.Context
@@ -31,9 +31,9 @@
 }
 
 // newHollowFleet is so many members, which ask relays if there are any.
-func newHollowFleet(n int, voters []council.Founder, relays []council.Relay, narrow, configure bool) *hollowFleet {
+func newHollowFleet(n int, voters []controlplane.Founder, relays []controlplane.Relay, narrow, configure bool) *hollowFleet {
 	f := &hollowFleet{
-		voters: voters, relays: relays, narrow: narrow, configure: configure, timing: council.Timing{Lease: time.Second}, sent: map[uint64]time.Time{}, cancel: func() {},
+		voters: voters, relays: relays, narrow: narrow, configure: configure, timing: controlplane.Timing{Lease: time.Second}, sent: map[uint64]time.Time{}, cancel: func() {},
 		took: hdrhistogram.New(1, time.Hour.Milliseconds(), 3),
 	}
 	for i := range n {
@@ -46,7 +46,7 @@
 func (f *hollowFleet) member(name, zone string) *hollow {
 	h := newHollow(name, zone, f.voters, f.relays, f.timing)
 	if f.narrow {
-		h.view = council.NewViewOf(council.Only(name))
+		h.view = controlplane.NewViewOf(controlplane.Only(name))
 	}
 	h.learned = func(version uint64) { f.known(h, version) }
 	return h
@@ -159,12 +159,12 @@
 func (f *hollowFleet) change(ctx context.Context, i int) error {
 	h := f.members[i%len(f.members)]
 	sent := time.Now()
-	var r council.Response
+	var r controlplane.Response
 	var err error
 	if f.configure {
 		r, err = f.configureOne(ctx, h, i)
 	} else {
-		r, err = h.decide(ctx, council.Command{Kind: council.Leave, Life: council.Life{Name: h.name}, On: i/len(f.members)%2 == 0})
+		r, err = h.decide(ctx, controlplane.Command{Kind: controlplane.Leave, Life: controlplane.Life{Name: h.name}, On: i/len(f.members)%2 == 0})
 	}
 	if err != nil {
 		return err
--- a/internal/lab/cluster/measure.go
+++ b/internal/lab/cluster/measure.go
@@ -12,7 +12,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
 	"mulleinbeam/internal/cluster/node"
 	"mulleinbeam/internal/lab"
 	"mulleinbeam/internal/lab/explore"
@@ -366,7 +366,7 @@
 		return err
 	}
 	began := time.Now()
-	if err := f.Order(ctx, council.Command{Kind: council.Leave, Life: council.Life{Name: old}, On: true}); err != nil {
+	if err := f.Order(ctx, controlplane.Command{Kind: controlplane.Leave, Life: controlplane.Life{Name: old}, On: true}); err != nil {
 		return err
 	}
 	var fresh node.KeeperStatus
--- a/internal/lab/cluster/model.go
+++ b/internal/lab/cluster/model.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"mulleinbeam/internal/cluster/copies"
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
+	"mulleinbeam/internal/cluster/replication"
 	"mulleinbeam/internal/lab/explore"
 	"mulleinbeam/internal/routing/wal"
 )
@@ -45,7 +45,7 @@
 // here: accept, tell, begin, answer, each asking what the router asks.
 type Model struct {
 	Setup    ModelSetup
-	Council  *council.State
+	Council  *controlplane.State
 	Lease    map[string]bool // that its life holds, by name
 	Procs    []*proc
 	Net      []packet
@@ -59,7 +59,7 @@
 	Class   string
 	Told    bool // its client was answered 202
 	Handed  bool
-	Where   council.Life // it was handed in at first
+	Where   controlplane.Life // it was handed in at first
 	Effects int
 	Ends    map[string]bool
 }
@@ -67,9 +67,9 @@
 // packet is on its way.
 type packet struct {
 	From, To int
-	Batch    *copies.Batch
-	Ack      *copies.Ack
-	Life     council.Life // of the batch that an answer is to
+	Batch    *replication.Batch
+	Ack      *replication.Ack
+	Life     controlplane.Life // of the batch that an answer is to
 }
 
 // proc is one forwarder.
@@ -80,24 +80,24 @@
 	Begun   bool // its life has begun
 	Life    uint64
 	Folder  folder
-	Owner   *copies.Owner
-	Shelf   *copies.Shelf
+	Owner   *replication.Owner
+	Shelf   *replication.Shelf
 	Shelves uint64
 	Thawed  bool
-	View    *council.State
+	View    *controlplane.State
 	Held    map[string]*holding // by id
 	Past    map[string]bool
-	Take    *copies.Takeover
-	Content copies.Content
+	Take    *replication.Takeover
+	Content replication.Content
 	Mark    uint64
-	Unkept  []copies.Kept // answered for, and not on the disk: the first fault
+	Unkept  []replication.Kept // answered for, and not on the disk: the first fault
 }
 
 // folder outlasts its process.
 type folder struct {
 	Life uint64
 	Log  *wal.Copy // the journal: what its records say
-	Kept []copies.Kept
+	Kept []replication.Kept
 	Next uint64
 }
 
@@ -116,7 +116,7 @@
 
 // NewModel begins with three lives and nobody's copies.
 func NewModel(s ModelSetup) *Model {
-	m := &Model{Setup: s, Council: council.NewState(), Lease: map[string]bool{}}
+	m := &Model{Setup: s, Council: controlplane.NewState(), Lease: map[string]bool{}}
 	for i := range 3 {
 		p := &proc{Name: fmt.Sprint("n", i), Up: true}
 		p.Folder = folder{Log: wal.NewCopy(), Next: 1}
@@ -132,7 +132,7 @@
 	}
 	// the owner's keepers are decided, so that the walk begins where it matters
 	rank := m.Council.Ranking("n0", nil)[:s.Copies-1]
-	m.decide(council.Command{Kind: council.Keepers, Life: council.Life{Name: "n0", Number: 1}, From: m.Council.Members["n0"].Changed, Set: rank})
+	m.decide(controlplane.Command{Kind: controlplane.Keepers, Life: controlplane.Life{Name: "n0", Number: 1}, From: m.Council.Members["n0"].Changed, Set: rank})
 	for _, p := range m.Procs {
 		p.View = m.Council.Clone()
 	}
@@ -163,22 +163,22 @@
 	return nil
 }
 
-func (m *Model) decide(c council.Command) error {
+func (m *Model) decide(c controlplane.Command) error {
 	m.version++
 	return m.Council.Apply(m.version, c)
 }
 
 // keep puts what a shelf wants kept on the disk.
-func (f *folder) keep(list []copies.Kept) {
+func (f *folder) keep(list []replication.Kept) {
 	for _, k := range list {
 		if k.Fresh {
-			f.Kept = slices.DeleteFunc(f.Kept, func(x copies.Kept) bool { return x.Life == k.Life })
+			f.Kept = slices.DeleteFunc(f.Kept, func(x replication.Kept) bool { return x.Life == k.Life })
 			if k.Index == 0 {
 				continue
 			}
 		}
 		if k.Drop {
-			f.Kept = slices.DeleteFunc(f.Kept, func(x copies.Kept) bool { return x.Life == k.Life && x.Message == k.Message && x.Past == k.Past })
+			f.Kept = slices.DeleteFunc(f.Kept, func(x replication.Kept) bool { return x.Life == k.Life && x.Message == k.Message && x.Past == k.Past })
 			k.Drop, k.Message, k.Payload = false, 0, nil
 		}
 		f.Kept = append(f.Kept, k)
@@ -189,19 +189,19 @@
 func (m *Model) boot(p *proc) {
 	p.Up, p.Begun, p.Thawed, p.Take, p.Owner, p.Paused = true, false, false, nil, nil, false
 	p.Shelves++
-	p.Shelf = copies.NewShelf(p.Shelves*10 + 1)
+	p.Shelf = replication.NewShelf(p.Shelves*10 + 1)
 	for _, k := range p.Folder.Kept {
 		p.Shelf.Restore(k)
 	}
-	p.Held, p.Past, p.Unkept, p.Content = map[string]*holding{}, map[string]bool{}, nil, copies.Content{}
+	p.Held, p.Past, p.Unkept, p.Content = map[string]*holding{}, map[string]bool{}, nil, replication.Content{}
 	if p.View == nil {
-		p.View = council.NewState()
+		p.View = controlplane.NewState()
 	}
 	for _, x := range p.Folder.Log.Messages() {
 		x.Settle()
 		h := &holding{Seq: x.Seq, Away: true, MayRun: x.MayRun, Begun: x.Attempts > 0}
 		if x.Owner != "" {
-			h.Adopting = council.Life{Name: x.Owner, Number: x.Life}.String()
+			h.Adopting = controlplane.Life{Name: x.Owner, Number: x.Life}.String()
 		}
 		p.Held[x.ID] = h
 	}
@@ -209,22 +209,22 @@
 
 // join begins a life.
 func (m *Model) join(p *proc) {
-	c := council.Command{Kind: council.Join, Life: council.Life{Name: p.Name, Number: p.Folder.Life}, Whole: p.Folder.Life > 0, Fenced: true,
+	c := controlplane.Command{Kind: controlplane.Join, Life: controlplane.Life{Name: p.Name, Number: p.Folder.Life}, Whole: p.Folder.Life > 0, Fenced: true,
 		Token: fmt.Sprint(p.Name, p.Shelves), Zone: "z" + p.Name}
 	if m.decide(c) != nil {
 		return
 	}
 	p.Life, p.Begun = m.Council.Members[p.Name].Life, true
-	p.Owner = copies.NewOwner(m.life(p))
+	p.Owner = replication.NewOwner(m.life(p))
 	p.View = m.Council.Clone()
 	m.Lease[p.Name] = true
 	had := p.Folder.Life
-	before := council.Life{Name: p.Name, Number: had}
+	before := controlplane.Life{Name: p.Name, Number: had}
 	mine := had == 0
 	if job := m.Council.Job(before); had > 0 && job != nil && !job.Done && job.Taker == m.life(p) { // what takeBack does, at once
 		content := m.gather(p, job.Life, job.Keepers)
 		m.adopt(p, job.Life, content, true)
-		mine = m.decide(council.Command{Kind: council.Done, Life: before, Taker: m.life(p)}) == nil
+		mine = m.decide(controlplane.Command{Kind: controlplane.Done, Life: before, Taker: m.life(p)}) == nil
 	} else if job != nil {
 		mine = m.Council.Holder(before) == m.life(p)
 	}
@@ -234,7 +234,7 @@
 		x := p.Folder.Log.Message(h.Seq)
 		keep := mine
 		if x.Owner != "" {
-			keep = keep && m.Council.Holder(council.Life{Name: x.Owner, Number: x.Life}) == m.life(p)
+			keep = keep && m.Council.Holder(controlplane.Life{Name: x.Owner, Number: x.Life}) == m.life(p)
 		}
 		if h.Adopting, h.Away = "", false; !keep {
 			m.over(p, id, true)
@@ -244,7 +244,9 @@
 	p.Folder.Life, p.Thawed = p.Life, true
 }
 
-func (m *Model) life(p *proc) council.Life { return council.Life{Name: p.Name, Number: p.Life} }
+func (m *Model) life(p *proc) controlplane.Life {
+	return controlplane.Life{Name: p.Name, Number: p.Life}
+}
 
 // acts is what a node's MayAct says.
 func (m *Model) acts(p *proc) bool { return p.Up && p.Begun && p.Thawed && m.Lease[p.Name] }
@@ -269,8 +271,8 @@
 }
 
 // gather merges the copies of a life that can be reached.
-func (m *Model) gather(p *proc, life council.Life, keepers []string) copies.Content {
-	var out copies.Content
+func (m *Model) gather(p *proc, life controlplane.Life, keepers []string) replication.Content {
+	var out replication.Content
 	for _, name := range keepers {
 		k := m.proc(name)
 		if !k.Up {
@@ -278,7 +280,7 @@
 		}
 		k.Shelf.End(life)
 		if h := k.Shelf.Copy(life); h != nil && h.Have > 0 {
-			c := copies.ContentOf(h.Content, 0)
+			c := replication.ContentOf(h.Content, 0)
 			if m.Setup.Fault == MergeNever && out.Messages != nil {
 				for seq, x := range c.Messages {
 					if old := out.Messages[seq]; old != nil && !old.MayRun {
@@ -292,14 +294,14 @@
 					}
 				}
 			}
-			out = copies.Merge(out, c)
+			out = replication.Merge(out, c)
 		}
 	}
 	return out
 }
 
 // adopt takes on what an ended life owed; what is held here already learns what the copies know.
-func (m *Model) adopt(p *proc, life council.Life, c copies.Content, own bool) {
+func (m *Model) adopt(p *proc, life controlplane.Life, c replication.Content, own bool) {
 	for _, id := range slices.Sorted(maps.Keys(c.Past)) {
 		if h := p.Held[id]; h != nil && own {
 			m.over(p, id, true)
@@ -377,7 +379,7 @@
 	return out
 }
 
-func (m *Model) unanswered(owner, keeper int, life council.Life) {
+func (m *Model) unanswered(owner, keeper int, life controlplane.Life) {
 	if p := m.Procs[owner]; p.Up && p.Owner != nil && p.Owner.Life() == life {
 		p.Owner.Unanswered(m.Procs[keeper].Name)
 	}
@@ -463,7 +465,7 @@
 		}
 	}
 	set = append(set, name)
-	if m.decide(council.Command{Kind: council.Keepers, Life: m.life(p), From: member.Changed, Set: set}) == nil {
+	if m.decide(controlplane.Command{Kind: controlplane.Keepers, Life: m.life(p), From: member.Changed, Set: set}) == nil {
 		p.Owner.SetKeepers(set, nil)
 		p.View = m.Council.Clone()
 	}
@@ -610,7 +612,7 @@
 
 // tookOver says whether a forwarder goes on with what the first one's first life owed.
 func (m *Model) tookOver(p *proc) bool {
-	j := m.Council.Job(council.Life{Name: "n0", Number: 1})
+	j := m.Council.Job(controlplane.Life{Name: "n0", Number: 1})
 	return p.Name != "n0" && j != nil && j.Done && j.Taker == m.life(p) && p.Take == nil
 }
 
@@ -622,17 +624,17 @@
 				life := j.Life
 				add(p.Name+" begins to take "+life.String()+" over", func(m *Model) {
 					p := m.Procs[i]
-					p.Take, p.View = copies.NewTakeover(life, m.life(p)), m.Council.Clone()
+					p.Take, p.View = replication.NewTakeover(life, m.life(p)), m.Council.Clone()
 				})
 			}
 		}
 		return
 	}
-	name := map[copies.Doing]string{
-		copies.Gather: "gathers", copies.Adopt: "adopts", copies.Wait: "waits", copies.Decide: "asks the council", copies.Act: "acts",
-		copies.Undo: "takes it back", copies.Stop: "is done",
+	name := map[replication.Doing]string{
+		replication.Gather: "gathers", replication.Adopt: "adopts", replication.Wait: "waits", replication.Decide: "asks the council", replication.Act: "acts",
+		replication.Undo: "takes it back", replication.Stop: "is done",
 	}[p.Take.Doing()]
-	if p.Take.Doing() == copies.Wait && len(p.Owner.Counted()) > 0 && p.Owner.Held() < p.Mark {
+	if p.Take.Doing() == replication.Wait && len(p.Owner.Counted()) > 0 && p.Owner.Held() < p.Mark {
 		return // until it is, or this life is over
 	}
 	add(p.Name+": taking over: "+name, func(m *Model) { m.takeStep(m.Procs[i]) })
@@ -648,7 +650,7 @@
 		}
 	}
 	switch t.Doing() {
-	case copies.Gather:
+	case replication.Gather:
 		job := m.Council.Job(t.Life)
 		if job == nil {
 			t.Gathered(false)
@@ -656,22 +658,22 @@
 		}
 		p.Content = m.gather(p, t.Life, job.Keepers)
 		t.Gathered(p.Content.Messages != nil)
-	case copies.Adopt:
+	case replication.Adopt:
 		m.adopt(p, t.Life, p.Content, false)
 		t.Adopted(true)
-	case copies.Wait:
+	case replication.Wait:
 		t.Held(true)
-	case copies.Decide:
-		t.Decided(true, m.decide(council.Command{Kind: council.Done, Life: t.Life, Taker: t.Taker}) == nil)
+	case replication.Decide:
+		t.Decided(true, m.decide(controlplane.Command{Kind: controlplane.Done, Life: t.Life, Taker: t.Taker}) == nil)
 		p.View = m.Council.Clone()
-	case copies.Act:
+	case replication.Act:
 		of(func(_ string, h *holding) { h.Adopting, h.Away = "", false })
 		t.Acted(true)
-	case copies.Undo:
+	case replication.Undo:
 		of(func(id string, _ *holding) { m.over(p, id, false) })
 		t.Undone()
-	case copies.Stop:
-		p.Take, p.Content = nil, copies.Content{}
+	case replication.Stop:
+		p.Take, p.Content = nil, replication.Content{}
 	}
 }
 
@@ -694,7 +696,7 @@
 				} else {
 					m.Lease[name] = false
 				}
-				_ = m.decide(council.Command{Kind: council.End, Life: council.Life{Name: name, Number: member.Life}})
+				_ = m.decide(controlplane.Command{Kind: controlplane.End, Life: controlplane.Life{Name: name, Number: member.Life}})
 			})
 		}
 	}
@@ -714,7 +716,7 @@
 			add("the council gives "+life.String()+" to "+best, func(m *Model) {
 				k := m.proc(best)
 				k.Shelf.End(life)
-				_ = m.decide(council.Command{Kind: council.Assign, Life: life, Taker: m.life(k)})
+				_ = m.decide(controlplane.Command{Kind: controlplane.Assign, Life: life, Taker: m.life(k)})
 			})
 		}
 	}
--- a/internal/lab/cluster/register.go
+++ b/internal/lab/cluster/register.go
@@ -10,7 +10,7 @@
 	"github.com/anishathalye/porcupine"
 
 	"mulleinbeam/internal/cluster/changelog"
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
 	"mulleinbeam/internal/cluster/links"
 	"mulleinbeam/internal/lab"
 )
@@ -69,17 +69,17 @@
 	for to := c; lab.Sleep(ctx, time.Duration(rng.Int64N(int64(2*registerEvery)))); {
 		op := registerOp{write: rng.IntN(registerWrites) == 0, on: rng.IntN(2) == 0}
 		// answered once a majority has confirmed who leads
-		req := council.Request{Renew: &council.Life{Name: "who asks for nothing"}, Watch: &council.Watch{Selector: changelog.Selector{Keys: []string{council.MemberKey(r.who)}}}}
+		req := controlplane.Request{Renew: &controlplane.Life{Name: "who asks for nothing"}, Watch: &controlplane.Watch{Selector: changelog.Selector{Keys: []string{controlplane.MemberKey(r.who)}}}}
 		if op.write {
-			req = council.Request{Command: &council.Command{Kind: council.Leave, Life: council.Life{Name: r.who}, On: op.on}}
+			req = controlplane.Request{Command: &controlplane.Command{Kind: controlplane.Leave, Life: controlplane.Life{Name: r.who}, On: op.on}}
 		}
 		call, cancel := context.WithTimeout(ctx, registerFor)
-		var a council.Response
+		var a controlplane.Response
 		from := time.Since(r.began)
 		err := peers[to%len(peers)].Call(call, "Council.Ask", req, &a)
 		cancel()
 		until := time.Since(r.began)
-		refused := a.Refused == council.ErrNotLeader.Error()
+		refused := a.Refused == controlplane.ErrNotLeader.Error()
 		member := memberIn(a.Changes)
 		known := err == nil && member != nil
 		switch {
@@ -98,7 +98,7 @@
 }
 
 // memberIn is the member that an answer tells of; nil is none.
-func memberIn(c *council.Changes) *council.Member {
+func memberIn(c *controlplane.Changes) *controlplane.Member {
 	if c == nil || len(c.Records) == 0 {
 		return nil
 	}
--- a/internal/lab/cluster/scale.go
+++ b/internal/lab/cluster/scale.go
@@ -8,7 +8,7 @@
 	"os"
 	"time"
 
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
 	"mulleinbeam/internal/lab"
 )
 
@@ -100,9 +100,9 @@
 	if err := w.voters.AwaitCopied(ctx, w.voters.All()...); err != nil {
 		return err
 	}
-	var relays []council.Relay
+	var relays []controlplane.Relay
 	for i, r := range w.voters.relays {
-		relays = append(relays, council.Relay{Zone: zoneName(i), Address: r.address})
+		relays = append(relays, controlplane.Relay{Zone: zoneName(i), Address: r.address})
 	}
 	w.fleet = newHollowFleet(n, w.voters.voters(), relays, s.Narrow, s.Configure)
 	return nil
@@ -225,5 +225,5 @@
 			}
 		}
 	}
-	return 0, council.ErrNoLeader
+	return 0, controlplane.ErrNoLeader
 }
--- a/internal/lab/cluster/scaleconfig.go
+++ b/internal/lab/cluster/scaleconfig.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"mulleinbeam/internal/cluster/council"
+	"mulleinbeam/internal/cluster/controlplane"
 	"mulleinbeam/internal/cluster/entry"
 	"mulleinbeam/internal/lab"
 )
@@ -17,8 +17,8 @@
 const configKeys = 50
 
 // decide asks for a command through a member; a refusal is an error.
-func (h *hollow) decide(ctx context.Context, cmd council.Command) (council.Response, error) {
-	r, err := h.client.Do(ctx, council.Request{Command: &cmd})
+func (h *hollow) decide(ctx context.Context, cmd controlplane.Command) (controlplane.Response, error) {
+	r, err := h.client.Do(ctx, controlplane.Request{Command: &cmd})
 	if err == nil && r.Refused != "" {
 		err = errors.New(r.Refused)
 	}
@@ -26,22 +26,22 @@
 }
 
 // configureOne sets one destination through a member. One whose answer was lost may have been decided: it is set again, as of what is decided by then.
-func (f *hollowFleet) configureOne(ctx context.Context, h *hollow, i int) (council.Response, error) {
+func (f *hollowFleet) configureOne(ctx context.Context, h *hollow, i int) (controlplane.Response, error) {
 	number := i%configKeys + 1
 	endpoint := entry.Endpoint{Name: fmt.Sprint("endpoint-", number), Address: "127.0.0.1:1", Zone: zoneName(number), Capacity: float64(i + 1)}
 	e := entry.Entry{Destination: &entry.Destination{Number: int64(number), Endpoints: []entry.Endpoint{endpoint}}}
 	content, err := e.Encode()
 	if err != nil {
-		return council.Response{}, err
+		return controlplane.Response{}, err
 	}
 	for {
 		now, err := h.client.Rollout(ctx)
 		if err != nil {
-			return council.Response{}, err
+			return controlplane.Response{}, err
 		}
-		cmd := council.Command{Kind: council.Configure, From: now.Revision, Entries: []council.EntryChange{{Key: e.Key(), Content: content}}}
+		cmd := controlplane.Command{Kind: controlplane.Configure, From: now.Revision, Entries: []controlplane.EntryChange{{Key: e.Key(), Content: content}}}
 		r, err := h.decide(ctx, cmd)
-		if err == nil || err.Error() != council.ErrLater.Error() {
+		if err == nil || err.Error() != controlplane.ErrLater.Error() {
 			return r, err
 		}
 	}
--- a/internal/lab/cluster/spread.go
+++ b/internal/lab/cluster/spread.go
@@ -12,9 +12,9 @@
 	"time"
 
 	mb "mulleinbeam"
-	"mulleinbeam/internal/cluster/council"
-	"mulleinbeam/internal/cluster/facts"
+	"mulleinbeam/internal/cluster/controlplane"
 	"mulleinbeam/internal/cluster/node"
+	"mulleinbeam/internal/cluster/observation"
 	"mulleinbeam/internal/lab/agenda"
 )
 
@@ -51,8 +51,8 @@
 	rng     *rand.Rand
 	names   []string
 	number  map[string]int
-	books   []*facts.Book
-	spreads []*facts.Spread
+	books   []*observation.Book
+	spreads []*observation.Spread
 	size    bytes.Buffer
 	enc     *gob.Encoder // as a connection that has carried pushes before
 	sent    []float64    // bytes, by second
@@ -75,9 +75,9 @@
 	}
 	for i := range s.Members {
 		name := fmt.Sprintf("forwarder-%04d", i)
-		book := facts.NewBook(facts.Config{Name: name, Life: 1, HalfLife: 10 * time.Second, Longest: time.Minute, Keys: 4096})
+		book := observation.NewBook(observation.Config{Name: name, Life: 1, HalfLife: 10 * time.Second, Longest: time.Minute, Keys: 4096})
 		p.names, p.number[name] = append(p.names, name), i
-		p.books, p.spreads = append(p.books, book), append(p.spreads, facts.NewSpread(book, p.rng.Uint64()))
+		p.books, p.spreads = append(p.books, book), append(p.spreads, observation.NewSpread(book, p.rng.Uint64()))
 	}
 	for i := range s.Members {
 		others := slices.DeleteFunc(slices.Clone(p.names), func(name string) bool { return name == p.names[i] })
@@ -111,7 +111,7 @@
 		}
 		p.note(i, now)
 		for _, push := range p.spreads[i].Beat(now, others) {
-			what := node.FactsPush{From: council.Life{Name: p.names[i], Number: 1}, Facts: push.Facts, Compare: push.Compare, Digest: push.Digest}
+			what := node.FactsPush{From: controlplane.Life{Name: p.names[i], Number: 1}, Facts: push.Facts, Compare: push.Compare, Digest: push.Digest}
 			p.send(now, what, func(at time.Duration) { p.pushed(at, p.number[push.To], i, what) })
 		}
 	})
@@ -136,7 +136,7 @@
 }
 
 // take has a member hear facts.
-func (p *spreading) take(now time.Duration, i int, list []facts.Fact) {
+func (p *spreading) take(now time.Duration, i int, list []observation.Fact) {
 	for _, f := range list {
 		if news, _ := p.books[i].Take(now, f); news {
 			p.spreads[i].Tell(p.Members, f)
