--- a/bench_test.go
+++ b/bench_test.go
@@ -26,16 +26,16 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			d.Handle(0, []Event{Members{Scope: ListSaved, Entries: listOf(n)}})
+			d.Handle(0, []Event{EndpointUpdate{Scope: ListSaved, Entries: listOf(n)}})
 			for i := range 10 { // no endpoint is known for these
-				d.Handle(0, []Event{Submit{ID: MessageID(i), Class: "keyed", Left: 1e6 * time.Second, Destination: -1}})
+				d.Handle(0, []Event{Submit{ID: MessageID(i), Class: "keyed", TimeLeft: 1e6 * time.Second, Destination: -1}})
 			}
 			b.ReportAllocs()
 			now, id := time.Second, MessageID(100)
 			for b.Loop() {
 				now += 100 * time.Millisecond
 				id++
-				out := d.Handle(now, []Event{Submit{ID: id, Class: "safe", Left: time.Second, Destination: DestinationID(int(id) % (n / 2))}})
+				out := d.Handle(now, []Event{Submit{ID: id, Class: "safe", TimeLeft: time.Second, Destination: DestinationID(int(id) % (n / 2))}})
 				for _, a := range out {
 					if s, ok := a.(Send); ok {
 						d.Handle(now, []Event{Answer{ID: s.ID, Endpoint: s.Endpoint, Outcome: OK, Latency: time.Millisecond, Settled: true}})
@@ -54,7 +54,7 @@
 		r.submit("safe", DestinationID(5000+i), 0) // never listed
 		r.settle(always(OK))
 	}
-	r.do(Members{Scope: ListWhole, Entries: listOf(10)})
+	r.do(EndpointUpdate{Scope: ListWhole, Entries: listOf(10)})
 	r.pass(10 * time.Second)
 	r.now += forgetAfter + forgetEvery
 	r.do(Timer{Cookie: heartbeatMark})
@@ -66,7 +66,7 @@
 // All that came during a frozen spell comes in one Handle: nothing is lost, no destination is blamed that answers.
 func TestBurstAfterAFrozenSpell(t *testing.T) {
 	s := testSettings()
-	s.Slots, s.MostHeld, s.Couriers = 3, 12, 75
+	s.Slots, s.MostHeld, s.Forwarders = 3, 12, 75
 	r := newRig(t, s, listOf(1000)...)
 	var out []Send
 	for i := range 3 {
@@ -80,7 +80,7 @@
 	}
 	for i := range 9 {
 		r.next++
-		in = append(in, Submit{ID: r.next, Class: "safe", Destination: DestinationID(i), Left: 3 * time.Second})
+		in = append(in, Submit{ID: r.next, Class: "safe", Destination: DestinationID(i), TimeLeft: 3 * time.Second})
 	}
 	if n := len(r.do(in...)); n != s.Slots {
 		t.Errorf("%d sends after the spell, want %d", n, s.Slots)
@@ -102,18 +102,18 @@
 func TestRefusalsThatTheToldShareExplains(t *testing.T) {
 	for _, left := range []float64{0.05, 0.9} {
 		s := testSettings()
-		s.Couriers = manyCouriers - 1 // many wait longer for their next call
+		s.Forwarders = manyCouriers - 1 // many wait longer for their next call
 		r := newRig(t, s)
 		r.submit("safe", 1, 0)
 		sent := r.last()
-		r.do(Answer{ID: sent.ID, Endpoint: "a", Outcome: Full, Limit: &LimitReport{Left: left, Rate: 6}})
+		r.do(Answer{ID: sent.ID, Endpoint: "a", Outcome: Refused, Limit: &LimitReport{Remaining: left, Rate: 6}})
 		if r.d.dests[1].lanes[0].guard {
 			t.Errorf("%v of the limit left: guard after one refusal", left)
 		}
 		r.now += 700 * ms
 		r.do(Timer{Cookie: heartbeatMark})
 		r.do(Answer{
-			ID: sent.ID, Attempt: r.sent[sent.ID] - 1, Endpoint: "a", Outcome: Full, Limit: &LimitReport{Left: left, Rate: 6},
+			ID: sent.ID, Attempt: r.sent[sent.ID] - 1, Endpoint: "a", Outcome: Refused, Limit: &LimitReport{Remaining: left, Rate: 6},
 		})
 		if got := r.d.dests[1].lanes[0].guard; got != (left > 0.5) || r.sent[sent.ID] != 2 {
 			t.Errorf("%v of the limit left: guard %v after %d refusals", left, got, r.sent[sent.ID])
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -117,8 +117,8 @@
 		case wire.Catalog:
 			h.lists[ev.ID] = ev.Entries
 		case wire.ListRef:
-			m := mb.Members{Scope: ev.Scope}
-			if ev.Scope != mb.ListAskError {
+			m := mb.EndpointUpdate{Scope: ev.Scope}
+			if ev.Scope != mb.ListError {
 				m.Entries = h.lists[ev.List]
 			}
 			events = append(events, m)
--- a/cmd/larkreach/config.go
+++ b/cmd/larkreach/config.go
@@ -101,8 +101,8 @@
 	if c.Settings, err = wire.ParseSettings(file.Settings); err != nil {
 		return c, fmt.Errorf("config: %w", err)
 	}
-	if c.Settings.Couriers < 1 { // one that does not know of others decides as if it were alone
-		c.Settings.Couriers, c.Alone = 1, true
+	if c.Settings.Forwarders < 1 { // one that does not know of others decides as if it were alone
+		c.Settings.Forwarders, c.Alone = 1, true
 	}
 	clear(c.Settings.BatchByKind) // each message is a call of its own here, and takes a slot
 	weighClasses(c.Settings.Classes)
@@ -133,17 +133,17 @@
 
 // asking says when discovery is asked, by the size of the fleet that asks it.
 func (c config) asking() transport.Asking {
-	within := c.Settings.AskWithin
-	if !c.Settings.MustAsk {
+	within := c.Settings.SubscribeWithin
+	if !c.Settings.MustSubscribe {
 		within = 0
 	}
-	return transport.AskingFor(c.Settings.Couriers, within, rand.New(rand.NewPCG(c.Seed, askingStream)).Float64)
+	return transport.AskingFor(c.Settings.Forwarders, within, rand.New(rand.NewPCG(c.Seed, askingStream)).Float64)
 }
 
 // since is the version from which discovery is asked for changes. Where each line of a list costs it something, that is the
 // known list's, as long as discovery has not moved; else none, since the known list's version may be another address's.
 func (c config) since() int64 {
-	if c.Settings.MustAsk && c.Discovery == c.Told {
+	if c.Settings.MustSubscribe && c.Discovery == c.Told {
 		return c.Known.Index
 	}
 	return -1
--- a/cmd/larkreach/fleet_on.go
+++ b/cmd/larkreach/fleet_on.go
@@ -55,7 +55,7 @@
 		setup.Alone[class] = true
 	}
 	for _, class := range cfg.Settings.Classes {
-		setup.Window = max(setup.Window, class.GiveUp)
+		setup.Window = max(setup.Window, class.DeliveryTimeout)
 	}
 	if own.Bodies != nil {
 		setup.Window = max(setup.Window, time.Duration(own.Bodies.Longest))
--- a/cmd/larkreach/main.go
+++ b/cmd/larkreach/main.go
@@ -216,14 +216,14 @@
 		Clock: clock, Report: report,
 	}
 	for _, c := range cfg.Settings.Classes {
-		o.IDFor = max(o.IDFor, c.GiveUp)
+		o.IDFor = max(o.IDFor, c.DeliveryTimeout)
 	}
 	if own.Bodies != nil {
 		o.IDFor = max(o.IDFor, time.Duration(own.Bodies.Longest))
 	}
 	m := memory.Open(o)
-	if l := m.Learned(); len(l.Lanes) > 0 || m.IDs() > 0 {
-		logger.Info().Str("part", "learned").Int("partners", len(l.Lanes)).Int("ids", m.IDs()).Msg("recalled from an earlier life")
+	if l := m.Learned(); len(l.Circuits) > 0 || m.IDs() > 0 {
+		logger.Info().Str("part", "learned").Int("partners", len(l.Circuits)).Int("ids", m.IDs()).Msg("recalled from an earlier life")
 	}
 	return m
 }
--- a/cmd/larkreach/wiring.go
+++ b/cmd/larkreach/wiring.go
@@ -133,7 +133,7 @@
 	case !r.Begun && r.End == pump.Broken:
 		res.Outcome = mb.ConnectFailed
 	case !r.Begun:
-		res.Outcome = mb.Moot
+		res.Outcome = mb.NotSent
 	}
 	res.Kept, res.Spent = r.Kept, !r.Again
 	return res
@@ -143,13 +143,13 @@
 var passEnds = map[pump.End]mb.Outcome{
 	pump.Delivered: mb.OK, pump.Spoilt: mb.Failed, pump.Broken: mb.Reset, pump.EndpointStalled: mb.TimedOut,
 	pump.ClientGone: mb.Cancelled, pump.ClientStalled: mb.Cancelled, pump.ClientBad: mb.Cancelled,
-	pump.TimeUp: mb.Cancelled, pump.Aborted: mb.Cancelled, pump.NotBegun: mb.Moot,
+	pump.TimeUp: mb.Cancelled, pump.Aborted: mb.Cancelled, pump.NotBegun: mb.NotSent,
 }
 
 // ends are the outcomes of calls that were not answered. One whose answer is spoilt is an error: the endpoint is there,
 // and its connection was not a dead one.
 var ends = map[transport.CallEnd]mb.Outcome{
-	transport.NotBegun: mb.Moot, transport.Unconnected: mb.ConnectFailed, transport.Broken: mb.Reset,
+	transport.NotBegun: mb.NotSent, transport.Unconnected: mb.ConnectFailed, transport.Broken: mb.Reset,
 	transport.Spoilt: mb.Failed, transport.Abandoned: mb.TimedOut,
 }
 
@@ -164,15 +164,15 @@
 	case 200:
 		res.Outcome = mb.OK
 	case 429:
-		res.Outcome, res.Wait = mb.Full, r.Wait
+		res.Outcome, res.Wait = mb.Refused, r.Wait
 	case 503:
-		if res.Outcome = mb.Full; r.OverSlots {
-			res.Outcome = mb.Moot
+		if res.Outcome = mb.Refused; r.OverSlots {
+			res.Outcome = mb.NotSent
 		}
 	case 504:
-		res.Outcome = mb.Moot
+		res.Outcome = mb.NotSent
 	case 410:
-		res.Outcome, res.Over = mb.Moot, true
+		res.Outcome, res.Over = mb.NotSent, true
 	default:
 		res.Outcome = mb.Failed
 	}
--- a/decide.go
+++ b/decide.go
@@ -119,13 +119,13 @@
 			d.submit(e)
 		case Answer:
 			d.answer(e)
-		case Members:
+		case EndpointUpdate:
 			d.members(e)
-		case Gone:
+		case MessageCancelled:
 			if m := d.msgs[e.ID]; m != nil && !m.ended {
 				d.end(m)
 			}
-		case Closing:
+		case Shutdown:
 			d.closeAt = d.now + max(e.In, 1)
 		case Timer:
 			if e.Cookie == heartbeatMark && d.now >= d.wakeAt {
@@ -165,7 +165,7 @@
 }
 
 // many couriers each see little of a destination.
-func (d *Decider) many() bool { return d.s.Couriers >= manyCouriers }
+func (d *Decider) many() bool { return d.s.Forwarders >= manyCouriers }
 
 // vary draws the factor by which a wait varies.
 func (d *Decider) vary() float64 { return 1 + jitterShare*(2*d.rng.Float64()-1) }
@@ -175,12 +175,12 @@
 // ask subscribes; should no answer come at all, it asks again in time to count as having asked.
 func (d *Decider) ask() {
 	d.do(Subscribe{})
-	d.askAt = d.now + max(d.s.AskWithin/2, askMost)
+	d.askAt = d.now + max(d.s.SubscribeWithin/2, askMost)
 }
 
-func (d *Decider) members(e Members) {
-	if e.Scope == ListAskError {
-		if d.s.MustAsk {
+func (d *Decider) members(e EndpointUpdate) {
+	if e.Scope == ListError {
+		if d.s.MustSubscribe {
 			d.askWait = min(max(askFirst, 2*d.askWait), askMost)
 			d.askAt = d.now + time.Duration(d.vary()*float64(d.askWait))
 			d.logf("list: asking failed, again in %v", d.askAt-d.now)
@@ -193,7 +193,7 @@
 	for _, en := range e.Entries {
 		d.entry(en)
 	}
-	if d.s.MustAsk {
+	if d.s.MustSubscribe {
 		if e.Scope == ListSaved {
 			d.ask()
 		} else {
@@ -204,7 +204,7 @@
 
 func (d *Decider) entry(en Entry) {
 	if ep := d.find(en); ep != nil {
-		if d.s.HintKnown && en.CapacityHint > 0 && !math.IsInf(en.CapacityHint, 1) {
+		if d.s.UseCapacityHints && en.CapacityHint > 0 && !math.IsInf(en.CapacityHint, 1) {
 			ep.lane.hint = en.CapacityHint
 		}
 		d.setState(ep, en.Readiness)
@@ -242,20 +242,20 @@
 	}
 	c := d.classes[e.Class]
 	if c == nil { // an unknown class is treated as the most delicate one
-		left := max(e.Left, time.Millisecond)
-		c = &classState{Class: Class{Target: left, GiveUp: left, Worth: 1, Effect: Unsafe}}
+		left := max(e.TimeLeft, time.Millisecond)
+		c = &classState{Class: Class{Target: left, DeliveryTimeout: left, Worth: 1, Effect: Unsafe}}
 		c.mean = firstGuess * left.Seconds()
 	}
 	m := &message{
-		id: e.ID, class: c, key: e.Key, dest: d.dest(e.Destination), deadline: d.now + e.Left,
-		worth: c.Worth, notBefore: d.now, attempts: e.Attempts, long: e.Long, spent: e.Spent,
+		id: e.ID, class: c, key: e.Key, dest: d.dest(e.Destination), deadline: d.now + e.TimeLeft,
+		worth: c.Worth, notBefore: d.now, attempts: e.Attempts, long: e.Long, spent: e.BodyGone,
 		owed: e.Resumed && e.Attempts == 0,
 	}
 	if m.until = m.deadline; m.long {
-		m.deadline = min(m.until, d.now+c.GiveUp)
+		m.deadline = min(m.until, d.now+c.DeliveryTimeout)
 	}
-	if e.Ran != nil {
-		m.mayRun, m.ranAt, m.ranZone = true, d.now-e.Ran.Ago, e.Ran.Zone
+	if e.MayHaveRun != nil {
+		m.mayRun, m.ranAt, m.ranZone = true, d.now-e.MayHaveRun.SentAgo, e.MayHaveRun.Zone
 	}
 	if t := d.tenants[e.Tenant]; t != nil {
 		t.bucket = math.Min(t.bucket+t.rate*(d.now-t.at).Seconds(), math.Max(1, t.rate*tenantDepth.Seconds()))
@@ -277,7 +277,7 @@
 func (d *Decider) giveUp(m *message) {
 	r := Refuse{ID: m.id, RetryAfter: min(max(retryFull, d.delay(m.dest)), d.s.MaxRetryAfter)}
 	comes := d.now
-	if d.s.TellRetryAfter { // else clients come when they like
+	if d.s.SendRetryAfter { // else clients come when they like
 		comes += r.RetryAfter
 	}
 	keyed := m.class.Effect == Keyed && !m.class.SameZoneOnly && comes < d.keyUntil(m)
@@ -300,17 +300,17 @@
 // value is a message's worth if it is delivered at t.
 func (d *Decider) value(m *message, t time.Duration) float64 {
 	c := m.class
-	age := t - (m.deadline - c.GiveUp)
+	age := t - (m.deadline - c.DeliveryTimeout)
 	switch {
 	case t >= m.deadline:
 		return 0
 	case age <= c.Target:
 		return m.worth
-	case d.s.Fade == FadeHalves:
+	case d.s.Decay == DecayExponential:
 		late := (age - c.Target).Seconds() / c.Target.Seconds()
 		return m.worth * math.Max(c.LateWorth, math.Exp2(-late))
 	}
-	late := (age - c.Target).Seconds() / max(c.GiveUp-c.Target, 1).Seconds()
+	late := (age - c.Target).Seconds() / max(c.DeliveryTimeout-c.Target, 1).Seconds()
 	return m.worth * (1 - (1-c.LateWorth)*math.Min(1, late))
 }
 
@@ -425,31 +425,31 @@
 		}
 	case ConnectFailed:
 		m.avoid = ep
-	case Full:
-		l.waitUntil = max(l.waitUntil, d.now+e.Wait)
+	case Refused:
+		l.waitUntil = max(l.waitUntil, d.now+e.RetryAfter)
 	case OK:
 		delete(ep.bad, m.class)
 	}
 	if l.left = -1; e.Limit != nil && e.Limit.Rate > 0 && !math.IsInf(e.Limit.Rate, 1) {
-		if l.x1, l.left = e.Limit.Rate, e.Limit.Left; l.left < x0Low {
+		if l.x1, l.left = e.Limit.Rate, e.Limit.Remaining; l.left < x0Low {
 			l.bucket = math.Min(l.bucket, 0)
 		}
 	}
 	ep.lostConn = e.Outcome == ConnectFailed || e.Outcome == Reset
-	if ep.usedAt = d.now; ep.lostConn || e.Outcome == Full {
+	if ep.usedAt = d.now; ep.lostConn || e.Outcome == Refused {
 		ep.failedAt = d.now
 	}
 	if d.now < ep.tightUntil && len(m.dest.held) == 0 && len(c.msgs) == 0 {
-		d.do(Close{Endpoint: ep.id})
+		d.do(CloseIdle{Endpoint: ep.id})
 	}
 	if !c.heard || e.Outcome == OK && !c.served { // a call has one fate; a success corrects a time-out
-		c.heard, c.served = e.Outcome != Moot, e.Outcome == OK
+		c.heard, c.served = e.Outcome != NotSent, e.Outcome == OK
 		switch dead := d.deadIdle(c, e.Outcome, e.Latency) || d.deadKept(e); {
-		case dead || e.Outcome == Moot || e.Outcome == Cancelled: // they speak of no endpoint
+		case dead || e.Outcome == NotSent || e.Outcome == Cancelled: // they speak of no endpoint
 		case e.Outcome == OK:
 			d.learnOK(c, e.Latency)
-		case e.Outcome == Full:
-			d.learnFull(l, e.Wait)
+		case e.Outcome == Refused:
+			d.learnFull(l, e.RetryAfter)
 		case e.Outcome == ConnectFailed && d.tableFull(ep, e.Latency): // nor does this
 		default:
 			d.learnBad(l, ep, e.Outcome)
@@ -460,13 +460,13 @@
 		return
 	}
 	first := retryFirst
-	if e.Outcome == Full {
+	if e.Outcome == Refused {
 		first = retryFull
 	}
 	m.backoff = max(first, min(retryMost, time.Duration(retryGrow*float64(m.backoff))))
 	m.notBefore = d.now + time.Duration(c.spread*float64(m.backoff))
-	if m.spent = e.Spent; m.long {
-		m.deadline = min(m.until, d.now+m.class.GiveUp)
+	if m.spent = e.BodyGone; m.long {
+		m.deadline = min(m.until, d.now+m.class.DeliveryTimeout)
 	}
 	d.hold(m)
 }
@@ -505,13 +505,13 @@
 // the connection, since an endpoint that is down refuses the next one. Both kinds of connection are tallied.
 func (d *Decider) deadKept(e Answer) bool {
 	t := &d.onFresh
-	if e.Kept {
+	if e.ReusedConn {
 		t = &d.onKept
 	}
 	if e.Outcome == OK || e.Outcome == Reset {
 		t.add(e.Outcome == Reset, keptMost)
 	}
-	return e.Kept && e.Outcome == Reset
+	return e.ReusedConn && e.Outcome == Reset
 }
 
 // wantsFresh says whether a message goes on a new connection: an unsafe one, which a reset ends, where kept
@@ -530,7 +530,7 @@
 	sec := d.seconds(servedFor)
 	mean := d.rateOf(&d.served, servedFor) / math.Max(1, float64(len(d.dests)))
 	own := (l.served.at(d.now, servedFor) + servedPrior) / (sec + servedPrior/math.Max(mean, 1e-6))
-	return math.Max(float64(d.s.Couriers)*own, leastRate)
+	return math.Max(float64(d.s.Forwarders)*own, leastRate)
 }
 
 // part is what a paced rate is measured by: the lane's whole rate, which among many binds none of them; there
@@ -539,7 +539,7 @@
 	if !d.many() {
 		return d.base(l)
 	}
-	return math.Max(ownLeast*d.base(l)/float64(d.s.Couriers), d.rateOf(&l.dest.asked, askedFor))
+	return math.Max(ownLeast*d.base(l)/float64(d.s.Forwarders), d.rateOf(&l.dest.asked, askedFor))
 }
 
 // paced is how paced rates move. Among many, where refused calls use a limit up, none gets through until the
@@ -562,7 +562,7 @@
 		d.logf("connections: table of %s is full, idle ones are closed", ep.id)
 	}
 	ep.tightUntil = d.now + tightFor
-	d.do(Close{Endpoint: ep.id})
+	d.do(CloseIdle{Endpoint: ep.id})
 	return true
 }
 
@@ -798,10 +798,10 @@
 	}
 	l.guard = l.guard && share < 1
 	est := d.base(l)
-	if l.x1 <= 0 && d.s.HintRough {
+	if l.x1 <= 0 && d.s.RoughCapacityHints {
 		est *= roughMargin
 	}
-	n, span := float64(d.s.Couriers), d.s.TipAfter.Seconds()
+	n, span := float64(d.s.Forwarders), d.s.TipAfter.Seconds()
 	seen := 1 + (n-1)*(1-math.Exp(-usualLoad*d.base(l)*min(until-l.guardSince, d.longest).Seconds()/n))
 	part := math.Min(1/math.Sqrt(seen), (1+unevenness/math.Sqrt(seen))/seen)
 	if d.many() { // half evenly, half by what each has served, so that all together keep to the budget
@@ -881,7 +881,7 @@
 	for _, m := range l.dest.held {
 		if d.ready(m) {
 			n++
-			due := m.deadline - m.class.GiveUp + time.Duration(gatherShare*float64(m.class.Target))
+			due := m.deadline - m.class.DeliveryTimeout + time.Duration(gatherShare*float64(m.class.Target))
 			if n >= l.batch || d.now >= due {
 				return true
 			}
@@ -987,7 +987,7 @@
 	l.bucket--
 	ep.usedAt = d.now
 	d.note(l, 1)
-	d.do(Send{ID: m.id, Endpoint: ep.id, CutAt: m.until, Fresh: d.wantsFresh(m)})
+	d.do(Send{ID: m.id, Endpoint: ep.id, CutAt: m.until, NewConn: d.wantsFresh(m)})
 }
 
 // send calls the endpoint with the message and all others ready for it, as far as its kind lets them share a
@@ -1006,7 +1006,7 @@
 		}
 		if c.idle = d.now - ep.usedAt; d.idleBound > 0 && c.idle > d.idleBound {
 			c.idle = 0
-			d.do(Close{Endpoint: ep.id})
+			d.do(CloseIdle{Endpoint: ep.id})
 		}
 		l.bucket--
 	}
@@ -1035,7 +1035,7 @@
 		if o.class.Effect != Unsafe {
 			cut = min(cut, d.now+limit)
 		}
-		d.do(Send{ID: o.id, Endpoint: ep.id, CutAt: cut, Fresh: d.wantsFresh(o)})
+		d.do(Send{ID: o.id, Endpoint: ep.id, CutAt: cut, NewConn: d.wantsFresh(o)})
 	}
 }
 
--- a/example_test.go
+++ b/example_test.go
@@ -10,9 +10,9 @@
 // A courier feeds what it observes and performs what comes back.
 func Example() {
 	d, err := mulleinbeam.New(mulleinbeam.Settings{
-		Couriers: 1, Slots: 8, MostHeld: 50, MaxAttempts: 3,
+		Forwarders: 1, Slots: 8, MostHeld: 50, MaxAttempts: 3,
 		Classes: []mulleinbeam.Class{{
-			Name: "invoice", Target: time.Second, GiveUp: 10 * time.Second, Worth: 1, Effect: mulleinbeam.Unsafe,
+			Name: "invoice", Target: time.Second, DeliveryTimeout: 10 * time.Second, Worth: 1, Effect: mulleinbeam.Unsafe,
 		}},
 	}, 1)
 	if err != nil {
@@ -29,10 +29,10 @@
 			}
 		}
 	}
-	show(0, mulleinbeam.Members{Scope: mulleinbeam.ListSaved, Entries: []mulleinbeam.Entry{
+	show(0, mulleinbeam.EndpointUpdate{Scope: mulleinbeam.ListSaved, Entries: []mulleinbeam.Entry{
 		{Endpoint: "bank-1", Destination: 4},
 	}})
-	show(time.Second, mulleinbeam.Submit{ID: 7, Class: "invoice", Left: 10 * time.Second, Destination: 4})
+	show(time.Second, mulleinbeam.Submit{ID: 7, Class: "invoice", TimeLeft: 10 * time.Second, Destination: 4})
 	// A reset may have taken effect, and the class must never take effect twice.
 	show(2*time.Second, mulleinbeam.Answer{ID: 7, Endpoint: "bank-1", Outcome: mulleinbeam.Reset, Latency: time.Second})
 	// Output:
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -9,7 +9,7 @@
 
 func fleetSettings(couriers int) Settings {
 	s := testSettings()
-	s.Couriers, s.HintRough = couriers, true
+	s.Forwarders, s.RoughCapacityHints = couriers, true
 	return s
 }
 
@@ -133,7 +133,7 @@
 // that is known the faster one has the calls again. Without it the slower one would never be tried while the other has room.
 func TestADueLaneGoesFirst(t *testing.T) {
 	s := testSettings()
-	s.SeparatePlaces = true
+	s.SeparateZones = true
 	s.Classes = slices.Clone(s.Classes)
 	unsafe := slices.IndexFunc(s.Classes, func(c Class) bool { return c.Name == "unsafe" })
 	s.Classes[unsafe].Worth = 50 // it would go first
@@ -158,19 +158,19 @@
 			}
 		}
 		tried := entries[0]
-		tried.Due = due
-		r.do(Members{Scope: ListChanges, Entries: []Entry{tried}})
+		tried.TryNext = due
+		r.do(EndpointUpdate{Scope: ListChanges, Entries: []Entry{tried}})
 		if to := next(r, "safe"); (to == "a") != due {
 			t.Errorf("due %v: the next call goes to %s", due, to)
 		}
 		r.sends = nil
-		r.do(Submit{ID: 1000, Class: "unsafe", Destination: 1, Left: 20 * time.Second}, Submit{ID: 1001, Class: "safe", Destination: 1, Left: 6 * time.Second})
+		r.do(Submit{ID: 1000, Class: "unsafe", Destination: 1, TimeLeft: 20 * time.Second}, Submit{ID: 1001, Class: "safe", Destination: 1, TimeLeft: 6 * time.Second})
 		if first := r.sends[0]; due && (first.Endpoint != "a" || first.ID != 1001) {
 			t.Errorf("an unsafe message is tried where a safe one is at hand: %+v", r.sends)
 		}
 		r.settle(always(OK))
 		r.pass(200 * ms)
-		r.do(Members{Scope: ListChanges, Entries: entries[:1]})
+		r.do(EndpointUpdate{Scope: ListChanges, Entries: entries[:1]})
 		if to := next(r, "safe"); to != "b" {
 			t.Errorf("due %v: no longer due, and gone to %s", due, to)
 		}
--- a/internal/cluster/node/configuration_test.go
+++ b/internal/cluster/node/configuration_test.go
@@ -36,9 +36,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	classes := []mb.Class{{Name: "safe", Target: time.Second, GiveUp: time.Minute, Worth: 1, Effect: mb.Safe}}
+	classes := []mb.Class{{Name: "safe", Target: time.Second, DeliveryTimeout: time.Minute, Worth: 1, Effect: mb.Safe}}
 	n.router, err = routing.New(routing.Config{
-		Settings: mb.Settings{Couriers: 1, Slots: 4, LongSlots: 1, MostHeld: 10, MaxAttempts: 6, MaxRetryAfter: time.Second, Classes: classes},
+		Settings: mb.Settings{Forwarders: 1, Slots: 4, LongSlots: 1, MostHeld: 10, MaxAttempts: 6, MaxRetryAfter: time.Second, Classes: classes},
 		Log:      journal, Caller: silent{}, Notifier: silent{}, Logger: zerolog.Nop(),
 	})
 	if err != nil {
--- a/internal/cluster/node/facts.go
+++ b/internal/cluster/node/facts.go
@@ -106,7 +106,7 @@
 		if state != listed {
 			others, listed = othersOf(state, n.cfg.Name), state
 		}
-		n.router.Hear(func(own []mb.LearnedLane) []mb.LearnedLane {
+		n.router.Hear(func(own []mb.LearnedCircuit) []mb.LearnedCircuit {
 			n.talk.mu.Lock()
 			defer n.talk.mu.Unlock()
 			n.talk.book.Rebirth(mine.Number)
@@ -171,14 +171,14 @@
 
 // FactsStatus is what a member knows of partners by others' words and its own.
 type FactsStatus struct {
-	Facts  []observation.Fact `json:"facts"`
-	Heeded []mb.LearnedLane   `json:"heeded"` // what its module is told, beside what it sees itself
-	Counts observation.Counts `json:"counts"`
+	Facts  []observation.Fact  `json:"facts"`
+	Heeded []mb.LearnedCircuit `json:"heeded"` // what its module is told, beside what it sees itself
+	Counts observation.Counts  `json:"counts"`
 }
 
 // Facts tells it.
 func (s statusRPC) Facts(_ bool, out *FactsStatus) error {
-	s.n.router.Hear(func(own []mb.LearnedLane) []mb.LearnedLane {
+	s.n.router.Hear(func(own []mb.LearnedCircuit) []mb.LearnedCircuit {
 		s.n.talk.mu.Lock()
 		defer s.n.talk.mu.Unlock()
 		now := s.n.now()
--- a/internal/cluster/node/plans.go
+++ b/internal/cluster/node/plans.go
@@ -117,7 +117,7 @@
 	case mb.Failed:
 		tally.Failed++
 		tally.Book(took - delayed)
-	case mb.Full:
+	case mb.Refused:
 		tally.Refused++
 	case mb.ConnectFailed:
 		tally.NoConnect++
--- a/internal/cluster/observation/book.go
+++ b/internal/cluster/observation/book.go
@@ -146,7 +146,7 @@
 func (b *Book) Rebirth(life uint64) { b.cfg.Life = life }
 
 // Own compares what this forwarder has learned with what it has told, and gives what is to be told now.
-func (b *Book) Own(now time.Duration, lanes []mb.LearnedLane) (news []Fact) {
+func (b *Book) Own(now time.Duration, lanes []mb.LearnedCircuit) (news []Fact) {
 	tell := func(f Fact, until time.Duration, age time.Duration) {
 		k := f.key()
 		if b.enough(k, f, until, now, b.patience) {
@@ -362,16 +362,16 @@
 //
 // A told wait is heeded to its end, or Longest, where two forwarders tell of it; one forwarder's word for a half-life, and then not
 // again for Lives of them. An outage or a return needs two, and counts for nothing where own calls have succeeded since.
-func (b *Book) Advice(now time.Duration, lanes []mb.LearnedLane) (out []mb.LearnedLane) {
-	own := make(map[mbLane]*mb.LearnedLane, len(lanes))
+func (b *Book) Advice(now time.Duration, lanes []mb.LearnedCircuit) (out []mb.LearnedCircuit) {
+	own := make(map[mbLane]*mb.LearnedCircuit, len(lanes))
 	for i := range lanes {
 		own[mbLane{int64(lanes[i].Destination), string(lanes[i].Endpoint)}] = &lanes[i]
 	}
-	byLane := map[mbLane]*mb.LearnedLane{}
-	lane := func(k key) *mb.LearnedLane {
+	byLane := map[mbLane]*mb.LearnedCircuit{}
+	lane := func(k key) *mb.LearnedCircuit {
 		at := mbLane{k.destination, k.endpoint}
 		if byLane[at] == nil {
-			byLane[at] = &mb.LearnedLane{Destination: mb.DestinationID(k.destination), Endpoint: mb.EndpointID(k.endpoint), GuardFrom: -1, LastBad: -1, LastOK: -1}
+			byLane[at] = &mb.LearnedCircuit{Destination: mb.DestinationID(k.destination), Endpoint: mb.EndpointID(k.endpoint), GuardFrom: -1, LastBad: -1, LastOK: -1}
 		}
 		return byLane[at]
 	}
@@ -411,7 +411,7 @@
 	for _, l := range byLane {
 		out = append(out, *l)
 	}
-	slices.SortFunc(out, func(x, y mb.LearnedLane) int {
+	slices.SortFunc(out, func(x, y mb.LearnedCircuit) int {
 		return cmp.Or(cmp.Compare(x.Destination, y.Destination), cmp.Compare(x.Endpoint, y.Endpoint))
 	})
 	return out
@@ -436,7 +436,7 @@
 
 // heededOutage says whether two others tell of an outage, or a return, that own calls have not disproved: how long ago it began,
 // and how long ago the return; below zero is none.
-func (b *Book) heededOutage(now time.Duration, by map[string]*sight, mine *mb.LearnedLane) (since, from time.Duration, ok bool) {
+func (b *Book) heededOutage(now time.Duration, by map[string]*sight, mine *mb.LearnedCircuit) (since, from time.Duration, ok bool) {
 	n := 0
 	from = -1
 	for _, s := range by {
--- a/internal/cluster/observation/facts_test.go
+++ b/internal/cluster/observation/facts_test.go
@@ -14,10 +14,10 @@
 	return NewBook(Config{Name: name, Life: 1, HalfLife: 10 * sec, Longest: 60 * sec, Keys: 100})
 }
 
-func lane(edit func(*mb.LearnedLane)) []mb.LearnedLane {
-	l := mb.LearnedLane{Destination: 7, GuardFrom: -1, LastBad: -1, LastOK: -1, Trust: 1}
+func lane(edit func(*mb.LearnedCircuit)) []mb.LearnedCircuit {
+	l := mb.LearnedCircuit{Destination: 7, GuardFrom: -1, LastBad: -1, LastOK: -1, Trust: 1}
 	edit(&l)
-	return []mb.LearnedLane{l}
+	return []mb.LearnedCircuit{l}
 }
 
 // waits is the wait that is heeded at 7, with nothing seen by oneself.
@@ -68,7 +68,7 @@
 	b := book("me")
 	b.Take(0, wait("a", 1, 8*sec))
 	left := waits(b, 0)
-	if news := b.Own(0, lane(func(l *mb.LearnedLane) { l.Wait = left })); len(news) != 0 {
+	if news := b.Own(0, lane(func(l *mb.LearnedCircuit) { l.Wait = left })); len(news) != 0 {
 		t.Errorf("told as its own: %+v", news)
 	}
 	down := func(origin string) Fact { return Fact{Kind: Down, Destination: 7, Origin: origin, Life: 1, Serial: 9} }
@@ -77,13 +77,13 @@
 	if got := b.Advice(0, nil); len(got) != 1 || !got[0].Guard {
 		t.Fatalf("advice %+v", got)
 	}
-	if news := b.Own(sec, lane(func(l *mb.LearnedLane) { l.Guard, l.GuardFrom, l.LastBad = true, 0, 3*sec })); len(news) != 0 {
+	if news := b.Own(sec, lane(func(l *mb.LearnedCircuit) { l.Guard, l.GuardFrom, l.LastBad = true, 0, 3*sec })); len(news) != 0 {
 		t.Errorf("told as its own: %+v", news)
 	}
-	if news := b.Own(4*sec, lane(func(l *mb.LearnedLane) { l.Breaker, l.LastBad = mb.BreakerOpen, sec })); len(news) != 1 || news[0].Kind != Down || news[0].Age != sec {
+	if news := b.Own(4*sec, lane(func(l *mb.LearnedCircuit) { l.Breaker, l.LastBad = mb.BreakerOpen, sec })); len(news) != 1 || news[0].Kind != Down || news[0].Age != sec {
 		t.Errorf("its own sight: %+v", news)
 	}
-	if news := b.Own(5*sec, lane(func(l *mb.LearnedLane) { l.Wait = 20 * sec })); len(news) != 1 || news[0].Kind != Wait || news[0].Left != 20*sec {
+	if news := b.Own(5*sec, lane(func(l *mb.LearnedCircuit) { l.Wait = 20 * sec })); len(news) != 1 || news[0].Kind != Wait || news[0].Left != 20*sec {
 		t.Errorf("a later wait of its own: %+v", news)
 	}
 }
@@ -128,14 +128,14 @@
 		}
 		return b
 	}
-	silent := lane(func(l *mb.LearnedLane) { l.LastOK = 20 * sec })
+	silent := lane(func(l *mb.LearnedCircuit) { l.LastOK = 20 * sec })
 	if got := told(Down).Advice(0, silent); len(got) != 0 {
 		t.Errorf("one witness: %+v", got)
 	}
 	if got := told(Down, Down).Advice(0, silent); len(got) != 1 || !got[0].Guard || got[0].GuardFrom >= 0 {
 		t.Errorf("two: %+v", got)
 	}
-	if got := told(Down, Down).Advice(0, lane(func(l *mb.LearnedLane) { l.LastOK = sec })); len(got) != 0 {
+	if got := told(Down, Down).Advice(0, lane(func(l *mb.LearnedCircuit) { l.LastOK = sec })); len(got) != 0 {
 		t.Errorf("against its own eyes: %+v", got)
 	}
 	b := told(Back, Down)
@@ -156,7 +156,7 @@
 	if got := b.Advice(0, nil); len(got) != 1 || got[0].Limit != 110 || got[0].Trust != 1 {
 		t.Errorf("%+v", got)
 	}
-	if got := b.Advice(0, lane(func(l *mb.LearnedLane) { l.Limit = 50 })); len(got) != 0 {
+	if got := b.Advice(0, lane(func(l *mb.LearnedCircuit) { l.Limit = 50 })); len(got) != 0 {
 		t.Errorf("beside its own: %+v", got)
 	}
 	if got := b.Advice(10*sec, nil); len(got) != 1 || got[0].Trust != 0.5 {
@@ -176,7 +176,7 @@
 	if len(b.All(sec)) != witnesses || b.Counts.Redundant != 50-witnesses {
 		t.Errorf("%d kept, %+v", len(b.All(sec)), b.Counts)
 	}
-	if news := b.Own(sec, lane(func(l *mb.LearnedLane) { l.Breaker, l.LastBad = mb.BreakerOpen, 0 })); len(news) != 0 {
+	if news := b.Own(sec, lane(func(l *mb.LearnedCircuit) { l.Breaker, l.LastBad = mb.BreakerOpen, 0 })); len(news) != 0 {
 		t.Errorf("told once more: %+v", news)
 	}
 	b.Forget(sec, func(origin string, _ uint64) bool { return origin == "A" })
--- a/internal/lab/capacity/probe_forwarder.go
+++ b/internal/lab/capacity/probe_forwarder.go
@@ -28,8 +28,8 @@
 
 func forwarderSettings(held int) mb.Settings {
 	return mb.Settings{
-		Couriers: 1, Slots: 64, MostHeld: held, MaxAttempts: 6, MaxRetryAfter: time.Second,
-		Classes: []mb.Class{{Name: "safe", Target: time.Second, GiveUp: hours, Worth: 1, Effect: mb.Safe}},
+		Forwarders: 1, Slots: 64, MostHeld: held, MaxAttempts: 6, MaxRetryAfter: time.Second,
+		Classes: []mb.Class{{Name: "safe", Target: time.Second, DeliveryTimeout: hours, Worth: 1, Effect: mb.Safe}},
 	}
 }
 
@@ -56,14 +56,14 @@
 			return nil, err
 		}
 		now := time.Second
-		d.Handle(now, []mb.Event{mb.Members{Scope: mb.ListWhole, Entries: list}})
+		d.Handle(now, []mb.Event{mb.EndpointUpdate{Scope: mb.ListWhole, Entries: list}})
 		memory := heap() - before
-		learn := timed(effort, func() { d.Handle(now, []mb.Event{mb.Members{Scope: mb.ListWhole, Entries: list}}) })
+		learn := timed(effort, func() { d.Handle(now, []mb.Event{mb.EndpointUpdate{Scope: mb.ListWhole, Entries: list}}) })
 		id, rng := mb.MessageID(0), rand.New(rand.NewPCG(1, 1))
 		submit := timed(effort, func() {
 			now += betweenTakes
 			id++
-			message := mb.Submit{ID: id, Class: "safe", Left: time.Minute, Destination: mb.DestinationID(rng.IntN(n / 2))}
+			message := mb.Submit{ID: id, Class: "safe", TimeLeft: time.Minute, Destination: mb.DestinationID(rng.IntN(n / 2))}
 			for _, a := range d.Handle(now, []mb.Event{message}) {
 				if s, ok := a.(mb.Send); ok {
 					d.Handle(now, []mb.Event{mb.Answer{ID: s.ID, Endpoint: s.Endpoint, Outcome: mb.OK, Latency: time.Millisecond, Settled: true}})
--- a/internal/lab/cluster/spread.go
+++ b/internal/lab/cluster/spread.go
@@ -118,9 +118,9 @@
 }
 
 // seen is what a member that was told to wait shows of it.
-func (p *spreading) seen(now time.Duration) (out []mb.LearnedLane) {
+func (p *spreading) seen(now time.Duration) (out []mb.LearnedCircuit) {
 	for d := range mb.DestinationID(max(1, p.Destinations)) {
-		out = append(out, mb.LearnedLane{Destination: 7 + d, Wait: max(0, toldAt+toldWait-now), GuardFrom: -1, LastBad: -1, LastOK: -1})
+		out = append(out, mb.LearnedCircuit{Destination: 7 + d, Wait: max(0, toldAt+toldWait-now), GuardFrom: -1, LastBad: -1, LastOK: -1})
 	}
 	return out
 }
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -196,7 +196,7 @@
 	if f.Early {
 		s.result.ColdEarly++
 	}
-	if f.Outcome == mb.Full {
+	if f.Outcome == mb.Refused {
 		s.result.OverLimit++
 	}
 	if f.Tipped {
@@ -212,7 +212,7 @@
 		return false
 	case f.Outcome == mb.ConnectFailed:
 		return false
-	case f.Outcome == mb.Full:
+	case f.Outcome == mb.Refused:
 		fields := ""
 		if f.Wait > 0 {
 			fields = fmt.Sprintf("X-RateLimit-Wait-Ms: %d\r\n", f.Wait.Milliseconds())
--- a/internal/lab/world/host.go
+++ b/internal/lab/world/host.go
@@ -79,7 +79,7 @@
 	known   map[mb.EndpointID]mb.Readiness
 	waits   map[mb.DestinationID]told          // over its lives
 	saw     map[mb.DestinationID]time.Duration // the latest outage that this life has learned of, by when the partner was back
-	saved   mb.Learned
+	saved   mb.LearnedState
 	savedAt time.Duration
 }
 
@@ -88,18 +88,18 @@
 func (h *host) settings() mb.Settings {
 	s := h.w.s
 	out := mb.Settings{
-		Couriers: cmp.Or(s.Fleet.Told, s.Fleet.Forwarders), Slots: s.Fleet.Slots, MostHeld: s.Fleet.MostHeld, MaxAttempts: 6, MayCancel: true,
-		TellRetryAfter: true, MaxRetryAfter: 3 * time.Second, ConnectTimeout: time.Second, KeepAlive: 10 * time.Second,
+		Forwarders: cmp.Or(s.Fleet.Told, s.Fleet.Forwarders), Slots: s.Fleet.Slots, MostHeld: s.Fleet.MostHeld, MaxAttempts: 6, MayCancel: true,
+		SendRetryAfter: true, MaxRetryAfter: 3 * time.Second, ConnectTimeout: time.Second, KeepAlive: 10 * time.Second,
 		AnswerSlack: 20 * time.Millisecond, OverloadFactor: s.Rules.Overload, TipAfter: s.Rules.TipAfter.D(),
 		ColdFrom: s.Rules.ColdFrom, WarmWithin: s.Rules.WarmWithin.D(),
 	}
 	for _, p := range s.Partners {
-		out.HintKnown = out.HintKnown || p.Hint > 0
+		out.UseCapacityHints = out.UseCapacityHints || p.Hint > 0
 	}
 	effects := map[string]mb.Effect{"safe": mb.Safe, "keyed": mb.Keyed, "unsafe": mb.Unsafe}
 	for _, c := range s.Classes {
 		out.Classes = append(out.Classes, mb.Class{
-			Name: c.Name, Target: c.Target.D(), GiveUp: c.GiveUp.D(), Worth: c.Worth, LateWorth: scenario.LateWorth, Effect: effects[c.Effect],
+			Name: c.Name, Target: c.Target.D(), DeliveryTimeout: c.GiveUp.D(), Worth: c.Worth, LateWorth: scenario.LateWorth, Effect: effects[c.Effect],
 			KeyTTL: c.KeyTTL.D(),
 		})
 	}
@@ -120,11 +120,11 @@
 	}
 	if h.w.s.Learned.Keep {
 		if h.life > 1 {
-			h.d.Recall(h.clock(), h.w.figures.Weigh(h.saved, h.w.now-h.savedAt, false))
+			h.d.Restore(h.clock(), h.w.figures.Weigh(h.saved, h.w.now-h.savedAt, false))
 		}
 		h.save(h.life)
 	}
-	h.learn(mb.Members{Scope: mb.ListWhole, Entries: append([]mb.Entry(nil), h.w.list...)})
+	h.learn(mb.EndpointUpdate{Scope: mb.ListWhole, Entries: append([]mb.Entry(nil), h.w.list...)})
 	rest := h.order[:0]
 	for _, id := range h.order {
 		m := h.held[id]
@@ -140,9 +140,9 @@
 
 // resume hands what an earlier life had taken on to the module, with its past.
 func (h *host) resume(m *message) {
-	e := mb.Submit{ID: m.id, Class: m.wish.class.Name, Left: m.deadline - h.w.now, Destination: m.wish.partner.id, Attempts: m.attempts, Resumed: true}
+	e := mb.Submit{ID: m.id, Class: m.wish.class.Name, TimeLeft: m.deadline - h.w.now, Destination: m.wish.partner.id, Attempts: m.attempts, Resumed: true}
 	if m.booked.mayRun {
-		e.Ran = &mb.PastRun{Ago: h.w.now - m.booked.at, Zone: "z"}
+		e.MayHaveRun = &mb.PriorAttempt{SentAgo: h.w.now - m.booked.at, Zone: "z"}
 	}
 	h.handle(e)
 }
@@ -153,7 +153,7 @@
 		return
 	}
 	if h.w.now > h.startAt {
-		h.saved, h.savedAt = h.d.Learned(h.clock()), h.w.now
+		h.saved, h.savedAt = h.d.Snapshot(h.clock()), h.w.now
 	}
 	h.w.at(h.w.now+h.w.s.Learned.Interval.D(), func() { h.save(life) })
 }
@@ -181,7 +181,7 @@
 	if lost {
 		w.result.FoldersLost++
 		clear(h.held)
-		h.order, h.saved = nil, mb.Learned{}
+		h.order, h.saved = nil, mb.LearnedState{}
 	}
 	life := h.life
 	switch {
@@ -227,7 +227,7 @@
 	}
 }
 
-func (h *host) learn(e mb.Members) {
+func (h *host) learn(e mb.EndpointUpdate) {
 	for _, en := range e.Entries {
 		h.known[en.Endpoint] = en.Readiness
 	}
@@ -246,7 +246,7 @@
 	h.held[m.id] = m
 	h.order = append(h.order, m.id)
 	w.checks.taken(m)
-	h.handle(mb.Submit{ID: m.id, Class: x.class.Name, Left: x.until - w.now, Destination: x.partner.id})
+	h.handle(mb.Submit{ID: m.id, Class: x.class.Name, TimeLeft: x.until - w.now, Destination: x.partner.id})
 }
 
 // handle feeds the module and does what it says.
@@ -341,7 +341,7 @@
 	w, m, p, life := h.w, c.m, c.partner, h.life
 	if c.sentAt < w.now && (h.known[c.endpoint.name] != mb.Serving || !h.d.MayBegin(h.clock(), m.id) && !w.without[w.forbids(c)]) {
 		w.result.HeldBack++
-		h.answer(c, mb.Moot, 0)
+		h.answer(c, mb.NotSent, 0)
 		return
 	}
 	if c.begun, c.begunAt = true, w.now; w.without[scenario.MendKill] && m.booked.atKill {
@@ -356,7 +356,7 @@
 				w.result.ColdEarly++
 			}
 		}
-		if f.outcome == mb.Full {
+		if f.outcome == mb.Refused {
 			w.result.OverLimit++
 		}
 		if f.after < 0 {
@@ -392,8 +392,8 @@
 }
 
 var outcomes = map[mb.Outcome]string{
-	mb.OK: "answered 200", mb.Failed: "failed", mb.Full: "refused", mb.TimedOut: "timed out", mb.ConnectFailed: "no connection",
-	mb.Reset: "reset", mb.Cancelled: "cancelled", mb.Moot: "not sent",
+	mb.OK: "answered 200", mb.Failed: "failed", mb.Refused: "refused", mb.TimedOut: "timed out", mb.ConnectFailed: "no connection",
+	mb.Reset: "reset", mb.Cancelled: "cancelled", mb.NotSent: "not sent",
 }
 
 // answer books the end of a call.
@@ -414,7 +414,7 @@
 	switch out {
 	case mb.Failed, mb.TimedOut, mb.Reset, mb.Cancelled:
 		m.mayHaveRun(c.begunAt, false)
-	case mb.Full:
+	case mb.Refused:
 		if until := h.w.now + wait; until > h.waits[c.partner.id].until {
 			h.waits[c.partner.id] = told{until, h.life}
 		}
@@ -424,11 +424,11 @@
 			h.w.deliver(m)
 		}
 	}
-	if p := c.partner; out != mb.OK && out != mb.Moot && h.w.now < p.down+network {
+	if p := c.partner; out != mb.OK && out != mb.NotSent && h.w.now < p.down+network {
 		h.saw[p.id] = p.backAt
 	}
 	h.w.trace(m, "attempt %d: %s", c.number, outcomes[out])
 	h.handle(mb.Answer{
-		ID: m.id, Attempt: c.number, Endpoint: c.endpoint.name, Outcome: out, Latency: h.w.now - c.sentAt, Settled: m.ended, Wait: wait,
+		ID: m.id, Attempt: c.number, Endpoint: c.endpoint.name, Outcome: out, Latency: h.w.now - c.sentAt, Settled: m.ended, RetryAfter: wait,
 	})
 }
--- a/internal/lab/world/partner.go
+++ b/internal/lab/world/partner.go
@@ -178,7 +178,7 @@
 			if p.group.Counts {
 				p.taken = append(p.taken, now)
 			}
-			f.outcome, f.after, f.wait = mb.Full, time.Millisecond, p.group.Tells.D()
+			f.outcome, f.after, f.wait = mb.Refused, time.Millisecond, p.group.Tells.D()
 			return f
 		}
 		p.taken = append(p.taken, now)
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -311,7 +311,7 @@
 	for _, h := range w.hosts {
 		w.at(w.now+listLag, func() {
 			if h.up {
-				h.learn(mb.Members{Scope: mb.ListChanges, Entries: []mb.Entry{entry}})
+				h.learn(mb.EndpointUpdate{Scope: mb.ListChanges, Entries: []mb.Entry{entry}})
 			}
 		})
 	}
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/world/world_test.go
@@ -156,14 +156,14 @@
 		f := p.take(time.Duration(i)*time.Millisecond, e, false)
 		if f.outcome == mb.OK {
 			ok++
-		} else if f.outcome != mb.Full || f.wait != 2*time.Second || f.runs {
+		} else if f.outcome != mb.Refused || f.wait != 2*time.Second || f.runs {
 			t.Fatalf("%+v", f)
 		}
 	}
 	if ok != 40 {
 		t.Errorf("%d calls taken of 100 with a limit of 40", ok)
 	}
-	if f := p.take(900*time.Millisecond, e, false); f.outcome != mb.Full {
+	if f := p.take(900*time.Millisecond, e, false); f.outcome != mb.Refused {
 		t.Errorf("within the second: %+v", f)
 	}
 	if f := p.take(2500*time.Millisecond, e, false); f.outcome != mb.OK {
--- a/internal/memory/clock_test.go
+++ b/internal/memory/clock_test.go
@@ -20,9 +20,9 @@
 			o := options(folder, c, &told)
 			o.Clock = bootclock.New("boot", passed, c.at)
 			first := Open(o)
-			lane := mb.LearnedLane{Destination: 1, Wait: 10 * time.Second, GuardFrom: -1, LastBad: -1, LastOK: -1}
+			lane := mb.LearnedCircuit{Destination: 1, Wait: 10 * time.Second, GuardFrom: -1, LastBad: -1, LastOK: -1}
 			err := first.Save(Snapshot{
-				Learned: mb.Learned{Lanes: []mb.LearnedLane{lane}},
+				Learned: mb.LearnedState{Circuits: []mb.LearnedCircuit{lane}},
 				Ended:   []Ended{{ID: "young", Ago: time.Second}, {ID: "old", Ago: 19 * time.Second}},
 			})
 			if err != nil {
@@ -37,7 +37,7 @@
 			if _, known := next.Ended("old"); known {
 				t.Error("an id that nobody can mean is known")
 			}
-			if wait := next.Learned().Lanes[0].Wait; wait != 10*time.Second-down {
+			if wait := next.Learned().Circuits[0].Wait; wait != 10*time.Second-down {
 				t.Errorf("a told wait has %v left", wait)
 			}
 			if reported := len(told) > 0; reported != (step != 0) {
--- a/internal/memory/codec.go
+++ b/internal/memory/codec.go
@@ -85,7 +85,7 @@
 	name    string
 	saved   time.Time
 	stamp   bootclock.Stamp // of saved
-	learned mb.Learned
+	learned mb.LearnedState
 	ended   []ended
 }
 
@@ -135,17 +135,17 @@
 		f.number(tagSavedBoot, int64(c.stamp.Boot))
 		f.number(tagSavedSinceBoot, int64(c.stamp.At))
 	}
-	for _, l := range c.learned.Lanes {
+	for _, l := range c.learned.Circuits {
 		f.put(tagLane, encodeLane(l))
 	}
 	for _, k := range c.learned.Classes {
 		var g fields
 		g.text(className, k.Name)
-		g.float(classMean, k.Mean)
+		g.float(classMean, k.MeanSeconds)
 		g.float(classTrust, k.Trust)
 		f.put(tagClass, g.b)
 	}
-	f.put(tagLost, encodeLost(c.learned.Lost))
+	f.put(tagLost, encodeLost(c.learned.Losses))
 	if len(c.ended) > 0 {
 		b := make([]byte, 0, len(c.ended)*endedSize)
 		for _, e := range c.ended {
@@ -163,28 +163,28 @@
 }
 
 // laneDurations and laneFloats say which of a lane's fields have which tags, for both directions.
-func laneDurations(l *mb.LearnedLane) map[uint64]*time.Duration {
+func laneDurations(l *mb.LearnedCircuit) map[uint64]*time.Duration {
 	return map[uint64]*time.Duration{
 		laneSeen: &l.Seen, laneOpenFor: &l.OpenFor, laneOpenLeft: &l.OpenLeft, laneWait: &l.Wait, laneGuardSince: &l.GuardSince,
 		laneGuardFrom: &l.GuardFrom, laneLastBad: &l.LastBad, laneLastOK: &l.LastOK,
 	}
 }
 
-func laneFloats(l *mb.LearnedLane) map[uint64]*float64 {
+func laneFloats(l *mb.LearnedCircuit) map[uint64]*float64 {
 	return map[uint64]*float64{
 		laneRate: &l.Rate, laneLimit: &l.Limit, lanePace: &l.Pace, laneCap: &l.Cap, laneTrust: &l.Trust,
 	}
 }
 
 // lostPairs does so for the tallies of losses.
-func lostPairs(l *mb.LearnedLosses) map[uint64]*[2]float64 {
+func lostPairs(l *mb.LossCounts) map[uint64]*[2]float64 {
 	return map[uint64]*[2]float64{
-		lostPaused: &l.Paused, lostOthers: &l.Others, lostKept: &l.OnKept, lostFresh: &l.OnFresh, lostStrayBad: &l.StrayBad,
-		lostStrayFull: &l.StrayFull,
+		lostPaused: &l.AfterIdle, lostOthers: &l.Others, lostKept: &l.ReusedConn, lostFresh: &l.NewConn, lostStrayBad: &l.StrayFailures,
+		lostStrayFull: &l.StrayRefusals,
 	}
 }
 
-func encodeLane(l mb.LearnedLane) []byte {
+func encodeLane(l mb.LearnedCircuit) []byte {
 	var f fields
 	f.number(laneDestination, int64(l.Destination))
 	if l.Endpoint != "" {
@@ -206,13 +206,13 @@
 	return f.b
 }
 
-func encodeLost(l mb.LearnedLosses) []byte {
+func encodeLost(l mb.LossCounts) []byte {
 	var f fields
 	for tag, t := range lostPairs(&l) {
 		f.pair(tag, *t)
 	}
-	f.number(lostIdleBound, int64(l.IdleBound))
-	f.flag(lostTells, l.Tells)
+	f.number(lostIdleBound, int64(l.IdleLimit))
+	f.flag(lostTells, l.RetryAfterSeen)
 	return f.b
 }
 
@@ -307,15 +307,15 @@
 		case tagSavedSinceBoot:
 			f.duration(&c.stamp.At)
 		case tagLane:
-			var l mb.LearnedLane
+			var l mb.LearnedCircuit
 			l, err = decodeLane(f.v)
-			c.learned.Lanes = append(c.learned.Lanes, l)
+			c.learned.Circuits = append(c.learned.Circuits, l)
 		case tagClass:
 			var k mb.LearnedClass
 			k, err = decodeClass(f.v)
 			c.learned.Classes = append(c.learned.Classes, k)
 		case tagLost:
-			c.learned.Lost, err = decodeLost(f.v)
+			c.learned.Losses, err = decodeLost(f.v)
 		case tagEnded:
 			c.ended = decodeEnded(f.v)
 		}
@@ -326,8 +326,8 @@
 	return c, errors.Join(err, inner)
 }
 
-func decodeLane(b []byte) (mb.LearnedLane, error) {
-	l := mb.LearnedLane{GuardFrom: -1, LastBad: -1, LastOK: -1, Trust: 1, Pace: 1, Cap: 1}
+func decodeLane(b []byte) (mb.LearnedCircuit, error) {
+	l := mb.LearnedCircuit{GuardFrom: -1, LastBad: -1, LastOK: -1, Trust: 1, Pace: 1, Cap: 1}
 	var n int64
 	durations, floats := laneDurations(&l), laneFloats(&l)
 	err := each(b, func(f field) {
@@ -372,7 +372,7 @@
 		case className:
 			k.Name = string(f.v)
 		case classMean:
-			f.positive(&k.Mean)
+			f.positive(&k.MeanSeconds)
 		case classTrust:
 			f.positive(&k.Trust)
 		}
@@ -381,8 +381,8 @@
 	return k, err
 }
 
-func decodeLost(b []byte) (mb.LearnedLosses, error) {
-	var l mb.LearnedLosses
+func decodeLost(b []byte) (mb.LossCounts, error) {
+	var l mb.LossCounts
 	pairs := lostPairs(&l)
 	err := each(b, func(f field) {
 		if p := pairs[f.tag]; p != nil {
@@ -391,12 +391,12 @@
 		}
 		switch f.tag {
 		case lostIdleBound:
-			f.duration(&l.IdleBound)
+			f.duration(&l.IdleLimit)
 		case lostTells:
-			l.Tells = true
+			l.RetryAfterSeen = true
 		}
 	})
-	l.IdleBound = max(0, l.IdleBound)
+	l.IdleLimit = max(0, l.IdleLimit)
 	return l, err
 }
 
--- a/internal/memory/memory.go
+++ b/internal/memory/memory.go
@@ -46,7 +46,7 @@
 
 // Snapshot is what is kept.
 type Snapshot struct {
-	Learned mb.Learned
+	Learned mb.LearnedState
 	Ended   []Ended // oldest first
 }
 
@@ -60,7 +60,7 @@
 // Memory is what an earlier life has left, and where this one leaves its own. Its methods may be called from any goroutine.
 type Memory struct {
 	o       Options
-	learned mb.Learned
+	learned mb.LearnedState
 	mu      sync.Mutex
 	ids     map[xxh3.Uint128]ended // of earlier lives
 	saves   Saves
@@ -143,7 +143,7 @@
 }
 
 // Learned is what an earlier life had learned, weighed by its age when it was read.
-func (m *Memory) Learned() mb.Learned { return m.learned }
+func (m *Memory) Learned() mb.LearnedState { return m.learned }
 
 // hash names an id in the file. It is bound to the forwarder's name, and 128 bits wide: ids that differ don't meet.
 func (m *Memory) hash(id string) xxh3.Uint128 { return xxh3.HashString128(m.o.Name + "\x00" + id) }
@@ -205,10 +205,10 @@
 			return b
 		case len(c.ended) > 0:
 			c.ended = c.ended[min(len(c.ended), int(over/endedSize)+1):]
-		case len(c.learned.Lanes) > 0:
-			lanes := slices.Clone(c.learned.Lanes)
-			slices.SortStableFunc(lanes, func(a, b mb.LearnedLane) int { return int(min(1, max(-1, a.Seen-b.Seen))) })
-			c.learned.Lanes = lanes[:len(lanes)*9/10]
+		case len(c.learned.Circuits) > 0:
+			lanes := slices.Clone(c.learned.Circuits)
+			slices.SortStableFunc(lanes, func(a, b mb.LearnedCircuit) int { return int(min(1, max(-1, a.Seen-b.Seen))) })
+			c.learned.Circuits = lanes[:len(lanes)*9/10]
 		default:
 			return b
 		}
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -37,10 +37,10 @@
 }
 
 // drawLearned draws what a courier may have learned.
-func drawLearned(t *rapid.T) mb.Learned {
-	var l mb.Learned
+func drawLearned(t *rapid.T) mb.LearnedState {
+	var l mb.LearnedState
 	for i := range rapid.IntRange(0, 8).Draw(t, "lanes") {
-		lane := mb.LearnedLane{
+		lane := mb.LearnedCircuit{
 			Destination: mb.DestinationID(i), Seen: duration(t, "seen"), Breaker: mb.Breaker(rapid.IntRange(0, 1).Draw(t, "breaker")),
 			OpenFor: duration(t, "open"), OpenLeft: duration(t, "left"), Wait: duration(t, "wait"),
 			Rate: rapid.Float64Range(0, 1e4).Draw(t, "rate"), Limit: rapid.Float64Range(0, 1e4).Draw(t, "limit"),
@@ -55,10 +55,10 @@
 		if rapid.Bool().Draw(t, "route") {
 			lane.Endpoint = mb.EndpointID(fmt.Sprint("e", i))
 		}
-		l.Lanes = append(l.Lanes, lane)
+		l.Circuits = append(l.Circuits, lane)
 	}
-	l.Classes = []mb.LearnedClass{{Name: "fee", Mean: rapid.Float64Range(0, 9).Draw(t, "mean"), Trust: 0.5}}
-	l.Lost = mb.LearnedLosses{Paused: [2]float64{9, 3}, StrayFull: [2]float64{2, 1}, IdleBound: duration(t, "idle"), Tells: true}
+	l.Classes = []mb.LearnedClass{{Name: "fee", MeanSeconds: rapid.Float64Range(0, 9).Draw(t, "mean"), Trust: 0.5}}
+	l.Losses = mb.LossCounts{AfterIdle: [2]float64{9, 3}, StrayRefusals: [2]float64{2, 1}, IdleLimit: duration(t, "idle"), RetryAfterSeen: true}
 	return l
 }
 
@@ -103,16 +103,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := mb.LearnedLane{
+	want := mb.LearnedCircuit{
 		Destination: 7, Endpoints: []mb.EndpointID{"e1"}, Breaker: mb.BreakerOpen, GuardFrom: -1, LastBad: -1, LastOK: -1, Pace: 1, Cap: 1,
 		Trust: 1,
 	}
-	if diff := cmp.Diff([]mb.LearnedLane{want}, c.learned.Lanes); diff != "" || c.name != "n1" {
+	if diff := cmp.Diff([]mb.LearnedCircuit{want}, c.learned.Circuits); diff != "" || c.name != "n1" {
 		t.Error(diff)
 	}
 	var older fields
 	older.text(tagName, "n1")
-	if c, err := decode(seal(version, older.b)); err != nil || c.name != "n1" || len(c.learned.Lanes) != 0 {
+	if c, err := decode(seal(version, older.b)); err != nil || c.name != "n1" || len(c.learned.Circuits) != 0 {
 		t.Errorf("%+v, %v", c, err)
 	}
 	if _, err := decode(seal(version+1, older.b)); !errors.Is(err, ErrVersion) {
@@ -126,8 +126,8 @@
 	mem := fsys.NewMem()
 	o := options(mem, c, &told)
 	m := Open(o)
-	lane := mb.LearnedLane{Destination: 1, Endpoints: []mb.EndpointID{"e"}, Rate: 5, Trust: 1, Breaker: mb.BreakerOpen}
-	if err := m.Save(Snapshot{Learned: mb.Learned{Lanes: []mb.LearnedLane{lane}}}); err != nil || len(told) != 0 {
+	lane := mb.LearnedCircuit{Destination: 1, Endpoints: []mb.EndpointID{"e"}, Rate: 5, Trust: 1, Breaker: mb.BreakerOpen}
+	if err := m.Save(Snapshot{Learned: mb.LearnedState{Circuits: []mb.LearnedCircuit{lane}}}); err != nil || len(told) != 0 {
 		t.Fatal(err, told)
 	}
 	f, _ := mem.Open(fileName)
@@ -142,10 +142,10 @@
 		_, _ = g.Write(bad)
 		o.FS = fs
 		m := Open(o)
-		if len(m.Learned().Lanes) != 0 || len(told) != 1 || !strings.Contains(told[0], "cold start") {
+		if len(m.Learned().Circuits) != 0 || len(told) != 1 || !strings.Contains(told[0], "cold start") {
 			t.Fatalf("%d bytes: %v, told %q", len(bad), m.Learned(), told)
 		}
-		if err := m.Save(Snapshot{Learned: mb.Learned{Lanes: []mb.LearnedLane{lane}}}); err != nil || len(Open(o).Learned().Lanes) != 1 {
+		if err := m.Save(Snapshot{Learned: mb.LearnedState{Circuits: []mb.LearnedCircuit{lane}}}); err != nil || len(Open(o).Learned().Circuits) != 1 {
 			t.Fatalf("not mended: %v", err)
 		}
 	}
@@ -157,7 +157,7 @@
 	}
 	told = nil
 	o.FS, o.Name = mem, "n2"
-	if l := Open(o).Learned(); len(l.Lanes) != 0 || len(told) != 1 || !strings.Contains(told[0], `"n1"`) {
+	if l := Open(o).Learned(); len(l.Circuits) != 0 || len(told) != 1 || !strings.Contains(told[0], `"n1"`) {
 		t.Errorf("another's file: %v, told %q", l, told)
 	}
 }
@@ -182,15 +182,15 @@
 				after.FS = mem.Crash(loss, rng)
 				l := Open(after).Learned()
 				states++
-				if saved > 0 && len(l.Lanes) != saved && len(l.Lanes) != saved+1 || len(told) != 0 {
-					t.Fatalf("sync %v, loss %d: %d lanes, %d and %d were saved; told %q", sync, loss, len(l.Lanes), saved, saved+1, told)
+				if saved > 0 && len(l.Circuits) != saved && len(l.Circuits) != saved+1 || len(told) != 0 {
+					t.Fatalf("sync %v, loss %d: %d lanes, %d and %d were saved; told %q", sync, loss, len(l.Circuits), saved, saved+1, told)
 				}
 			}
 		}
 		for n := 1; n <= 8; n++ {
 			s := Snapshot{}
 			for i := range n {
-				s.Learned.Lanes = append(s.Learned.Lanes, mb.LearnedLane{Destination: mb.DestinationID(i), Trust: 1})
+				s.Learned.Circuits = append(s.Learned.Circuits, mb.LearnedCircuit{Destination: mb.DestinationID(i), Trust: 1})
 			}
 			if err := m.Save(s); err != nil {
 				t.Fatal(err)
@@ -211,8 +211,8 @@
 		o := options(faults, c, &told)
 		o.Sync = true
 		m := Open(o)
-		two := Snapshot{Learned: mb.Learned{Lanes: []mb.LearnedLane{{Destination: 1}, {Destination: 2}}}}
-		if err := m.Save(Snapshot{Learned: mb.Learned{Lanes: two.Learned.Lanes[:1]}}); err != nil {
+		two := Snapshot{Learned: mb.LearnedState{Circuits: []mb.LearnedCircuit{{Destination: 1}, {Destination: 2}}}}
+		if err := m.Save(Snapshot{Learned: mb.LearnedState{Circuits: two.Learned.Circuits[:1]}}); err != nil {
 			t.Fatal(err)
 		}
 		faults.Set(func(o fsys.Op, _ string, n int) (int, error) {
@@ -225,10 +225,10 @@
 			t.Errorf("%s: %v", op, err)
 		}
 		faults.Set(nil)
-		if got := Open(o).Learned(); len(got.Lanes) != 1 {
-			t.Errorf("%s: %d lanes", op, len(got.Lanes))
+		if got := Open(o).Learned(); len(got.Circuits) != 1 {
+			t.Errorf("%s: %d lanes", op, len(got.Circuits))
 		}
-		if err := m.Save(two); err != nil || len(Open(o).Learned().Lanes) != 2 {
+		if err := m.Save(two); err != nil || len(Open(o).Learned().Circuits) != 2 {
 			t.Errorf("%s, later: %v", op, err)
 		}
 	}
@@ -236,10 +236,10 @@
 
 // What says careful holds whatever its age; what says go fades, by its own age and not by the file's.
 func TestWeigh(t *testing.T) {
-	l := mb.Learned{Lanes: []mb.LearnedLane{{
+	l := mb.LearnedState{Circuits: []mb.LearnedCircuit{{
 		Destination: 1, Breaker: mb.BreakerOpen, OpenLeft: time.Second, Wait: 90 * time.Second, Rate: 100, Trust: 1, Guard: true,
 		GuardFrom: -1, LastBad: 0, LastOK: 20 * time.Second, Seen: 10 * time.Second,
-	}}, Classes: []mb.LearnedClass{{Name: "c", Mean: 1, Trust: 1}}}
+	}}, Classes: []mb.LearnedClass{{Name: "c", MeanSeconds: 1, Trust: 1}}}
 	for _, c := range []struct {
 		age         time.Duration
 		jumped      bool
@@ -253,12 +253,12 @@
 		{5 * time.Hour, false, 0, 0, 0.001, true}, // healthy or not: by now it may be cold
 		{time.Hour, true, 90 * time.Second, 0, 0, true},
 	} {
-		got := DefaultFigures.Weigh(l, c.age, c.jumped).Lanes[0]
+		got := DefaultFigures.Weigh(l, c.age, c.jumped).Circuits[0]
 		if got.Breaker != mb.BreakerOpen || !got.Guard || got.Wait != c.wait || got.Trust < c.least || got.Trust > c.most || got.Cold != c.cold {
 			t.Errorf("after %v, jumped %v: %+v", c.age, c.jumped, got)
 		}
 	}
-	if was := l.Lanes[0]; was.Wait != 90*time.Second {
+	if was := l.Circuits[0]; was.Wait != 90*time.Second {
 		t.Error("what was given was changed")
 	}
 }
@@ -270,24 +270,24 @@
 		c, told := newClock(), []string{}
 		mem := fsys.NewMem()
 		o := options(mem, c, &told)
-		lane := mb.LearnedLane{
+		lane := mb.LearnedCircuit{
 			Destination: 1, Endpoints: []mb.EndpointID{"e"}, Rate: 900, Trust: 1, Cap: 8, Pace: 1, GuardFrom: -1, LastBad: -1,
 			Seen: duration(t, "seen"), Breaker: mb.Breaker(rapid.IntRange(0, 1).Draw(t, "breaker")),
 		}
-		if err := Open(o).Save(Snapshot{Learned: mb.Learned{Lanes: []mb.LearnedLane{lane}}}); err != nil {
+		if err := Open(o).Save(Snapshot{Learned: mb.LearnedState{Circuits: []mb.LearnedCircuit{lane}}}); err != nil {
 			t.Fatal(err)
 		}
 		settings := mb.Settings{
-			Couriers: 1, Slots: 8, MostHeld: 10, MaxAttempts: 3, MaxRetryAfter: time.Second, OverloadFactor: 1.3, TipAfter: time.Second,
-			ColdFrom: 0.2, WarmWithin: 10 * time.Second, HintKnown: true,
-			Classes: []mb.Class{{Name: "c", Target: time.Second, GiveUp: 20 * time.Second, Worth: 1}},
+			Forwarders: 1, Slots: 8, MostHeld: 10, MaxAttempts: 3, MaxRetryAfter: time.Second, OverloadFactor: 1.3, TipAfter: time.Second,
+			ColdFrom: 0.2, WarmWithin: 10 * time.Second, UseCapacityHints: true,
+			Classes: []mb.Class{{Name: "c", Target: time.Second, DeliveryTimeout: 20 * time.Second, Worth: 1}},
 		}
 		last, lastRate := 1.0, 900.0
 		for range 600 {
 			c.at = c.at.Add(time.Second)
 			m := Open(o)
 			weighed := m.Learned()
-			if got := weighed.Lanes[0]; got.Trust > last+1e-9 || lane.Breaker == mb.BreakerOpen && got.Breaker == mb.BreakerClosed {
+			if got := weighed.Circuits[0]; got.Trust > last+1e-9 || lane.Breaker == mb.BreakerOpen && got.Breaker == mb.BreakerClosed {
 				t.Fatalf("trust %v after %v: %+v", got.Trust, last, got)
 			}
 			d, err := mb.New(settings, 1)
@@ -295,12 +295,12 @@
 				t.Fatal(err)
 			}
 			now := 24 * time.Hour
-			d.Recall(now, weighed)
-			d.Handle(now, []mb.Event{mb.Members{Scope: mb.ListWhole, Entries: []mb.Entry{
+			d.Restore(now, weighed)
+			d.Handle(now, []mb.Event{mb.EndpointUpdate{Scope: mb.ListWhole, Entries: []mb.Entry{
 				{Endpoint: "e", Destination: 1, Readiness: mb.Serving, CapacityHint: 50},
 			}}})
-			l := d.Learned(now + 500*time.Millisecond)
-			if rate := l.Lanes[0].Rate; rate > lastRate+1e-6 || rate < 50-1e-6 {
+			l := d.Snapshot(now + 500*time.Millisecond)
+			if rate := l.Circuits[0].Rate; rate > lastRate+1e-6 || rate < 50-1e-6 {
 				t.Fatalf("paced at %v, before %v", rate, lastRate)
 			} else {
 				lastRate = rate
@@ -361,7 +361,7 @@
 	o := options(fsys.NewMem(), c, &told)
 	var s Snapshot
 	for i := range 1000 {
-		s.Learned.Lanes = append(s.Learned.Lanes, mb.LearnedLane{
+		s.Learned.Circuits = append(s.Learned.Circuits, mb.LearnedCircuit{
 			Destination: mb.DestinationID(i), Seen: time.Duration(i) * time.Second, Trust: 1,
 			Endpoints: []mb.EndpointID{mb.EndpointID(fmt.Sprintf("endpoint-%05d-a", i)), mb.EndpointID(fmt.Sprintf("endpoint-%05d-b", i))},
 		})
@@ -376,8 +376,8 @@
 	}
 	whole := m.Saves().Last
 	t.Logf("1,000 partners with two endpoints each and 100 ids: %d bytes", whole)
-	if l := Open(o); len(l.Learned().Lanes) != 1000 || l.IDs() != 100 {
-		t.Errorf("%d partners, %d ids", len(l.Learned().Lanes), l.IDs())
+	if l := Open(o); len(l.Learned().Circuits) != 1000 || l.IDs() != 100 {
+		t.Errorf("%d partners, %d ids", len(l.Learned().Circuits), l.IDs())
 	}
 	for _, most := range []int64{whole - 1, whole - 50*endedSize, whole / 2, 2000} {
 		o.Most = most
@@ -388,7 +388,7 @@
 		if err := m.Save(s); err != nil || m.Saves().Last > most {
 			t.Errorf("%d bytes of %d: %v", m.Saves().Last, most, err)
 		}
-		l := Open(o).Learned().Lanes
+		l := Open(o).Learned().Circuits
 		for _, lane := range l {
 			if lane.Seen > time.Duration(len(l))*time.Second {
 				t.Errorf("most %d: %d partners kept, one of them seen %v ago", most, len(l), lane.Seen)
@@ -400,7 +400,7 @@
 
 // FuzzDecode reads any bytes behind a good checksum: nothing panics, and what comes out is within its bounds.
 func FuzzDecode(f *testing.F) {
-	c := content{name: "n", saved: time.Unix(1, 0), learned: mb.Learned{Lanes: []mb.LearnedLane{{Destination: 1, Rate: 2, Trust: 1}}}}
+	c := content{name: "n", saved: time.Unix(1, 0), learned: mb.LearnedState{Circuits: []mb.LearnedCircuit{{Destination: 1, Rate: 2, Trust: 1}}}}
 	f.Add(encode(c))
 	f.Add(append(append([]byte(nil), magic...), 1, 0, 0, 0, tagLane, 3, laneRate, 8, 1))
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -416,8 +416,8 @@
 }
 
 func check(t *testing.T, c content) {
-	for _, l := range c.learned.Lanes {
-		if l.Trust < 0 || l.Trust > 1 || l.Rate < 0 || l.Wait < 0 || l.Seen < 0 || l.Breaker > mb.BreakerTrying {
+	for _, l := range c.learned.Circuits {
+		if l.Trust < 0 || l.Trust > 1 || l.Rate < 0 || l.Wait < 0 || l.Seen < 0 || l.Breaker > mb.BreakerHalfOpen {
 			t.Fatalf("%+v", l)
 		}
 	}
--- a/internal/memory/trust.go
+++ b/internal/memory/trust.go
@@ -39,13 +39,13 @@
 // open breaker, a guard, a wait that has not ended), what says "go" fades. Each fact's age counts from when it was seen, not
 // from when it was saved, so that saving it again adds nothing. jumped says that the clock was set back since: what says "go"
 // is not believed then, and waits count from now.
-func (f Figures) Weigh(l mb.Learned, age time.Duration, jumped bool) mb.Learned {
+func (f Figures) Weigh(l mb.LearnedState, age time.Duration, jumped bool) mb.LearnedState {
 	if jumped {
 		age = 0
 	}
-	out := mb.Learned{Lanes: make([]mb.LearnedLane, 0, len(l.Lanes)), Classes: make([]mb.LearnedClass, 0, len(l.Classes))}
-	for _, lane := range l.Lanes {
-		out.Lanes = append(out.Lanes, f.lane(lane, age, jumped))
+	out := mb.LearnedState{Circuits: make([]mb.LearnedCircuit, 0, len(l.Circuits)), Classes: make([]mb.LearnedClass, 0, len(l.Classes))}
+	for _, lane := range l.Circuits {
+		out.Circuits = append(out.Circuits, f.lane(lane, age, jumped))
 	}
 	for _, c := range l.Classes {
 		if c.Trust *= f.Class.at(age); jumped {
@@ -58,18 +58,18 @@
 		share = 0
 	}
 	fade := func(t [2]float64) [2]float64 { return [2]float64{t[0] * share, t[1] * share} }
-	out.Lost = mb.LearnedLosses{
-		Paused: fade(l.Lost.Paused), Others: fade(l.Lost.Others), OnKept: fade(l.Lost.OnKept), OnFresh: fade(l.Lost.OnFresh),
-		StrayBad: fade(l.Lost.StrayBad), StrayFull: fade(l.Lost.StrayFull), Tells: l.Lost.Tells,
+	out.Losses = mb.LossCounts{
+		AfterIdle: fade(l.Losses.AfterIdle), Others: fade(l.Losses.Others), ReusedConn: fade(l.Losses.ReusedConn), NewConn: fade(l.Losses.NewConn),
+		StrayFailures: fade(l.Losses.StrayFailures), StrayRefusals: fade(l.Losses.StrayRefusals), RetryAfterSeen: l.Losses.RetryAfterSeen,
 	}
 	if share >= 0.5 { // closing idle connections costs handshakes: only while it is likely still so
-		out.Lost.IdleBound = l.Lost.IdleBound
+		out.Losses.IdleLimit = l.Losses.IdleLimit
 	}
 	return out
 }
 
 // lane weighs what is known of one.
-func (f Figures) lane(l mb.LearnedLane, age time.Duration, jumped bool) mb.LearnedLane {
+func (f Figures) lane(l mb.LearnedCircuit, age time.Duration, jumped bool) mb.LearnedCircuit {
 	older := func(ago time.Duration) time.Duration {
 		if ago < 0 { // never
 			return ago
--- a/internal/routing/accept.go
+++ b/internal/routing/accept.go
@@ -141,14 +141,14 @@
 // that was decided on gives its slot back.
 func (r *Router) revoke(h *held, actions []mb.Action) {
 	var others []mb.Action
-	events := []mb.Event{mb.Gone{ID: mb.MessageID(h.seq)}}
+	events := []mb.Event{mb.MessageCancelled{ID: mb.MessageID(h.seq)}}
 	for _, a := range actions {
 		send, sends := a.(mb.Send)
 		if !sends || uint64(send.ID) != h.seq {
 			others = append(others, a)
 			continue
 		}
-		events = append(events, mb.Answer{ID: send.ID, Attempt: h.attempts, Endpoint: send.Endpoint, Outcome: mb.Moot, Settled: true})
+		events = append(events, mb.Answer{ID: send.ID, Attempt: h.attempts, Endpoint: send.Endpoint, Outcome: mb.NotSent, Settled: true})
 	}
 	r.perform(others)
 	r.decide(events...)
--- a/internal/routing/calls.go
+++ b/internal/routing/calls.go
@@ -66,7 +66,7 @@
 	c.ctx, c.cancel = ctx, cancel
 	call := Attempt{
 		ID: h.ID, Key: h.Key, Body: h.Body, Endpoint: c.endpoint, Address: r.endpoints[c.endpoint].Address, CutAt: c.cutAt,
-		Fresh: a.Fresh,
+		Fresh: a.NewConn,
 		Begin: func() bool { return r.clear(c) },
 	}
 	if h.Long != nil {
@@ -82,7 +82,7 @@
 	if !r.mayGo(r.endpoints[c.endpoint]) {
 		r.counters.HeldBack++
 		cancel()
-		r.tasks.Go(func() error { r.post(func() { r.answered(c, Result{Outcome: mb.Moot}) }); return nil })
+		r.tasks.Go(func() error { r.post(func() { r.answered(c, Result{Outcome: mb.NotSent}) }); return nil })
 		return
 	}
 	r.tasks.Go(func() error {
@@ -198,7 +198,7 @@
 	}
 	if ofDisk(err) && time.Since(h.unreadSince) < bodyRetryFor {
 		r.journal(h.ID, err)
-		r.answered(c, Result{Outcome: mb.Moot})
+		r.answered(c, Result{Outcome: mb.NotSent})
 		return
 	}
 	r.counters.Lost++
@@ -208,7 +208,7 @@
 		e = wal.Failed
 	}
 	r.finish(h, e, pushBack)
-	r.answered(c, Result{Outcome: mb.Moot})
+	r.answered(c, Result{Outcome: mb.NotSent})
 }
 
 // begin lets a call's first byte go. Between the module's send and this moment the list may have changed, the message
@@ -271,7 +271,7 @@
 		r.cfg.Steering.Limited(h.Destination, r.endpoints[c.endpoint].Zone, l.Rate)
 	}
 	h.last = out
-	never := out == mb.Full || out == mb.ConnectFailed || out == mb.Moot
+	never := out == mb.Refused || out == mb.ConnectFailed || out == mb.NotSent
 	if c.begun {
 		h.mayRun = h.mayRun || !never
 		r.journal(h.ID, r.cfg.Log.Outcome(h.seq, !never))
@@ -293,11 +293,11 @@
 		r.cfg.Caller.CloseIdle(c.endpoint) // it was listed so while this call was out
 	}
 	if r.cfg.Steering != nil && result.Wait > 0 { // its places are judged apart, and wait together
-		r.decider.Wait(r.now(), mb.DestinationID(h.Destination), result.Wait)
+		r.decider.ApplyRetryAfter(r.now(), mb.DestinationID(h.Destination), result.Wait)
 	}
 	r.decide(mb.Answer{
 		ID: mb.MessageID(h.seq), Attempt: c.number, Endpoint: mb.EndpointID(c.endpoint), Outcome: out,
-		Latency: time.Since(c.sentAt) - c.delayed, Settled: over || h.ended, Wait: result.Wait, Limit: result.Limit,
-		Kept: result.Kept, Spent: result.Spent,
+		Latency: time.Since(c.sentAt) - c.delayed, Settled: over || h.ended, RetryAfter: result.Wait, Limit: result.Limit,
+		ReusedConn: result.Kept, BodyGone: result.Spent,
 	})
 }
--- a/internal/routing/counters.go
+++ b/internal/routing/counters.go
@@ -32,8 +32,8 @@
 
 func (c *Counters) outcome(o mb.Outcome) {
 	counts := map[mb.Outcome]*int64{
-		mb.OK: &c.Delivered, mb.Failed: &c.Errors, mb.Full: &c.Full, mb.TimedOut: &c.TimedOut,
-		mb.ConnectFailed: &c.Unconnected, mb.Reset: &c.Reset, mb.Cancelled: &c.Cancelled, mb.Moot: &c.Moot,
+		mb.OK: &c.Delivered, mb.Failed: &c.Errors, mb.Refused: &c.Full, mb.TimedOut: &c.TimedOut,
+		mb.ConnectFailed: &c.Unconnected, mb.Reset: &c.Reset, mb.Cancelled: &c.Cancelled, mb.NotSent: &c.Moot,
 	}
 	*counts[o]++
 }
--- a/internal/routing/held.go
+++ b/internal/routing/held.go
@@ -83,7 +83,7 @@
 
 func (r *Router) submission(h *held, left time.Duration) mb.Submit {
 	return mb.Submit{
-		ID: mb.MessageID(h.seq), Class: h.Class, Left: left, Destination: mb.DestinationID(h.Destination),
+		ID: mb.MessageID(h.seq), Class: h.Class, TimeLeft: left, Destination: mb.DestinationID(h.Destination),
 		Long: h.Long != nil,
 	}
 }
--- a/internal/routing/lasting_test.go
+++ b/internal/routing/lasting_test.go
@@ -112,7 +112,7 @@
 	if <-begun {
 		t.Error("a call began to an endpoint that drains")
 	}
-	s.results <- Result{Outcome: mb.Moot}
+	s.results <- Result{Outcome: mb.NotSent}
 	for r.Counters().Moot == 0 {
 	}
 }
@@ -133,7 +133,7 @@
 	if <-begun {
 		t.Error("a call of it began")
 	}
-	s.results <- Result{Outcome: mb.Moot}
+	s.results <- Result{Outcome: mb.NotSent}
 	for r.Counters().Held > 0 {
 	}
 	if v := r.Take(message("next")); v.Kind != Refused {
--- a/internal/routing/long.go
+++ b/internal/routing/long.go
@@ -129,6 +129,6 @@
 			e = wal.Failed
 		}
 		r.finish(h, e, lateRefusal)
-		r.decide(mb.Gone{ID: mb.MessageID(h.seq)})
+		r.decide(mb.MessageCancelled{ID: mb.MessageID(h.seq)})
 	}
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -35,7 +35,7 @@
 	Drain    time.Duration  // after the stop: how long calls may be out, at the most
 	Settle   time.Duration  // after the stop: how long clients may still come, and are answered
 	Long     LongLimits
-	Recall   *mb.Learned // what an earlier life had learned; nil is nothing
+	Recall   *mb.LearnedState // what an earlier life had learned; nil is nothing
 	// Past says whether a message of that id has ended in an earlier life, and whether it was delivered; nil knows of none.
 	Past func(id string) (delivered, known bool)
 	// Guard stands before those who keep copies of what is held here; nil: nobody does.
@@ -88,7 +88,7 @@
 
 // New prepares a router: it learns the known list and resumes what an earlier life had taken on. Sends begin with Run.
 func New(cfg Config) (*Router, error) {
-	cfg.Settings.SeparatePlaces = cfg.Settings.SeparatePlaces || cfg.Steering != nil // a zone that is lost says nothing of the others
+	cfg.Settings.SeparateZones = cfg.Settings.SeparateZones || cfg.Steering != nil // a zone that is lost says nothing of the others
 	decider, err := mb.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("routing: %w", err)
@@ -104,8 +104,8 @@
 		r.startedAt = r.startedAt.Add(-pastRoom)
 	}
 	for _, c := range cfg.Settings.Classes {
-		r.classes[c.Name] = c.GiveUp
-		r.longest = max(r.longest, c.GiveUp)
+		r.classes[c.Name] = c.DeliveryTimeout
+		r.longest = max(r.longest, c.DeliveryTimeout)
 	}
 	return r, nil
 }
@@ -118,7 +118,7 @@
 	defer cancel()
 	r.ctx = callCtx
 	if r.cfg.Recall != nil {
-		r.decider.Recall(r.now(), *r.cfg.Recall)
+		r.decider.Restore(r.now(), *r.cfg.Recall)
 	}
 	r.learn(r.cfg.Known)
 	r.resume()
@@ -186,7 +186,7 @@
 func (r *Router) close(in time.Duration) {
 	r.stopAt = time.Now().Add(in)
 	r.cfg.Logger.Info().Int("held", len(r.ids)).Int("calls", r.calls).Stringer("within", in).Msg("stopping")
-	r.decide(mb.Closing{In: in})
+	r.decide(mb.Shutdown{In: in})
 }
 
 // drained says whether this life may end: clients have stopped coming, and nothing is held, out or still to be told.
@@ -260,7 +260,7 @@
 			r.journal(h.ID, r.cfg.Log.Withdraw(h.seq))
 			r.end(h, wal.Over, 0)
 			r.past.drop(id)
-			r.decide(mb.Gone{ID: mb.MessageID(h.seq)})
+			r.decide(mb.MessageCancelled{ID: mb.MessageID(h.seq)})
 		}
 	})
 }
@@ -283,9 +283,9 @@
 }
 
 // Learned gives what was learned up to now, and the ids of messages that have ended of late, oldest first of each kind.
-func (r *Router) Learned() (l mb.Learned, ids []PastID) {
+func (r *Router) Learned() (l mb.LearnedState, ids []PastID) {
 	take := func() bool {
-		l, ids = r.decider.Learned(r.now()), r.past.list()
+		l, ids = r.decider.Snapshot(r.now()), r.past.list()
 		return true
 	}
 	if _, served := ask(r, take); !served {
@@ -321,7 +321,7 @@
 				h.call.cancelled, h.call.stuck = true, true
 				h.call.cancel()
 			}
-		case mb.Close:
+		case mb.CloseIdle:
 			r.cfg.Caller.CloseIdle(string(a.Endpoint))
 		case mb.SetTimer:
 			r.timers = append(r.timers, timer{time.Now().Add(a.After), a.Cookie})
@@ -413,5 +413,5 @@
 		}
 		entries = append(entries, r.entry(p))
 	}
-	r.decide(mb.Members{Scope: scope, Entries: entries})
+	r.decide(mb.EndpointUpdate{Scope: scope, Entries: entries})
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -80,11 +80,11 @@
 	s = script{make(chan Attempt, 8), make(chan Result, 8), make(chan Notice, 8)}
 	config := Config{
 		Settings: mb.Settings{
-			Couriers: 1, Slots: 4, LongSlots: 1, MostHeld: 10, MaxAttempts: 6, MaxRetryAfter: time.Second,
+			Forwarders: 1, Slots: 4, LongSlots: 1, MostHeld: 10, MaxAttempts: 6, MaxRetryAfter: time.Second,
 			Classes: []mb.Class{
-				{Name: "unsafe", Target: time.Second, GiveUp: time.Minute, Worth: 1, Effect: mb.Unsafe},
-				{Name: "keyed", Target: time.Second, GiveUp: time.Minute, Worth: 1, Effect: mb.Keyed, KeyTTL: 1500 * time.Millisecond},
-				{Name: "safe", Target: time.Second, GiveUp: time.Minute, Worth: 1, Effect: mb.Safe},
+				{Name: "unsafe", Target: time.Second, DeliveryTimeout: time.Minute, Worth: 1, Effect: mb.Unsafe},
+				{Name: "keyed", Target: time.Second, DeliveryTimeout: time.Minute, Worth: 1, Effect: mb.Keyed, KeyTTL: 1500 * time.Millisecond},
+				{Name: "safe", Target: time.Second, DeliveryTimeout: time.Minute, Worth: 1, Effect: mb.Safe},
 			},
 		},
 		Known: List{Whole: true, Saved: true, Endpoints: []Endpoint{{Name: "a", Address: "a:1", Group: 7, Weight: 50}}},
@@ -137,7 +137,7 @@
 		if c.Begin() {
 			t.Errorf("a call began to an endpoint that %s", name)
 		}
-		s.results <- Result{Outcome: mb.Moot}
+		s.results <- Result{Outcome: mb.NotSent}
 	}
 }
 
--- a/internal/routing/sample.go
+++ b/internal/routing/sample.go
@@ -34,8 +34,8 @@
 
 // outcomeNames are the outcomes as the counters name them.
 var outcomeNames = map[mb.Outcome]string{
-	mb.OK: "ok", mb.Failed: "error", mb.Full: "full", mb.TimedOut: "timed_out", mb.ConnectFailed: "connect_failed", mb.Reset: "reset",
-	mb.Cancelled: "cancelled", mb.Moot: "moot",
+	mb.OK: "ok", mb.Failed: "error", mb.Refused: "full", mb.TimedOut: "timed_out", mb.ConnectFailed: "connect_failed", mb.Reset: "reset",
+	mb.Cancelled: "cancelled", mb.NotSent: "moot",
 }
 
 // lastOutcome names how a message's latest call ended, of one that is not delivered.
--- a/internal/routing/shared.go
+++ b/internal/routing/shared.go
@@ -64,7 +64,7 @@
 				h.call.cancelled = true
 				h.call.cancel()
 			}
-			r.decide(mb.Gone{ID: mb.MessageID(h.seq)})
+			r.decide(mb.MessageCancelled{ID: mb.MessageID(h.seq)})
 		}
 		return true
 	})
@@ -123,7 +123,7 @@
 // resubmission is a message with its past, in the module's terms.
 func (r *Router) resubmission(m *wal.Message, h *held) mb.Submit {
 	submit := r.submission(h, time.Until(h.deadline))
-	if submit.Long, submit.Spent, submit.Resumed = m.Long, m.Long, true; m.Long { // its body went with that life
+	if submit.Long, submit.BodyGone, submit.Resumed = m.Long, m.Long, true; m.Long { // its body went with that life
 		r.counters.LongCut++
 	}
 	h.mayRun = h.mayRun || m.MayRun
@@ -133,7 +133,7 @@
 		if ago < 0 { // the clock was set back: nobody knows how long ago, so no window may still be open
 			ago = pastRoom
 		}
-		submit.Ran = &mb.PastRun{Ago: ago, Zone: m.RanZone}
+		submit.MayHaveRun = &mb.PriorAttempt{SentAgo: ago, Zone: m.RanZone}
 	}
 	return submit
 }
@@ -339,9 +339,9 @@
 
 // Hear has the module heed what advise makes of what it has learned itself; advise runs in the router's goroutine. False says that the
 // router has ended.
-func (r *Router) Hear(advise func(own []mb.LearnedLane) []mb.LearnedLane) bool {
+func (r *Router) Hear(advise func(own []mb.LearnedCircuit) []mb.LearnedCircuit) bool {
 	_, served := ask(r, func() bool {
-		r.decider.Hear(r.now(), advise(r.decider.Learned(r.now()).Lanes))
+		r.decider.ApplyObservations(r.now(), advise(r.decider.Snapshot(r.now()).Circuits))
 		r.decide() // what waits, waits for other moments now
 		return true
 	})
--- a/internal/routing/steer.go
+++ b/internal/routing/steer.go
@@ -51,7 +51,7 @@
 		}
 	}
 	if len(entries) > 0 {
-		r.decide(mb.Members{Scope: mb.ListChanges, Entries: entries})
+		r.decide(mb.EndpointUpdate{Scope: mb.ListChanges, Entries: entries})
 	}
 }
 
@@ -72,7 +72,7 @@
 	case Barred:
 		r.access[p.Name], entry.Readiness = access, mb.Draining
 	case Trial:
-		r.access[p.Name], entry.Due = access, true
+		r.access[p.Name], entry.TryNext = access, true
 	}
 	return entry
 }
@@ -94,7 +94,7 @@
 	if out == mb.Cancelled && c.stuck {
 		out = mb.TimedOut
 	}
-	if r.cfg.Steering == nil || out == mb.Moot || out == mb.Cancelled {
+	if r.cfg.Steering == nil || out == mb.NotSent || out == mb.Cancelled {
 		return
 	}
 	p := r.endpoints[c.endpoint]
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -115,14 +115,14 @@
 }
 
 var outcomes = map[int]mb.Outcome{
-	100: mb.OK, 301: mb.Failed, 302: mb.Full, 303: mb.TimedOut,
-	304: mb.ConnectFailed, 305: mb.Reset, 306: mb.Cancelled, 307: mb.Moot,
+	100: mb.OK, 301: mb.Failed, 302: mb.Refused, 303: mb.TimedOut,
+	304: mb.ConnectFailed, 305: mb.Reset, 306: mb.Cancelled, 307: mb.NotSent,
 }
 
 var readiness = map[string]mb.Readiness{"SERVING": mb.Serving, "DRAINING": mb.Draining, "DELETED": mb.Deleted}
 
 var scopes = map[string]mb.ListScope{
-	"Partial": mb.ListChanges, "Complete": mb.ListWhole, "Persisted": mb.ListSaved, "Error": mb.ListAskError,
+	"Partial": mb.ListChanges, "Complete": mb.ListWhole, "Persisted": mb.ListSaved, "Error": mb.ListError,
 }
 
 // LimitReport reads a load report as what an endpoint tells of its limit; nil if it tells nothing.
@@ -131,7 +131,7 @@
 	if !ok {
 		return nil
 	}
-	return &mb.LimitReport{Left: stats["x0"], Rate: rate}
+	return &mb.LimitReport{Remaining: stats["x0"], Rate: rate}
 }
 
 // ParseEvent reads one event: a Provision, Destroy, Catalog or ListRef of this
@@ -186,7 +186,7 @@
 		}
 		return mb.Submit{
 			ID: id, Class: e.Band, Tenant: name(e.Tenant), Key: mb.OrderKey(e.Key),
-			Left: us(e.Left), Destination: mb.DestinationID(e.Dest),
+			TimeLeft: us(e.Left), Destination: mb.DestinationID(e.Dest),
 		}, nil
 	case "answer":
 		id, err := needID()
@@ -201,8 +201,8 @@
 			ID: id, Attempt: e.N, Endpoint: mb.EndpointID(e.Endpoint), Outcome: out,
 			Latency: us(e.Delay), Settled: e.Settled, Limit: LimitReport(e.Stats),
 		}
-		if out == mb.Full {
-			a.Wait = time.Duration(e.WaitMS) * time.Millisecond
+		if out == mb.Refused {
+			a.RetryAfter = time.Duration(e.WaitMS) * time.Millisecond
 		}
 		return a, nil
 	case "probed":
@@ -219,7 +219,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return mb.Gone{ID: id}, nil
+		return mb.MessageCancelled{ID: id}, nil
 	case "timer":
 		return mb.Timer{Cookie: e.Cookie}, nil
 	case "under-way", "peer":
@@ -307,21 +307,21 @@
 		return mb.Settings{}, fmt.Errorf("%w: settings: %w", ErrMalformed, err)
 	}
 	s := mb.Settings{
-		Couriers: w.Balancers, Slots: w.Family.CallsOut, MostHeld: w.Limits.MostHeld,
+		Forwarders: w.Balancers, Slots: w.Family.CallsOut, MostHeld: w.Limits.MostHeld,
 		MaxAttempts: w.Limits.MaxAttempts, OverShareWorth: w.OverShare,
 		SeparateRoutes: map[string]bool{}, BatchByKind: map[string]int{}, ZoneFee: map[string]float64{},
-		HintKnown: w.WeightSource == "nominal" || w.WeightSource == "rough",
-		HintRough: w.WeightSource == "rough",
-		MayProbe:  w.Limits.MayProbe, MayCancel: w.Limits.Cancel,
-		TellRetryAfter: w.Limits.RetryAfter, MaxRetryAfter: us(w.Limits.MaxRetryAfter),
-		MustAsk: w.Registry == "subscribe", AskWithin: us(w.Rules.AskWithin),
+		UseCapacityHints:   w.WeightSource == "nominal" || w.WeightSource == "rough",
+		RoughCapacityHints: w.WeightSource == "rough",
+		MayProbe:           w.Limits.MayProbe, MayCancel: w.Limits.Cancel,
+		SendRetryAfter: w.Limits.RetryAfter, MaxRetryAfter: us(w.Limits.MaxRetryAfter),
+		MustSubscribe: w.Registry == "subscribe", SubscribeWithin: us(w.Rules.AskWithin),
 		KeepAlive: us(w.Limits.KeepAlive), ConnectTimeout: us(w.Limits.Connect), AnswerSlack: us(w.Rules.AnswerSlack),
 		DrainGrace: us(w.Rules.DrainGrace), TurnGap: us(w.Rules.TurnGap),
 		OverloadFactor: w.Rules.OverloadFactor, TipAfter: us(w.Rules.TipAfter),
 		ColdFrom: w.Rules.ColdFrom, WarmWithin: us(w.Rules.WarmWithin),
 	}
 	if w.Family.Fades == "by_half" {
-		s.Fade = mb.FadeHalves
+		s.Decay = mb.DecayExponential
 	}
 	for i, k := range w.Kinds {
 		if i < len(w.Family.Routes) {
@@ -346,7 +346,7 @@
 			return s, fmt.Errorf("%w: class %q: effect %q", ErrMalformed, c.Name, c.Effect)
 		}
 		s.Classes = append(s.Classes, mb.Class{
-			Name: c.Name, Target: us(c.Target), GiveUp: us(c.GiveUp), Worth: c.Credit, LateWorth: c.LateWorth,
+			Name: c.Name, Target: us(c.Target), DeliveryTimeout: us(c.GiveUp), Worth: c.Credit, LateWorth: c.LateWorth,
 			Effect: effect, SameZoneOnly: c.Group != "all", KeyTTL: us(c.KeyTTL), InOrder: c.InOrder,
 		})
 	}
@@ -385,7 +385,7 @@
 			Type     string `json:"type"`
 			Endpoint string `json:"endpoint"`
 		}{"sound-out", string(a.Endpoint)}, nil
-	case mb.Close:
+	case mb.CloseIdle:
 		return struct {
 			Type     string `json:"type"`
 			Endpoint string `json:"endpoint"`
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -33,12 +33,12 @@
 		want any
 	}{
 		{`{"type":"submit","rid":5,"band":"b","path-key":3,"left":2000,"to-exchange":57,"new-field":[1]}`,
-			mb.Submit{ID: 5, Class: "b", Key: 3, Left: 2 * time.Millisecond, Destination: 57}},
+			mb.Submit{ID: 5, Class: "b", Key: 3, TimeLeft: 2 * time.Millisecond, Destination: 57}},
 		{`{"type":"answer","rid":5,"n":1,"endpoint":"e","outcome":302,"delay-seen":1500,"wait-ms":250}`,
-			mb.Answer{ID: 5, Attempt: 1, Endpoint: "e", Outcome: mb.Full, Latency: 1500 * time.Microsecond, Wait: 250 * time.Millisecond}},
-		{`{"type":"answer","rid":5,"endpoint":"e","outcome":307,"wait-ms":1}`, mb.Answer{ID: 5, Endpoint: "e", Outcome: mb.Moot}},
+			mb.Answer{ID: 5, Attempt: 1, Endpoint: "e", Outcome: mb.Refused, Latency: 1500 * time.Microsecond, RetryAfter: 250 * time.Millisecond}},
+		{`{"type":"answer","rid":5,"endpoint":"e","outcome":307,"wait-ms":1}`, mb.Answer{ID: 5, Endpoint: "e", Outcome: mb.NotSent}},
 		{`{"type":"timer","cookie":77}`, mb.Timer{Cookie: 77}},
-		{`{"type":"gone","rid":9}`, mb.Gone{ID: 9}},
+		{`{"type":"gone","rid":9}`, mb.MessageCancelled{ID: 9}},
 		{`{"type":"destroy"}`, Destroy{}},
 		{`{"type":"members","scope":"Persisted","gen":41,"roster-id":2}`, ListRef{Scope: mb.ListSaved, List: 2}},
 		{`{"type":"under-way","rid":1}`, nil},
@@ -58,8 +58,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Couriers != 3 || s.Slots != 9 || !s.SeparateRoutes["k"] || s.ZoneFee["z"] != 0.5 || s.Fade != mb.FadeHalves ||
-		s.MaxAttempts != 4 || s.MostHeld != 50 || s.TurnGap != time.Millisecond || !s.HintRough ||
+	if s.Forwarders != 3 || s.Slots != 9 || !s.SeparateRoutes["k"] || s.ZoneFee["z"] != 0.5 || s.Decay != mb.DecayExponential ||
+		s.MaxAttempts != 4 || s.MostHeld != 50 || s.TurnGap != time.Millisecond || !s.RoughCapacityHints ||
 		!s.Classes[0].SameZoneOnly || s.BatchByKind["k"] != 2 {
 		t.Errorf("settings: %+v", s)
 	}
@@ -76,7 +76,7 @@
 		{mb.Fail{ID: 7}, `{"type":"drop-request","rid":7}`},
 		{mb.Cancel{ID: 7, Attempt: 2}, `{"type":"withdraw","rid":7,"n":2}`},
 		{mb.Probe{Endpoint: "e"}, `{"type":"sound-out","endpoint":"e"}`},
-		{mb.Close{Endpoint: "e"}, `{"type":"hang-up","endpoint":"e"}`},
+		{mb.CloseIdle{Endpoint: "e"}, `{"type":"hang-up","endpoint":"e"}`},
 		{mb.Subscribe{}, `{"type":"keep-informed","on":true}`},
 		{mb.SetTimer{After: time.Millisecond, Cookie: 3}, `{"type":"notify-me","wait":1000,"cookie":3}`},
 		{mb.Log{Text: "x"}, `{"type":"emit","what":"x"}`},
--- a/learned_test.go
+++ b/learned_test.go
@@ -7,9 +7,9 @@
 
 func learnedSettings() Settings {
 	return Settings{
-		Couriers: 1, Slots: 8, MostHeld: 50, MaxAttempts: 5, MaxRetryAfter: time.Second, OverloadFactor: 1.3, TipAfter: time.Second,
-		ColdFrom: 0.2, WarmWithin: 10 * time.Second, HintKnown: true, TellRetryAfter: true,
-		Classes: []Class{{Name: "c", Target: time.Second, GiveUp: 20 * time.Second, Worth: 1, Effect: Safe}},
+		Forwarders: 1, Slots: 8, MostHeld: 50, MaxAttempts: 5, MaxRetryAfter: time.Second, OverloadFactor: 1.3, TipAfter: time.Second,
+		ColdFrom: 0.2, WarmWithin: 10 * time.Second, UseCapacityHints: true, SendRetryAfter: true,
+		Classes: []Class{{Name: "c", Target: time.Second, DeliveryTimeout: 20 * time.Second, Worth: 1, Effect: Safe}},
 	}
 }
 
@@ -23,7 +23,7 @@
 	tell map[MessageID]int
 }
 
-func newLife(t *testing.T, recall *Learned, endpoints ...EndpointID) *life {
+func newLife(t *testing.T, recall *LearnedState, endpoints ...EndpointID) *life {
 	t.Helper()
 	d, err := New(learnedSettings(), 3)
 	if err != nil {
@@ -31,13 +31,13 @@
 	}
 	l := &life{t: t, d: d, now: 24 * time.Hour, out: map[MessageID]Send{}, tell: map[MessageID]int{}}
 	if recall != nil {
-		d.Recall(l.now, *recall)
+		d.Restore(l.now, *recall)
 	}
 	var entries []Entry
 	for _, id := range endpoints {
 		entries = append(entries, Entry{Endpoint: id, Destination: 1, Readiness: Serving, CapacityHint: 100})
 	}
-	l.handle(Members{Scope: ListWhole, Entries: entries})
+	l.handle(EndpointUpdate{Scope: ListWhole, Entries: entries})
 	return l
 }
 
@@ -53,7 +53,7 @@
 func (l *life) submit(n int) int {
 	for range n {
 		l.next++
-		l.handle(Submit{ID: l.next, Class: "c", Left: 20 * time.Second, Destination: 1})
+		l.handle(Submit{ID: l.next, Class: "c", TimeLeft: 20 * time.Second, Destination: 1})
 	}
 	return len(l.out)
 }
@@ -63,7 +63,7 @@
 	for id, s := range l.out {
 		delete(l.out, id)
 		l.tell[id]++
-		l.handle(Answer{ID: id, Attempt: l.tell[id] - 1, Endpoint: s.Endpoint, Outcome: o, Wait: wait, Latency: 20 * time.Millisecond, Settled: o == OK})
+		l.handle(Answer{ID: id, Attempt: l.tell[id] - 1, Endpoint: s.Endpoint, Outcome: o, RetryAfter: wait, Latency: 20 * time.Millisecond, Settled: o == OK})
 	}
 }
 
@@ -81,9 +81,9 @@
 	if first.submit(1) != 1 {
 		t.Fatal("no call")
 	}
-	first.answer(Full, 5*time.Second)
+	first.answer(Refused, 5*time.Second)
 	first.now += time.Second
-	learned := first.d.Learned(first.now)
+	learned := first.d.Snapshot(first.now)
 	if cold := newLife(t, nil, "a"); cold.submit(1) != 1 {
 		t.Error("a cold life holds the call back, so this shows nothing")
 	}
@@ -109,9 +109,9 @@
 		first.answer(ConnectFailed, 0)
 		first.pass(40 * time.Millisecond)
 	}
-	learned := first.d.Learned(first.now)
-	if len(learned.Lanes) != 1 || learned.Lanes[0].Breaker == BreakerClosed || !learned.Lanes[0].Guard {
-		t.Fatalf("%+v", learned.Lanes)
+	learned := first.d.Snapshot(first.now)
+	if len(learned.Circuits) != 1 || learned.Circuits[0].Breaker == BreakerClosed || !learned.Circuits[0].Guard {
+		t.Fatalf("%+v", learned.Circuits)
 	}
 	cold := newLife(t, nil, "a").submit(6)
 	second := newLife(t, &learned, "a")
@@ -131,8 +131,8 @@
 func TestRecalledPartnerIsRenamed(t *testing.T) {
 	first := newLife(t, nil, "a", "b")
 	first.submit(1)
-	first.answer(Full, 5*time.Second)
-	learned := first.d.Learned(first.now)
+	first.answer(Refused, 5*time.Second)
+	learned := first.d.Snapshot(first.now)
 	for _, c := range []struct {
 		listed []EndpointID
 		want   int
@@ -151,14 +151,14 @@
 		first.answer(OK, 0)
 		first.pass(40 * time.Millisecond)
 	}
-	learned := first.d.Learned(first.now)
+	learned := first.d.Snapshot(first.now)
 	calls := func(cold bool) (n int) {
-		learned.Lanes[0].Cold = cold
+		learned.Circuits[0].Cold = cold
 		l := newLife(t, &learned, "a")
 		for range 50 {
 			l.submit(1)
 			n += len(l.out)
-			l.answer(Moot, 0) // which speaks of nothing
+			l.answer(NotSent, 0) // which speaks of nothing
 			l.pass(20 * time.Millisecond)
 		}
 		return n
@@ -174,35 +174,35 @@
 func TestHearsOthers(t *testing.T) {
 	r := newLife(t, nil, "a")
 	l := r.d.dests[1].lanes[0]
-	hear := func(f LearnedLane) {
+	hear := func(f LearnedCircuit) {
 		f.Destination = 1
-		r.d.Hear(r.now, []LearnedLane{f})
+		r.d.ApplyObservations(r.now, []LearnedCircuit{f})
 	}
-	hear(LearnedLane{Wait: 5 * time.Second, GuardFrom: -1})
+	hear(LearnedCircuit{Wait: 5 * time.Second, GuardFrom: -1})
 	if l.waitUntil != r.now+5*time.Second {
 		t.Errorf("waits until %v", l.waitUntil)
 	}
-	hear(LearnedLane{Wait: time.Second, GuardFrom: -1})
+	hear(LearnedCircuit{Wait: time.Second, GuardFrom: -1})
 	if l.waitUntil != r.now+5*time.Second {
 		t.Errorf("a shorter wait took it back: %v", l.waitUntil)
 	}
 	base := r.d.base(l)
-	hear(LearnedLane{Limit: 2 * base, Trust: 0.5, GuardFrom: -1})
+	hear(LearnedCircuit{Limit: 2 * base, Trust: 0.5, GuardFrom: -1})
 	if want := 1.5 * base; l.x1 != want {
 		t.Errorf("limit %v, want %v", l.x1, want)
 	}
-	hear(LearnedLane{Limit: 1e6, Trust: 1, GuardFrom: -1})
+	hear(LearnedCircuit{Limit: 1e6, Trust: 1, GuardFrom: -1})
 	if l.x1 != hearFactor*base {
 		t.Errorf("limit %v of %v", l.x1, base)
 	}
-	if hear(LearnedLane{GuardFrom: -1}); l.x1 != 0 {
+	if hear(LearnedCircuit{GuardFrom: -1}); l.x1 != 0 {
 		t.Errorf("limit %v when it has lapsed", l.x1)
 	}
 	l.x1 = 33
-	if hear(LearnedLane{Limit: 99, Trust: 1, GuardFrom: -1}); l.x1 != 33 {
+	if hear(LearnedCircuit{Limit: 99, Trust: 1, GuardFrom: -1}); l.x1 != 33 {
 		t.Errorf("its own limit became %v", l.x1)
 	}
-	hear(LearnedLane{Guard: true, GuardSince: 3 * time.Second, GuardFrom: time.Second})
+	hear(LearnedCircuit{Guard: true, GuardSince: 3 * time.Second, GuardFrom: time.Second})
 	if !l.guard || l.guardFrom != max(0, r.now-time.Second) {
 		t.Errorf("guard %v since its return at %v", l.guard, l.guardFrom)
 	}
--- a/lives_test.go
+++ b/lives_test.go
@@ -11,16 +11,16 @@
 	for name, c := range map[string]struct {
 		class    string
 		attempts int
-		ran      *PastRun
+		ran      *PriorAttempt
 		ends     string
 		sends    int
 	}{
 		"unsafe, never ran":            {"unsafe", 2, nil, "", 1},
-		"unsafe, may have run":         {"unsafe", 1, &PastRun{Ago: time.Second}, "fail", 0},
-		"keyed, inside its window":     {"keyed", 1, &PastRun{Ago: 2 * time.Second}, "", 1},
-		"keyed, past its window":       {"keyed", 1, &PastRun{Ago: 6 * time.Second}, "fail", 0},
-		"zoned, another zone":          {"zoned", 1, &PastRun{Ago: time.Second, Zone: "z"}, "", 0},
-		"safe, may have run":           {"safe", 3, &PastRun{Ago: time.Hour}, "", 1},
+		"unsafe, may have run":         {"unsafe", 1, &PriorAttempt{SentAgo: time.Second}, "fail", 0},
+		"keyed, inside its window":     {"keyed", 1, &PriorAttempt{SentAgo: 2 * time.Second}, "", 1},
+		"keyed, past its window":       {"keyed", 1, &PriorAttempt{SentAgo: 6 * time.Second}, "fail", 0},
+		"zoned, another zone":          {"zoned", 1, &PriorAttempt{SentAgo: time.Second, Zone: "z"}, "", 0},
+		"safe, may have run":           {"safe", 3, &PriorAttempt{SentAgo: time.Hour}, "", 1},
 		"safe, all attempts used":      {"safe", 6, nil, "refuse", 0},
 		"safe, its time up meanwhile":  {"late", 1, nil, "refuse", 0},
 		"unsafe, never ran, time's up": {"unsafe late", 1, nil, "refuse", 0},
@@ -33,7 +33,7 @@
 			c.class, left = "unsafe", 0
 		}
 		r := newRig(t, testSettings())
-		sends := r.do(Submit{ID: 9, Class: c.class, Destination: 1, Left: left, Attempts: c.attempts, Ran: c.ran})
+		sends := r.do(Submit{ID: 9, Class: c.class, Destination: 1, TimeLeft: left, Attempts: c.attempts, MayHaveRun: c.ran})
 		if got := r.ended(9); got != c.ends || len(sends) != c.sends {
 			t.Errorf("%s: ended %q with %d sends, want %q with %d", name, got, len(sends), c.ends, c.sends)
 		}
@@ -41,7 +41,7 @@
 			continue
 		}
 		r.sent[9] += c.attempts
-		r.answer(sends[0], Full, 0)
+		r.answer(sends[0], Refused, 0)
 		if r.d.msgs[9].call != nil {
 			t.Errorf("%s: the answer to attempt %d was not known", name, c.attempts)
 		}
@@ -51,7 +51,7 @@
 // Before a life ends nothing begins that may be out then, an unsafe message first of all, and no call lasts past it.
 func TestClosingKeepsCallsInsideThisLife(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.do(Closing{In: time.Second})
+	r.do(Shutdown{In: time.Second})
 	r.submit("unsafe", 1, 0) // taken to last 450 ms: four times that is too long
 	if len(r.sends) != 0 {
 		t.Error("an unsafe message was sent that may be out at the end")
@@ -89,7 +89,7 @@
 func TestEndpointMovesToAnotherDestination(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.submit("safe", 1, 0)
-	r.do(Members{Scope: ListChanges, Entries: []Entry{{Endpoint: "a", Destination: 2, CapacityHint: 50}}})
+	r.do(EndpointUpdate{Scope: ListChanges, Entries: []Entry{{Endpoint: "a", Destination: 2, CapacityHint: 50}}})
 	r.answer(r.last(), OK, 0) // a call from before the move
 	r.submit("safe", 1, 0)
 	id := r.submit("safe", 2, 0)
@@ -104,7 +104,7 @@
 	resumed := func(r *rig, n int) {
 		for range n {
 			r.next++
-			r.do(Submit{ID: r.next, Class: "safe", Destination: 1, Left: 5 * time.Second, Resumed: true})
+			r.do(Submit{ID: r.next, Class: "safe", Destination: 1, TimeLeft: 5 * time.Second, Resumed: true})
 		}
 	}
 	full := func() *rig {
--- a/long_test.go
+++ b/long_test.go
@@ -16,7 +16,7 @@
 func (r *rig) long(class string, left time.Duration) Send {
 	r.t.Helper()
 	r.next++
-	sends := r.do(Submit{ID: r.next, Class: class, Destination: 1, Left: left, Long: true})
+	sends := r.do(Submit{ID: r.next, Class: class, Destination: 1, TimeLeft: left, Long: true})
 	if len(sends) != 1 {
 		r.t.Fatalf("%d sends of a long message", len(sends))
 	}
@@ -51,7 +51,7 @@
 	first := r.long("safe", time.Minute)
 	r.long("safe", time.Minute)
 	r.next++
-	if sends := r.do(Submit{ID: r.next, Class: "safe", Destination: 1, Left: time.Minute, Long: true}); len(sends) != 0 {
+	if sends := r.do(Submit{ID: r.next, Class: "safe", Destination: 1, TimeLeft: time.Minute, Long: true}); len(sends) != 0 {
 		t.Error("a third long call in two slots")
 	}
 	third := r.next
@@ -74,7 +74,7 @@
 	l := r.d.dests[1].lanes[0]
 	for range 30 {
 		s := r.long("safe", time.Minute)
-		r.do(Answer{ID: s.ID, Endpoint: s.Endpoint, Outcome: Cancelled, Latency: time.Second, Spent: true})
+		r.do(Answer{ID: s.ID, Endpoint: s.Endpoint, Outcome: Cancelled, Latency: time.Second, BodyGone: true})
 		r.pass(500 * ms)
 	}
 	if ep := r.d.eps["a"]; len(ep.bad) > 0 || ep.run > 0 {
@@ -88,7 +88,7 @@
 			break
 		}
 		s := r.long("safe", time.Minute)
-		r.do(Answer{ID: s.ID, Endpoint: s.Endpoint, Outcome: TimedOut, Latency: 20 * time.Second, Spent: true})
+		r.do(Answer{ID: s.ID, Endpoint: s.Endpoint, Outcome: TimedOut, Latency: 20 * time.Second, BodyGone: true})
 		r.pass(500 * ms)
 	}
 	if l.state != open {
@@ -105,8 +105,8 @@
 	l.guard = false
 	a, b := r.next+1, r.next+2
 	r.next = b
-	r.do(Submit{ID: a, Class: "safe", Destination: 1, Left: time.Minute, Long: true},
-		Submit{ID: b, Class: "safe", Destination: 1, Left: time.Minute, Long: true})
+	r.do(Submit{ID: a, Class: "safe", Destination: 1, TimeLeft: time.Minute, Long: true},
+		Submit{ID: b, Class: "safe", Destination: 1, TimeLeft: time.Minute, Long: true})
 	for len(r.sends) == 0 {
 		r.pass(100 * ms)
 	}
@@ -138,7 +138,7 @@
 		o     Outcome
 		ends  string
 	}{
-		"unsafe, refused":  {"unsafe", Full, "refuse"},
+		"unsafe, refused":  {"unsafe", Refused, "refuse"},
 		"unsafe, reset":    {"unsafe", Reset, "fail"},
 		"unsafe, its time": {"unsafe", Cancelled, "fail"},
 		"safe, reset":      {"safe", Reset, "refuse"},
@@ -146,26 +146,26 @@
 	} {
 		r := longRig(t)
 		s := r.long(c.class, time.Minute)
-		r.do(Answer{ID: s.ID, Endpoint: s.Endpoint, Outcome: c.o, Latency: time.Second, Spent: true})
+		r.do(Answer{ID: s.ID, Endpoint: s.Endpoint, Outcome: c.o, Latency: time.Second, BodyGone: true})
 		if got := r.ended(s.ID); got != c.ends {
 			t.Errorf("%s: %q", name, got)
 		}
 	}
 	r := longRig(t)
-	r.do(Submit{ID: 90, Class: "unsafe", Destination: 1, Left: time.Minute, Long: true, Spent: true, Attempts: 1, Ran: &PastRun{Ago: ms}})
+	r.do(Submit{ID: 90, Class: "unsafe", Destination: 1, TimeLeft: time.Minute, Long: true, BodyGone: true, Attempts: 1, MayHaveRun: &PriorAttempt{SentAgo: ms}})
 	if got := r.ended(90); got != "fail" {
 		t.Errorf("one that an earlier life had sent: %q", got)
 	}
-	r.do(Members{Scope: ListWhole})
-	r.do(Submit{ID: 91, Class: "safe", Destination: 1, Left: time.Hour, Long: true})
+	r.do(EndpointUpdate{Scope: ListWhole})
+	r.do(Submit{ID: 91, Class: "safe", Destination: 1, TimeLeft: time.Hour, Long: true})
 	if r.pass(5 * time.Second); r.ended(91) != "" {
 		t.Error("given up before its class's time")
 	}
 	if r.pass(time.Second); r.ended(91) != "refuse" {
 		t.Error("held beyond its class's time")
 	}
-	r.do(Submit{ID: 92, Class: "safe", Destination: 1, Left: time.Hour, Long: true})
-	r.do(Closing{In: time.Second})
+	r.do(Submit{ID: 92, Class: "safe", Destination: 1, TimeLeft: time.Hour, Long: true})
+	r.do(Shutdown{In: time.Second})
 	if r.ended(92) != "refuse" {
 		t.Error("held while this life ends")
 	}
--- a/mulleinbeam.go
+++ b/mulleinbeam.go
@@ -39,26 +39,26 @@
 	Unsafe               // must never take effect twice
 )
 
-// Fade says how the worth of a message falls after its aim.
-type Fade int
+// Decay says how the worth of a message falls after its aim.
+type Decay int
 
 // The ways in which worth falls.
 const (
-	FadeEven   Fade = iota // evenly, down to LateWorth at the deadline
-	FadeHalves             // by half with each further aim, not under LateWorth
+	DecayLinear      Decay = iota // evenly, down to LateWorth at the deadline
+	DecayExponential              // by half with each further aim, not under LateWorth
 )
 
 // Class describes one class of messages.
 type Class struct {
-	Name         string
-	Target       time.Duration // delivered within this, a message earns its full worth
-	GiveUp       time.Duration // the deadline, from when it was first handed in
-	Worth        float64
-	LateWorth    float64 // share of the worth left at the deadline
-	Effect       Effect
-	SameZoneOnly bool          // repeats are dropped only by endpoints in the first one's zone
-	KeyTTL       time.Duration // how long a keyed message's destination drops repeats
-	InOrder      bool          // messages with one key go one at a time, in order
+	Name            string
+	Target          time.Duration // delivered within this, a message earns its full worth
+	DeliveryTimeout time.Duration // the deadline, from when it was first handed in
+	Worth           float64
+	LateWorth       float64 // share of the worth left at the deadline
+	Effect          Effect
+	SameZoneOnly    bool          // repeats are dropped only by endpoints in the first one's zone
+	KeyTTL          time.Duration // how long a keyed message's destination drops repeats
+	InOrder         bool          // messages with one key go one at a time, in order
 }
 
 // Tenant is a client with a share of the service.
@@ -69,38 +69,38 @@
 
 // Settings is all that a courier is told at its start.
 type Settings struct {
-	Couriers       int // how many couriers serve side by side, this one included
+	Forwarders     int // how many couriers serve side by side, this one included
 	Slots          int // calls out at once
 	LongSlots      int // calls out with long messages, beside Slots; see Submit.Long
 	MostHeld       int // messages held at once, sent or not
 	MaxAttempts    int
 	Classes        []Class
-	Fade           Fade
+	Decay          Decay
 	Tenants        []Tenant
 	OverShareWorth float64         // worth of what exceeds a tenant's share, as a fraction
 	SeparateRoutes map[string]bool // by kind: each endpoint is a route with limit and outages of its own
-	SeparatePlaces bool            // a destination's endpoints in each zone have limit and outages of their own; a told wait binds all
+	SeparateZones  bool            // a destination's endpoints in each zone have limit and outages of their own; a told wait binds all
 	// BatchByKind says by kind how many messages may share a call; see Send. Kinds that are missing, or below one,
 	// send each message in a call of its own.
-	BatchByKind    map[string]int
-	ZoneFee        map[string]float64
-	HintKnown      bool // capacity hints say something
-	HintRough      bool // and may be up to half too high or too low
-	MayProbe       bool
-	MayCancel      bool
-	TellRetryAfter bool
-	MaxRetryAfter  time.Duration
-	MustAsk        bool // the list of endpoints comes only when asked for
-	AskWithin      time.Duration
-	KeepAlive      time.Duration // idle connections close after this
-	ConnectTimeout time.Duration // a connection that is not there after this is given up
-	AnswerSlack    time.Duration
-	DrainGrace     time.Duration
-	TurnGap        time.Duration
-	OverloadFactor float64
-	TipAfter       time.Duration
-	ColdFrom       float64
-	WarmWithin     time.Duration
+	BatchByKind        map[string]int
+	ZoneFee            map[string]float64
+	UseCapacityHints   bool // capacity hints say something
+	RoughCapacityHints bool // and may be up to half too high or too low
+	MayProbe           bool
+	MayCancel          bool
+	SendRetryAfter     bool
+	MaxRetryAfter      time.Duration
+	MustSubscribe      bool // the list of endpoints comes only when asked for
+	SubscribeWithin    time.Duration
+	KeepAlive          time.Duration // idle connections close after this
+	ConnectTimeout     time.Duration // a connection that is not there after this is given up
+	AnswerSlack        time.Duration
+	DrainGrace         time.Duration
+	TurnGap            time.Duration
+	OverloadFactor     float64
+	TipAfter           time.Duration
+	ColdFrom           float64
+	WarmWithin         time.Duration
 }
 
 // ErrSettings is wrapped by every error about settings.
@@ -110,7 +110,7 @@
 func (s Settings) Validate() error {
 	bad := func(what string) error { return fmt.Errorf("%w: %s", ErrSettings, what) }
 	switch {
-	case s.Couriers < 1:
+	case s.Forwarders < 1:
 		return bad("Couriers must be at least 1")
 	case s.Slots < 1:
 		return bad("Slots must be at least 1")
@@ -130,7 +130,7 @@
 		switch {
 		case names[c.Name]:
 			return bad(fmt.Sprintf("class %q is named twice", c.Name))
-		case c.GiveUp <= 0 || c.Target <= 0:
+		case c.DeliveryTimeout <= 0 || c.Target <= 0:
 			return bad(fmt.Sprintf("class %q needs Target and GiveUp", c.Name))
 		case c.Effect < Safe || c.Effect > Unsafe:
 			return bad(fmt.Sprintf("class %q has no known Effect", c.Name))
@@ -163,7 +163,7 @@
 		name string
 		d    time.Duration
 	}{
-		{"MaxRetryAfter", s.MaxRetryAfter}, {"AskWithin", s.AskWithin}, {"KeepAlive", s.KeepAlive},
+		{"MaxRetryAfter", s.MaxRetryAfter}, {"AskWithin", s.SubscribeWithin}, {"KeepAlive", s.KeepAlive},
 		{"ConnectTimeout", s.ConnectTimeout},
 		{"AnswerSlack", s.AnswerSlack}, {"DrainGrace", s.DrainGrace}, {"TurnGap", s.TurnGap},
 		{"TipAfter", s.TipAfter}, {"WarmWithin", s.WarmWithin},
@@ -201,9 +201,9 @@
 	Destination  DestinationID
 	Readiness    Readiness
 	CapacityHint float64 // calls a second taken from all couriers together
-	// Due says that it has to be found out how the endpoint stands: the next call of its destination goes there as soon as its lane admits one,
+	// TryNext says that it has to be found out how the endpoint stands: the next call of its destination goes there as soon as its lane admits one,
 	// however much faster others look. It counts for all endpoints of a lane alike; see Settings.SeparatePlaces.
-	Due bool
+	TryNext bool
 }
 
 // Outcome says how an attempt ended.
@@ -213,12 +213,12 @@
 const (
 	OK            Outcome = iota
 	Failed                // an error answer; it may have taken effect
-	Full                  // turned away unseen (never ran)
+	Refused               // turned away unseen (never ran)
 	TimedOut              // no answer in time
 	ConnectFailed         // no connection in time (never ran)
 	Reset                 // the connection broke
 	Cancelled             // called off; of a long message also cut by its client, which is no endpoint's doing
-	Moot                  // not sent at all (never ran)
+	NotSent               // not sent at all (never ran)
 )
 
 // Event is something a courier observed: one of the types below.
@@ -230,53 +230,53 @@
 	Class       string
 	Tenant      string
 	Key         OrderKey
-	Left        time.Duration // how long it may still be delivered
+	TimeLeft    time.Duration // how long it may still be delivered
 	Destination DestinationID
 	// Resumed marks a message that an earlier life of this forwarder took on: one that it had not tried is tried in this one.
 	Resumed bool
 	// The attempts that life has made, and the first of them that may have taken effect, if one may. Attempts are numbered on
 	// from these.
-	Attempts int
-	Ran      *PastRun
+	Attempts   int
+	MayHaveRun *PriorAttempt
 	// Long marks a message whose body is passed on as it comes. Its calls take none of Slots but one of LongSlots, and how
 	// long they take is no endpoint's doing. It waits for a call for as long as its class lets a message live, and a call
 	// of it may last until Left is over.
 	Long bool
-	// Spent marks a long message whose body is gone, so that no attempt of it can begin: it ends at once.
-	Spent bool
+	// BodyGone marks a long message whose body is gone, so that no attempt of it can begin: it ends at once.
+	BodyGone bool
 }
 
-// PastRun is an attempt of an earlier life that may have taken effect.
-type PastRun struct {
-	Ago  time.Duration // since it was sent
-	Zone string        // its endpoint's
+// PriorAttempt is an attempt of an earlier life that may have taken effect.
+type PriorAttempt struct {
+	SentAgo time.Duration // since it was sent
+	Zone    string        // its endpoint's
 }
 
-// Closing says that this courier's life ends soon: from then on no call may be out.
-type Closing struct{ In time.Duration }
+// Shutdown says that this courier's life ends soon: from then on no call may be out.
+type Shutdown struct{ In time.Duration }
 
 // Answer reports the end of an attempt.
 type Answer struct {
-	ID       MessageID
-	Attempt  int
-	Endpoint EndpointID
-	Outcome  Outcome
-	Latency  time.Duration
-	Settled  bool          // the message has had its final answer
-	Wait     time.Duration // with Full: the wait told, zero if none
-	Limit    *LimitReport  // what the endpoint told of its limit, if anything
-	Kept     bool          // it went on a connection that had carried a call before
-	Spent    bool          // of a long message: its body is gone, and no further attempt can begin
+	ID         MessageID
+	Attempt    int
+	Endpoint   EndpointID
+	Outcome    Outcome
+	Latency    time.Duration
+	Settled    bool          // the message has had its final answer
+	RetryAfter time.Duration // with Full: the wait told, zero if none
+	Limit      *LimitReport  // what the endpoint told of its limit, if anything
+	ReusedConn bool          // it went on a connection that had carried a call before
+	BodyGone   bool          // of a long message: its body is gone, and no further attempt can begin
 }
 
 // LimitReport is what an endpoint tells of its limit.
 type LimitReport struct {
-	Left float64 // share of the limit that is left
-	Rate float64 // the limit in calls a second; zero is none
+	Remaining float64 // share of the limit that is left
+	Rate      float64 // the limit in calls a second; zero is none
 }
 
-// Gone says that nobody wants a message any more.
-type Gone struct{ ID MessageID }
+// MessageCancelled says that nobody wants a message any more.
+type MessageCancelled struct{ ID MessageID }
 
 // Timer is a wake-up asked for by SetTimer.
 type Timer struct{ Cookie uint64 }
@@ -294,25 +294,25 @@
 
 // The scopes of a list.
 const (
-	ListChanges  ListScope = iota // changed entries only
-	ListWhole                     // everything; what is missing is gone
-	ListSaved                     // the list as last held, perhaps stale
-	ListAskError                  // asking failed; the list held stands
+	ListChanges ListScope = iota // changed entries only
+	ListWhole                    // everything; what is missing is gone
+	ListSaved                    // the list as last held, perhaps stale
+	ListError                    // asking failed; the list held stands
 )
 
-// Members is what the registry tells of the endpoints.
-type Members struct {
+// EndpointUpdate is what the registry tells of the endpoints.
+type EndpointUpdate struct {
 	Scope   ListScope
 	Entries []Entry
 }
 
-func (Submit) isEvent()  {}
-func (Answer) isEvent()  {}
-func (Gone) isEvent()    {}
-func (Timer) isEvent()   {}
-func (Probed) isEvent()  {}
-func (Members) isEvent() {}
-func (Closing) isEvent() {}
+func (Submit) isEvent()           {}
+func (Answer) isEvent()           {}
+func (MessageCancelled) isEvent() {}
+func (Timer) isEvent()            {}
+func (Probed) isEvent()           {}
+func (EndpointUpdate) isEvent()   {}
+func (Shutdown) isEvent()         {}
 
 // Action is something the courier is to do: one of the types below.
 type Action interface{ isAction() }
@@ -327,7 +327,7 @@
 	ID       MessageID
 	Endpoint EndpointID
 	CutAt    time.Duration
-	Fresh    bool // on a new connection
+	NewConn  bool // on a new connection
 }
 
 // Refuse ends a message; the client may safely try again, after RetryAfter if that is set.
@@ -348,8 +348,8 @@
 // Probe checks an endpoint; the destination counts it as a call.
 type Probe struct{ Endpoint EndpointID }
 
-// Close closes this courier's idle connections to an endpoint.
-type Close struct{ Endpoint EndpointID }
+// CloseIdle closes this courier's idle connections to an endpoint.
+type CloseIdle struct{ Endpoint EndpointID }
 
 // Subscribe asks for the list of endpoints and its changes from now on.
 type Subscribe struct{}
@@ -368,7 +368,7 @@
 func (Fail) isAction()      {}
 func (Cancel) isAction()    {}
 func (Probe) isAction()     {}
-func (Close) isAction()     {}
+func (CloseIdle) isAction() {}
 func (Subscribe) isAction() {}
 func (SetTimer) isAction()  {}
 func (Log) isAction()       {}
--- a/mulleinbeam_test.go
+++ b/mulleinbeam_test.go
@@ -19,14 +19,14 @@
 func TestUnusableSettingsAreNamed(t *testing.T) {
 	nan, inf := math.NaN(), math.Inf(1)
 	for name, spoil := range map[string]func(s *Settings){
-		"Couriers":       func(s *Settings) { s.Couriers = 0 },
+		"Couriers":       func(s *Settings) { s.Forwarders = 0 },
 		"Slots":          func(s *Settings) { s.Slots = -1 },
 		"MostHeld":       func(s *Settings) { s.MostHeld = 0 },
 		"MaxAttempts":    func(s *Settings) { s.MaxAttempts = 0 },
 		"Classes":        func(s *Settings) { s.Classes = nil },
 		"named twice":    func(s *Settings) { s.Classes = append(s.Classes, s.Classes[0]) },
 		"Target":         func(s *Settings) { s.Classes[0].Target = 0 },
-		"GiveUp":         func(s *Settings) { s.Classes[0].GiveUp = -1 },
+		"GiveUp":         func(s *Settings) { s.Classes[0].DeliveryTimeout = -1 },
 		"Effect":         func(s *Settings) { s.Classes[0].Effect = 7 },
 		"needs KeyTTL":   func(s *Settings) { s.Classes[1].KeyTTL = 0 },
 		"KeyTTL is":      func(s *Settings) { s.Classes[0].KeyTTL = -1 },
@@ -36,7 +36,7 @@
 		"AllowancePerS":  func(s *Settings) { s.Tenants = []Tenant{{Name: "t", AllowancePerS: inf}} },
 		"ZoneFee":        func(s *Settings) { s.ZoneFee = map[string]float64{"z": nan} },
 		"MaxRetryAfter":  func(s *Settings) { s.MaxRetryAfter = -1 },
-		"AskWithin":      func(s *Settings) { s.AskWithin = -1 },
+		"AskWithin":      func(s *Settings) { s.SubscribeWithin = -1 },
 		"KeepAlive":      func(s *Settings) { s.KeepAlive = -1 },
 		"AnswerSlack":    func(s *Settings) { s.AnswerSlack = -1 },
 		"DrainGrace":     func(s *Settings) { s.DrainGrace = -1 },
--- a/property_test.go
+++ b/property_test.go
@@ -76,13 +76,13 @@
 	return fmt.Sprint(e.Destination)
 }
 
-func neverRan(o Outcome) bool { return o == Full || o == ConnectFailed || o == Moot }
+func neverRan(o Outcome) bool { return o == Refused || o == ConnectFailed || o == NotSent }
 
 // freshWaits are told in the batch at hand: sends in reply to it are let through.
 func (c *checker) event(now time.Duration, e Event, fresh map[string]time.Duration) {
 	switch e := e.(type) {
 	case Submit:
-		m := &checkedMessage{submit: e, deadline: now + e.Left, class: Class{Effect: Unsafe}, spent: e.Spent}
+		m := &checkedMessage{submit: e, deadline: now + e.TimeLeft, class: Class{Effect: Unsafe}, spent: e.BodyGone}
 		for _, cl := range c.s.Classes {
 			if cl.Name == e.Class {
 				m.class = cl
@@ -101,7 +101,7 @@
 			return
 		}
 		m.pending = nil
-		m.spent = m.spent || e.Spent
+		m.spent = m.spent || e.BodyGone
 		if m.submit.Long {
 			c.longOut--
 		} else if m.in.left--; m.in.left == 0 {
@@ -117,15 +117,15 @@
 		if e.Settled {
 			m.ended, m.endTold = true, true
 		}
-		if e.Outcome == Full && e.Wait > 0 {
+		if e.Outcome == Refused && e.RetryAfter > 0 {
 			sc := c.scope(c.entries[e.Endpoint])
-			fresh[sc] = max(fresh[sc], now+e.Wait)
+			fresh[sc] = max(fresh[sc], now+e.RetryAfter)
 		}
-	case Gone:
+	case MessageCancelled:
 		if m := c.msgs[e.ID]; m != nil {
 			m.ended, m.endTold = true, true
 		}
-	case Members:
+	case EndpointUpdate:
 		if e.Scope == ListWhole {
 			for id := range c.entries {
 				if !slices.ContainsFunc(e.Entries, func(x Entry) bool { return x.Endpoint == id }) {
@@ -266,11 +266,11 @@
 // varied draws settings: limits of one, no tenants, no hints, asked-for lists, routes apart, ordered classes.
 func varied(r *rand.Rand) Settings {
 	s := Settings{
-		Couriers: []int{1, 2, 3, 4, 60, 400}[r.IntN(6)], Slots: 1 + r.IntN(12), MostHeld: 1 + r.IntN(60), MaxAttempts: 1 + r.IntN(7),
-		Fade: Fade(r.IntN(2)), OverShareWorth: 0.1, SeparateRoutes: map[string]bool{"k1": r.IntN(2) == 0},
-		BatchByKind: map[string]int{"k0": []int{0, 1, 2, 5, 20}[r.IntN(5)]}, HintKnown: r.IntN(2) == 0, HintRough: r.IntN(2) == 0,
-		MayProbe: r.IntN(2) == 0, MayCancel: r.IntN(3) > 0, TellRetryAfter: r.IntN(2) == 0,
-		MaxRetryAfter: time.Second, MustAsk: r.IntN(2) == 0, AskWithin: 10 * time.Second,
+		Forwarders: []int{1, 2, 3, 4, 60, 400}[r.IntN(6)], Slots: 1 + r.IntN(12), MostHeld: 1 + r.IntN(60), MaxAttempts: 1 + r.IntN(7),
+		Decay: Decay(r.IntN(2)), OverShareWorth: 0.1, SeparateRoutes: map[string]bool{"k1": r.IntN(2) == 0},
+		BatchByKind: map[string]int{"k0": []int{0, 1, 2, 5, 20}[r.IntN(5)]}, UseCapacityHints: r.IntN(2) == 0, RoughCapacityHints: r.IntN(2) == 0,
+		MayProbe: r.IntN(2) == 0, MayCancel: r.IntN(3) > 0, SendRetryAfter: r.IntN(2) == 0,
+		MaxRetryAfter: time.Second, MustSubscribe: r.IntN(2) == 0, SubscribeWithin: 10 * time.Second,
 		KeepAlive: 15 * time.Second, AnswerSlack: 20 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
 		OverloadFactor: 2, TipAfter: 1500 * time.Millisecond, ColdFrom: 0.2, WarmWithin: 10 * time.Second,
 		ZoneFee: map[string]float64{"z1": 0.05},
@@ -284,7 +284,7 @@
 	for i := range 4 {
 		s.Classes = append(s.Classes, Class{
 			Name: fmt.Sprint("c", i), Target: time.Duration(500+r.IntN(2000)) * time.Millisecond,
-			GiveUp: time.Duration(3000+r.IntN(9000)) * time.Millisecond, Worth: 1 + 4*r.Float64(), LateWorth: r.Float64(),
+			DeliveryTimeout: time.Duration(3000+r.IntN(9000)) * time.Millisecond, Worth: 1 + 4*r.Float64(), LateWorth: r.Float64(),
 			Effect: Effect(i % 3), SameZoneOnly: r.IntN(3) == 0, KeyTTL: time.Duration(1+r.IntN(8)) * time.Second,
 			InOrder: r.IntN(2) == 0,
 		})
@@ -329,7 +329,7 @@
 		}
 		var in []Event
 		if now == 0 {
-			in = append(in, Members{Scope: ListSaved, Entries: slices.Clone(entries)})
+			in = append(in, EndpointUpdate{Scope: ListSaved, Entries: slices.Clone(entries)})
 		}
 		if r.IntN(2000) == 0 {
 			mood[DestinationID(r.IntN(4))] = r.IntN(5)
@@ -347,23 +347,23 @@
 						entries[j] = fresh
 					}
 				}
-				in = append(in, Members{Scope: ListChanges, Entries: change})
+				in = append(in, EndpointUpdate{Scope: ListChanges, Entries: change})
 			case 0:
 				entries[i].Readiness = Readiness(r.IntN(3))
-				in = append(in, Members{Scope: ListChanges, Entries: []Entry{entries[i]}})
+				in = append(in, EndpointUpdate{Scope: ListChanges, Entries: []Entry{entries[i]}})
 			case 1:
 				cut := r.IntN(len(entries))
-				in = append(in, Members{Scope: ListWhole, Entries: slices.Clone(entries[cut:])})
+				in = append(in, EndpointUpdate{Scope: ListWhole, Entries: slices.Clone(entries[cut:])})
 			case 2:
 				entries[i].Readiness = Serving
-				in = append(in, Members{Scope: ListChanges, Entries: []Entry{entries[i]}}, Members{Scope: ListAskError})
+				in = append(in, EndpointUpdate{Scope: ListChanges, Entries: []Entry{entries[i]}}, EndpointUpdate{Scope: ListError})
 			}
 		}
 		if now < 25*time.Second && r.IntN(12) == 0 {
 			cl := s.Classes[r.IntN(len(s.Classes))]
-			left := cl.GiveUp
+			left := cl.DeliveryTimeout
 			if r.IntN(5) == 0 {
-				left = time.Duration(r.Int64N(int64(cl.GiveUp)))
+				left = time.Duration(r.Int64N(int64(cl.DeliveryTimeout)))
 			}
 			name := cl.Name
 			if r.IntN(50) == 0 {
@@ -371,17 +371,17 @@
 			}
 			submit := Submit{
 				ID: next, Class: name, Tenant: fmt.Sprint("t", r.IntN(3)), Key: OrderKey(r.IntN(4)),
-				Left: left, Destination: DestinationID(r.IntN(5)),
+				TimeLeft: left, Destination: DestinationID(r.IntN(5)),
 			}
 			if s.LongSlots > 0 && r.IntN(3) == 0 {
-				submit.Long, submit.Left = true, time.Duration(1+r.IntN(15))*time.Second
-				submit.Spent = r.IntN(30) == 0
+				submit.Long, submit.TimeLeft = true, time.Duration(1+r.IntN(15))*time.Second
+				submit.BodyGone = r.IntN(30) == 0
 			}
 			in = append(in, submit)
 			next++
 		}
 		if next > 1 && r.IntN(300) == 0 {
-			in = append(in, Gone{ID: 1 + MessageID(r.Int64N(int64(next)))})
+			in = append(in, MessageCancelled{ID: 1 + MessageID(r.Int64N(int64(next)))})
 		}
 		if r.IntN(500) == 0 {
 			in = append(in, Timer{Cookie: 9999}, Answer{ID: next + 5, Endpoint: "e0", Outcome: OK}, Probed{Endpoint: "gone"})
@@ -434,7 +434,7 @@
 				}
 				o, took := OK, time.Duration(5+r.IntN(400))*time.Millisecond
 				if k := mood[m.submit.Destination]; k > 0 && r.IntN(10) < 8 {
-					o = []Outcome{OK, Failed, Full, ConnectFailed, Reset}[k]
+					o = []Outcome{OK, Failed, Refused, ConnectFailed, Reset}[k]
 				} else if r.IntN(15) == 0 {
 					o = Outcome(r.IntN(6))
 				}
@@ -447,26 +447,26 @@
 				ans := Answer{ID: a.ID, Attempt: m.attempts - 1, Endpoint: a.Endpoint, Outcome: o}
 				if m.submit.Long {
 					took *= 10
-					if ans.Spent = r.IntN(3) == 0; ans.Spent && r.IntN(2) == 0 {
+					if ans.BodyGone = r.IntN(3) == 0; ans.BodyGone && r.IntN(2) == 0 {
 						ans.Outcome = Cancelled // its client went away
 					}
 				}
-				if o == Full && r.IntN(2) == 0 {
-					ans.Wait = time.Duration(r.IntN(1500)) * time.Millisecond
+				if o == Refused && r.IntN(2) == 0 {
+					ans.RetryAfter = time.Duration(r.IntN(1500)) * time.Millisecond
 				}
 				end := m.deadline
 				if a.CutAt > 0 {
 					end = min(end, a.CutAt)
 				}
 				if now+took >= end {
-					ans.Outcome, ans.Wait, took = TimedOut, 0, max(0, end-now)
+					ans.Outcome, ans.RetryAfter, took = TimedOut, 0, max(0, end-now)
 				}
 				ans.Latency = took
 				due = append(due, answerDue{now + took, ans})
 			case Cancel:
 				for i := range due {
 					if due[i].a.ID == a.ID {
-						due[i].at, due[i].a.Outcome, due[i].a.Wait = now+10*time.Millisecond, Cancelled, 0
+						due[i].at, due[i].a.Outcome, due[i].a.RetryAfter = now+10*time.Millisecond, Cancelled, 0
 					}
 				}
 			}
@@ -598,7 +598,7 @@
 		} {
 			for seed := range uint64(4) {
 				s := varied(rand.New(rand.NewPCG(seed, 3)))
-				s.Couriers = couriers
+				s.Forwarders = couriers
 				odd(&s)
 				if broken := drive(t, s, seed, nil); len(broken) > 0 {
 					t.Errorf("%d couriers, %s, seed %d: %d breaches, first: %s", couriers, name, seed, len(broken), broken[0])
--- a/rules_test.go
+++ b/rules_test.go
@@ -12,18 +12,18 @@
 
 func testSettings() Settings {
 	return Settings{
-		Couriers: 2, Slots: 8, MostHeld: 100, MaxAttempts: 6, OverShareWorth: 0.1, HintKnown: true,
+		Forwarders: 2, Slots: 8, MostHeld: 100, MaxAttempts: 6, OverShareWorth: 0.1, UseCapacityHints: true,
 		SeparateRoutes: map[string]bool{"routes": true}, MayCancel: true, AnswerSlack: 20 * ms,
 		KeepAlive: 15 * time.Second, DrainGrace: 250 * ms, TurnGap: 500 * ms, OverloadFactor: 2,
 		TipAfter: 1500 * ms, ColdFrom: 0.2, WarmWithin: 10 * time.Second,
 		Classes: []Class{
-			{Name: "safe", Target: time.Second, GiveUp: 6 * time.Second, Worth: 1, LateWorth: 0.1, Effect: Safe},
-			{Name: "keyed", Target: 2 * time.Second, GiveUp: 20 * time.Second, Worth: 2, LateWorth: 0.5, Effect: Keyed,
+			{Name: "safe", Target: time.Second, DeliveryTimeout: 6 * time.Second, Worth: 1, LateWorth: 0.1, Effect: Safe},
+			{Name: "keyed", Target: 2 * time.Second, DeliveryTimeout: 20 * time.Second, Worth: 2, LateWorth: 0.5, Effect: Keyed,
 				KeyTTL: 5 * time.Second},
-			{Name: "zoned", Target: 2 * time.Second, GiveUp: 20 * time.Second, Worth: 2, LateWorth: 0.5, Effect: Keyed,
+			{Name: "zoned", Target: 2 * time.Second, DeliveryTimeout: 20 * time.Second, Worth: 2, LateWorth: 0.5, Effect: Keyed,
 				KeyTTL: 5 * time.Second, SameZoneOnly: true},
-			{Name: "unsafe", Target: 3 * time.Second, GiveUp: 20 * time.Second, Worth: 5, LateWorth: 0.5, Effect: Unsafe},
-			{Name: "ordered", Target: 3 * time.Second, GiveUp: 20 * time.Second, Worth: 2, LateWorth: 0.5, Effect: Keyed,
+			{Name: "unsafe", Target: 3 * time.Second, DeliveryTimeout: 20 * time.Second, Worth: 5, LateWorth: 0.5, Effect: Unsafe},
+			{Name: "ordered", Target: 3 * time.Second, DeliveryTimeout: 20 * time.Second, Worth: 2, LateWorth: 0.5, Effect: Keyed,
 				KeyTTL: 15 * time.Second, InOrder: true},
 		},
 	}
@@ -55,7 +55,7 @@
 	if len(entries) == 0 {
 		entries = []Entry{{Endpoint: "a", Destination: 1, Kind: "shared", CapacityHint: 50}}
 	}
-	r.do(Members{Scope: ListSaved, Entries: entries})
+	r.do(EndpointUpdate{Scope: ListSaved, Entries: entries})
 	return r
 }
 
@@ -96,17 +96,17 @@
 	left := time.Second
 	for _, c := range r.d.s.Classes {
 		if c.Name == class {
-			left = c.GiveUp
+			left = c.DeliveryTimeout
 		}
 	}
-	r.do(Submit{ID: r.next, Class: class, Destination: dest, Key: key, Left: left})
+	r.do(Submit{ID: r.next, Class: class, Destination: dest, Key: key, TimeLeft: left})
 	return r.next
 }
 
 func (r *rig) answer(s Send, o Outcome, wait time.Duration) []Send {
 	return r.do(Answer{
 		ID: s.ID, Attempt: r.sent[s.ID] - 1, Endpoint: s.Endpoint, Outcome: o,
-		Latency: 50 * ms, Wait: wait, Settled: o == OK,
+		Latency: 50 * ms, RetryAfter: wait, Settled: o == OK,
 	})
 }
 
@@ -172,8 +172,8 @@
 		end    string
 	}{
 		{"unsafe", Failed, false, "fail"}, {"unsafe", TimedOut, false, "fail"}, {"unsafe", Reset, false, "fail"},
-		{"unsafe", Cancelled, false, "fail"}, {"unsafe", Full, true, ""}, {"unsafe", ConnectFailed, true, ""},
-		{"unsafe", Moot, true, ""}, {"safe", Failed, true, ""}, {"safe", TimedOut, true, ""},
+		{"unsafe", Cancelled, false, "fail"}, {"unsafe", Refused, true, ""}, {"unsafe", ConnectFailed, true, ""},
+		{"unsafe", NotSent, true, ""}, {"safe", Failed, true, ""}, {"safe", TimedOut, true, ""},
 		{"keyed", Reset, true, ""}, {"keyed", Failed, true, ""},
 	} {
 		r := newRig(t, testSettings())
@@ -212,7 +212,7 @@
 	told := r.last()
 	r.submit("safe", 1, 0)
 	slow := r.last()
-	r.answer(told, Full, time.Second)
+	r.answer(told, Refused, time.Second)
 	if r.d.MayBegin(r.now+time.Second-1, slow.ID) || !r.d.MayBegin(r.now+time.Second, slow.ID) {
 		t.Error("a call did not wait for the end of a wait told while its connection came up")
 	}
@@ -262,12 +262,12 @@
 func TestDrainsAreKeptAtOnce(t *testing.T) {
 	for _, state := range []Readiness{Draining, Deleted} {
 		r := newRig(t, testSettings())
-		r.do(Members{Scope: ListChanges, Entries: []Entry{{Endpoint: "a", Destination: 1, Readiness: state}}})
+		r.do(EndpointUpdate{Scope: ListChanges, Entries: []Entry{{Endpoint: "a", Destination: 1, Readiness: state}}})
 		r.submit("safe", 1, 0)
 		if sends := append(r.sends, r.pass(2*time.Second)...); len(sends) > 0 {
 			t.Errorf("readiness %d: sent %v", state, sends)
 		}
-		r.do(Members{Scope: ListWhole, Entries: []Entry{{Endpoint: "a", Destination: 1, CapacityHint: 50}}})
+		r.do(EndpointUpdate{Scope: ListWhole, Entries: []Entry{{Endpoint: "a", Destination: 1, CapacityHint: 50}}})
 		r.pass(time.Second)
 		if len(r.sends) == 0 {
 			t.Errorf("readiness %d: nothing sent after the endpoint came back", state)
@@ -279,7 +279,7 @@
 	r := newRig(t, testSettings())
 	id := r.submit("keyed", 1, 0)
 	s := r.last()
-	r.do(Members{Scope: ListWhole})
+	r.do(EndpointUpdate{Scope: ListWhole})
 	r.answer(s, Reset, 0)
 	r.pass(20 * time.Second)
 	if r.sent[id] != 1 || r.ended(id) == "" {
@@ -295,7 +295,7 @@
 		s := r.last()
 		l := r.d.dests[1].lanes[0]
 		l.state = state
-		r.answer(s, Full, 1200*ms)
+		r.answer(s, Refused, 1200*ms)
 		for range 5 {
 			r.submit("safe", 1, 0)
 		}
@@ -314,7 +314,7 @@
 		Entry{Endpoint: "b", Kind: "routes", Destination: 1, CapacityHint: 50})
 	r.submit("safe", 1, 0)
 	s := r.last()
-	r.answer(s, Full, 2*time.Second)
+	r.answer(s, Refused, 2*time.Second)
 	r.pass(time.Second)
 	if got := r.last(); got.Endpoint == s.Endpoint || len(r.sends) < 2 {
 		t.Errorf("after a wait told by %s the other route was not used: %v", s.Endpoint, r.sends)
@@ -329,7 +329,7 @@
 			t.Fatal("second message of the key sent beside the first")
 		}
 		s := r.last()
-		r.do(Gone{ID: first}) // its attempt is still out
+		r.do(MessageCancelled{ID: first}) // its attempt is still out
 		r.pass(time.Second)
 		if r.sent[second] > 0 {
 			t.Fatal("second message sent while the first has an attempt out")
@@ -444,7 +444,7 @@
 	}
 	closes := 0
 	for _, a := range r.other {
-		if _, ok := a.(Close); ok {
+		if _, ok := a.(CloseIdle); ok {
 			closes++
 		}
 	}
@@ -462,7 +462,7 @@
 		r.submit("safe", 1, 0)
 		o := Reset
 		for _, a := range r.other[before:] {
-			if _, ok := a.(Close); ok {
+			if _, ok := a.(CloseIdle); ok {
 				o = OK
 			}
 		}
@@ -570,7 +570,7 @@
 			if calls++; calls%4 == 0 {
 				return OK
 			}
-			return Full
+			return Refused
 		})
 		r.pass(50 * ms)
 	}
@@ -633,9 +633,9 @@
 		if l.state == closed || !l.guard {
 			t.Fatalf("%s: breaker %s, guard %v with every connect refused", name, stateNames[l.state], l.guard)
 		}
-		r.do(Members{Scope: ListChanges, Entries: []Entry{{Endpoint: "b", Destination: 1, CapacityHint: 50}}})
+		r.do(EndpointUpdate{Scope: ListChanges, Entries: []Entry{{Endpoint: "b", Destination: 1, CapacityHint: 50}}})
 		fails(c.rounds)
-		r.do(Members{Scope: ListChanges, Entries: []Entry{{Endpoint: "a", Destination: 1, Readiness: Draining}}})
+		r.do(EndpointUpdate{Scope: ListChanges, Entries: []Entry{{Endpoint: "a", Destination: 1, Readiness: Draining}}})
 		if (l.state == closed) != c.clears || l.guard == c.clears {
 			t.Errorf("%s: breaker %s, guard %v", name, stateNames[l.state], l.guard)
 		}
@@ -647,23 +647,23 @@
 func TestResetsOfKeptConnections(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.submit("unsafe", 1, 0)
-	if r.last().Fresh {
+	if r.last().NewConn {
 		t.Error("a new connection is asked for with nothing seen")
 	}
 	r.answer(r.last(), OK, 0)
 	for range 20 {
 		r.submit("safe", 1, 0)
 		s := r.last()
-		r.do(Answer{ID: s.ID, Attempt: r.sent[s.ID] - 1, Endpoint: s.Endpoint, Outcome: Reset, Latency: 50 * ms, Kept: true})
-		r.do(Gone{ID: s.ID})
+		r.do(Answer{ID: s.ID, Attempt: r.sent[s.ID] - 1, Endpoint: s.Endpoint, Outcome: Reset, Latency: 50 * ms, ReusedConn: true})
+		r.do(MessageCancelled{ID: s.ID})
 	}
 	if l := r.d.dests[1].lanes[0]; l.state != closed || l.guard {
 		t.Errorf("breaker %s, guard %v", stateNames[l.state], l.guard)
 	}
 	for class, want := range map[string]bool{"safe": false, "keyed": false, "unsafe": true} {
 		r.submit(class, 1, 0)
-		if got := r.last(); got.Fresh != want {
-			t.Errorf("%s: a new connection %v", class, got.Fresh)
+		if got := r.last(); got.NewConn != want {
+			t.Errorf("%s: a new connection %v", class, got.NewConn)
 		}
 		r.answer(r.last(), OK, 0)
 	}
@@ -684,7 +684,7 @@
 			r.submit("keyed", 1, 0)
 			s := r.last()
 			r.answer(s, c.lost, 0)
-			r.do(Gone{ID: s.ID})
+			r.do(MessageCancelled{ID: s.ID})
 		}
 		if !l.guard {
 			t.Fatalf("%s: no guard after two", name)
@@ -722,8 +722,8 @@
 	s := r.last()
 	r.answer(s, OK, 0)
 	r.do(
-		Answer{ID: id, Endpoint: "a", Outcome: OK}, Answer{ID: 999, Endpoint: "zz", Outcome: Full, Wait: time.Second},
-		Gone{ID: id}, Gone{ID: 12345}, Timer{Cookie: 77}, Probed{Endpoint: "zz", Outcome: OK}, Probed{Endpoint: "a"},
+		Answer{ID: id, Endpoint: "a", Outcome: OK}, Answer{ID: 999, Endpoint: "zz", Outcome: Refused, RetryAfter: time.Second},
+		MessageCancelled{ID: id}, MessageCancelled{ID: 12345}, Timer{Cookie: 77}, Probed{Endpoint: "zz", Outcome: OK}, Probed{Endpoint: "a"},
 	)
 	if len(r.d.msgs) != 0 || r.d.heldCount != 0 || r.d.slotsUsed != 0 {
 		t.Errorf("left over: %d messages, %d held, %d slots", len(r.d.msgs), r.d.heldCount, r.d.slotsUsed)
@@ -732,7 +732,7 @@
 
 func TestAskingAgainBacksOff(t *testing.T) {
 	s := testSettings()
-	s.MustAsk, s.AskWithin = true, 10*time.Second
+	s.MustSubscribe, s.SubscribeWithin = true, 10*time.Second
 	r := newRig(t, s)
 	asked := func() (n int) {
 		for _, a := range r.other {
@@ -746,7 +746,7 @@
 		t.Fatalf("asked %d times at the start, want 1", asked())
 	}
 	for range 4 {
-		r.do(Members{Scope: ListAskError})
+		r.do(EndpointUpdate{Scope: ListError})
 		before, at := asked(), r.now
 		for asked() == before && r.now < at+20*time.Second {
 			r.pass(5 * ms)
@@ -755,7 +755,7 @@
 			t.Errorf("asked again %d times after %v", asked()-before, r.now-at)
 		}
 	}
-	r.do(Members{Scope: ListWhole, Entries: []Entry{{Endpoint: "a", Destination: 1, CapacityHint: 50}}})
+	r.do(EndpointUpdate{Scope: ListWhole, Entries: []Entry{{Endpoint: "a", Destination: 1, CapacityHint: 50}}})
 	before := asked()
 	r.submit("safe", 9, 0)
 	r.pass(5 * time.Second)
@@ -783,7 +783,7 @@
 			now := time.Duration(i) * 20 * ms
 			in := []Event{Timer{Cookie: 1}}
 			if i == 0 {
-				in = append(in, Members{Scope: ListSaved, Entries: []Entry{
+				in = append(in, EndpointUpdate{Scope: ListSaved, Entries: []Entry{
 					{Endpoint: "a", Zone: prefix + "z", Kind: prefix + "routes", Destination: 1, CapacityHint: 9},
 					{Endpoint: "b", Zone: prefix + "z", Kind: prefix + "routes", Destination: 1, CapacityHint: 9},
 					{Endpoint: "c", Zone: prefix + "z", Kind: prefix + "shared", Destination: 2, CapacityHint: 9},
@@ -791,7 +791,7 @@
 			}
 			in = append(in, Submit{
 				ID: MessageID(i), Class: s.Classes[i%5].Name, Tenant: prefix + "t", Key: OrderKey(i%3 + 1),
-				Left: 6 * time.Second, Destination: DestinationID(1 + i%2),
+				TimeLeft: 6 * time.Second, Destination: DestinationID(1 + i%2),
 			})
 			if i > 3 {
 				in = append(in, Answer{ID: MessageID(i - 4), Endpoint: "a", Outcome: Outcome(i % 6), Latency: 80 * ms})
@@ -838,7 +838,7 @@
 func TestIdleConnectionsAreKeptUntilATableIsFull(t *testing.T) {
 	for _, couriers := range []int{3, 60} {
 		s := testSettings()
-		s.Couriers = couriers
+		s.Forwarders = couriers
 		r := newRig(t, s)
 		r.submit("safe", 1, 0)
 		r.answer(r.last(), OK, 0)
@@ -851,7 +851,7 @@
 		r.pass(2 * time.Second)
 		r.other = nil
 		r.answer(r.last(), OK, 0)
-		if len(r.other) != 1 || r.other[0] != (Close{Endpoint: "a"}) {
+		if len(r.other) != 1 || r.other[0] != (CloseIdle{Endpoint: "a"}) {
 			t.Errorf("%d couriers: %v after use beside a full table", couriers, r.other)
 		}
 	}
@@ -864,7 +864,7 @@
 	for _, n := range []int{2, 50, 400} {
 		const rate, load, outage = 60.0, 0.6, 12 * time.Second
 		s := testSettings()
-		s.Couriers = n
+		s.Forwarders = n
 		var rigs []*rig
 		for i := range n {
 			rigSeed = uint64(1000 + i)
@@ -916,13 +916,13 @@
 // A told wait ends for all couriers at once: those that saw an outage don't all call at that moment.
 func TestManyCouriersDontReturnTogetherAfterAToldWait(t *testing.T) {
 	s := testSettings()
-	s.Couriers = 200
+	s.Forwarders = 200
 	at := map[time.Duration]int{}
 	for i := range 200 {
 		rigSeed = uint64(i)
 		r := newRig(t, s)
 		r.submit("keyed", 1, 0)
-		r.answer(r.last(), Full, 10*time.Second)
+		r.answer(r.last(), Refused, 10*time.Second)
 		r.pass(10 * time.Second)
 		before := r.now
 		if len(r.sends) > 1 {
--- a/shared_test.go
+++ b/shared_test.go
@@ -18,7 +18,7 @@
 		r.next++
 		for _, c := range r.d.s.Classes {
 			if c.Name == class {
-				in = append(in, Submit{ID: r.next, Class: class, Destination: 1, Left: c.GiveUp})
+				in = append(in, Submit{ID: r.next, Class: class, Destination: 1, TimeLeft: c.DeliveryTimeout})
 			}
 		}
 	}
@@ -31,7 +31,7 @@
 	for _, s := range sends {
 		in = append(in, Answer{
 			ID: s.ID, Attempt: r.sent[s.ID] - 1, Endpoint: s.Endpoint, Outcome: o,
-			Latency: 50 * ms, Wait: wait, Settled: o == OK,
+			Latency: 50 * ms, RetryAfter: wait, Settled: o == OK,
 		})
 	}
 	return r.do(in...)
@@ -78,7 +78,7 @@
 	}
 	var in []Event
 	for i, class := range []string{"safe", "keyed", "unsafe"} {
-		in = append(in, Submit{ID: MessageID(100 + i), Class: class, Destination: 1, Left: 6 * time.Second})
+		in = append(in, Submit{ID: MessageID(100 + i), Class: class, Destination: 1, TimeLeft: 6 * time.Second})
 	}
 	mixed := r.do(in...)
 	if len(mixed) != 3 || r.d.slotsUsed != 1 {
@@ -124,9 +124,9 @@
 // Messages of one call are cut at their own deadlines, and the wait told with any of them holds.
 func TestSharedCallWithDifferentDeadlines(t *testing.T) {
 	r := newRig(t, sharedSettings(20))
-	sends := r.do(Submit{ID: 1, Class: "safe", Destination: 1, Left: 700 * ms},
-		Submit{ID: 2, Class: "unsafe", Destination: 1, Left: 20 * time.Second},
-		Submit{ID: 3, Class: "safe", Destination: 1, Left: 6 * time.Second})
+	sends := r.do(Submit{ID: 1, Class: "safe", Destination: 1, TimeLeft: 700 * ms},
+		Submit{ID: 2, Class: "unsafe", Destination: 1, TimeLeft: 20 * time.Second},
+		Submit{ID: 3, Class: "safe", Destination: 1, TimeLeft: 6 * time.Second})
 	if len(sends) != 3 {
 		t.Fatalf("%d sent", len(sends))
 	}
@@ -135,7 +135,7 @@
 			t.Errorf("message %d is cut at %v, its deadline is %v", s.ID, s.CutAt-r.now, most-r.now)
 		}
 	}
-	r.do(Answer{ID: 3, Endpoint: "a", Outcome: Full, Latency: ms}, Answer{ID: 2, Endpoint: "a", Outcome: Full, Latency: ms, Wait: 2 * time.Second})
+	r.do(Answer{ID: 3, Endpoint: "a", Outcome: Refused, Latency: ms}, Answer{ID: 2, Endpoint: "a", Outcome: Refused, Latency: ms, RetryAfter: 2 * time.Second})
 	if more := r.pass(1990 * ms); len(more) > 0 {
 		t.Errorf("sent inside the wait told with the second answer: %v", more)
 	}
@@ -148,7 +148,7 @@
 	if len(r.together("keyed", 1)) != 1 {
 		t.Fatal("gathered with no refusal seen")
 	}
-	r.answer(r.last(), Full, 0)
+	r.answer(r.last(), Refused, 0)
 	r.settle(always(OK))
 	r.pass(1500 * ms) // its repeat
 	r.settle(always(OK))
@@ -202,16 +202,16 @@
 	}{
 		"attempts used up": {"safe", 6 * time.Second, func(r *rig, s Send) {
 			r.d.s.MaxAttempts = 1
-			r.answer(s, Full, 0)
+			r.answer(s, Refused, 0)
 		}, "refuse"},
 		"unsafe message that may have run": {"unsafe", 20 * time.Second, func(r *rig, s Send) { r.answer(s, Reset, 0) }, "fail"},
 		"told wait past the deadline": {"safe", 6 * time.Second, func(r *rig, s Send) {
-			r.answer(s, Full, 7*time.Second)
+			r.answer(s, Refused, 7*time.Second)
 		}, "refuse"},
 		"told wait past the key's life": {"keyed", 20 * time.Second, func(r *rig, s Send) {
 			r.answer(s, Failed, 0)
 			r.pass(time.Second)
-			r.answer(r.last(), Full, 6*time.Second)
+			r.answer(r.last(), Refused, 6*time.Second)
 		}, "refuse"},
 		"key forgotten": {"keyed", 20 * time.Second, func(r *rig, s Send) {
 			r.now += 5 * time.Second
@@ -220,13 +220,13 @@
 		"guard's gap past the deadline": {"safe", 6 * time.Second, func(r *rig, s Send) {
 			l := r.d.dests[1].lanes[0]
 			l.guard, l.guardFrom, l.guardSince, l.hint = true, -1, r.now-20*time.Second, 0.1
-			r.answer(s, Full, 0)
+			r.answer(s, Refused, 0)
 		}, "refuse"},
 	} {
 		s := testSettings()
-		s.TellRetryAfter, s.MaxRetryAfter = true, 2*time.Second
+		s.SendRetryAfter, s.MaxRetryAfter = true, 2*time.Second
 		r := newRig(t, s)
-		r.do(Submit{ID: 77, Class: c.class, Destination: 1, Left: c.left})
+		r.do(Submit{ID: 77, Class: c.class, Destination: 1, TimeLeft: c.left})
 		c.spoil(r, r.last())
 		if got := r.ended(77); got != c.want {
 			t.Errorf("%s: %q at once, want %q", name, got, c.want)
@@ -246,7 +246,7 @@
 		want string
 	}{{time.Second, "refuse"}, {3500 * ms, "fail"}} {
 		s := testSettings()
-		s.TellRetryAfter, s.MaxRetryAfter, s.MaxAttempts = true, 2*time.Second, 1
+		s.SendRetryAfter, s.MaxRetryAfter, s.MaxAttempts = true, 2*time.Second, 1
 		r := newRig(t, s)
 		id := r.submit("keyed", 1, 0)
 		sent := r.last()
@@ -263,7 +263,7 @@
 // one, over all couriers, and no fixed figure stands for both.
 func TestUnknownRatesFollowWhatIsServed(t *testing.T) {
 	s := testSettings()
-	s.HintKnown, s.Couriers = false, 100
+	s.UseCapacityHints, s.Forwarders = false, 100
 	r := newRig(t, s, Entry{Endpoint: "a", Destination: 1, CapacityHint: 1}, Entry{Endpoint: "b", Destination: 2, CapacityHint: 1})
 	for range 100 {
 		r.submit("safe", 1, 0)
@@ -320,7 +320,7 @@
 		"a tripped lane": func(d *Decider, l *lane) { d.trip(l, "test") },
 	} {
 		s := testSettings()
-		s.Couriers, s.ColdFrom = 50, 0.1
+		s.Forwarders, s.ColdFrom = 50, 0.1
 		r := newRig(t, s)
 		l := r.d.dests[1].lanes[0]
 		l.left = 0.1
@@ -349,7 +349,7 @@
 				Entry{Endpoint: "z", Destination: 2, CapacityHint: 50})
 			if tells {
 				r.submit("safe", 2, 0)
-				r.answer(r.last(), Full, 100*ms)
+				r.answer(r.last(), Refused, 100*ms)
 			}
 			l := r.d.dests[1].lanes[0]
 			l.left = left
@@ -378,7 +378,7 @@
 	l.cap = 10
 	r.together("safe", 1) // out at a
 	l.waitUntil = r.now + 100*ms
-	r.do(Submit{ID: 50, Class: "safe", Destination: 1, Left: 6 * time.Second}) // the first among equals
+	r.do(Submit{ID: 50, Class: "safe", Destination: 1, TimeLeft: 6 * time.Second}) // the first among equals
 	r.d.msgs[50].avoid = r.d.eps["b"]
 	r.together("safe", 7)
 	sends := r.pass(150 * ms)
--- a/snapshot.go
+++ b/snapshot.go
@@ -17,19 +17,19 @@
 const (
 	BreakerClosed Breaker = iota
 	BreakerOpen
-	BreakerTrying // half open
+	BreakerHalfOpen // half open
 )
 
-// Learned is what a courier has learned. Times are told as ago, or as left.
-type Learned struct {
-	Lanes   []LearnedLane
-	Classes []LearnedClass
-	Lost    LearnedLosses
+// LearnedState is what a courier has learned. Times are told as ago, or as left.
+type LearnedState struct {
+	Circuits []LearnedCircuit
+	Classes  []LearnedClass
+	Losses   LossCounts
 }
 
-// LearnedLane is what was learned of a destination, or of one route where routes are apart, or of its endpoints in one zone ("in z")
+// LearnedCircuit is what was learned of a destination, or of one route where routes are apart, or of its endpoints in one zone ("in z")
 // where places are separate.
-type LearnedLane struct {
+type LearnedCircuit struct {
 	Destination DestinationID
 	Endpoint    EndpointID    // of a route; "" is the whole destination
 	Endpoints   []EndpointID  // that were listed: it holds only where one of them still is
@@ -56,17 +56,17 @@
 
 // LearnedClass is what was learned of a class.
 type LearnedClass struct {
-	Name  string
-	Mean  float64 // seconds that a call takes at a lane of pace 1
-	Trust float64
+	Name        string
+	MeanSeconds float64 // seconds that a call takes at a lane of pace 1
+	Trust       float64
 }
 
-// LearnedLosses are the tallies that tell a dead connection or a chance failure from one that speaks of an endpoint. Each is
+// LossCounts are the tallies that tell a dead connection or a chance failure from one that speaks of an endpoint. Each is
 // calls, and how many of them were lost.
-type LearnedLosses struct {
-	Paused, Others, OnKept, OnFresh, StrayBad, StrayFull [2]float64
-	IdleBound                                            time.Duration // connections that idled longer are taken for dead; 0 is none known
-	Tells                                                bool          // a refusal has told a wait
+type LossCounts struct {
+	AfterIdle, Others, ReusedConn, NewConn, StrayFailures, StrayRefusals [2]float64
+	IdleLimit                                                            time.Duration // connections that idled longer are taken for dead; 0 is none known
+	RetryAfterSeen                                                       bool          // a refusal has told a wait
 }
 
 // laneName names a lane over lives.
@@ -85,9 +85,9 @@
 	return laneName{destination: l.dest.id}
 }
 
-// Learned gives what was learned up to now.
-func (d *Decider) Learned(now time.Duration) Learned {
-	var out Learned
+// Snapshot gives what was learned up to now.
+func (d *Decider) Snapshot(now time.Duration) LearnedState {
+	var out LearnedState
 	ago := func(at time.Duration) time.Duration { return max(0, now-at) }
 	for _, dest := range d.dests {
 		for _, l := range dest.lanes {
@@ -104,7 +104,7 @@
 				continue
 			}
 			name := d.nameOf(l)
-			f := LearnedLane{
+			f := LearnedCircuit{
 				Destination: name.destination, Endpoint: name.endpoint, Seen: ago(seen), Breaker: Breaker(l.state),
 				OpenFor: l.openFor, OpenLeft: max(0, l.openUntil-now), Wait: max(0, l.waitUntil-now), Rate: l.rate, Limit: l.x1,
 				Pace: l.pace, Cap: l.cap, Guard: l.guard, Weak: l.weak, GuardSince: ago(l.guardSince), GuardFrom: -1,
@@ -126,50 +126,50 @@
 				f.Endpoints = append(f.Endpoints, ep.id)
 			}
 			slices.Sort(f.Endpoints)
-			out.Lanes = append(out.Lanes, f)
+			out.Circuits = append(out.Circuits, f)
 		}
 	}
-	slices.SortFunc(out.Lanes, func(a, b LearnedLane) int {
+	slices.SortFunc(out.Circuits, func(a, b LearnedCircuit) int {
 		return cmp.Or(cmp.Compare(a.Destination, b.Destination), cmp.Compare(a.Endpoint, b.Endpoint))
 	})
 	for _, c := range d.s.Classes {
-		out.Classes = append(out.Classes, LearnedClass{Name: c.Name, Mean: d.classes[c.Name].mean, Trust: 1})
+		out.Classes = append(out.Classes, LearnedClass{Name: c.Name, MeanSeconds: d.classes[c.Name].mean, Trust: 1})
 	}
 	two := func(t tally) [2]float64 { return [2]float64{t.n, t.lost} }
-	out.Lost = LearnedLosses{
-		Paused: two(d.paused), Others: two(d.others), OnKept: two(d.onKept), OnFresh: two(d.onFresh),
-		StrayBad: two(d.strayBad), StrayFull: two(d.strayFull), IdleBound: d.idleBound, Tells: d.tells,
+	out.Losses = LossCounts{
+		AfterIdle: two(d.paused), Others: two(d.others), ReusedConn: two(d.onKept), NewConn: two(d.onFresh),
+		StrayFailures: two(d.strayBad), StrayRefusals: two(d.strayFull), IdleLimit: d.idleBound, RetryAfterSeen: d.tells,
 	}
 	return out
 }
 
-// Recall has the courier start from what an earlier life had learned. It comes before the first Members; each lane takes its
+// Restore has the courier start from what an earlier life had learned. It comes before the first Members; each lane takes its
 // part up when an endpoint that it had then is listed.
-func (d *Decider) Recall(now time.Duration, l Learned) {
+func (d *Decider) Restore(now time.Duration, l LearnedState) {
 	d.now = now
-	d.recalled = map[laneName]LearnedLane{}
-	for _, f := range l.Lanes {
+	d.recalled = map[laneName]LearnedCircuit{}
+	for _, f := range l.Circuits {
 		d.recalled[laneName{f.Destination, f.Endpoint}] = f
 	}
 	for _, f := range l.Classes {
-		if c := d.classes[f.Name]; c != nil && f.Mean > 0 {
-			c.mean = toward(c.mean, f.Mean, f.Trust)
+		if c := d.classes[f.Name]; c != nil && f.MeanSeconds > 0 {
+			c.mean = toward(c.mean, f.MeanSeconds, f.Trust)
 		}
 	}
 	one := func(t [2]float64) tally { return tally{n: t[0], lost: t[1]} }
-	d.paused, d.others, d.onKept, d.onFresh = one(l.Lost.Paused), one(l.Lost.Others), one(l.Lost.OnKept), one(l.Lost.OnFresh)
-	d.strayBad, d.strayFull, d.tells = one(l.Lost.StrayBad), one(l.Lost.StrayFull), l.Lost.Tells
-	if d.idleBound = l.Lost.IdleBound; d.idleBound > 0 {
+	d.paused, d.others, d.onKept, d.onFresh = one(l.Losses.AfterIdle), one(l.Losses.Others), one(l.Losses.ReusedConn), one(l.Losses.NewConn)
+	d.strayBad, d.strayFull, d.tells = one(l.Losses.StrayFailures), one(l.Losses.StrayRefusals), l.Losses.RetryAfterSeen
+	if d.idleBound = l.Losses.IdleLimit; d.idleBound > 0 {
 		d.idleHitAt = now
 	}
 }
 
-// Hear has the courier heed what others have learned of destinations that it knows, beside what it sees itself: a told wait, a
+// ApplyObservations has the courier heed what others have learned of destinations that it knows, beside what it sees itself: a told wait, a
 // limit where it was told none, believed as far as Trust says and never further than hearFactor off the list, and care as after
 // an outage. It is told all that holds at the moment; a limit that is missing has lapsed.
-func (d *Decider) Hear(now time.Duration, lanes []LearnedLane) {
+func (d *Decider) ApplyObservations(now time.Duration, lanes []LearnedCircuit) {
 	d.now = now
-	told := make(map[laneName]LearnedLane, len(lanes))
+	told := make(map[laneName]LearnedCircuit, len(lanes))
 	for _, f := range lanes {
 		told[laneName{f.Destination, f.Endpoint}] = f
 	}
@@ -196,8 +196,8 @@
 	}
 }
 
-// Wait has a whole destination wait, whichever of its endpoints told so.
-func (d *Decider) Wait(now time.Duration, id DestinationID, wait time.Duration) {
+// ApplyRetryAfter has a whole destination wait, whichever of its endpoints told so.
+func (d *Decider) ApplyRetryAfter(now time.Duration, id DestinationID, wait time.Duration) {
 	if dest := d.dests[id]; dest != nil {
 		for _, l := range dest.lanes {
 			l.waitUntil = max(l.waitUntil, now+wait)
--- a/state.go
+++ b/state.go
@@ -279,8 +279,8 @@
 	askAt     time.Duration // when to ask for the list next; 0 is never
 	askWait   time.Duration
 	shedLogAt time.Duration
-	closeAt   time.Duration            // when this life ends; 0 is not known
-	recalled  map[laneName]LearnedLane // of an earlier life, not taken up yet
+	closeAt   time.Duration               // when this life ends; 0 is not known
+	recalled  map[laneName]LearnedCircuit // of an earlier life, not taken up yet
 }
 
 // enqueue gives a message of an ordered class its turn.
@@ -309,11 +309,11 @@
 	d.growth = growthFirst
 	for _, c := range s.Classes {
 		d.classes[c.Name] = &classState{Class: c, mean: firstGuess * c.Target.Seconds()}
-		d.longest = max(d.longest, c.GiveUp)
+		d.longest = max(d.longest, c.DeliveryTimeout)
 		d.meanWorth += c.Worth / float64(len(s.Classes))
 	}
 	for _, t := range s.Tenants {
-		rate := t.AllowancePerS / float64(s.Couriers)
+		rate := t.AllowancePerS / float64(s.Forwarders)
 		d.tenants[t.Name] = &tenantState{rate: rate, bucket: math.Max(1, rate*tenantDepth.Seconds())}
 	}
 	return d, nil
@@ -342,7 +342,7 @@
 		ep = d.remember(en)
 	}
 	if ep != nil && en.Readiness == Serving {
-		ep.lane.due = en.Due
+		ep.lane.due = en.TryNext
 	}
 	return ep
 }
@@ -364,7 +364,7 @@
 	dest := d.dest(en.Destination)
 	var l *lane
 	place := ""
-	if d.s.SeparatePlaces {
+	if d.s.SeparateZones {
 		place = en.Zone
 	}
 	i := slices.IndexFunc(dest.lanes, func(l *lane) bool { return l.place == place })
