--- a/cmd/larkreach/main.go
+++ b/cmd/larkreach/main.go
@@ -103,13 +103,13 @@
 	discovery := transport.NewAddress(cfg.Discovery)
 	reporter := transport.NewReporter(discovery, logger)
 	setup := routing.Config{
-		Settings: cfg.Settings, Seed: cfg.Seed, Known: listOf(cfg.Known, true), Log: journal,
-		Caller: caller{endpoints}, Notifier: notifier{reporter}, Logger: logger, Samples: samples, Drain: drainFor, Settle: settleFor,
+		Settings: cfg.Settings, Seed: cfg.Seed, InitialList: listOf(cfg.Known, true), Log: journal,
+		Caller: caller{endpoints}, Notifier: notifier{reporter}, Logger: logger, Sampler: samples, DrainTimeout: drainFor, ClientGrace: settleFor,
 		Long: long,
 	}
 	if remembered != nil {
 		learned := remembered.Learned()
-		setup.Recall, setup.Past = &learned, remembered.Ended
+		setup.Learned, setup.EndedBefore = &learned, remembered.Ended
 	}
 	var part fleet
 	if own.Cluster != nil {
@@ -119,7 +119,7 @@
 		}
 		defer part.Close()
 		journal.Tap(part.Tap)
-		setup.Guard, setup.Steering, setup.Limiter = part, part.Steering(), part.Limiter()
+		setup.Replication, setup.Steering, setup.Limiter = part, part.Steering(), part.Limiter()
 	}
 	router, err := routing.New(setup)
 	if err != nil {
@@ -163,7 +163,7 @@
 
 // fleet is this forwarder's part in a fleet that keeps copies of what each owes; see fleet_on.go.
 type fleet interface {
-	routing.Guard
+	routing.Replication
 	Steering() routing.Steering
 	Limiter() routing.Limiter
 	Tap(payload []byte)
@@ -233,7 +233,7 @@
 	l, ids := router.Learned()
 	s := memory.Snapshot{Learned: l}
 	for _, id := range ids {
-		s.Ended = append(s.Ended, memory.Ended{ID: id.ID, Delivered: id.Delivered, Ago: id.Ago})
+		s.Ended = append(s.Ended, memory.Ended{ID: id.ID, Delivered: id.Delivered, Ago: id.Age})
 	}
 	return s
 }
@@ -256,11 +256,11 @@
 	if b == nil {
 		return routing.LongLimits{}, nil, 0, nil
 	}
-	limits := routing.LongLimits{Most: b.AtOnce(), Slots: b.Slots, Longest: time.Duration(b.Longest)}
-	files := limits.Most + filesPerLong*limits.Slots
+	limits := routing.LongLimits{MaxMessages: b.AtOnce(), Slots: b.Slots, MaxTTL: time.Duration(b.Longest)}
+	files := limits.MaxMessages + filesPerLong*limits.Slots
 	if files > l.Sockets/2 {
 		return limits, nil, 0, fmt.Errorf("settings: bodies.total: %d long messages at once and %d calls take more than half of"+
-			" the %d descriptors", limits.Most, limits.Slots, l.Sockets)
+			" the %d descriptors", limits.MaxMessages, limits.Slots, l.Sockets)
 	}
 	if share := int64(heapShare * float64(l.MemoryMB<<20)); int64(b.Total) > share {
 		return limits, nil, 0, fmt.Errorf("settings: bodies.total: %d bytes of %d that may be held in all", b.Total, share)
--- a/cmd/larkreach/wiring.go
+++ b/cmd/larkreach/wiring.go
@@ -20,14 +20,14 @@
 
 func (d handler) Take(h protocol.Handover) (*protocol.Refusal, func()) {
 	id := string(h.ID)
-	v := d.router.Take(routing.Message{
-		ID: id, Key: string(h.Key), Class: string(h.Class), Destination: h.Destination, Left: h.Left,
+	v := d.router.Accept(routing.Message{
+		ID: id, Key: string(h.Key), Class: string(h.Class), Destination: h.Destination, TTL: h.Left,
 		Body: bytes.Clone(h.Body),
 	})
 	switch v.Kind {
-	case routing.Taken:
-		return nil, func() { d.router.Withdraw(id) }
-	case routing.Known:
+	case routing.Accepted:
+		return nil, func() { d.router.CancelMessage(id) }
+	case routing.AlreadyAccepted:
 		return nil, nil // whoever handed it in first has been told
 	}
 	return refusal(v), nil
@@ -35,11 +35,11 @@
 
 func (d handler) Pass(h protocol.Handover, up *transport.Upload) (*protocol.Refusal, <-chan transport.Passed) {
 	done := make(chan transport.Passed, 1) // the router does not wait
-	v := d.router.Pass(routing.Message{
-		ID: string(h.ID), Key: string(h.Key), Class: string(h.Class), Destination: h.Destination, Left: h.Left,
-		Long: &routing.Long{Source: up, Ended: func(e routing.Ending) { done <- passed(e) }},
+	v := d.router.AcceptLong(routing.Message{
+		ID: string(h.ID), Key: string(h.Key), Class: string(h.Class), Destination: h.Destination, TTL: h.Left,
+		Long: &routing.Long{BodySource: up, OnEnd: func(e routing.LongResult) { done <- passed(e) }},
 	})
-	if v.Kind == routing.Taken {
+	if v.Kind == routing.Accepted {
 		return nil, done
 	}
 	return refusal(v), nil
@@ -50,13 +50,13 @@
 	switch v.Kind {
 	case routing.Failed:
 		return &protocol.Refusal{Status: 504, Reason: "can't be delivered"}
-	case routing.Ended:
+	case routing.AlreadyEnded:
 		return &protocol.Refusal{Status: 409, Reason: "this id has ended"}
 	case routing.UnknownClass:
 		return &protocol.Refusal{Status: 422, Reason: "unknown class", Close: true}
 	case routing.UnknownDestination:
 		return &protocol.Refusal{Status: 422, Reason: "unknown destination", Close: true}
-	case routing.Unsure: // no answer is the only true one
+	case routing.Unconfirmed: // no answer is the only true one
 		return &protocol.Refusal{Close: true}
 	case routing.Stopped:
 		return &protocol.Refusal{Status: 503, Reason: "going down", RetryAfter: v.RetryAfter, Close: true}
@@ -65,8 +65,8 @@
 }
 
 // passed is the answer to a long message that was taken on and has ended.
-func passed(e routing.Ending) transport.Passed {
-	if e.Kind == routing.Known {
+func passed(e routing.LongResult) transport.Passed {
+	if e.Kind == routing.AlreadyAccepted {
 		return transport.Passed{}
 	}
 	r := &protocol.Refusal{Status: 502, Reason: "not delivered", Run: protocol.NeverRan, Close: true}
@@ -79,18 +79,18 @@
 		if !e.MayHaveRun {
 			r.Status, r.Reason = 503, "come again"
 		}
-	case e.TimeUp:
+	case e.TimedOut:
 		r.Status = 504
 	}
-	return transport.Passed{Refusal: r, Told: e.Told}
+	return transport.Passed{Refusal: r, Told: e.ClientAnswered}
 }
 
 // notifier passes the router's notices to the reporter.
 type notifier struct{ reporter *transport.Reporter }
 
-func (n notifier) Notify(x routing.Notice) {
+func (n notifier) Notify(x routing.DeliveryReport) {
 	n.reporter.Add(transport.Pending{
-		Notice: protocol.Notice{ID: x.ID, HandedBack: x.HandedBack, RetryAfter: x.RetryAfter}, Done: x.Done, May: x.May,
+		Notice: protocol.Notice{ID: x.ID, HandedBack: x.Returned, RetryAfter: x.RetryAfter}, Done: x.Done, May: x.MaySend,
 	})
 }
 
@@ -100,18 +100,18 @@
 func (i caller) CloseIdle(endpoint string) { i.endpoints.CloseIdle(endpoint) }
 
 func (i caller) Call(ctx context.Context, c routing.Attempt) routing.Result {
-	if up, long := c.Source.(*transport.Upload); long {
+	if up, long := c.BodySource.(*transport.Upload); long {
 		return i.pass(ctx, c, up)
 	}
 	r := i.endpoints.Call(ctx, transport.Call{
 		Call: protocol.Call{ID: c.ID, Key: c.Key, Host: c.Address, Body: c.Body},
-		Name: c.Endpoint, Address: c.Address, Fresh: c.Fresh, Begin: c.Begin,
+		Name: c.Endpoint, Address: c.Address, Fresh: c.NewConnection, Begin: c.Begin,
 	})
 	res := routing.Result{Outcome: ends[r.End]}
 	if r.End == transport.Answered {
 		res = result(r.Reply)
 	}
-	res.Kept = r.Kept
+	res.ReusedConnection = r.Kept
 	return res
 }
 
@@ -120,9 +120,9 @@
 	r := i.endpoints.Pass(ctx, transport.Passage{
 		Call: transport.Call{
 			Call: protocol.Call{ID: c.ID, Key: c.Key, Host: c.Address},
-			Name: c.Endpoint, Address: c.Address, Fresh: c.Fresh, Begin: c.Begin,
+			Name: c.Endpoint, Address: c.Address, Fresh: c.NewConnection, Begin: c.Begin,
 		},
-		Upload: up, Settle: c.Settle,
+		Upload: up, Settle: c.RecordDelivery,
 	})
 	res := routing.Result{Outcome: passEnds[r.End]}
 	switch {
@@ -135,7 +135,7 @@
 	case !r.Begun:
 		res.Outcome = mb.Moot
 	}
-	res.Kept, res.Spent = r.Kept, !r.Again
+	res.ReusedConnection, res.BodyConsumed = r.Kept, !r.Again
 	return res
 }
 
@@ -164,7 +164,7 @@
 	case 200:
 		res.Outcome = mb.OK
 	case 429:
-		res.Outcome, res.Wait = mb.Full, r.Wait
+		res.Outcome, res.RetryAfter = mb.Full, r.Wait
 	case 503:
 		if res.Outcome = mb.Full; r.OverSlots {
 			res.Outcome = mb.Moot
@@ -172,7 +172,7 @@
 	case 504:
 		res.Outcome = mb.Moot
 	case 410:
-		res.Outcome, res.Over = mb.Moot, true
+		res.Outcome, res.Final = mb.Moot, true
 	default:
 		res.Outcome = mb.Failed
 	}
@@ -184,11 +184,11 @@
 }
 
 // listOf puts discovery's list in the router's terms.
-func listOf(d protocol.List, saved bool) routing.List {
-	out := routing.List{Whole: d.Whole, Saved: saved}
+func listOf(d protocol.List, saved bool) routing.EndpointList {
+	out := routing.EndpointList{Whole: d.Whole, Saved: saved}
 	for _, p := range d.Endpoints {
 		out.Endpoints = append(out.Endpoints, routing.Endpoint{
-			Name: p.Name, Address: p.Address, Zone: p.Zone, Kind: p.Kind, Group: p.Group, Weight: p.Weight,
+			Name: p.Name, Address: p.Address, Zone: p.Zone, Kind: p.Kind, Destination: p.Group, Weight: p.Weight,
 			State: states[p.Status],
 		})
 	}
--- a/internal/cluster/node/configuration.go
+++ b/internal/cluster/node/configuration.go
@@ -93,7 +93,7 @@
 			state = mb.Draining
 		}
 		out = append(out, routing.Endpoint{
-			Name: e.Name, Address: e.Address, Group: d.Number, Zone: e.Zone, Kind: e.Kind, Weight: e.Capacity, State: state,
+			Name: e.Name, Address: e.Address, Destination: d.Number, Zone: e.Zone, Kind: e.Kind, Weight: e.Capacity, State: state,
 		})
 	}
 	return out
--- a/internal/cluster/node/configuration_test.go
+++ b/internal/cluster/node/configuration_test.go
@@ -19,7 +19,7 @@
 
 func (silent) Call(context.Context, routing.Attempt) routing.Result { return routing.Result{} }
 func (silent) CloseIdle(string)                                     {}
-func (silent) Notify(routing.Notice)                                {}
+func (silent) Notify(routing.DeliveryReport)                        {}
 
 // newAlone opens a member that is the only voter, with its control plane running and nothing else.
 func newAlone(t *testing.T) *Node {
--- a/internal/cluster/node/facts.go
+++ b/internal/cluster/node/facts.go
@@ -106,7 +106,7 @@
 		if state != listed {
 			others, listed = othersOf(state, n.cfg.Name), state
 		}
-		n.router.Hear(func(own []mb.LearnedLane) []mb.LearnedLane {
+		n.router.ApplyObservations(func(own []mb.LearnedLane) []mb.LearnedLane {
 			n.talk.mu.Lock()
 			defer n.talk.mu.Unlock()
 			n.talk.book.Rebirth(mine.Number)
@@ -178,7 +178,7 @@
 
 // Facts tells it.
 func (s statusRPC) Facts(_ bool, out *FactsStatus) error {
-	s.n.router.Hear(func(own []mb.LearnedLane) []mb.LearnedLane {
+	s.n.router.ApplyObservations(func(own []mb.LearnedLane) []mb.LearnedLane {
 		s.n.talk.mu.Lock()
 		defer s.n.talk.mu.Unlock()
 		now := s.n.now()
--- a/internal/cluster/node/lives.go
+++ b/internal/cluster/node/lives.go
@@ -100,7 +100,7 @@
 // thaw tells the router which messages are its own.
 func (n *Node) thaw(before, mine controlplane.Life, state *controlplane.State) {
 	kept := before.Number == 0 || state.Holder(before) == mine
-	n.router.Thaw(func(m *wal.Message) bool {
+	n.router.Continue(func(m *wal.Message) bool {
 		if m.Owner != "" && state.Holder(controlplane.Life{Name: m.Owner, Number: m.Life}) != mine {
 			return false // it was never this forwarder's, or is not any more
 		}
@@ -124,7 +124,7 @@
 		n.figures.LeasesLost++
 		n.mu.Unlock()
 		n.cfg.Logger.Warn().Str("part", "node").Msg("no lease: what others hold copies of is left alone")
-		n.router.Freeze()
+		n.router.Suspend()
 	}
 }
 
--- a/internal/cluster/node/node.go
+++ b/internal/cluster/node/node.go
@@ -334,8 +334,8 @@
 	n.nudge()
 }
 
-// Mark is the latest record's place in the log that goes to keepers.
-func (n *Node) Mark() uint64 {
+// LogPosition is the latest record's place in the log that goes to keepers.
+func (n *Node) LogPosition() uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.owner == nil {
@@ -344,12 +344,12 @@
 	return n.owner.Latest()
 }
 
-// Strict says that a class's calls begin only when keepers know of it.
-func (n *Node) Strict(class string) bool { return !n.cfg.Alone[class] && n.cfg.Copies > 1 }
+// ReplicatesStarts says that a class's calls begin only when keepers know of it.
+func (n *Node) ReplicatesStarts(class string) bool { return !n.cfg.Alone[class] && n.cfg.Copies > 1 }
 
-// Ready says whether a message of a class can be taken on: a strict one needs somebody in reach to keep it.
-func (n *Node) Ready(class string) bool {
-	if !n.Strict(class) {
+// CanAccept says whether a message of a class can be taken on: a strict one needs somebody in reach to keep it.
+func (n *Node) CanAccept(class string) bool {
+	if !n.ReplicatesStarts(class) {
 		return true
 	}
 	n.mu.Lock()
@@ -357,15 +357,15 @@
 	return n.reachable()
 }
 
-// Holds says whether all who count have the log up to a mark, or nobody does who could take over.
-func (n *Node) Holds(mark uint64, class string) bool {
+// Replicated says whether all who count have the log up to a mark, or nobody does who could take over.
+func (n *Node) Replicated(mark uint64, class string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cfg.Copies <= 1 || n.owner != nil && (n.owner.Held() >= mark || len(n.owner.Counted()) == 0 || n.cfg.Alone[class] && !n.reachable())
 }
 
-// Held waits until all who count have the log up to a mark.
-func (n *Node) Held(mark uint64, class string) (alone bool, err error) {
+// WaitReplicated waits until all who count have the log up to a mark.
+func (n *Node) WaitReplicated(mark uint64, class string) (alone bool, err error) {
 	n.mu.Lock()
 	switch {
 	case n.cfg.Copies <= 1:
@@ -599,7 +599,7 @@
 			records = append(records, wal.CondensePast(p))
 		}
 	}
-	served := n.router.Past(add, func(log *wal.Log, rest []wal.Past) { // no record is journalled between the two
+	served := n.router.EndedIDs(add, func(log *wal.Log, rest []wal.Past) { // no record is journalled between the two
 		add(rest)
 		held, err := log.Snapshot()
 		if err != nil {
--- a/internal/cluster/node/node_test.go
+++ b/internal/cluster/node/node_test.go
@@ -25,7 +25,7 @@
 		}
 		got := make(chan answer, 1)
 		go func() {
-			alone, err := n.Held(5, class)
+			alone, err := n.WaitReplicated(5, class)
 			got <- answer{alone, err}
 		}()
 		waiting := func() int {
--- a/internal/cluster/node/plans.go
+++ b/internal/cluster/node/plans.go
@@ -86,16 +86,16 @@
 	s.report = plan.Report{Place: s.n.cfg.Zone, Span: s.cfg.Window, Demand: map[int64]float64{}, Paths: map[plan.Path]plan.Tally{}}
 }
 
-// Handed counts what is asked for, and turns away what the plan has no room for.
-func (s *steering) Handed(destination int64, class string) bool {
+// Admit counts what is asked for, and turns away what the plan has no room for.
+func (s *steering) Admit(destination int64, class string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.report.Demand[destination]++
 	return s.shedder.Admit(destination, class, s.follower.Room(s.n.now(), destination))
 }
 
-// Called books how a call ended.
-func (s *steering) Called(destination int64, zone string, out mb.Outcome, took time.Duration) {
+// CallEnded books how a call ended.
+func (s *steering) CallEnded(destination int64, zone string, out mb.Outcome, took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at := plan.Path{Destination: destination, To: zone}
@@ -130,8 +130,8 @@
 	}
 }
 
-// Limited books a limit that an answer carried.
-func (s *steering) Limited(destination int64, zone string, rate float64) {
+// LimitReported books a limit that an answer carried.
+func (s *steering) LimitReported(destination int64, zone string, rate float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.report.Limits == nil {
@@ -180,8 +180,8 @@
 	return routing.Free
 }
 
-// Holds says whether calls may go to a zone at all, by what is in force now.
-func (s *steering) Holds(destination int64, zone string) bool {
+// Allows says whether calls may go to a zone at all, by what is in force now.
+func (s *steering) Allows(destination int64, zone string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if now := s.n.now(); now-s.at > 3*steerEvery { // this process was stopped: what it went by may be over
@@ -191,8 +191,8 @@
 	return some || !s.lists(plan.Path{Destination: destination, To: zone})
 }
 
-// Takes books a call.
-func (s *steering) Takes(destination int64, zone string) bool {
+// ReserveCall books a call.
+func (s *steering) ReserveCall(destination int64, zone string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.lists(plan.Path{Destination: destination, To: zone}) {
@@ -244,12 +244,12 @@
 			return
 		}
 		now := s.n.now()
-		sites := s.n.router.Sites()
+		sites := s.n.router.ZoneCapacities()
 		s.mu.Lock()
 		s.sites = sites
 		s.look(now)
 		s.mu.Unlock()
-		s.n.router.Steer()
+		s.n.router.RefreshAccess()
 		if now-window >= s.cfg.Window {
 			window = now
 			s.endWindow(ctx)
--- a/internal/cluster/node/taking.go
+++ b/internal/cluster/node/taking.go
@@ -247,7 +247,7 @@
 		if none {
 			return nil // this is the only one left
 		}
-		if _, err := n.Held(mark, ""); err == nil {
+		if _, err := n.WaitReplicated(mark, ""); err == nil {
 			return nil
 		}
 		if !n.MayAct() {
@@ -297,7 +297,7 @@
 			*out = append(*out, wal.CondensePast(p))
 		}
 	}
-	c.n.router.Past(add, func(_ *wal.Log, rest []wal.Past) { add(rest) })
+	c.n.router.EndedIDs(add, func(_ *wal.Log, rest []wal.Past) { add(rest) })
 	return nil
 }
 
--- a/internal/lab/capacity/probe_forwarder.go
+++ b/internal/lab/capacity/probe_forwarder.go
@@ -81,8 +81,8 @@
 func (nobody) Call(context.Context, routing.Attempt) routing.Result {
 	return routing.Result{Outcome: mb.ConnectFailed}
 }
-func (nobody) CloseIdle(string)      {}
-func (nobody) Notify(routing.Notice) {}
+func (nobody) CloseIdle(string)              {}
+func (nobody) Notify(routing.DeliveryReport) {}
 
 // startRouter runs a router on a journal in a folder; it is ready when this returns, after so long.
 func startRouter(ctx context.Context, dir string, held int) (r *routing.Router, ready time.Duration, end func() error, err error) {
@@ -138,8 +138,8 @@
 	}
 	body := make([]byte, messageBytes)
 	take := func(i int) error {
-		v := r.Take(routing.Message{ID: fmt.Sprintf("%016x", i), Class: "safe", Destination: int64(i % 1000), Left: hours, Body: body})
-		if v.Kind != routing.Taken {
+		v := r.Accept(routing.Message{ID: fmt.Sprintf("%016x", i), Class: "safe", Destination: int64(i % 1000), TTL: hours, Body: body})
+		if v.Kind != routing.Accepted {
 			return fmt.Errorf("message %d of %d was not taken on", i, n)
 		}
 		return nil
--- a/internal/routing/accept.go
+++ b/internal/routing/accept.go
@@ -19,8 +19,8 @@
 	if v, refused := r.refuseUnheard(m); refused {
 		return v
 	}
-	apart := r.cfg.Guard != nil && !r.cfg.Guard.MayAct()
-	if r.cfg.Guard != nil && (apart && m.Long != nil || !r.cfg.Guard.Ready(m.Class)) { // it could not be copied, or not be sent
+	apart := r.cfg.Replication != nil && !r.cfg.Replication.MayAct()
+	if r.cfg.Replication != nil && (apart && m.Long != nil || !r.cfg.Replication.CanAccept(m.Class)) { // it could not be copied, or not be sent
 		return r.refuse(m, &r.counters.NoCopy, "no replica")
 	}
 	if err := r.cfg.Log.Flush(); err != nil { // nothing can be taken on now, so it is not even decided on
@@ -29,10 +29,10 @@
 	}
 	longest := r.classes[m.Class]
 	if m.Long != nil {
-		longest = r.cfg.Long.Longest
+		longest = r.cfg.Long.MaxTTL
 	}
-	m.Left = min(m.Left, longest)
-	h := &held{Message: m, seq: r.cfg.Log.Next(), deadline: time.Now().Add(m.Left), apart: apart}
+	m.TTL = min(m.TTL, longest)
+	h := &held{Message: m, seq: r.cfg.Log.Next(), deadline: time.Now().Add(m.TTL), apart: apart}
 	entry := &wal.Message{
 		Seq: h.seq, Deadline: h.deadline, Destination: m.Destination, ID: m.ID, Key: m.Key, Class: m.Class, Body: m.Body,
 		Long: m.Long != nil,
@@ -42,7 +42,7 @@
 		return r.refuse(m, &r.counters.NoRoom, "journal full")
 	}
 	defer room.Release()
-	actions := r.decider.Handle(r.now(), []mb.Event{r.submission(h, m.Left)})
+	actions := r.decider.Handle(r.now(), []mb.Event{r.submission(h, m.TTL)})
 	if v, others, answered := r.answeredAtOnce(h, actions); answered { // nothing was taken on
 		r.sampleRefused(m, "decision")
 		r.perform(others)
@@ -55,28 +55,28 @@
 	}
 	r.hold(h, entry)
 	r.perform(actions)
-	return Verdict{Kind: Taken, record: h.record, mark: h.mark, seq: h.seq}
+	return Verdict{Kind: Accepted, record: h.record, mark: h.mark, seq: h.seq}
 }
 
 // knownAlready gives the verdict on a message whose id is held, or has ended of late.
 func (r *Router) knownAlready(m Message) (v Verdict, known bool) {
 	h := r.ids[m.ID]
 	delivered, past := r.past.delivered[m.ID]
-	if !past && r.cfg.Past != nil {
-		delivered, past = r.cfg.Past(m.ID)
+	if !past && r.cfg.EndedBefore != nil {
+		delivered, past = r.cfg.EndedBefore(m.ID)
 	}
 	switch {
 	case h == nil && !past:
 		return Verdict{}, false
 	case m.Long != nil: // its answer is owed to whoever handed it in first
-		v = Verdict{Kind: Ended}
+		v = Verdict{Kind: AlreadyEnded}
 	case h != nil: // handed in twice
 		h.repeated = true
-		v = Verdict{Kind: Known, record: h.record, mark: h.mark, seq: h.seq}
+		v = Verdict{Kind: AlreadyAccepted, record: h.record, mark: h.mark, seq: h.seq}
 	case delivered:
-		v = Verdict{Kind: Known}
+		v = Verdict{Kind: AlreadyAccepted}
 	default:
-		v = Verdict{Kind: Ended}
+		v = Verdict{Kind: AlreadyEnded}
 	}
 	r.counters.Repeated++
 	return v, true
@@ -98,7 +98,7 @@
 		v = r.refuse(m, &r.counters.LongRefused, "long messages")
 	case m.Long == nil && len(r.ids)-r.longs >= r.cfg.Settings.MostHeld:
 		v = r.refuse(m, &r.counters.TurnedAway, "most held")
-	case r.cfg.Steering != nil && !r.cfg.Steering.Handed(m.Destination, m.Class):
+	case r.cfg.Steering != nil && !r.cfg.Steering.Admit(m.Destination, m.Class):
 		v = r.refuse(m, &r.counters.NoPlace, "no place")
 	default:
 		return Verdict{}, false
@@ -162,7 +162,7 @@
 	}
 	h.Body, h.onDisk, h.record = entry.Body, entry.OnDisk, r.cfg.Log.Last()
 	r.messages[h.seq], r.ids[h.ID] = h, h
-	if r.cfg.Guard != nil {
-		h.mark = r.cfg.Guard.Mark()
+	if r.cfg.Replication != nil {
+		h.mark = r.cfg.Replication.LogPosition()
 	}
 }
--- a/internal/routing/calls.go
+++ b/internal/routing/calls.go
@@ -65,13 +65,13 @@
 	ctx, cancel := context.WithDeadline(r.ctx, c.cutAt)
 	c.ctx, c.cancel = ctx, cancel
 	call := Attempt{
-		ID: h.ID, Key: h.Key, Body: h.Body, Endpoint: c.endpoint, Address: r.endpoints[c.endpoint].Address, CutAt: c.cutAt,
-		Fresh: a.Fresh,
-		Begin: func() bool { return r.clear(c) },
+		ID: h.ID, Key: h.Key, Body: h.Body, Endpoint: c.endpoint, Address: r.endpoints[c.endpoint].Address, Deadline: c.cutAt,
+		NewConnection: a.Fresh,
+		Begin:         func() bool { return r.clear(c) },
 	}
 	if h.Long != nil {
-		call.Source = h.Long.Source
-		call.Settle = func() bool {
+		call.BodySource = h.Long.BodySource
+		call.RecordDelivery = func() bool {
 			record, served := ask(r, func() uint64 { r.settle(c); return r.cfg.Log.Last() })
 			if served {
 				_ = r.cfg.Log.Commit(record) // it is delivered, whatever this says
@@ -125,7 +125,7 @@
 // where that took its time, all is looked at again.
 func (r *Router) letGo(c *attempt) bool {
 	record, may := r.awaitBegin(c)
-	strict := r.cfg.Guard != nil && r.cfg.Guard.Strict(c.msg.Class)
+	strict := r.cfg.Replication != nil && r.cfg.Replication.ReplicatesStarts(c.msg.Class)
 	if !may || !r.cfg.Log.Waits() && !strict {
 		return may
 	}
@@ -133,7 +133,7 @@
 		return false
 	}
 	if strict { // whoever takes over has to know that it may have run
-		if _, err := r.cfg.Guard.Held(c.mark, c.msg.Class); err != nil {
+		if _, err := r.cfg.Replication.WaitReplicated(c.mark, c.msg.Class); err != nil {
 			return false
 		}
 	}
@@ -221,7 +221,7 @@
 		return forbidden
 	case !r.acts(c.msg):
 		return r.holdBack(c, "lease")
-	case !listed, p.State != mb.Serving, p.Group != c.msg.Destination:
+	case !listed, p.State != mb.Serving, p.Destination != c.msg.Destination:
 		return r.holdBack(c, "list")
 	case !r.decider.MayBegin(r.now(), mb.MessageID(c.msg.seq)):
 		return r.holdBack(c, "wait or window")
@@ -229,15 +229,15 @@
 	if c.begun { // on another connection now, with nothing written yet
 		return allowed
 	}
-	if r.cfg.Steering != nil && !r.cfg.Steering.Holds(p.Group, p.Zone) {
+	if r.cfg.Steering != nil && !r.cfg.Steering.Allows(p.Destination, p.Zone) {
 		return r.holdBack(c, "place")
 	}
 	if err := r.cfg.Log.Started(c.msg.seq, time.Now(), p.Zone); err != nil {
 		r.journal(c.msg.ID, err)
 		return unrecorded
 	}
-	if c.begun = true; r.cfg.Guard != nil {
-		c.mark = r.cfg.Guard.Mark()
+	if c.begun = true; r.cfg.Replication != nil {
+		c.mark = r.cfg.Replication.LogPosition()
 	}
 	return allowed
 }
@@ -268,7 +268,7 @@
 	r.sampleCall(c, out)
 	r.steered(c, out)
 	if l := result.Limit; r.cfg.Steering != nil && l != nil && l.Rate > 0 && !math.IsInf(l.Rate, 1) {
-		r.cfg.Steering.Limited(h.Destination, r.endpoints[c.endpoint].Zone, l.Rate)
+		r.cfg.Steering.LimitReported(h.Destination, r.endpoints[c.endpoint].Zone, l.Rate)
 	}
 	h.last = out
 	never := out == mb.Full || out == mb.ConnectFailed || out == mb.Moot
@@ -276,7 +276,7 @@
 		h.mayRun = h.mayRun || !never
 		r.journal(h.ID, r.cfg.Log.Outcome(h.seq, !never))
 	}
-	over := out == mb.OK || result.Over
+	over := out == mb.OK || result.Final
 	if over {
 		r.end(h, wal.Over, 0)
 		if h.Long != nil {
@@ -292,12 +292,12 @@
 	if r.endpoints[c.endpoint].State != mb.Serving || r.endpoints[c.endpoint].Address == "" {
 		r.cfg.Caller.CloseIdle(c.endpoint) // it was listed so while this call was out
 	}
-	if r.cfg.Steering != nil && result.Wait > 0 { // its places are judged apart, and wait together
-		r.decider.Wait(r.now(), mb.DestinationID(h.Destination), result.Wait)
+	if r.cfg.Steering != nil && result.RetryAfter > 0 { // its places are judged apart, and wait together
+		r.decider.Wait(r.now(), mb.DestinationID(h.Destination), result.RetryAfter)
 	}
 	r.decide(mb.Answer{
 		ID: mb.MessageID(h.seq), Attempt: c.number, Endpoint: mb.EndpointID(c.endpoint), Outcome: out,
-		Latency: time.Since(c.sentAt) - c.delayed, Settled: over || h.ended, Wait: result.Wait, Limit: result.Limit,
-		Kept: result.Kept, Spent: result.Spent,
+		Latency: time.Since(c.sentAt) - c.delayed, Settled: over || h.ended, Wait: result.RetryAfter, Limit: result.Limit,
+		Kept: result.ReusedConnection, Spent: result.BodyConsumed,
 	})
 }
--- a/internal/routing/configuration.go
+++ b/internal/routing/configuration.go
@@ -32,7 +32,7 @@
 			r.overlay = newOverlay(r.endpoints)
 		}
 		if changes := r.overlay.configure(destinations); len(changes) > 0 {
-			r.learnEndpoints(List{Endpoints: changes})
+			r.learnEndpoints(EndpointList{Endpoints: changes})
 		}
 	})
 }
@@ -62,7 +62,7 @@
 		return list[0], true
 	}
 	e, listed := o.listed[name]
-	if !listed || len(o.destinations[e.Group]) > 0 {
+	if !listed || len(o.destinations[e.Destination]) > 0 {
 		return Endpoint{}, false
 	}
 	return e, true
@@ -72,13 +72,13 @@
 func (o *overlay) note(e Endpoint) {
 	if before, known := o.listed[e.Name]; known {
 		delete(o.listed, e.Name)
-		if o.listedIn[before.Group]--; o.listedIn[before.Group] == 0 {
-			delete(o.listedIn, before.Group)
+		if o.listedIn[before.Destination]--; o.listedIn[before.Destination] == 0 {
+			delete(o.listedIn, before.Destination)
 		}
 	}
 	if e.State != mb.Deleted {
 		o.listed[e.Name] = e
-		o.listedIn[e.Group]++
+		o.listedIn[e.Destination]++
 	}
 }
 
@@ -119,7 +119,7 @@
 	}
 	if search {
 		for name, e := range o.listed {
-			if _, concerned := destinations[e.Group]; concerned {
+			if _, concerned := destinations[e.Destination]; concerned {
 				names[name] = true
 			}
 		}
@@ -134,7 +134,7 @@
 // set replaces a destination's configured endpoints; none is that it is not configured.
 func (o *overlay) set(group int64, endpoints []Endpoint) {
 	for _, e := range o.destinations[group] {
-		rest := slices.DeleteFunc(o.configured[e.Name], func(x Endpoint) bool { return x.Group == group })
+		rest := slices.DeleteFunc(o.configured[e.Name], func(x Endpoint) bool { return x.Destination == group })
 		if o.configured[e.Name] = rest; len(rest) == 0 {
 			delete(o.configured, e.Name)
 		}
@@ -146,13 +146,13 @@
 	o.destinations[group] = endpoints
 	for _, e := range endpoints {
 		list := append(o.configured[e.Name], e)
-		slices.SortFunc(list, func(a, b Endpoint) int { return cmp.Compare(a.Group, b.Group) })
+		slices.SortFunc(list, func(a, b Endpoint) int { return cmp.Compare(a.Destination, b.Destination) })
 		o.configured[e.Name] = list
 	}
 }
 
 // list takes what discovery says, and gives what the router is to learn of it.
-func (o *overlay) list(d List) List {
+func (o *overlay) list(d EndpointList) EndpointList {
 	names := make(map[string]bool, len(d.Endpoints))
 	for _, e := range d.Endpoints {
 		names[e.Name] = true
@@ -167,10 +167,10 @@
 		}
 	}
 	if !d.Whole && !d.Saved {
-		return List{Endpoints: o.change(names, apply)}
+		return EndpointList{Endpoints: o.change(names, apply)}
 	}
 	apply()
-	out := List{Whole: d.Whole, Saved: d.Saved}
+	out := EndpointList{Whole: d.Whole, Saved: d.Saved}
 	for name := range o.configured {
 		names[name] = true
 	}
--- a/internal/routing/configuration_test.go
+++ b/internal/routing/configuration_test.go
@@ -17,7 +17,7 @@
 func TestOverlay(t *testing.T) {
 	endpoint := rapid.Custom(func(t *rapid.T) Endpoint {
 		return Endpoint{
-			Name: rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "name"), Group: rapid.Int64Range(1, 3).Draw(t, "group"),
+			Name: rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "name"), Destination: rapid.Int64Range(1, 3).Draw(t, "group"),
 			Address: rapid.SampledFrom([]string{"h:1", "h:2"}).Draw(t, "address"),
 			State:   rapid.SampledFrom([]mb.Readiness{mb.Serving, mb.Draining, mb.Deleted}).Draw(t, "state"),
 		}
@@ -25,7 +25,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		o := newOverlay(nil)
 		listed, destinations, learned := map[string]Endpoint{}, map[int64][]Endpoint{}, map[string]Endpoint{}
-		learn := func(d List) {
+		learn := func(d EndpointList) {
 			if d.Whole {
 				clear(learned)
 			}
@@ -39,7 +39,7 @@
 		}
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "list") {
-				d := List{Whole: rapid.Bool().Draw(t, "whole"), Endpoints: rapid.SliceOfNDistinct(endpoint, 0, 4, func(e Endpoint) string { return e.Name }).Draw(t, "endpoints")}
+				d := EndpointList{Whole: rapid.Bool().Draw(t, "whole"), Endpoints: rapid.SliceOfNDistinct(endpoint, 0, 4, func(e Endpoint) string { return e.Name }).Draw(t, "endpoints")}
 				if d.Whole {
 					clear(listed)
 				}
@@ -54,18 +54,18 @@
 				for _, group := range rapid.SliceOfNDistinct(rapid.Int64Range(1, 3), 1, 2, rapid.ID[int64]).Draw(t, "destinations") {
 					change[group] = nil
 					for _, e := range rapid.SliceOfNDistinct(endpoint, 0, 3, func(e Endpoint) string { return e.Name }).Draw(t, "configured") {
-						e.State, e.Group = mb.Serving, group
+						e.State, e.Destination = mb.Serving, group
 						change[group] = append(change[group], e)
 					}
 					if destinations[group] = change[group]; len(change[group]) == 0 {
 						delete(destinations, group)
 					}
 				}
-				learn(List{Endpoints: o.configure(change)})
+				learn(EndpointList{Endpoints: o.configure(change)})
 			}
 			want := map[string]Endpoint{}
 			for name, e := range listed {
-				if _, configured := destinations[e.Group]; !configured {
+				if _, configured := destinations[e.Destination]; !configured {
 					want[name] = e
 				}
 			}
@@ -88,7 +88,7 @@
 		r, s, _ := newRouter(t) // discovery lists a
 		deliver := func(id string) string {
 			t.Helper()
-			if v := r.Take(message(id)); v.Kind != Taken {
+			if v := r.Accept(message(id)); v.Kind != Accepted {
 				t.Fatalf("%s: %+v", id, v)
 			}
 			call := <-s.calls
@@ -105,14 +105,14 @@
 		}{
 			{func() {}, "a at a:1"},
 			{func() {
-				r.Configure(map[int64][]Endpoint{7: {{Name: "b", Address: "b:1", Group: 7, Weight: 50}}})
+				r.Configure(map[int64][]Endpoint{7: {{Name: "b", Address: "b:1", Destination: 7, Weight: 50}}})
 			}, "b at b:1"},
 			{func() {
-				r.Learn(List{Whole: true, Endpoints: []Endpoint{{Name: "a", Address: "a:2", Group: 7, Weight: 50}}})
+				r.Learn(EndpointList{Whole: true, Endpoints: []Endpoint{{Name: "a", Address: "a:2", Destination: 7, Weight: 50}}})
 			}, "b at b:1"},
 			{func() { r.Configure(map[int64][]Endpoint{7: nil}) }, "a at a:2"},
 			{func() {
-				r.Configure(map[int64][]Endpoint{7: {{Name: "a", Address: "a:3", Group: 7, Weight: 50}}})
+				r.Configure(map[int64][]Endpoint{7: {{Name: "a", Address: "a:3", Destination: 7, Weight: 50}}})
 			}, "a at a:3"},
 		} {
 			step.change()
@@ -142,8 +142,8 @@
 	for _, step := range []struct {
 		id   string
 		want VerdictKind
-	}{{"m", Taken}, {"n", Refused}, {"m", Known}} {
-		v := r.Take(message(step.id))
+	}{{"m", Accepted}, {"n", Refused}, {"m", AlreadyAccepted}} {
+		v := r.Accept(message(step.id))
 		if v.Kind != step.want || step.want == Refused && (v.RetryAfter <= 0 || v.RetryAfter > time.Minute) {
 			t.Errorf("%s: %+v", step.id, v)
 		}
--- a/internal/routing/faults_test.go
+++ b/internal/routing/faults_test.go
@@ -49,12 +49,12 @@
 	r, s, disk, _ := newRouterOnSwitch(t, t.TempDir(), func(c *Config) { c.Settings.Slots = 1 })
 	disk.off.Store(true)
 	for _, id := range []string{"refused", "refused too"} {
-		if got := r.Take(message(id)); got.Kind != Refused {
+		if got := r.Accept(message(id)); got.Kind != Refused {
 			t.Fatalf("verdict %+v while writes fail", got)
 		}
 	}
 	disk.off.Store(false)
-	if got := r.Take(message("taken")); got.Kind != Taken {
+	if got := r.Accept(message("taken")); got.Kind != Accepted {
 		t.Fatalf("verdict %+v", got)
 	}
 	select {
@@ -81,7 +81,7 @@
 // fails takes a message on and has its one call fail while the disk is off.
 func fails(t *testing.T, r *Router, s script, disk *switchedDisk, m Message) {
 	t.Helper()
-	if got := r.Take(m); got.Kind != Taken {
+	if got := r.Accept(m); got.Kind != Accepted {
 		t.Fatalf("verdict %+v", got)
 	}
 	c := <-s.calls
@@ -113,8 +113,8 @@
 func TestAnEndIsReportedAtTheDeadlineThoughTheDiskStaysAway(t *testing.T) {
 	r, s, disk, _ := newRouterOnSwitch(t, t.TempDir(), func(*Config) {})
 	m := message("m")
-	m.Left = 2 * time.Second
-	deadline := time.Now().Add(m.Left)
+	m.TTL = 2 * time.Second
+	deadline := time.Now().Add(m.TTL)
 	fails(t, r, s, disk, m)
 	if n := <-s.notices; n.ID != "m" || time.Now().Before(deadline) {
 		t.Errorf("reported %+v, %v before the deadline", n, time.Until(deadline))
@@ -127,7 +127,7 @@
 // Guards against attempts used up, and messages returned, because an attempt's start could not be written for a moment.
 func TestACallWaitsForTheJournal(t *testing.T) {
 	r, s, disk, _ := newRouterOnSwitch(t, t.TempDir(), func(*Config) {})
-	if got := r.Take(message("m")); got.Kind != Taken {
+	if got := r.Accept(message("m")); got.Kind != Accepted {
 		t.Fatalf("verdict %+v", got)
 	}
 	c := <-s.calls
@@ -150,14 +150,14 @@
 // both.
 func TestNothingIsTakenOnWhileAnEndWaits(t *testing.T) {
 	r, s, disk, _ := newRouterOnSwitch(t, t.TempDir(), func(*Config) {})
-	if got := r.Take(message("m")); got.Kind != Taken {
+	if got := r.Accept(message("m")); got.Kind != Accepted {
 		t.Fatalf("verdict %+v", got)
 	}
 	<-s.calls
 	disk.off.Store(true)
-	r.Withdraw("m")
+	r.CancelMessage("m")
 	await(t, r, "withdrawn", func(c Counters) bool { return c.Withdrawn == 1 })
-	if got := r.Take(message("m")); got.Kind != Refused {
+	if got := r.Accept(message("m")); got.Kind != Refused {
 		t.Errorf("verdict %+v", got)
 	}
 }
@@ -182,7 +182,7 @@
 	disk.off.Store(true)
 	m := message("m")
 	m.Body = []byte("more than is kept in memory")
-	if got := r.Take(m); got.Kind != Taken {
+	if got := r.Accept(m); got.Kind != Accepted {
 		t.Fatalf("verdict %+v", got)
 	}
 	<-fails
--- a/internal/routing/held.go
+++ b/internal/routing/held.go
@@ -48,7 +48,7 @@
 			if h.ended = true; h.cut {
 				r.past.add(h.ID, false, true, 0)
 			}
-			if r.cfg.Guard != nil {
+			if r.cfg.Replication != nil {
 				r.waiting[h.seq] = h // whoever may have taken over from that life may have told of it
 				continue
 			}
@@ -57,7 +57,7 @@
 		}
 		r.messages[h.seq], r.ids[h.ID] = h, h
 		r.counters.Resumed++
-		if h.away = r.cfg.Guard != nil; !h.away {
+		if h.away = r.cfg.Replication != nil; !h.away {
 			again = append(again, r.resubmission(m, h))
 		}
 	}
@@ -72,7 +72,7 @@
 
 func (r *Router) heldFrom(m *wal.Message) *held {
 	deadline := m.Deadline
-	if most := time.Now().Add(max(r.longest, r.cfg.Long.Longest)); deadline.After(most) { // the clock was set back
+	if most := time.Now().Add(max(r.longest, r.cfg.Long.MaxTTL)); deadline.After(most) { // the clock was set back
 		deadline = most
 	}
 	return &held{
@@ -90,7 +90,7 @@
 
 // forget drops the ids of messages that ended so long ago that nobody can mean them any more.
 func (r *Router) forget() {
-	for _, seq := range r.past.expire(r.longest, max(r.longest, r.cfg.Long.Longest)) {
+	for _, seq := range r.past.expire(r.longest, max(r.longest, r.cfg.Long.MaxTTL)) {
 		r.journal("", r.cfg.Log.End(seq, wal.Over, 0))
 	}
 }
@@ -132,7 +132,7 @@
 		r.sample("message given up", h.lastOutcome(), h)
 	}
 	r.notices++
-	n := Notice{ID: h.ID, HandedBack: back, RetryAfter: retry, Done: func() {
+	n := DeliveryReport{ID: h.ID, Returned: back, RetryAfter: retry, Done: func() {
 		r.post(func() {
 			if h.dropped.Load() {
 				return
@@ -143,10 +143,10 @@
 			r.told(h)
 		})
 	}}
-	if r.cfg.Guard != nil {
+	if r.cfg.Replication != nil {
 		r.noticed[h.seq] = h
 		if !h.apart {
-			n.May = r.mayTell(h)
+			n.MaySend = r.mayTell(h)
 		}
 	}
 	// Told before it is journalled, a kill could have the message live again behind its end. Behind its deadline it would not be sent
--- a/internal/routing/journal.go
+++ b/internal/routing/journal.go
@@ -79,7 +79,7 @@
 		} else if !now.Before(p.latest) {
 			delete(r.promises, seq)
 			r.counters.ToldUnwritten++
-			r.cfg.Samples.Note("end told before it is journalled", "deadline", func(e *zerolog.Event) { e.Uint64("message", seq) })
+			r.cfg.Sampler.Note("end told before it is journalled", "deadline", func(e *zerolog.Event) { e.Uint64("message", seq) })
 			p.keep()
 		}
 	}
--- a/internal/routing/lasting_test.go
+++ b/internal/routing/lasting_test.go
@@ -70,12 +70,12 @@
 	r, s, g, _ := newLasting(t, wal.Options{Durability: store.Batch})
 	g.shut()
 	verdicts, begun := make(chan Verdict, 2), make(chan bool, 1)
-	go func() { verdicts <- r.Take(message("m")) }()
+	go func() { verdicts <- r.Accept(message("m")) }()
 	c := <-s.calls
 	go func() { begun <- c.Begin() }()
 	<-g.tried
-	go func() { verdicts <- r.Take(message("m")) }() // again, before the first is answered
-	for r.Counters().Repeated == 0 {                 // the router's goroutine answers
+	go func() { verdicts <- r.Accept(message("m")) }() // again, before the first is answered
+	for r.Counters().Repeated == 0 {                   // the router's goroutine answers
 	}
 	select {
 	case v := <-verdicts:
@@ -87,7 +87,7 @@
 	g.open(nil)
 	kinds := map[VerdictKind]int{(<-verdicts).Kind: 1}
 	kinds[(<-verdicts).Kind]++
-	if !<-begun || kinds[Taken] != 1 || kinds[Known] != 1 {
+	if !<-begun || kinds[Accepted] != 1 || kinds[AlreadyAccepted] != 1 {
 		t.Errorf("verdicts %v", kinds)
 	}
 	s.results <- Result{Outcome: mb.OK}
@@ -98,7 +98,7 @@
 // A drain that comes while a call's start waits for the disk is heeded.
 func TestListIsLookedAtAgainBehindTheSync(t *testing.T) {
 	r, s, g, _ := newLasting(t, wal.Options{Durability: store.Batch})
-	if v := r.Take(message("m")); v.Kind != Taken {
+	if v := r.Accept(message("m")); v.Kind != Accepted {
 		t.Fatal(v)
 	}
 	c := <-s.calls
@@ -106,7 +106,7 @@
 	begun := make(chan bool, 1)
 	go func() { begun <- c.Begin() }()
 	<-g.tried
-	r.Learn(List{Endpoints: []Endpoint{{Name: "a", Address: "a:1", Group: 7, State: mb.Draining}}})
+	r.Learn(EndpointList{Endpoints: []Endpoint{{Name: "a", Address: "a:1", Destination: 7, State: mb.Draining}}})
 	r.Counters() // behind the list
 	g.open(nil)
 	if <-begun {
@@ -122,7 +122,7 @@
 	r, s, g, _ := newLasting(t, wal.Options{Durability: store.Batch})
 	g.shut()
 	verdict, begun := make(chan Verdict, 1), make(chan bool, 1)
-	go func() { verdict <- r.Take(message("m")) }()
+	go func() { verdict <- r.Accept(message("m")) }()
 	c := <-s.calls
 	go func() { begun <- c.Begin() }()
 	<-g.tried
@@ -136,7 +136,7 @@
 	s.results <- Result{Outcome: mb.Moot}
 	for r.Counters().Held > 0 {
 	}
-	if v := r.Take(message("next")); v.Kind != Refused {
+	if v := r.Accept(message("next")); v.Kind != Refused {
 		t.Errorf("verdict %+v", v)
 	}
 }
@@ -144,7 +144,7 @@
 // A notice waits for its end's record: else a power cut could have the message live again behind it.
 func TestNoticeWaitsForTheSync(t *testing.T) {
 	r, s, g, _ := newLasting(t, wal.Options{Durability: store.Batch})
-	r.Take(message("m"))
+	r.Accept(message("m"))
 	if c := <-s.calls; !c.Begin() {
 		t.Fatal("the call did not begin")
 	}
@@ -159,7 +159,7 @@
 	default:
 	}
 	g.open(nil)
-	if n := <-s.notices; n.ID != "m" || n.HandedBack {
+	if n := <-s.notices; n.ID != "m" || n.Returned {
 		t.Errorf("notice %+v", n)
 	}
 }
@@ -169,7 +169,7 @@
 	r, s, _, faults := newLasting(t, wal.Options{Memory: 1})
 	m := message("m")
 	m.Body = bytes.Repeat([]byte("body\x00\xff"), 5000)
-	r.Take(m)
+	r.Accept(m)
 	c := <-s.calls
 	if !bytes.Equal(c.Body, m.Body) {
 		t.Errorf("%d bytes of %d went out", len(c.Body), len(m.Body))
@@ -183,8 +183,8 @@
 		return n, nil
 	})
 	m.ID = "spoilt"
-	r.Take(m)
-	if n := <-s.notices; n.ID != "spoilt" || !n.HandedBack || n.RetryAfter <= 0 {
+	r.Accept(m)
+	if n := <-s.notices; n.ID != "spoilt" || !n.Returned || n.RetryAfter <= 0 {
 		t.Errorf("notice %+v", n)
 	}
 	if got := r.Counters(); got.Lost != 1 || got.Held != 0 || len(s.calls) != 0 {
--- a/internal/routing/long.go
+++ b/internal/routing/long.go
@@ -11,26 +11,26 @@
 // Long marks a message whose body is passed on as it comes. Nothing of the body is held or journalled, so no later life
 // can send it: a restart ends it.
 type Long struct {
-	Source any // what the caller takes the body from, and passes the answer to
-	// Ended is told, once, how the message ended, which outlasts what the journal's durability says; it must not wait.
-	Ended func(Ending)
+	BodySource any // what the caller takes the body from, and passes the answer to
+	// OnEnd is told, once, how the message ended, which outlasts what the journal's durability says; it must not wait.
+	OnEnd func(LongResult)
 }
 
-// Ending is the end of a long message.
-type Ending struct {
+// LongResult is the end of a long message.
+type LongResult struct {
 	Kind       VerdictKind   // Known: delivered; Refused or Failed
 	RetryAfter time.Duration // with Refused: when to come again
 	MayHaveRun bool          // with Refused or Failed
-	TimeUp     bool          // with Failed
-	// Told must be called, unless it is nil: whether the client has its answer. If it has not, a notice ends the message.
-	Told func(bool)
+	TimedOut   bool          // with Failed
+	// ClientAnswered must be called, unless it is nil: whether the client has its answer. If it has not, a notice ends the message.
+	ClientAnswered func(bool)
 }
 
 // LongLimits bound the messages whose bodies are passed on. The zero value takes none.
 type LongLimits struct {
-	Most    int           // held or out at once
-	Slots   int           // calls out at once
-	Longest time.Duration // how long one may live
+	MaxMessages int           // held or out at once
+	Slots       int           // calls out at once
+	MaxTTL      time.Duration // how long one may live
 }
 
 // toldFor is how long the end of this life waits for clients to be told of their long messages' ends. It ends before
@@ -40,13 +40,13 @@
 // mostClosed bounds the ids of ended long messages that the journal keeps.
 const mostClosed = 512
 
-// Pass decides on a long message, whose Body is left empty. When it says Taken, the message is journalled, and its end
+// AcceptLong decides on a long message, whose Body is left empty. When it says Taken, the message is journalled, and its end
 // is told to Long.Ended.
-func (r *Router) Pass(m Message) Verdict { return r.Take(m) }
+func (r *Router) AcceptLong(m Message) Verdict { return r.Accept(m) }
 
 // admitLong says whether there is room for one more long message; beyond that it is told when to come again.
 func (r *Router) admitLong() bool {
-	return r.longs < r.cfg.Long.Most && r.longCalls < r.cfg.Long.Slots && r.stopAt.IsZero()
+	return r.longs < r.cfg.Long.MaxMessages && r.longCalls < r.cfg.Long.Slots && r.stopAt.IsZero()
 }
 
 // bookLong counts a long message as held from its accept to its end.
@@ -66,14 +66,14 @@
 // finishLong tells a long message's client of its end. The end is journalled by now; should this life end before the
 // client is told, the next one's notice tells it.
 func (r *Router) finishLong(h *held, e wal.Ending, retry time.Duration) {
-	end := Ending{Kind: Failed, RetryAfter: retry, MayHaveRun: h.mayRun, TimeUp: h.timeUp()}
+	end := LongResult{Kind: Failed, RetryAfter: retry, MayHaveRun: h.mayRun, TimedOut: h.timeUp()}
 	if e == wal.Refused {
 		if end.Kind = Refused; retry <= 0 {
 			end.RetryAfter = pushBack
 		}
 	}
 	r.untold++
-	end.Told = func(told bool) {
+	end.ClientAnswered = func(told bool) {
 		r.post(func() {
 			if r.untold--; told {
 				r.counters.LongAnswered++
@@ -83,7 +83,7 @@
 			}
 		})
 	}
-	r.afterRecords(h, time.Now().Add(longEndWait), true, func() { h.Long.Ended(end) })
+	r.afterRecords(h, time.Now().Add(longEndWait), true, func() { h.Long.OnEnd(end) })
 }
 
 // timeUp says that a message was given up because its time, or that of an attempt, was over.
@@ -111,11 +111,11 @@
 
 // overLong tells a long message's client that nothing more is owed: it was delivered, or nobody wants it.
 func (r *Router) overLong(h *held, delivered bool) {
-	end := Ending{Kind: Known}
+	end := LongResult{Kind: AlreadyAccepted}
 	if !delivered {
-		end = Ending{Kind: Failed, MayHaveRun: h.mayRun, TimeUp: true}
+		end = LongResult{Kind: Failed, MayHaveRun: h.mayRun, TimedOut: true}
 	}
-	r.cfg.Log.AfterCommit(func(error) { h.Long.Ended(end) })
+	r.cfg.Log.AfterCommit(func(error) { h.Long.OnEnd(end) })
 }
 
 // endLongs ends the long messages that wait for a call when this life is over; those out have been cancelled.
--- a/internal/routing/long_test.go
+++ b/internal/routing/long_test.go
@@ -12,10 +12,10 @@
 )
 
 // longMessage is one whose ends come in the channel.
-func longMessage(id string) (Message, <-chan Ending) {
-	ends := make(chan Ending, 4)
+func longMessage(id string) (Message, <-chan LongResult) {
+	ends := make(chan LongResult, 4)
 	return Message{
-		ID: id, Class: "unsafe", Destination: 7, Left: time.Minute, Long: &Long{Source: id, Ended: func(e Ending) { ends <- e }},
+		ID: id, Class: "unsafe", Destination: 7, TTL: time.Minute, Long: &Long{BodySource: id, OnEnd: func(e LongResult) { ends <- e }},
 	}, ends
 }
 
@@ -24,21 +24,21 @@
 	dir := t.TempDir()
 	r, s, journal, end := newRouterIn(t, dir)
 	m, ends := longMessage("m")
-	if v := r.Pass(m); v.Kind != Taken {
+	if v := r.AcceptLong(m); v.Kind != Accepted {
 		t.Fatalf("%+v", v)
 	}
 	call := <-s.calls
-	if call.Source != "m" || call.Body != nil || !call.Begin() || !call.Settle() {
+	if call.BodySource != "m" || call.Body != nil || !call.Begin() || !call.RecordDelivery() {
 		t.Errorf("call %+v", call)
 	}
 	if live, _ := ask(r, func() int { return len(journal.Live()) }); live != 0 || len(ends) != 0 {
 		t.Errorf("%d live messages when the client hears, %d ends", live, len(ends))
 	}
-	s.results <- Result{Outcome: mb.OK, Spent: true}
-	if e := <-ends; e.Kind != Known || e.Told != nil {
+	s.results <- Result{Outcome: mb.OK, BodyConsumed: true}
+	if e := <-ends; e.Kind != AlreadyAccepted || e.ClientAnswered != nil {
 		t.Errorf("end %+v", e)
 	}
-	if v := r.Pass(m); v.Kind != Ended {
+	if v := r.AcceptLong(m); v.Kind != AlreadyEnded {
 		t.Errorf("handed in again: %+v", v)
 	}
 	end()
@@ -54,17 +54,17 @@
 		dir := t.TempDir()
 		r, s, _, end := newRouterIn(t, dir)
 		m, ends := longMessage("m")
-		r.Pass(m)
+		r.AcceptLong(m)
 		(<-s.calls).Begin()
-		s.results <- Result{Outcome: mb.Reset, Spent: true}
+		s.results <- Result{Outcome: mb.Reset, BodyConsumed: true}
 		e := <-ends
-		if diff := cmp.Diff(Ending{Kind: Failed, MayHaveRun: true}, Ending{Kind: e.Kind, MayHaveRun: e.MayHaveRun, TimeUp: e.TimeUp}); diff != "" {
+		if diff := cmp.Diff(LongResult{Kind: Failed, MayHaveRun: true}, LongResult{Kind: e.Kind, MayHaveRun: e.MayHaveRun, TimedOut: e.TimedOut}); diff != "" {
 			t.Errorf("told %v:\n%s", told, diff)
 		}
-		e.Told(told)
+		e.ClientAnswered(told)
 		if !told {
 			n := <-s.notices
-			if n.ID != "m" || n.HandedBack {
+			if n.ID != "m" || n.Returned {
 				t.Errorf("notice %+v", n)
 			}
 			n.Done()
@@ -74,7 +74,7 @@
 			t.Errorf("told %v: %d further notices", told, len(s.notices))
 		}
 		r, s, _, _ = newRouterIn(t, dir)
-		if v := r.Pass(m); v.Kind != Ended || len(s.calls) != 0 || len(s.notices) != 0 {
+		if v := r.AcceptLong(m); v.Kind != AlreadyEnded || len(s.calls) != 0 || len(s.notices) != 0 {
 			t.Errorf("told %v, in the next life: %+v, %d calls, %d notices", told, v, len(s.calls), len(s.notices))
 		}
 	}
@@ -106,7 +106,7 @@
 	got := map[string]bool{}
 	for range 3 {
 		n := <-s.notices
-		got[n.ID] = n.HandedBack
+		got[n.ID] = n.Returned
 		n.Done()
 	}
 	if diff := cmp.Diff(map[string]bool{"begun": false, "held": true, "ended": false}, got); diff != "" {
@@ -118,7 +118,7 @@
 	end()
 	r, s, _, _ = newRouterIn(t, dir)
 	for _, id := range []string{"begun", "ended"} {
-		if m, _ := longMessage(id); r.Pass(m).Kind != Ended {
+		if m, _ := longMessage(id); r.AcceptLong(m).Kind != AlreadyEnded {
 			t.Errorf("%s was taken on again", id)
 		}
 	}
@@ -131,31 +131,31 @@
 func TestLongBoundsAndStop(t *testing.T) {
 	r, s, journal, end := newRouterIn(t, t.TempDir())
 	m, ends := longMessage("out")
-	r.Pass(m)
+	r.AcceptLong(m)
 	call := <-s.calls
 	call.Begin()
-	if other, _ := longMessage("beyond"); r.Pass(other).Kind != Refused {
+	if other, _ := longMessage("beyond"); r.AcceptLong(other).Kind != Refused {
 		t.Error("a second one was taken with one slot")
 	}
 	for i := range 9 {
-		if v := r.Take(message(string(rune('a' + i)))); v.Kind != Taken {
+		if v := r.Accept(message(string(rune('a' + i)))); v.Kind != Accepted {
 			t.Errorf("short message %d: %+v", i, v)
 		}
 	}
-	told := make(chan Ending, 1)
+	told := make(chan LongResult, 1)
 	go func() {
 		e := <-ends
-		e.Told(true)
+		e.ClientAnswered(true)
 		told <- e
 	}()
 	end()
-	if e := <-told; e.Kind != Failed || !e.MayHaveRun || !e.TimeUp {
+	if e := <-told; e.Kind != Failed || !e.MayHaveRun || !e.TimedOut {
 		t.Errorf("end %+v", e)
 	}
 	if left := journal.Live(); slices.ContainsFunc(left, func(m *wal.Message) bool { return m.ID == "out" && m.Ending != wal.Closed }) {
 		t.Errorf("journal %+v", left)
 	}
-	if late, _ := longMessage("late"); r.Pass(late).Kind != Stopped {
+	if late, _ := longMessage("late"); r.AcceptLong(late).Kind != Stopped {
 		t.Error("taken on after the end")
 	}
 }
--- a/internal/routing/past.go
+++ b/internal/routing/past.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// PastID is the id of a message that has ended of late.
-type PastID struct {
+// EndedID is the id of a message that has ended of late.
+type EndedID struct {
 	ID        string
 	Delivered bool
-	Ago       time.Duration
+	Age       time.Duration
 }
 
 // pastID is the id of a message that has ended. It is known for as long as any message may live, so that nobody's repeat
@@ -23,11 +23,11 @@
 	queue     []pastID        // the same, oldest first,
 	long      []pastID        // and those of long messages
 	closed    int             // of long, those with a record in the journal
-	gone      PastCursor      // how many have left each
+	gone      EndedCursor     // how many have left each
 }
 
-// PastCursor is a place among the ids that have ended; the zero one is before all.
-type PastCursor struct{ queue, long int }
+// EndedCursor is a place among the ids that have ended; the zero one is before all.
+type EndedCursor struct{ queue, long int }
 
 // add books an end that happens now; seq is its record in the journal, if it has one.
 func (p *pastIDs) add(id string, delivered, long bool, seq uint64) {
@@ -76,20 +76,20 @@
 }
 
 // list gives them, oldest first of each kind.
-func (p *pastIDs) list() []PastID {
-	ids, _ := p.from(PastCursor{}, len(p.queue)+len(p.long))
+func (p *pastIDs) list() []EndedID {
+	ids, _ := p.from(EndedCursor{}, len(p.queue)+len(p.long))
 	return ids
 }
 
 // from gives so many at the most that are behind a place, oldest first of each kind, and the place behind them. It goes through so
 // many at the most, too: one that was dropped counts.
-func (p *pastIDs) from(at PastCursor, most int) (ids []PastID, next PastCursor) {
-	next = PastCursor{max(at.queue, p.gone.queue), max(at.long, p.gone.long)}
+func (p *pastIDs) from(at EndedCursor, most int) (ids []EndedID, next EndedCursor) {
+	next = EndedCursor{max(at.queue, p.gone.queue), max(at.long, p.gone.long)}
 	take := func(queue []pastID, gone int, next *int) {
 		for ; *next-gone < len(queue) && most > 0; most-- {
 			past := queue[*next-gone]
 			if delivered, known := p.delivered[past.id]; known {
-				ids = append(ids, PastID{past.id, delivered, time.Since(past.at)})
+				ids = append(ids, EndedID{past.id, delivered, time.Since(past.at)})
 			}
 			*next++
 		}
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -24,22 +24,22 @@
 
 // Config is what a Router starts with.
 type Config struct {
-	Settings mb.Settings
-	Seed     uint64
-	Known    List
-	Log      *wal.Log
-	Caller   Caller
-	Notifier Notifier
-	Logger   zerolog.Logger
-	Samples  *oplog.Sampler // of what becomes of single requests; nil tells of none
-	Drain    time.Duration  // after the stop: how long calls may be out, at the most
-	Settle   time.Duration  // after the stop: how long clients may still come, and are answered
-	Long     LongLimits
-	Recall   *mb.Learned // what an earlier life had learned; nil is nothing
-	// Past says whether a message of that id has ended in an earlier life, and whether it was delivered; nil knows of none.
-	Past func(id string) (delivered, known bool)
-	// Guard stands before those who keep copies of what is held here; nil: nobody does.
-	Guard Guard
+	Settings     mb.Settings
+	Seed         uint64
+	InitialList  EndpointList
+	Log          *wal.Log
+	Caller       Caller
+	Notifier     Notifier
+	Logger       zerolog.Logger
+	Sampler      *oplog.Sampler // of what becomes of single requests; nil tells of none
+	DrainTimeout time.Duration  // after the stop: how long calls may be out, at the most
+	ClientGrace  time.Duration  // after the stop: how long clients may still come, and are answered
+	Long         LongLimits
+	Learned      *mb.Learned // what an earlier life had learned; nil is nothing
+	// EndedBefore says whether a message of that id has ended in an earlier life, and whether it was delivered; nil knows of none.
+	EndedBefore func(id string) (delivered, known bool)
+	// Replication stands before those who keep copies of what is held here; nil: nobody does.
+	Replication Replication
 	// Steering says where calls may go; nil: everywhere.
 	Steering Steering
 	// Limiter bounds what is taken on of a class; nil: nothing does.
@@ -100,7 +100,7 @@
 		past: pastIDs{delivered: map[string]bool{}}, waiting: map[uint64]*held{}, noticed: map[uint64]*held{},
 		promises: map[uint64]*promise{},
 	}
-	if cfg.Recall != nil { // the past that the module is told of lies before its clock's beginning, else
+	if cfg.Learned != nil { // the past that the module is told of lies before its clock's beginning, else
 		r.startedAt = r.startedAt.Add(-pastRoom)
 	}
 	for _, c := range cfg.Settings.Classes {
@@ -117,10 +117,10 @@
 	callCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	r.ctx = callCtx
-	if r.cfg.Recall != nil {
-		r.decider.Recall(r.now(), *r.cfg.Recall)
+	if r.cfg.Learned != nil {
+		r.decider.Recall(r.now(), *r.cfg.Learned)
 	}
-	r.learn(r.cfg.Known)
+	r.learn(r.cfg.InitialList)
 	r.resume()
 	ready()
 	wake := time.NewTimer(time.Hour)
@@ -136,7 +136,7 @@
 			r.retryJournal()
 		case <-stop:
 			stop = nil
-			r.close(r.cfg.Drain)
+			r.close(r.cfg.DrainTimeout)
 		}
 		if r.drained() {
 			break
@@ -196,7 +196,7 @@
 	}
 	left := time.Until(r.stopAt)
 	nothing := r.calls == 0 && len(r.ids) == 0 && r.notices == 0 && r.cfg.Log.Waiting() == 0
-	return left <= 0 || left < r.cfg.Drain-r.cfg.Settle && nothing
+	return left <= 0 || left < r.cfg.DrainTimeout-r.cfg.ClientGrace && nothing
 }
 
 // post hands an event to the router's goroutine; it is dropped once that has ended.
@@ -228,31 +228,31 @@
 	return none, false
 }
 
-// Take decides on a message that is handed in; when it says Taken, the message is journalled and outlasts what the
+// Accept decides on a message that is handed in; when it says Taken, the message is journalled and outlasts what the
 // journal's durability says.
-func (r *Router) Take(m Message) Verdict {
+func (r *Router) Accept(m Message) Verdict {
 	v, ok := ask(r, func() Verdict { return r.take(m) })
 	if !ok {
 		return Verdict{Kind: Stopped, RetryAfter: lateRefusal}
 	}
-	if v.Kind != Taken && v.Kind != Known || v.record == 0 {
+	if v.Kind != Accepted && v.Kind != AlreadyAccepted || v.record == 0 {
 		return v
 	}
 	if err := r.cfg.Log.Commit(v.record); err != nil { // no call of it has left, and none will
-		if v.Kind == Taken {
-			r.Withdraw(m.ID)
+		if v.Kind == Accepted {
+			r.CancelMessage(m.ID)
 		}
 		return Verdict{Kind: Refused, RetryAfter: lateRefusal}
 	}
-	if r.cfg.Guard != nil && v.mark > 0 {
+	if r.cfg.Replication != nil && v.mark > 0 {
 		return r.confirmTaken(m, v)
 	}
 	return v
 }
 
-// Withdraw drops a message whose client could not be told that it was taken on: to the client it counts for
+// CancelMessage drops a message whose client could not be told that it was taken on: to the client it counts for
 // nothing, and it will be handed in again. If it has been by then, and that was told to be known, it stays.
-func (r *Router) Withdraw(id string) {
+func (r *Router) CancelMessage(id string) {
 	r.post(func() {
 		if h := r.ids[id]; h != nil && !h.repeated {
 			r.counters.Withdrawn++
@@ -266,7 +266,7 @@
 }
 
 // Learn tells of discovery's list.
-func (r *Router) Learn(d List) { r.post(func() { r.learn(d) }) }
+func (r *Router) Learn(d EndpointList) { r.post(func() { r.learn(d) }) }
 
 // Counters gives the counters as they are now.
 func (r *Router) Counters() Counters {
@@ -283,7 +283,7 @@
 }
 
 // Learned gives what was learned up to now, and the ids of messages that have ended of late, oldest first of each kind.
-func (r *Router) Learned() (l mb.Learned, ids []PastID) {
+func (r *Router) Learned() (l mb.Learned, ids []EndedID) {
 	take := func() bool {
 		l, ids = r.decider.Learned(r.now()), r.past.list()
 		return true
@@ -341,7 +341,7 @@
 		}
 	}
 	if !r.stopAt.IsZero() {
-		for _, at := range []time.Time{r.stopAt, r.stopAt.Add(r.cfg.Settle - r.cfg.Drain)} {
+		for _, at := range []time.Time{r.stopAt, r.stopAt.Add(r.cfg.ClientGrace - r.cfg.DrainTimeout)} {
 			if at.Before(next) && time.Until(at) > 0 {
 				next = at
 			}
@@ -369,7 +369,7 @@
 }
 
 // learn takes what discovery says.
-func (r *Router) learn(d List) {
+func (r *Router) learn(d EndpointList) {
 	if r.overlay != nil {
 		if d = r.overlay.list(d); !d.Whole && !d.Saved && len(d.Endpoints) == 0 {
 			return
@@ -379,7 +379,7 @@
 }
 
 // learnEndpoints takes what counts of it, or of the configuration.
-func (r *Router) learnEndpoints(d List) {
+func (r *Router) learnEndpoints(d EndpointList) {
 	scope := mb.ListChanges
 	switch {
 	case d.Saved:
@@ -409,7 +409,7 @@
 			delete(r.endpoints, p.Name)
 		} else {
 			r.endpoints[p.Name] = p
-			r.groups[p.Group] = true
+			r.groups[p.Destination] = true
 		}
 		entries = append(entries, r.entry(p))
 	}
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -15,7 +15,7 @@
 	ID, Key     string
 	Class       string
 	Destination int64
-	Left        time.Duration // how long it may still be delivered
+	TTL         time.Duration // how long it may still be delivered
 	Body        []byte
 	Long        *Long // its body is passed on; nil for one that is held
 }
@@ -33,28 +33,28 @@
 
 // The verdicts. Unknown classes and destinations are the client's error.
 const (
-	Taken VerdictKind = iota
-	Known             // taken on before under this id, and held or delivered
-	Ended             // taken on before under this id, and given up or handed back
+	Accepted        VerdictKind = iota
+	AlreadyAccepted             // taken on before under this id, and held or delivered
+	AlreadyEnded                // taken on before under this id, and given up or handed back
 	Refused
 	Failed
 	UnknownClass
 	UnknownDestination
-	Stopped // the router has ended
-	Unsure  // taken on, perhaps, and perhaps held by others: nothing can be told
+	Stopped     // the router has ended
+	Unconfirmed // taken on, perhaps, and perhaps held by others: nothing can be told
 )
 
 // Endpoint is one endpoint as discovery lists it.
 type Endpoint struct {
 	Name, Address string
 	Zone, Kind    string
-	Group         int64
+	Destination   int64
 	Weight        float64
 	State         mb.Readiness
 }
 
-// List is a list of endpoints: the whole one, or the entries that changed.
-type List struct {
+// EndpointList is a list of endpoints: the whole one, or the entries that changed.
+type EndpointList struct {
 	Whole     bool
 	Saved     bool // the list as it was last held, perhaps out of date
 	Endpoints []Endpoint
@@ -62,27 +62,27 @@
 
 // Attempt is one attempt: a message on its way to an endpoint.
 type Attempt struct {
-	ID, Key  string
-	Body     []byte
-	Endpoint string
-	Address  string
-	CutAt    time.Time // the attempt is abandoned then
-	Fresh    bool      // on a new connection
-	Source   any       // of a long message: Long.Source; there is no Body then
-	// Settle must be asked, for a long message, once its delivery is known and before its client can hear of that.
-	Settle func() bool
+	ID, Key       string
+	Body          []byte
+	Endpoint      string
+	Address       string
+	Deadline      time.Time // the attempt is abandoned then
+	NewConnection bool      // on a new connection
+	BodySource    any       // of a long message: Long.Source; there is no Body then
+	// RecordDelivery must be asked, for a long message, once its delivery is known and before its client can hear of that.
+	RecordDelivery func() bool
 	// Begin must be asked just before the first byte is written; false forbids it.
 	Begin func() bool
 }
 
 // Result is how an attempt ended.
 type Result struct {
-	Outcome mb.Outcome
-	Wait    time.Duration   // with Full: the wait told, zero if none
-	Limit   *mb.LimitReport // what the endpoint told of its limit, if anything
-	Over    bool            // the message is over: nothing more is owed
-	Kept    bool            // it went on a connection that had carried a call before
-	Spent   bool            // of a long message: its body is gone, and no further attempt can be made
+	Outcome          mb.Outcome
+	RetryAfter       time.Duration   // with Full: the wait told, zero if none
+	Limit            *mb.LimitReport // what the endpoint told of its limit, if anything
+	Final            bool            // the message is over: nothing more is owed
+	ReusedConnection bool            // it went on a connection that had carried a call before
+	BodyConsumed     bool            // of a long message: its body is gone, and no further attempt can be made
 }
 
 // Caller makes calls. Call returns when the attempt has ended and nothing of it is on a connection any more; when
@@ -93,16 +93,16 @@
 	CloseIdle(endpoint string)
 }
 
-// Notice tells the platform how a message ended that was taken on and not delivered.
-type Notice struct {
+// DeliveryReport tells the platform how a message ended that was taken on and not delivered.
+type DeliveryReport struct {
 	ID         string
-	HandedBack bool // it may be handed in again, after RetryAfter
+	Returned   bool // it may be handed in again, after RetryAfter
 	RetryAfter time.Duration
-	// May says, just before the notice is sent, whether it may be, and whether it never will: others who hold copies of the
+	// MaySend says, just before the notice is sent, whether it may be, and whether it never will: others who hold copies of the
 	// message may have taken it over. Nil is always.
-	May  func() (now, never bool)
-	Done func() // to be called once the platform has acknowledged it
+	MaySend func() (now, never bool)
+	Done    func() // to be called once the platform has acknowledged it
 }
 
 // Notifier passes notices on until they are acknowledged; Notify does not wait for that.
-type Notifier interface{ Notify(Notice) }
+type Notifier interface{ Notify(DeliveryReport) }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -18,7 +18,7 @@
 type script struct {
 	calls   chan Attempt
 	results chan Result
-	notices chan Notice
+	notices chan DeliveryReport
 }
 
 func (s script) Call(ctx context.Context, c Attempt) Result {
@@ -27,13 +27,13 @@
 	case r := <-s.results:
 		return r
 	case <-ctx.Done():
-		return Result{Outcome: mb.TimedOut, Spent: c.Source != nil}
+		return Result{Outcome: mb.TimedOut, BodyConsumed: c.BodySource != nil}
 	}
 }
 
 func (s script) CloseIdle(string) {}
 
-func (s script) Notify(n Notice) { s.notices <- n }
+func (s script) Notify(n DeliveryReport) { s.notices <- n }
 
 // newRouter runs a router with one endpoint, "a" of destination 7, on a journal in a folder of its own.
 func newRouter(t *testing.T) (*Router, script, *wal.Log) {
@@ -60,24 +60,24 @@
 }
 
 // runGuarded does so with a guard; nil is none.
-func runGuarded(t *testing.T, journal *wal.Log, guard Guard) (r *Router, s script, end func()) {
+func runGuarded(t *testing.T, journal *wal.Log, guard Replication) (r *Router, s script, end func()) {
 	t.Helper()
-	return runConfig(t, journal, func(c *Config) { c.Guard = guard })
+	return runConfig(t, journal, func(c *Config) { c.Replication = guard })
 }
 
 // runSteered does so with a steering, nil for none, and endpoints.
-func runSteered(t *testing.T, journal *wal.Log, guard Guard, steering Steering, endpoints ...Endpoint) (r *Router, s script, end func()) {
+func runSteered(t *testing.T, journal *wal.Log, guard Replication, steering Steering, endpoints ...Endpoint) (r *Router, s script, end func()) {
 	t.Helper()
 	return runConfig(t, journal, func(c *Config) {
-		c.Guard, c.Steering = guard, steering
-		c.Known.Endpoints = endpoints
+		c.Replication, c.Steering = guard, steering
+		c.InitialList.Endpoints = endpoints
 	})
 }
 
 // runConfig does so with what change makes of the configuration.
 func runConfig(t *testing.T, journal *wal.Log, change func(*Config)) (r *Router, s script, end func()) {
 	t.Helper()
-	s = script{make(chan Attempt, 8), make(chan Result, 8), make(chan Notice, 8)}
+	s = script{make(chan Attempt, 8), make(chan Result, 8), make(chan DeliveryReport, 8)}
 	config := Config{
 		Settings: mb.Settings{
 			Couriers: 1, Slots: 4, LongSlots: 1, MostHeld: 10, MaxAttempts: 6, MaxRetryAfter: time.Second,
@@ -87,9 +87,9 @@
 				{Name: "safe", Target: time.Second, GiveUp: time.Minute, Worth: 1, Effect: mb.Safe},
 			},
 		},
-		Known: List{Whole: true, Saved: true, Endpoints: []Endpoint{{Name: "a", Address: "a:1", Group: 7, Weight: 50}}},
-		Log:   journal, Caller: s, Notifier: s, Logger: zerolog.Nop(),
-		Long: LongLimits{Most: 2, Slots: 1, Longest: time.Hour},
+		InitialList: EndpointList{Whole: true, Saved: true, Endpoints: []Endpoint{{Name: "a", Address: "a:1", Destination: 7, Weight: 50}}},
+		Log:         journal, Caller: s, Notifier: s, Logger: zerolog.Nop(),
+		Long: LongLimits{MaxMessages: 2, Slots: 1, MaxTTL: time.Hour},
 	}
 	change(&config)
 	r, err := New(config)
@@ -106,14 +106,14 @@
 }
 
 func message(id string) Message {
-	return Message{ID: id, Class: "unsafe", Destination: 7, Left: time.Minute, Body: []byte("b")}
+	return Message{ID: id, Class: "unsafe", Destination: 7, TTL: time.Minute, Body: []byte("b")}
 }
 
 // A message whose accept can't be journalled is refused, and no call of it leaves.
 func TestNothingLeavesWithoutTheJournal(t *testing.T) {
 	r, s, journal := newRouter(t)
 	journal.Close()
-	if got := r.Take(message("m")); got.Kind != Refused || got.RetryAfter <= 0 {
+	if got := r.Accept(message("m")); got.Kind != Refused || got.RetryAfter <= 0 {
 		t.Errorf("verdict %+v", got)
 	}
 	if got := r.Counters(); len(s.calls) != 0 || got.Sends != 0 || got.Held != 0 {
@@ -124,16 +124,16 @@
 // Between a send and its first byte the list may change: then the call does not begin, and counts as never sent.
 func TestListIsLookedAtAgainBeforeTheFirstByte(t *testing.T) {
 	for name, change := range map[string]Endpoint{
-		"drains":        {Name: "a", Address: "a:1", Group: 7, State: mb.Draining},
-		"is gone":       {Name: "a", Address: "a:1", Group: 7, State: mb.Deleted},
-		"changes group": {Name: "a", Address: "a:1", Group: 8},
+		"drains":        {Name: "a", Address: "a:1", Destination: 7, State: mb.Draining},
+		"is gone":       {Name: "a", Address: "a:1", Destination: 7, State: mb.Deleted},
+		"changes group": {Name: "a", Address: "a:1", Destination: 8},
 	} {
 		r, s, _ := newRouter(t)
-		if got := r.Take(message("m")); got.Kind != Taken {
+		if got := r.Accept(message("m")); got.Kind != Accepted {
 			t.Fatalf("verdict %+v", got)
 		}
 		c := <-s.calls
-		r.Learn(List{Endpoints: []Endpoint{change}})
+		r.Learn(EndpointList{Endpoints: []Endpoint{change}})
 		if c.Begin() {
 			t.Errorf("a call began to an endpoint that %s", name)
 		}
@@ -149,7 +149,7 @@
 			r, s, _ := newRouter(t)
 			m := message("m")
 			m.Class = "keyed"
-			r.Take(m)
+			r.Accept(m)
 			if c := <-s.calls; !c.Begin() {
 				t.Fatal("the first call did not begin")
 			}
@@ -159,7 +159,7 @@
 			if began, want := repeat.Begin(), took < time.Second; began != want {
 				t.Errorf("connected after %v, the repeat began: %v", took, began)
 			}
-			s.results <- Result{Outcome: mb.OK, Over: true}
+			s.results <- Result{Outcome: mb.OK, Final: true}
 		})
 	}
 }
@@ -193,13 +193,13 @@
 		_, s, _, end := newRouterIn(t, dir)
 		select {
 		case call := <-s.calls:
-			if !c.goes || call.CutAt.After(now.Add(2*time.Minute)) {
-				t.Errorf("%s: it went again, to be cut at %v", name, call.CutAt)
+			if !c.goes || call.Deadline.After(now.Add(2*time.Minute)) {
+				t.Errorf("%s: it went again, to be cut at %v", name, call.Deadline)
 			}
-			s.results <- Result{Outcome: mb.OK, Over: true}
+			s.results <- Result{Outcome: mb.OK, Final: true}
 		case n := <-s.notices:
-			if c.goes || n.HandedBack {
-				t.Errorf("%s: it ended, handed back: %v", name, n.HandedBack)
+			if c.goes || n.Returned {
+				t.Errorf("%s: it ended, handed back: %v", name, n.Returned)
 			}
 			n.Done()
 		}
@@ -230,7 +230,7 @@
 	if c := <-s.calls; c.ID != "fresh" {
 		t.Errorf("%s goes first", c.ID)
 	}
-	s.results <- Result{Outcome: mb.OK, Over: true}
+	s.results <- Result{Outcome: mb.OK, Final: true}
 }
 
 // A client whose connection broke under its request hands that in again, and is told that it is known, before the first answer is
@@ -238,38 +238,38 @@
 func TestARepeatThatIsToldOutlastsTheFirstsWithdrawal(t *testing.T) {
 	r, s, _ := newRouter(t)
 	for _, id := range []string{"repeated", "alone"} {
-		if got := r.Take(message(id)); got.Kind != Taken {
+		if got := r.Accept(message(id)); got.Kind != Accepted {
 			t.Fatalf("verdict %+v", got)
 		}
 	}
-	if got := r.Take(message("repeated")); got.Kind != Known {
+	if got := r.Accept(message("repeated")); got.Kind != AlreadyAccepted {
 		t.Errorf("the repeat: %+v", got)
 	}
-	r.Withdraw("repeated")
-	r.Withdraw("alone")
+	r.CancelMessage("repeated")
+	r.CancelMessage("alone")
 	if c := r.Counters(); c.Held != 1 || c.Withdrawn != 1 {
 		t.Errorf("counters %+v", c)
 	}
 	if c := <-s.calls; c.ID != "repeated" {
 		t.Errorf("%s goes", c.ID)
 	}
-	s.results <- Result{Outcome: mb.OK, Over: true}
+	s.results <- Result{Outcome: mb.OK, Final: true}
 }
 
 // An unsafe message whose call was reset is given up by a notice at once; one that never began is held.
 func TestEndings(t *testing.T) {
 	r, s, _ := newRouter(t)
-	r.Take(message("ran"))
+	r.Accept(message("ran"))
 	if c := <-s.calls; !c.Begin() {
 		t.Fatal("the call did not begin")
 	}
 	s.results <- Result{Outcome: mb.Reset}
 	n := <-s.notices
-	if diff := cmp.Diff([]any{"ran", false}, []any{n.ID, n.HandedBack}); diff != "" {
+	if diff := cmp.Diff([]any{"ran", false}, []any{n.ID, n.Returned}); diff != "" {
 		t.Error(diff)
 	}
 	n.Done()
-	r.Take(message("never"))
+	r.Accept(message("never"))
 	<-s.calls
 	s.results <- Result{Outcome: mb.Reset} // it may say so, but nothing was let go
 	(<-s.calls).Begin()
@@ -287,12 +287,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		r, s, _ := newRouter(t)
 		m := message("m")
-		m.Left = time.Second
+		m.TTL = time.Second
 		taken := time.Now()
-		r.Take(m)
+		r.Accept(m)
 		(<-s.calls).Begin()
 		n := <-s.notices
-		if n.ID != "m" || n.HandedBack || time.Since(taken) > m.Left-requestTravel {
+		if n.ID != "m" || n.Returned || time.Since(taken) > m.TTL-requestTravel {
 			t.Errorf("%+v after %v", n, time.Since(taken))
 		}
 	})
--- a/internal/routing/sample.go
+++ b/internal/routing/sample.go
@@ -10,14 +10,14 @@
 
 // sample tells what has become of a message, and why.
 func (r *Router) sample(what, reason string, h *held) {
-	r.cfg.Samples.Note(what, reason, func(e *zerolog.Event) {
+	r.cfg.Sampler.Note(what, reason, func(e *zerolog.Event) {
 		e.Str("request", h.ID).Str("class", h.Class).Int64("destination", h.Destination).Int("attempts", h.attempts).Bool("may_have_run", h.mayRun)
 	})
 }
 
 // sampleRefused tells of a message that was not taken on.
 func (r *Router) sampleRefused(m Message, reason string) {
-	r.cfg.Samples.Note("message refused", reason, func(e *zerolog.Event) {
+	r.cfg.Sampler.Note("message refused", reason, func(e *zerolog.Event) {
 		e.Str("request", m.ID).Str("class", m.Class).Int64("destination", m.Destination)
 	})
 }
@@ -27,7 +27,7 @@
 	if out == mb.OK {
 		return
 	}
-	r.cfg.Samples.Note("call ended", outcomeNames[out], func(e *zerolog.Event) {
+	r.cfg.Sampler.Note("call ended", outcomeNames[out], func(e *zerolog.Event) {
 		e.Str("request", c.msg.ID).Str("endpoint", c.endpoint).Int("attempt", c.number).Bool("begun", c.begun)
 	})
 }
--- a/internal/routing/shared.go
+++ b/internal/routing/shared.go
@@ -11,26 +11,26 @@
 // What others hold copies of. Without a Guard nobody does, and nothing here is used. The router's goroutine owns it all; what is
 // exported may be called from any goroutine.
 
-// Guard stands between the router and those who keep copies of what it holds, and may take that over.
-type Guard interface {
+// Replication stands between the router and those who keep copies of what it holds, and may take that over.
+type Replication interface {
 	// MayAct says whether this life may act at this moment for messages of which there are copies. It is asked just before a
 	// call's first byte, and never waits.
 	MayAct() bool
-	// Mark is the place, in the log that goes to others, of the latest record; the router's goroutine asks it.
-	Mark() uint64
-	// Held returns once everybody who counts has the log up to a mark. For a class that goes on without a copy when there is
+	// LogPosition is the place, in the log that goes to others, of the latest record; the router's goroutine asks it.
+	LogPosition() uint64
+	// WaitReplicated returns once everybody who counts has the log up to a mark. For a class that goes on without a copy when there is
 	// nobody to keep one, alone says that it does; for any other an error does.
-	Held(mark uint64, class string) (alone bool, err error)
-	// Holds says, without waiting, whether Held would return by now.
-	Holds(mark uint64, class string) bool
-	// Ready says, without waiting, whether a message of a class can be taken on as things are.
-	Ready(class string) bool
-	// Strict says that a class's calls begin only when others know of it.
-	Strict(class string) bool
+	WaitReplicated(mark uint64, class string) (alone bool, err error)
+	// Replicated says, without waiting, whether Held would return by now.
+	Replicated(mark uint64, class string) bool
+	// CanAccept says, without waiting, whether a message of a class can be taken on as things are.
+	CanAccept(class string) bool
+	// ReplicatesStarts says that a class's calls begin only when others know of it.
+	ReplicatesStarts(class string) bool
 }
 
-// Fate asks what became of a message of an earlier life: whether it is still this forwarder's.
-type Fate func(m *wal.Message) bool
+// OwnershipCheck asks what became of a message of an earlier life: whether it is still this forwarder's.
+type OwnershipCheck func(m *wal.Message) bool
 
 // tellAnyway is how long a notice waits until others know of the end that it tells of. Without them knowing, whoever takes over
 // could end the message another way; but an answer that never comes is worse.
@@ -38,10 +38,10 @@
 
 // mayTell gives what a notice of a shared message asks just before it is sent.
 func (r *Router) mayTell(h *held) func() (now, never bool) {
-	mark, since := r.cfg.Guard.Mark(), time.Now()
+	mark, since := r.cfg.Replication.LogPosition(), time.Now()
 	return func() (now, never bool) {
-		held := r.cfg.Guard.Holds(mark, h.Class) || time.Since(since) > tellAnyway
-		return held && r.cfg.Guard.MayAct(), h.dropped.Load()
+		held := r.cfg.Replication.Replicated(mark, h.Class) || time.Since(since) > tellAnyway
+		return held && r.cfg.Replication.MayAct(), h.dropped.Load()
 	}
 }
 
@@ -49,11 +49,13 @@
 var errAway = errors.New("routing: not this life's to act for")
 
 // acts says whether the router may act for a message now.
-func (r *Router) acts(h *held) bool { return r.cfg.Guard == nil || h.apart || r.cfg.Guard.MayAct() }
+func (r *Router) acts(h *held) bool {
+	return r.cfg.Replication == nil || h.apart || r.cfg.Replication.MayAct()
+}
 
-// Freeze stops all that is done for messages of which there are copies: this life may not act for them any more, and somebody
+// Suspend stops all that is done for messages of which there are copies: this life may not act for them any more, and somebody
 // else may. Their calls are cancelled; the messages stay as they are, for Thaw.
-func (r *Router) Freeze() {
+func (r *Router) Suspend() {
 	ask(r, func() bool {
 		for _, h := range r.messages {
 			if h.apart || h.away || h.ended {
@@ -70,9 +72,9 @@
 	})
 }
 
-// Thaw goes on with what Freeze, or a start, has left: each message that is still this forwarder's is decided on again, with its
+// Continue goes on with what Freeze, or a start, has left: each message that is still this forwarder's is decided on again, with its
 // past; the others are somebody else's, who answers for them. From here on what was taken on apart has copies as any other.
-func (r *Router) Thaw(mine Fate) {
+func (r *Router) Continue(mine OwnershipCheck) {
 	ask(r, func() bool {
 		kept, left := 0, 0
 		for _, m := range r.cfg.Log.Live() {
@@ -198,7 +200,7 @@
 		if err := r.adoptAll(wanted); err != nil {
 			return err
 		}
-		mark = r.cfg.Guard.Mark()
+		mark = r.cfg.Replication.LogPosition()
 		return nil
 	})
 	if !served {
@@ -212,7 +214,7 @@
 	own := *m
 	own.Owner, own.Life = owner, life
 	own.Settle() // a call of it that was out has ended by now, and may have run
-	if !r.cfg.Guard.Strict(own.Class) {
+	if !r.cfg.Replication.ReplicatesStarts(own.Class) {
 		own.AssumeRun(time.Now().Add(-pastRoom)) // its calls began without a copy that says so, nobody knows when
 	}
 	return &own
@@ -312,17 +314,17 @@
 // for tens of milliseconds.
 const pastAtOnce = 1024
 
-// Past gives the ids that are over in pieces, so that messages go on in between: each is called outside the router's goroutine, and last
+// EndedIDs gives the ids that are over in pieces, so that messages go on in between: each is called outside the router's goroutine, and last
 // in it, with the rest that has ended meanwhile, so that what it sees of the journal fits to exactly these ids. False says that the
 // router has ended.
-func (r *Router) Past(each func([]wal.Past), last func(log *wal.Log, rest []wal.Past)) bool {
-	for at := (PastCursor{}); ; {
+func (r *Router) EndedIDs(each func([]wal.Past), last func(log *wal.Log, rest []wal.Past)) bool {
+	for at := (EndedCursor{}); ; {
 		var piece []wal.Past
 		over, served := ask(r, func() bool {
 			ids, next := r.past.from(at, pastAtOnce)
 			now := time.Now()
 			for _, p := range ids {
-				piece = append(piece, wal.Past{ID: p.ID, Delivered: p.Delivered, At: now.Add(-p.Ago)})
+				piece = append(piece, wal.Past{ID: p.ID, Delivered: p.Delivered, At: now.Add(-p.Age)})
 			}
 			if at = next; at.queue-r.past.gone.queue < len(r.past.queue) || at.long-r.past.gone.long < len(r.past.long) {
 				return false
@@ -337,9 +339,9 @@
 	}
 }
 
-// Hear has the module heed what advise makes of what it has learned itself; advise runs in the router's goroutine. False says that the
+// ApplyObservations has the module heed what advise makes of what it has learned itself; advise runs in the router's goroutine. False says that the
 // router has ended.
-func (r *Router) Hear(advise func(own []mb.LearnedLane) []mb.LearnedLane) bool {
+func (r *Router) ApplyObservations(advise func(own []mb.LearnedLane) []mb.LearnedLane) bool {
 	_, served := ask(r, func() bool {
 		r.decider.Hear(r.now(), advise(r.decider.Learned(r.now()).Lanes))
 		r.decide() // what waits, waits for other moments now
@@ -351,11 +353,11 @@
 // confirmTaken waits, outside the router's goroutine, until a message that was taken on is held by whoever counts. Where that is
 // not known in time, some may hold it and take it over: it stays, and its client is told nothing.
 func (r *Router) confirmTaken(m Message, v Verdict) Verdict {
-	alone, err := r.cfg.Guard.Held(v.mark, m.Class)
+	alone, err := r.cfg.Replication.WaitReplicated(v.mark, m.Class)
 	switch {
 	case err != nil:
 		r.post(func() { r.counters.NoCopy++ })
-		return Verdict{Kind: Unsure}
+		return Verdict{Kind: Unconfirmed}
 	case alone:
 		if _, served := ask(r, func() bool { r.journal(m.ID, r.cfg.Log.Mark(v.seq)); r.counters.Alone++; return true }); !served {
 			return Verdict{Kind: Stopped, RetryAfter: lateRefusal}
--- a/internal/routing/shared_test.go
+++ b/internal/routing/shared_test.go
@@ -12,12 +12,12 @@
 // strictGuard lets everything go; its classes are strict or not.
 type strictGuard bool
 
-func (strictGuard) MayAct() bool                      { return true }
-func (strictGuard) Mark() uint64                      { return 0 }
-func (strictGuard) Held(uint64, string) (bool, error) { return false, nil }
-func (strictGuard) Holds(uint64, string) bool         { return true }
-func (strictGuard) Ready(string) bool                 { return true }
-func (g strictGuard) Strict(string) bool              { return bool(g) }
+func (strictGuard) MayAct() bool                                { return true }
+func (strictGuard) LogPosition() uint64                         { return 0 }
+func (strictGuard) WaitReplicated(uint64, string) (bool, error) { return false, nil }
+func (strictGuard) Replicated(uint64, string) bool              { return true }
+func (strictGuard) CanAccept(string) bool                       { return true }
+func (g strictGuard) ReplicatesStarts(string) bool              { return bool(g) }
 
 // A copy of a message of a strict class that says of no call was never called. One of another class may have been called without any copy
 // that says so: whoever takes it over sends it again only where a repeat does no harm. Two regions that were cut from each other sent an
@@ -57,7 +57,7 @@
 				}
 				s.results <- Result{}
 			case n := <-s.notices:
-				if c.called || n.ID != "m" || n.HandedBack {
+				if c.called || n.ID != "m" || n.Returned {
 					t.Errorf("%+v", n)
 				}
 			}
--- a/internal/routing/steer.go
+++ b/internal/routing/steer.go
@@ -22,31 +22,31 @@
 // Steering says to which zones this forwarder's calls may go. All come from the router's
 // goroutine and must not wait.
 type Steering interface {
-	// Handed is told of each new message that is handed in, and says whether there is room for it anywhere; without, it is refused at
+	// Admit is told of each new message that is handed in, and says whether there is room for it anywhere; without, it is refused at
 	// once.
-	Handed(destination int64, class string) bool
-	// Called is told how a call ended, and how long it took but for what this forwarder's journal and replicas took of that. One that did
+	Admit(destination int64, class string) bool
+	// CallEnded is told how a call ended, and how long it took but for what this forwarder's journal and replicas took of that. One that did
 	// not begin says how its connection failed.
-	Called(destination int64, zone string, out mb.Outcome, took time.Duration)
-	// Limited is told of a limit that an answer carried, calls a second from all forwarders together.
-	Limited(destination int64, zone string, rate float64)
+	CallEnded(destination int64, zone string, out mb.Outcome, took time.Duration)
+	// LimitReported is told of a limit that an answer carried, calls a second from all forwarders together.
+	LimitReported(destination int64, zone string, rate float64)
 	// Access says how calls may go to a destination's endpoints in a zone now.
 	Access(destination int64, zone string) Access
-	// Takes books a call that is to be made, before its connection is looked for: one that can't be connected is a call all the same.
+	// ReserveCall books a call that is to be made, before its connection is looked for: one that can't be connected is a call all the same.
 	// False says that what was allowed is used up.
-	Takes(destination int64, zone string) bool
-	// Holds says, just before a call's first byte, whether calls may still go there at all.
-	Holds(destination int64, zone string) bool
+	ReserveCall(destination int64, zone string) bool
+	// Allows says, just before a call's first byte, whether calls may still go there at all.
+	Allows(destination int64, zone string) bool
 }
 
-// Steer looks again at where calls may go. The module takes an endpoint that they may not go to for one that drains: calls that are
+// RefreshAccess looks again at where calls may go. The module takes an endpoint that they may not go to for one that drains: calls that are
 // out go on, and no new ones are made.
-func (r *Router) Steer() { r.post(r.steer) }
+func (r *Router) RefreshAccess() { r.post(r.steer) }
 
 func (r *Router) steer() {
 	var entries []mb.Entry
 	for name, p := range r.endpoints {
-		if p.State == mb.Serving && r.access[name] != r.cfg.Steering.Access(p.Group, p.Zone) {
+		if p.State == mb.Serving && r.access[name] != r.cfg.Steering.Access(p.Destination, p.Zone) {
 			entries = append(entries, r.entry(p))
 		}
 	}
@@ -58,7 +58,7 @@
 // entry is what the module is told of an endpoint.
 func (r *Router) entry(p Endpoint) mb.Entry {
 	entry := mb.Entry{
-		Endpoint: mb.EndpointID(p.Name), Zone: p.Zone, Kind: p.Kind, Destination: mb.DestinationID(p.Group), Readiness: p.State,
+		Endpoint: mb.EndpointID(p.Name), Zone: p.Zone, Kind: p.Kind, Destination: mb.DestinationID(p.Destination), Readiness: p.State,
 		CapacityHint: p.Weight,
 	}
 	if r.cfg.Steering == nil {
@@ -68,7 +68,7 @@
 	if p.State != mb.Serving {
 		return entry
 	}
-	switch access := r.cfg.Steering.Access(p.Group, p.Zone); access {
+	switch access := r.cfg.Steering.Access(p.Destination, p.Zone); access {
 	case Barred:
 		r.access[p.Name], entry.Readiness = access, mb.Draining
 	case Trial:
@@ -82,8 +82,8 @@
 	if r.cfg.Steering == nil {
 		return true
 	}
-	ok := r.cfg.Steering.Takes(p.Group, p.Zone)
-	if r.cfg.Steering.Access(p.Group, p.Zone) == Barred { // what is allowed there is used up
+	ok := r.cfg.Steering.ReserveCall(p.Destination, p.Zone)
+	if r.cfg.Steering.Access(p.Destination, p.Zone) == Barred { // what is allowed there is used up
 		r.steer()
 	}
 	return ok
@@ -98,21 +98,21 @@
 		return
 	}
 	p := r.endpoints[c.endpoint]
-	r.cfg.Steering.Called(c.msg.Destination, p.Zone, out, time.Since(c.sentAt)-c.cleared)
+	r.cfg.Steering.CallEnded(c.msg.Destination, p.Zone, out, time.Since(c.sentAt)-c.cleared)
 }
 
-// Sites is what the list says of the capacity that destinations have in each zone, calls a second.
-func (r *Router) Sites() map[int64]map[string]float64 {
+// ZoneCapacities is what the list says of the capacity that destinations have in each zone, calls a second.
+func (r *Router) ZoneCapacities() map[int64]map[string]float64 {
 	sites, _ := ask(r, func() map[int64]map[string]float64 {
 		out := map[int64]map[string]float64{}
 		for _, p := range r.endpoints {
 			if p.State != mb.Serving {
 				continue
 			}
-			if out[p.Group] == nil {
-				out[p.Group] = map[string]float64{}
+			if out[p.Destination] == nil {
+				out[p.Destination] = map[string]float64{}
 			}
-			out[p.Group][p.Zone] += p.Weight
+			out[p.Destination][p.Zone] += p.Weight
 		}
 		return out
 	})
--- a/internal/routing/steer_test.go
+++ b/internal/routing/steer_test.go
@@ -31,12 +31,12 @@
 	return z.access[zone]
 }
 
-func (z *zones) Holds(destination int64, zone string) bool {
+func (z *zones) Allows(destination int64, zone string) bool {
 	return z.Access(destination, zone) != Barred
 }
 
-// Takes uses a trial up: the next one has to be allowed again.
-func (z *zones) Takes(_ int64, zone string) bool {
+// ReserveCall uses a trial up: the next one has to be allowed again.
+func (z *zones) ReserveCall(_ int64, zone string) bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	access := z.access[zone]
@@ -46,14 +46,14 @@
 	return access != Barred
 }
 
-func (z *zones) Handed(int64, string) bool { return true }
-func (z *zones) Called(_ int64, _ string, _ mb.Outcome, took time.Duration) {
+func (z *zones) Admit(int64, string) bool { return true }
+func (z *zones) CallEnded(_ int64, _ string, _ mb.Outcome, took time.Duration) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.took = append(z.took, took)
 }
 
-func (z *zones) Limited(int64, string, float64) {}
+func (z *zones) LimitReported(int64, string, float64) {}
 
 // A zone that is to be tried gets the next call, one, though another would have it; then calls go where they are free to go.
 func TestATrialIsTheNextCall(t *testing.T) {
@@ -64,15 +64,15 @@
 		}
 		steering := &zones{access: map[string]Access{}}
 		r, s, end := runSteered(t, journal, nil, steering,
-			Endpoint{Name: "a", Address: "a:1", Group: 7, Zone: "z0", Weight: 50}, Endpoint{Name: "b", Address: "b:1", Group: 7, Zone: "z1", Weight: 50})
+			Endpoint{Name: "a", Address: "a:1", Destination: 7, Zone: "z0", Weight: 50}, Endpoint{Name: "b", Address: "b:1", Destination: 7, Zone: "z1", Weight: 50})
 		defer end()
 		for i, step := range []struct {
 			access Access // of z1
 			want   string
 		}{{Free, "a"}, {Barred, "a"}, {Trial, "b"}, {Barred, "a"}, {Trial, "b"}, {Free, "a"}} {
 			steering.set("z1", step.access)
-			r.Steer()
-			if v := r.Take(message(strconv.Itoa(i))); v.Kind != Taken {
+			r.RefreshAccess()
+			if v := r.Accept(message(strconv.Itoa(i))); v.Kind != Accepted {
 				t.Fatalf("step %d: %+v", i, v)
 			}
 			call := <-s.calls
@@ -88,12 +88,12 @@
 // slowReplica takes its time to hold a record.
 type slowReplica struct{ takes time.Duration }
 
-func (s slowReplica) MayAct() bool              { return true }
-func (s slowReplica) Ready(string) bool         { return true }
-func (s slowReplica) Strict(string) bool        { return true }
-func (s slowReplica) Mark() uint64              { return 1 }
-func (s slowReplica) Holds(uint64, string) bool { return true }
-func (s slowReplica) Held(uint64, string) (bool, error) {
+func (s slowReplica) MayAct() bool                   { return true }
+func (s slowReplica) CanAccept(string) bool          { return true }
+func (s slowReplica) ReplicatesStarts(string) bool   { return true }
+func (s slowReplica) LogPosition() uint64            { return 1 }
+func (s slowReplica) Replicated(uint64, string) bool { return true }
+func (s slowReplica) WaitReplicated(uint64, string) (bool, error) {
 	time.Sleep(s.takes) // on the test's own clock
 	return false, nil
 }
@@ -106,10 +106,10 @@
 			t.Fatal(err)
 		}
 		steering := &zones{access: map[string]Access{}}
-		r, s, end := runSteered(t, journal, slowReplica{300 * time.Millisecond}, steering, Endpoint{Name: "a", Address: "a:1", Group: 7, Zone: "z0", Weight: 50})
+		r, s, end := runSteered(t, journal, slowReplica{300 * time.Millisecond}, steering, Endpoint{Name: "a", Address: "a:1", Destination: 7, Zone: "z0", Weight: 50})
 		defer end()
-		r.Thaw(func(*wal.Message) bool { return true })
-		go r.Take(message("m")) // it answers once the replicas have the message; the call is on its way before
+		r.Continue(func(*wal.Message) bool { return true })
+		go r.Accept(message("m")) // it answers once the replicas have the message; the call is on its way before
 		call := <-s.calls
 		time.Sleep(20 * time.Millisecond) // until it is connected
 		if !call.Begin() {
