--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -65,10 +65,10 @@
 	for _, part := range batch.Parts {
 		decisions, err := h.handlePart(batch.Moment, part)
 		if err != nil {
-			return nil, fmt.Errorf("batch %d, %s: %w", batch.Batch, part.Who, err)
+			return nil, fmt.Errorf("batch %d, %s: %w", batch.Batch, part.Instance, err)
 		}
 		if len(decisions) > 0 {
-			reply.Parts = append(reply.Parts, wire.ReplyPart{Who: part.Who, Decisions: decisions})
+			reply.Parts = append(reply.Parts, wire.ReplyPart{Instance: part.Instance, Decisions: decisions})
 		}
 	}
 	return reply, nil
@@ -78,7 +78,7 @@
 	var decisions []any
 	var events []mb.Event
 	flush := func() error {
-		d := h.instances[part.Who]
+		d := h.instances[part.Instance]
 		if d == nil || len(events) == 0 {
 			events = nil
 			return nil
@@ -110,10 +110,10 @@
 				return nil, err
 			}
 			decisions, events = nil, nil
-			h.instances[part.Who] = d
+			h.instances[part.Instance] = d
 		case wire.Destroy:
 			decisions, events = nil, nil
-			delete(h.instances, part.Who)
+			delete(h.instances, part.Instance)
 		case wire.Catalog:
 			h.lists[ev.ID] = ev.Entries
 		case wire.ListRef:
--- a/cmd/larkreach/config.go
+++ b/cmd/larkreach/config.go
@@ -132,12 +132,12 @@
 }
 
 // asking says when discovery is asked, by the size of the fleet that asks it.
-func (c config) asking() transport.Asking {
+func (c config) asking() transport.PollSchedule {
 	within := c.Settings.AskWithin
 	if !c.Settings.MustAsk {
 		within = 0
 	}
-	return transport.AskingFor(c.Settings.Couriers, within, rand.New(rand.NewPCG(c.Seed, askingStream)).Float64)
+	return transport.NewPollSchedule(c.Settings.Couriers, within, rand.New(rand.NewPCG(c.Seed, askingStream)).Float64)
 }
 
 // since is the version from which discovery is asked for changes. Where each line of a list costs it something, that is the
--- a/cmd/larkreach/main.go
+++ b/cmd/larkreach/main.go
@@ -125,7 +125,7 @@
 	if err != nil {
 		return err
 	}
-	clients := &transport.Clients{Handler: handler{router}, Most: room * 3 / 4, Long: passages, Samples: samples}
+	clients := &transport.Clients{Handler: handler{router}, MaxConnections: room * 3 / 4, Streams: passages, Samples: samples}
 	counters := func(when string) {
 		now, line := router.Counters(), logger.Info()
 		if passages != nil {
@@ -175,7 +175,7 @@
 // aside, so that whoever fills the table with connections takes none that is needed later: for the program's own files, the
 // journal's, connections that are turned away, calls that are out, and long messages. Calls get half of what is left at the most.
 func shareDescriptors(cfg *config, long int) (room int, err error) {
-	kept := ownFiles + wal.Descriptors + transport.Overflow + long
+	kept := ownFiles + wal.Descriptors + transport.OverflowConnections + long
 	left := cfg.Limits.Sockets - kept
 	if left < leastRoom {
 		return 0, fmt.Errorf("config: limits: %d descriptors are too few, %d of them are not for connections", cfg.Limits.Sockets, kept)
@@ -252,7 +252,7 @@
 
 // longBodies puts the settings of long bodies in the parts' terms, and tells how many descriptors they take. Without
 // settings there are none.
-func longBodies(b *settings.Bodies, l limits) (routing.LongLimits, *transport.Passages, int, error) {
+func longBodies(b *settings.Bodies, l limits) (routing.LongLimits, *transport.Streams, int, error) {
 	if b == nil {
 		return routing.LongLimits{}, nil, 0, nil
 	}
@@ -265,7 +265,7 @@
 	if share := int64(heapShare * float64(l.MemoryMB<<20)); int64(b.Total) > share {
 		return limits, nil, 0, fmt.Errorf("settings: bodies.total: %d bytes of %d that may be held in all", b.Total, share)
 	}
-	return limits, &transport.Passages{Most: int64(b.Most), Idle: time.Duration(b.Idle), Window: int(b.Window)}, files, nil
+	return limits, &transport.Streams{MaxBodyBytes: int64(b.Most), IdleTimeout: time.Duration(b.Idle), WindowBytes: int(b.Window)}, files, nil
 }
 
 // errBroken ends the process where its supervisor's next start is the way out.
@@ -296,8 +296,8 @@
 	group.Go(func() error { return reload.run(after, hup) })
 	group.Go(func() error {
 		watch := transport.Discovery{
-			Address: reload.address, Since: cfg.since(), Logger: logger, Asking: cfg.asking(),
-			Learn: func(d protocol.List) { router.Learn(listOf(d, false)) },
+			Address: reload.address, KnownVersion: cfg.since(), Logger: logger, Schedule: cfg.asking(),
+			OnList: func(d protocol.List) { router.Learn(listOf(d, false)) },
 		}
 		return watch.Watch(after)
 	})
--- a/cmd/larkreach/reload.go
+++ b/cmd/larkreach/reload.go
@@ -127,7 +127,7 @@
 
 // reach turns to the address that is wanted; false says that it takes no connection.
 func (r reloader) reach(ctx context.Context, left *reload) bool {
-	moved, err := r.address.Reach(ctx, left.wanted)
+	moved, err := r.address.MoveIfReachable(ctx, left.wanted)
 	switch {
 	case err != nil:
 		if ctx.Err() == nil {
--- a/cmd/larkreach/wiring.go
+++ b/cmd/larkreach/wiring.go
@@ -18,10 +18,10 @@
 // handler puts clients' handovers before the router.
 type handler struct{ router *routing.Router }
 
-func (d handler) Take(h protocol.Handover) (*protocol.Refusal, func()) {
+func (d handler) Accept(h protocol.Submission) (*protocol.Refusal, func()) {
 	id := string(h.ID)
 	v := d.router.Take(routing.Message{
-		ID: id, Key: string(h.Key), Class: string(h.Class), Destination: h.Destination, Left: h.Left,
+		ID: id, Key: string(h.Key), Class: string(h.Class), Destination: h.Destination, Left: h.Timeout,
 		Body: bytes.Clone(h.Body),
 	})
 	switch v.Kind {
@@ -33,10 +33,10 @@
 	return refusal(v), nil
 }
 
-func (d handler) Pass(h protocol.Handover, up *transport.Upload) (*protocol.Refusal, <-chan transport.Passed) {
-	done := make(chan transport.Passed, 1) // the router does not wait
+func (d handler) Stream(h protocol.Submission, up *transport.Upload) (*protocol.Refusal, <-chan transport.StreamEnd) {
+	done := make(chan transport.StreamEnd, 1) // the router does not wait
 	v := d.router.Pass(routing.Message{
-		ID: string(h.ID), Key: string(h.Key), Class: string(h.Class), Destination: h.Destination, Left: h.Left,
+		ID: string(h.ID), Key: string(h.Key), Class: string(h.Class), Destination: h.Destination, Left: h.Timeout,
 		Long: &routing.Long{Source: up, Ended: func(e routing.Ending) { done <- passed(e) }},
 	})
 	if v.Kind == routing.Taken {
@@ -65,9 +65,9 @@
 }
 
 // passed is the answer to a long message that was taken on and has ended.
-func passed(e routing.Ending) transport.Passed {
+func passed(e routing.Ending) transport.StreamEnd {
 	if e.Kind == routing.Known {
-		return transport.Passed{}
+		return transport.StreamEnd{}
 	}
 	r := &protocol.Refusal{Status: 502, Reason: "not delivered", Run: protocol.NeverRan, Close: true}
 	if e.MayHaveRun {
@@ -82,15 +82,15 @@
 	case e.TimeUp:
 		r.Status = 504
 	}
-	return transport.Passed{Refusal: r, Told: e.Told}
+	return transport.StreamEnd{Refusal: r, OnAnswered: e.Told}
 }
 
 // notifier passes the router's notices to the reporter.
 type notifier struct{ reporter *transport.Reporter }
 
 func (n notifier) Notify(x routing.Notice) {
-	n.reporter.Add(transport.Pending{
-		Notice: protocol.Notice{ID: x.ID, HandedBack: x.HandedBack, RetryAfter: x.RetryAfter}, Done: x.Done, May: x.May,
+	n.reporter.Add(transport.PendingReport{
+		DeliveryReport: protocol.DeliveryReport{ID: x.ID, Returned: x.HandedBack, RetryAfter: x.RetryAfter}, OnAcknowledged: x.Done, MaySend: x.May,
 	})
 }
 
@@ -107,50 +107,50 @@
 		Call: protocol.Call{ID: c.ID, Key: c.Key, Host: c.Address, Body: c.Body},
 		Name: c.Endpoint, Address: c.Address, Fresh: c.Fresh, Begin: c.Begin,
 	})
-	res := routing.Result{Outcome: ends[r.End]}
-	if r.End == transport.Answered {
+	res := routing.Result{Outcome: ends[r.Outcome]}
+	if r.Outcome == transport.Answered {
 		res = result(r.Reply)
 	}
-	res.Kept = r.Kept
+	res.Kept = r.Reused
 	return res
 }
 
 // pass makes a call with a long message. What its client brought about speaks of no endpoint.
 func (i caller) pass(ctx context.Context, c routing.Attempt, up *transport.Upload) routing.Result {
-	r := i.endpoints.Pass(ctx, transport.Passage{
+	r := i.endpoints.Stream(ctx, transport.StreamCall{
 		Call: transport.Call{
 			Call: protocol.Call{ID: c.ID, Key: c.Key, Host: c.Address},
 			Name: c.Endpoint, Address: c.Address, Fresh: c.Fresh, Begin: c.Begin,
 		},
-		Upload: up, Settle: c.Settle,
+		Upload: up, RecordDelivery: c.Settle,
 	})
-	res := routing.Result{Outcome: passEnds[r.End]}
+	res := routing.Result{Outcome: passEnds[r.Outcome]}
 	switch {
-	case r.End == pump.Answered:
+	case r.Outcome == pump.Answered:
 		res = result(r.Reply)
-	case r.End == pump.TimeUp && r.Sent: // nothing but its answer was awaited
+	case r.Outcome == pump.TimeUp && r.Sent: // nothing but its answer was awaited
 		res.Outcome = mb.TimedOut
-	case !r.Begun && r.End == pump.Broken:
+	case !r.Begun && r.Outcome == pump.Broken:
 		res.Outcome = mb.ConnectFailed
 	case !r.Begun:
 		res.Outcome = mb.Moot
 	}
-	res.Kept, res.Spent = r.Kept, !r.Again
+	res.Kept, res.Spent = r.Reused, !r.Retryable
 	return res
 }
 
 // passEnds are the outcomes of calls with long messages of which the first byte was written.
-var passEnds = map[pump.End]mb.Outcome{
-	pump.Delivered: mb.OK, pump.Spoilt: mb.Failed, pump.Broken: mb.Reset, pump.EndpointStalled: mb.TimedOut,
-	pump.ClientGone: mb.Cancelled, pump.ClientStalled: mb.Cancelled, pump.ClientBad: mb.Cancelled,
+var passEnds = map[pump.Outcome]mb.Outcome{
+	pump.Delivered: mb.OK, pump.Malformed: mb.Failed, pump.Broken: mb.Reset, pump.EndpointStalled: mb.TimedOut,
+	pump.ClientGone: mb.Cancelled, pump.ClientStalled: mb.Cancelled, pump.ClientMalformed: mb.Cancelled,
 	pump.TimeUp: mb.Cancelled, pump.Aborted: mb.Cancelled, pump.NotBegun: mb.Moot,
 }
 
 // ends are the outcomes of calls that were not answered. One whose answer is spoilt is an error: the endpoint is there,
 // and its connection was not a dead one.
-var ends = map[transport.CallEnd]mb.Outcome{
+var ends = map[transport.CallOutcome]mb.Outcome{
 	transport.NotBegun: mb.Moot, transport.Unconnected: mb.ConnectFailed, transport.Broken: mb.Reset,
-	transport.Spoilt: mb.Failed, transport.Abandoned: mb.TimedOut,
+	transport.Malformed: mb.Failed, transport.Abandoned: mb.TimedOut,
 }
 
 // result reads an endpoint's answer as an outcome.
@@ -164,7 +164,7 @@
 	case 200:
 		res.Outcome = mb.OK
 	case 429:
-		res.Outcome, res.Wait = mb.Full, r.Wait
+		res.Outcome, res.Wait = mb.Full, r.RetryAfter
 	case 503:
 		if res.Outcome = mb.Full; r.OverSlots {
 			res.Outcome = mb.Moot
@@ -185,7 +185,7 @@
 
 // listOf puts discovery's list in the router's terms.
 func listOf(d protocol.List, saved bool) routing.List {
-	out := routing.List{Whole: d.Whole, Saved: saved}
+	out := routing.List{Whole: d.Snapshot, Saved: saved}
 	for _, p := range d.Endpoints {
 		out.Endpoints = append(out.Endpoints, routing.Endpoint{
 			Name: p.Name, Address: p.Address, Zone: p.Zone, Kind: p.Kind, Group: p.Group, Weight: p.Weight,
--- a/internal/protocol/body.go
+++ b/internal/protocol/body.go
@@ -11,9 +11,9 @@
 
 // The framings.
 const (
-	ByLength Framing = iota // Content-Length
-	Chunked                 // Transfer-Encoding: chunked
-	ToEnd                   // an answer's body that lasts until its connection ends
+	ByLength   Framing = iota // Content-Length
+	Chunked                   // Transfer-Encoding: chunked
+	UntilClose                // an answer's body that lasts until its connection ends
 )
 
 const (
@@ -62,14 +62,14 @@
 	return b, nil
 }
 
-// Whole says that the body's end was read.
-func (b *Body) Whole() bool { return b.phase == bodyWhole }
+// Complete says that the body's end was read.
+func (b *Body) Complete() bool { return b.phase == bodyWhole }
 
-// Content is how many bytes of content were read.
-func (b *Body) Content() int64 { return b.content }
+// ContentBytes is how many bytes of content were read.
+func (b *Body) ContentBytes() int64 { return b.content }
 
-// Left is how many bytes of a body of told length are still to come; 0 with other framings.
-func (b *Body) Left() int64 {
+// Remaining is how many bytes of a body of told length are still to come; 0 with other framings.
+func (b *Body) Remaining() int64 {
 	if b.framing != ByLength {
 		return 0
 	}
@@ -94,7 +94,7 @@
 		switch b.phase {
 		case bodyData:
 			n := len(raw) - used
-			if b.framing != ToEnd {
+			if b.framing != UntilClose {
 				n = int(min(int64(n), b.left))
 				b.left -= int64(n)
 			}
@@ -106,7 +106,7 @@
 			}
 			content, used = content+n, used+n
 			switch {
-			case b.left > 0 || b.framing == ToEnd:
+			case b.left > 0 || b.framing == UntilClose:
 			case b.framing == ByLength:
 				b.phase = bodyWhole
 			default:
@@ -128,9 +128,9 @@
 	return content, used, nil
 }
 
-// End tells that the connection has ended; false says that the body is not whole.
-func (b *Body) End() bool {
-	if b.framing == ToEnd && b.phase == bodyData {
+// Finish tells that the connection has ended; false says that the body is not whole.
+func (b *Body) Finish() bool {
+	if b.framing == UntilClose && b.phase == bodyData {
 		b.phase = bodyWhole
 	}
 	return b.phase == bodyWhole
@@ -261,7 +261,7 @@
 		b = strconv.AppendInt(append(b, "\r\nContent-Length: "...), length, 10)
 	case Chunked:
 		b = append(b, "\r\nTransfer-Encoding: chunked"...)
-	case ToEnd:
+	case UntilClose:
 		last = true
 	}
 	if last {
@@ -270,15 +270,15 @@
 	return append(b, "\r\n\r\n"...)
 }
 
-// Passage is the head of a call whose body is passed on behind it.
-type Passage struct {
+// StreamHead is the head of a call whose body is passed on behind it.
+type StreamHead struct {
 	Call
 	Framing Framing
 	Length  int64 // with ByLength
 }
 
-// AppendPassage writes it.
-func AppendPassage(b []byte, p Passage) []byte {
+// AppendStreamHead writes it.
+func AppendStreamHead(b []byte, p StreamHead) []byte {
 	b = append(append(b, "POST /v1/messages HTTP/1.1\r\nHost: "...), p.Host...)
 	b = appendTimeout(b, p.Timeout)
 	if p.Framing == Chunked {
--- a/internal/protocol/body_test.go
+++ b/internal/protocol/body_test.go
@@ -13,7 +13,7 @@
 
 // decode feeds raw in pieces of a size and gives content, what stands behind the body, and how it ended.
 func decode(b *Body, raw []byte, size int) (content, behind []byte, err error) {
-	for len(raw) > 0 && !b.Whole() {
+	for len(raw) > 0 && !b.Complete() {
 		piece := bytes.Clone(raw[:min(size, len(raw))])
 		n, used, err := b.Decode(piece)
 		content = append(content, piece[:n]...)
@@ -21,7 +21,7 @@
 		if err != nil {
 			return content, raw, err
 		}
-		if !b.Whole() && used < len(piece) {
+		if !b.Complete() && used < len(piece) {
 			return content, raw, errors.New("bytes left over in the middle of a body")
 		}
 	}
@@ -48,20 +48,20 @@
 				t.Fatal(err)
 			}
 			content, behind, err := decode(b, []byte(c.raw+"behind"), size)
-			got := []any{string(content), string(behind), err, b.Whole(), string(b.Trailers()), b.Content()}
+			got := []any{string(content), string(behind), err, b.Complete(), string(b.Trailers()), b.ContentBytes()}
 			want := []any{c.want, "behind", error(nil), true, c.trailers, int64(len(c.want))}
 			if diff := cmp.Diff(want, got); diff != "" {
 				t.Fatalf("%s in pieces of %d:\n%s", name, size, diff)
 			}
 		}
 	}
-	b, _ := NewBody(ToEnd, 0, 100)
-	if content, _, err := decode(b, []byte("abc"), 2); string(content) != "abc" || err != nil || b.Whole() || !b.End() || !b.Whole() {
+	b, _ := NewBody(UntilClose, 0, 100)
+	if content, _, err := decode(b, []byte("abc"), 2); string(content) != "abc" || err != nil || b.Complete() || !b.Finish() || !b.Complete() {
 		t.Errorf("to the end: %q, %v", content, err)
 	}
 	b, _ = NewBody(Chunked, 0, 100)
-	if _, _, err := decode(b, []byte("3\r\nabc\r\n"), 3); err != nil || b.End() {
-		t.Errorf("cut between chunks: %v, whole %v", err, b.Whole())
+	if _, _, err := decode(b, []byte("3\r\nabc\r\n"), 3); err != nil || b.Finish() {
+		t.Errorf("cut between chunks: %v, whole %v", err, b.Complete())
 	}
 }
 
@@ -93,8 +93,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, _, err := decode(b, []byte(c.raw), size); !errors.Is(err, c.want) || b.Whole() {
-				t.Errorf("%s in pieces of %d: %v, whole %v", name, size, err, b.Whole())
+			if _, _, err := decode(b, []byte(c.raw), size); !errors.Is(err, c.want) || b.Complete() {
+				t.Errorf("%s in pieces of %d: %v, whole %v", name, size, err, b.Complete())
 			}
 		}
 	}
@@ -151,8 +151,8 @@
 					t.Fatal(err)
 				}
 				content, _, err := decode(body, append(bytes.Clone(came), rest...), size)
-				if got = append(got, content...); err != nil || !body.Whole() || body.Content() != int64(len(want)) {
-					t.Fatalf("%s in pieces of %d: %v, whole %v, %d bytes", name, size, err, body.Whole(), body.Content())
+				if got = append(got, content...); err != nil || !body.Complete() || body.ContentBytes() != int64(len(want)) {
+					t.Fatalf("%s in pieces of %d: %v, whole %v, %d bytes", name, size, err, body.Complete(), body.ContentBytes())
 				}
 			}
 			if string(got) != want {
@@ -181,11 +181,11 @@
 		whole, behind, err := decode(one, raw, len(raw)+1)
 		many, _ := NewBody(Chunked, 0, 1<<20)
 		parts, behindParts, errParts := decode(many, raw, size)
-		if !bytes.Equal(whole, parts) || one.Whole() != many.Whole() || (err == nil) != (errParts == nil) ||
+		if !bytes.Equal(whole, parts) || one.Complete() != many.Complete() || (err == nil) != (errParts == nil) ||
 			err == nil && !bytes.Equal(behind, behindParts) {
 			t.Fatalf("in one piece %q, %v; in pieces of %d %q, %v", whole, err, size, parts, errParts)
 		}
-		if one.Whole() {
+		if one.Complete() {
 			got, err := io.ReadAll(httputil.NewChunkedReader(bytes.NewReader(raw)))
 			if err != nil || !bytes.Equal(got, whole) {
 				t.Fatalf("read as %q; the standard library reads %q, %v", whole, got, err)
--- a/internal/protocol/handover.go
+++ b/internal/protocol/handover.go
@@ -9,11 +9,11 @@
 	"unicode/utf8"
 )
 
-// Handover is a message that a client hands in. Its slices lie in the parser's buffer.
-type Handover struct {
+// Submission is a message that a client hands in. Its slices lie in the parser's buffer.
+type Submission struct {
 	ID, Key, Class []byte
 	Destination    int64
-	Left           time.Duration // how long it may still be delivered, from when it was sent
+	Timeout        time.Duration // how long it may still be delivered, from when it was sent
 	Body           []byte
 }
 
@@ -32,7 +32,7 @@
 
 // The marks.
 const (
-	RunUntold RunMark = iota
+	RunUnknown RunMark = iota
 	NeverRan
 	MayHaveRun
 )
@@ -47,21 +47,21 @@
 // mostLeft bounds a client's time; more is taken for an error.
 const mostLeft = 24 * time.Hour
 
-// Asked is what a client's request wants.
-type Asked int
+// RequestKind is what a client's request wants.
+type RequestKind int
 
 // The requests of a client.
 const (
-	AskHandover Asked = iota
-	AskReady
+	SubmitMessage RequestKind = iota
+	CheckHealth
 )
 
 func bad(status int, reason string) *Refusal {
 	return &Refusal{Status: status, Reason: reason, Close: true}
 }
 
-// Unreadable is the answer to a request that the parser gave up on.
-func Unreadable(err error) *Refusal {
+// ParseErrorRefusal is the answer to a request that the parser gave up on.
+func ParseErrorRefusal(err error) *Refusal {
 	switch {
 	case errors.Is(err, ErrHeadSize):
 		return bad(431, "head too large")
@@ -72,40 +72,40 @@
 }
 
 // ReadRequest tells what a client's request wants, or why it can't be had.
-func ReadRequest(m *Message) (Asked, Handover, *Refusal) {
-	var h Handover
+func ReadRequest(m *Message) (RequestKind, Submission, *Refusal) {
+	var h Submission
 	path, _, _ := bytes.Cut(m.Start[1], []byte("?"))
 	switch string(path) {
 	case "/healthz":
 		if string(m.Start[0]) != "GET" {
-			return AskReady, h, bad(405, "only GET")
+			return CheckHealth, h, bad(405, "only GET")
 		}
-		return AskReady, h, nil
+		return CheckHealth, h, nil
 	case "/api":
 	default:
-		return AskHandover, h, bad(404, "no such path")
+		return SubmitMessage, h, bad(404, "no such path")
 	}
 	if string(m.Start[0]) != "POST" {
-		return AskHandover, h, bad(405, "only POST")
+		return SubmitMessage, h, bad(405, "only POST")
 	}
 	if len(m.Get("Content-Length")) == 0 && len(m.Get("Transfer-Encoding")) == 0 {
-		return AskHandover, h, bad(411, "length required")
+		return SubmitMessage, h, bad(411, "length required")
 	}
-	h = Handover{ID: m.Get("X-Request-ID"), Key: m.Get("Idempotency-Key"), Class: m.Get("X-Priority-Class"), Body: m.Body}
+	h = Submission{ID: m.Get("X-Request-ID"), Key: m.Get("Idempotency-Key"), Class: m.Get("X-Priority-Class"), Body: m.Body}
 	if len(h.ID) == 0 || !utf8.Valid(h.ID) || len(h.ID) > mostName || len(h.Key) > mostName {
-		return AskHandover, h, bad(400, "bad X-Request-ID or Idempotency-Key")
+		return SubmitMessage, h, bad(400, "bad X-Request-ID or Idempotency-Key")
 	}
 	ms, ok := number(m.Get("X-Timeout-Ms"))
 	if !ok || ms > int(mostLeft/time.Millisecond) {
-		return AskHandover, h, bad(400, "bad X-Timeout-Ms")
+		return SubmitMessage, h, bad(400, "bad X-Timeout-Ms")
 	}
-	h.Left = time.Duration(ms) * time.Millisecond
+	h.Timeout = time.Duration(ms) * time.Millisecond
 	dest, ok := destination(m.Get("X-Addressing"))
 	if !ok {
-		return AskHandover, h, bad(400, "bad X-Addressing")
+		return SubmitMessage, h, bad(400, "bad X-Addressing")
 	}
 	h.Destination = dest
-	return AskHandover, h, nil
+	return SubmitMessage, h, nil
 }
 
 // destination finds dest=N among the parts of an X-Addressing value.
@@ -120,8 +120,8 @@
 	return 0, false
 }
 
-// GoOn tells a peer that waits to send its body.
-const GoOn = "HTTP/1.1 100 Continue\r\n\r\n"
+// ContinueResponse tells a peer that waits to send its body.
+const ContinueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
 
 var reasons = map[int]string{
 	200: "OK", 202: "Accepted", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
@@ -143,7 +143,7 @@
 		b = append(b, "\r\nRetry-After: "...)
 		b = strconv.AppendFloat(b, float64(ms)/1000, 'f', -1, 64)
 	}
-	if r != nil && r.Run != RunUntold {
+	if r != nil && r.Run != RunUnknown {
 		b = append(b, "\r\nX-May-Have-Run: "...)
 		b = append(b, "01"[r.Run-NeverRan])
 	}
@@ -195,10 +195,10 @@
 
 // Reply is what an endpoint's answer to a call says.
 type Reply struct {
-	Status    int
-	Wait      time.Duration // with 429: how long it told to wait
-	OverSlots bool          // with 503: not sent, all slots were taken
-	Load      []byte        // a load report as JSON, if there is one
+	Status     int
+	RetryAfter time.Duration // with 429: how long it told to wait
+	OverSlots  bool          // with 503: not sent, all slots were taken
+	Load       []byte        // a load report as JSON, if there is one
 }
 
 // loadReport is the field in which an endpoint may tell of its load. What stands there is its own affair: an answer is
@@ -209,7 +209,7 @@
 func ReadReply(m *Message) Reply {
 	r := Reply{Status: m.Status(), Load: bytes.Clone(m.Get(loadReport))}
 	if ms, ok := number(m.Get("X-RateLimit-Wait-Ms")); ok {
-		r.Wait = min(time.Duration(ms)*time.Millisecond, mostLeft)
+		r.RetryAfter = min(time.Duration(ms)*time.Millisecond, mostLeft)
 	}
 	r.OverSlots = string(m.Get("X-Over-Slots")) == "1"
 	return r
--- a/internal/protocol/list.go
+++ b/internal/protocol/list.go
@@ -31,7 +31,7 @@
 // List is the list of endpoints, or the entries of it that changed.
 type List struct {
 	Index     int64      `json:"index"`
-	Whole     bool       `json:"snapshot"`
+	Snapshot  bool       `json:"snapshot"`
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
@@ -61,15 +61,15 @@
 	return append(append(append(b, " HTTP/1.1\r\nHost: "...), host...), "\r\n\r\n"...)
 }
 
-// Notice is the end of a message that was taken on and not delivered.
-type Notice struct {
+// DeliveryReport is the end of a message that was taken on and not delivered.
+type DeliveryReport struct {
 	ID         string
-	HandedBack bool // refused: it may be handed in again, after RetryAfter if that is set
+	Returned   bool // refused: it may be handed in again, after RetryAfter if that is set
 	RetryAfter time.Duration
 }
 
 // AppendReport writes the request that tells the platform of notices, one JSON object a line.
-func AppendReport(b []byte, host string, notices []Notice) ([]byte, error) {
+func AppendReport(b []byte, host string, notices []DeliveryReport) ([]byte, error) {
 	var body []byte
 	for _, n := range notices {
 		line := struct {
@@ -77,7 +77,7 @@
 			Outcome string `json:"outcome"`
 			Retry   int64  `json:"retry_in_ms,omitempty"`
 		}{Message: n.ID, Outcome: "given_up"}
-		if n.HandedBack {
+		if n.Returned {
 			line.Outcome, line.Retry = "handed_back", n.RetryAfter.Milliseconds()
 		}
 		text, err := json.Marshal(line)
--- a/internal/protocol/message.go
+++ b/internal/protocol/message.go
@@ -12,11 +12,11 @@
 
 // Bounds of what a peer may send.
 const (
-	MostHead  = 16 << 10 // bytes of a head
-	MostBody  = 64 << 10 // bytes of a message's body
-	mostLines = 100      // lines of a head
-	mostChunk = 256      // bytes of a chunk's size line, or of a trailer line
-	firstRoom = 2 << 10  // bytes a parser starts with
+	MaxHeadBytes = 16 << 10 // bytes of a head
+	MaxBodyBytes = 64 << 10 // bytes of a message's body
+	mostLines    = 100      // lines of a head
+	mostChunk    = 256      // bytes of a chunk's size line, or of a trailer line
+	firstRoom    = 2 << 10  // bytes a parser starts with
 
 	mostInterim = 16 // answers with 1xx in front of one
 )
@@ -156,8 +156,8 @@
 	return m, err
 }
 
-// End tells that no more bytes come. Where the connection has ended, an answer whose body lasts until then is whole.
-func (p *Parser) End(closed bool) *Message {
+// Finish tells that no more bytes come. Where the connection has ended, an answer whose body lasts until then is whole.
+func (p *Parser) Finish(closed bool) *Message {
 	if !closed || p.err != nil || p.phase != toEnd {
 		return nil
 	}
@@ -246,13 +246,13 @@
 	from := max(0, p.scanned-3)
 	at := bytes.Index(unread[from:], []byte("\r\n\r\n"))
 	if at < 0 {
-		if p.scanned = len(unread); p.scanned > MostHead {
+		if p.scanned = len(unread); p.scanned > MaxHeadBytes {
 			return false, ErrHeadSize
 		}
 		return false, nil
 	}
 	p.head = from + at + 4
-	if p.head > MostHead {
+	if p.head > MaxHeadBytes {
 		return false, ErrHeadSize
 	}
 	next, err := p.parseHead(unread[:p.head])
@@ -356,7 +356,7 @@
 		p.framing = Chunked
 		return inChunk, nil
 	case length < 0 && p.answers:
-		m.Close, p.framing = true, ToEnd
+		m.Close, p.framing = true, UntilClose
 		return toEnd, nil
 	}
 	p.need = max(0, length)
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -42,7 +42,7 @@
 			out = append(out, text(m))
 		}
 	}
-	if m := p.End(true); m != nil {
+	if m := p.Finish(true); m != nil {
 		out = append(out, text(m))
 	}
 	return out, nil
@@ -75,9 +75,9 @@
 		"status of two digits":    {true, "HTTP/1.1 20 OK\r\n\r\n", nil, ErrMalformed},
 	} {
 		for _, size := range []int{1, 7, 1 << 20} {
-			parser := NewRequestParser(MostBody)
+			parser := NewRequestParser(MaxBodyBytes)
 			if c.answers {
-				parser = NewAnswerParser(MostBody)
+				parser = NewAnswerParser(MaxBodyBytes)
 			}
 			got, err := feed(parser, c.raw, size)
 			if diff := cmp.Diff(c.want, got); diff != "" || !errors.Is(err, c.err) {
@@ -105,7 +105,7 @@
 		"noise in its head":        {ok + "\x00\x17\r\n\r\n", 200, ErrMalformed},
 		"head with no end":         {ok + strings.Repeat("a: b\r\n", 4000), 200, ErrHeadSize},
 		"3 GB":                     {ok + "Content-Length: 3221225472\r\n\r\n", 200, ErrBodySize},
-		"up to the end, too long":  {ok + "\r\n" + strings.Repeat("x", MostBody+1), 200, ErrBodySize},
+		"up to the end, too long":  {ok + "\r\n" + strings.Repeat("x", MaxBodyBytes+1), 200, ErrBodySize},
 		"negative length":          {ok + "Content-Length: -1\r\n\r\n", 200, ErrMalformed},
 		"two lengths":              {ok + "Content-Length: 1\r\nContent-Length: 2\r\n\r\n", 200, ErrMalformed},
 		"interim without an end":   {strings.Repeat(interim, mostInterim+1) + ok, 100, ErrMalformed},
@@ -114,7 +114,7 @@
 		"bare line feeds in front": {"\n\n" + ok, 0, nil},
 	} {
 		for _, size := range []int{1, 7, 1 << 20} {
-			parser := NewAnswerParser(MostBody)
+			parser := NewAnswerParser(MaxBodyBytes)
 			got, err := feed(parser, c.raw, size)
 			if len(got) > 0 || !errors.Is(err, c.err) || parser.Status() != c.want {
 				t.Errorf("%s in pieces of %d: %v, %v, first line %d", name, size, got, err, parser.Status())
@@ -148,7 +148,7 @@
 		}
 		return s
 	}
-	report, err := AppendReport(nil, "d:1", []Notice{{ID: `a"b`}, {ID: "c", HandedBack: true, RetryAfter: 1500 * time.Millisecond}})
+	report, err := AppendReport(nil, "d:1", []DeliveryReport{{ID: `a"b`}, {ID: "c", Returned: true, RetryAfter: 1500 * time.Millisecond}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -172,9 +172,9 @@
 			read{"GET|/v1/servers?since=41&timeout_ms=20000|HTTP/1.1", "Host=d", "", false}},
 		"whole list": {false, string(AppendWatch(nil, "d", -1, 0)), read{"GET|/v1/servers|HTTP/1.1", "Host=d", "", false}},
 	} {
-		parser := NewRequestParser(MostBody)
+		parser := NewRequestParser(MaxBodyBytes)
 		if c.answers {
-			parser = NewAnswerParser(MostBody)
+			parser = NewAnswerParser(MaxBodyBytes)
 		}
 		got, err := feed(parser, c.raw, 1)
 		if diff := cmp.Diff([]read{c.want}, got); diff != "" || err != nil {
@@ -186,7 +186,7 @@
 // Replies and lists are read as they are meant, and odd ones don't pass.
 func TestRepliesAndLists(t *testing.T) {
 	for raw, want := range map[string]Reply{
-		"HTTP/1.1 429 No\r\nx-ratelimit-wait-ms: 250\r\nContent-Length: 0\r\n\r\n":              {Status: 429, Wait: 250 * time.Millisecond},
+		"HTTP/1.1 429 No\r\nx-ratelimit-wait-ms: 250\r\nContent-Length: 0\r\n\r\n":              {Status: 429, RetryAfter: 250 * time.Millisecond},
 		"HTTP/1.1 503 No\r\nX-Over-Slots: 1\r\nContent-Length: 0\r\n\r\n":                       {Status: 503, OverSlots: true},
 		"HTTP/1.1 200 OK\r\nX-Server-Load: {\"x0\":0.4,\"x1\":25}\r\nContent-Length: 0\r\n\r\n": {Status: 200, Load: []byte(`{"x0":0.4,"x1":25}`)},
 		"HTTP/1.1 200 OK\r\nX-Server-Load: \x01{\x7f\r\nContent-Length: 0\r\n\r\n":              {Status: 200, Load: []byte("\x01{\x7f")},
--- a/internal/pump/pipe.go
+++ b/internal/pump/pipe.go
@@ -9,8 +9,8 @@
 	"mulleinbeam/internal/protocol"
 )
 
-// LeastWindow is the smallest window: what a parser may hold of a message when it is found to be long.
-const LeastWindow = 128 << 10
+// MinWindowBytes is the smallest window: what a parser may hold of a message when it is found to be long.
+const MinWindowBytes = 128 << 10
 
 // mostPieces is how many pieces stand behind each other to be written: a head, a chunk's line, content, a chunk's end.
 const mostPieces = 4
@@ -51,23 +51,23 @@
 // Start begins the writing with a head; the content follows it in the given framing.
 func (p *Pipe) Start(head []byte, out protocol.Framing) { p.head, p.out = head, out }
 
-// Came is how many bytes of content have come.
-func (p *Pipe) Came() int64 { return p.body.Content() }
+// Received is how many bytes of content have come.
+func (p *Pipe) Received() int64 { return p.body.ContentBytes() }
 
-// Whole says that all of the body has come.
-func (p *Pipe) Whole() bool { return p.body.Whole() }
+// Complete says that all of the body has come.
+func (p *Pipe) Complete() bool { return p.body.Complete() }
 
 // Surplus says that more came than the body.
 func (p *Pipe) Surplus() bool { return p.surplus }
 
-// Done says that all of the body was written.
-func (p *Pipe) Done() bool { return p.written }
+// Written says that all of the body was written.
+func (p *Pipe) Written() bool { return p.written }
 
-// Kept says that all content that came still lies in the window.
-func (p *Pipe) Kept() bool { return p.kept }
+// Rewindable says that all content that came still lies in the window.
+func (p *Pipe) Rewindable() bool { return p.kept }
 
 // Empty says that there is nothing to write yet beside the head.
-func (p *Pipe) Empty() bool { return p.next == p.end && !p.body.Whole() && p.first == p.last }
+func (p *Pipe) Empty() bool { return p.next == p.end && !p.body.Complete() && p.first == p.last }
 
 // Rewind begins the writing anew, if all that came is kept.
 func (p *Pipe) Rewind() bool {
@@ -78,30 +78,30 @@
 	return true
 }
 
-// Straight is how many bytes may now be moved from source to sink unseen: the body's length is told and goes on as it is,
+// SpliceLimit is how many bytes may now be moved from source to sink unseen: the body's length is told and goes on as it is,
 // the window was used up and all of it written, and much is still to come. The driver holds them meanwhile, no more than a
 // window.
-func (p *Pipe) Straight() int {
+func (p *Pipe) SpliceLimit() int {
 	if p.out != protocol.ByLength || p.first < p.last || p.next < p.end || p.kept && p.end < len(p.buf) ||
-		p.body.Left() < LeastWindow {
+		p.body.Remaining() < MinWindowBytes {
 		return 0
 	}
-	return int(min(p.body.Left(), int64(len(p.buf))))
+	return int(min(p.body.Remaining(), int64(len(p.buf))))
 }
 
-// Pulled tells that the driver took n bytes from the source unseen.
-func (p *Pipe) Pulled(n int) {
+// SplicedIn tells that the driver took n bytes from the source unseen.
+func (p *Pipe) SplicedIn(n int) {
 	p.kept = false
 	p.kernel += n
 	p.body.Skip(int64(n))
 }
 
-// Pushed tells that the driver gave n of them to the sink.
-func (p *Pipe) Pushed(n int) { p.kernel -= n }
+// SplicedOut tells that the driver gave n of them to the sink.
+func (p *Pipe) SplicedOut(n int) { p.kernel -= n }
 
 // Space is where the source's next bytes go; nil says that what came has to be written first, or that all has come.
 func (p *Pipe) Space() []byte {
-	if p.body.Whole() || p.first < p.last || p.next < p.end {
+	if p.body.Complete() || p.first < p.last || p.next < p.end {
 		return nil
 	}
 	if !p.kept || p.end == len(p.buf) { // all of it was written: the room is used again, and a rewind is over
@@ -119,8 +119,8 @@
 	return err
 }
 
-// End tells that the source has ended; false says that the body is not whole.
-func (p *Pipe) End() bool { return p.body.End() }
+// Finish tells that the source has ended; false says that the body is not whole.
+func (p *Pipe) Finish() bool { return p.body.Finish() }
 
 // Out gives what is to be written next, in order; nothing if more has to come first, or all was written. The pieces hold
 // until Wrote.
@@ -140,7 +140,7 @@
 			p.last++
 		}
 	}
-	whole := p.body.Whole() && !p.closed
+	whole := p.body.Complete() && !p.closed
 	if p.next == p.end && !whole {
 		return
 	}
--- a/internal/pump/pump_test.go
+++ b/internal/pump/pump_test.go
@@ -57,10 +57,10 @@
 // Whatever way the bytes come and go, what a pipe writes is the head and the content in its framing, its window is never
 // left, and a rewind writes the same again.
 func TestPipeMovesAnySchedule(t *testing.T) {
-	framings := []protocol.Framing{protocol.ByLength, protocol.Chunked, protocol.ToEnd}
+	framings := []protocol.Framing{protocol.ByLength, protocol.Chunked, protocol.UntilClose}
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		content := make([]byte, rapid.SampledFrom([]int{0, 1, 100, LeastWindow - 1, LeastWindow, LeastWindow + 1, 3*LeastWindow + 17}).Draw(t, "size"))
+		content := make([]byte, rapid.SampledFrom([]int{0, 1, 100, MinWindowBytes - 1, MinWindowBytes, MinWindowBytes + 1, 3*MinWindowBytes + 17}).Draw(t, "size"))
 		for i := range content {
 			content[i] = byte(rng.Uint32())
 		}
@@ -68,11 +68,11 @@
 		raw := wire(content, in, "X-T: 1\r\n", rng)
 		early := rng.IntN(min(len(raw), 64<<10) + 1)
 		behind := []byte("GET ")
-		if in == protocol.ToEnd {
+		if in == protocol.UntilClose {
 			behind = nil
 		}
 		source := append(bytes.Clone(raw), behind...)
-		p, err := NewPipe(make([]byte, LeastWindow), newBody(t, in, content), nil, source[:early])
+		p, err := NewPipe(make([]byte, MinWindowBytes), newBody(t, in, content), nil, source[:early])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -80,7 +80,7 @@
 		p.Start([]byte("HEAD"), out)
 		var got []byte
 		rewound := false
-		for !p.Done() {
+		for !p.Written() {
 			if pieces := p.Out(); len(pieces) > 0 {
 				total := 0
 				for _, piece := range pieces {
@@ -93,11 +93,11 @@
 				got = append(got, bytes.Join(pieces, nil)[:n]...)
 				p.Wrote(n)
 			} else if space := p.Space(); space != nil {
-				if len(space) > LeastWindow {
+				if len(space) > MinWindowBytes {
 					t.Fatalf("room for %d bytes", len(space))
 				}
 				if len(source) == 0 {
-					if !p.End() {
+					if !p.Finish() {
 						t.Fatal("not whole at the source's end")
 					}
 					continue
@@ -107,7 +107,7 @@
 				if err := p.Fill(n); err != nil {
 					t.Fatal(err)
 				}
-			} else if !p.Done() {
+			} else if !p.Written() {
 				t.Fatal("nothing to do and not done")
 			}
 			if !rewound && rng.IntN(20) == 0 && p.Rewind() {
@@ -119,13 +119,13 @@
 			t.Fatalf("begins with %q", got[:min(len(got), 10)])
 		}
 		back, whole := read(got[4:], out, len(content))
-		if !whole || !bytes.Equal(back, content) || p.Came() != int64(len(content)) {
+		if !whole || !bytes.Equal(back, content) || p.Received() != int64(len(content)) {
 			t.Fatalf("%d bytes of %d, whole %v", len(back), len(content), whole)
 		}
-		if p.Kept() && len(content) > LeastWindow {
+		if p.Rewindable() && len(content) > MinWindowBytes {
 			t.Fatal("kept more than the window")
 		}
-		if in != protocol.ToEnd && len(behind) > 0 && len(source) == 0 && !p.Surplus() {
+		if in != protocol.UntilClose && len(behind) > 0 && len(source) == 0 && !p.Surplus() {
 			t.Fatal("what came behind the body was not noticed")
 		}
 		if out == protocol.Chunked && in == protocol.Chunked && !bytes.HasSuffix(got, []byte("0\r\nX-T: 1\r\n\r\n")) {
@@ -157,19 +157,19 @@
 var errBroken = errors.New("broken pipe")
 
 // step plays one step of a side.
-func (w *world) step(s Side) bool {
+func (w *world) step(s Direction) bool {
 	st := w.x.Next(s, w.now)
 	n, err := 0, error(nil)
-	unseen := st.Op == Pull || st.Op == Push
+	unseen := st.Op == SpliceIn || st.Op == SpliceOut
 	switch st.Op { // the driver moves bytes through room of its own
-	case Pull:
-		if len(w.held[s]) > 0 || st.Most > LeastWindow {
-			w.t.Fatalf("%d bytes held, %d more to take", len(w.held[s]), st.Most)
+	case SpliceIn:
+		if len(w.held[s]) > 0 || st.Limit > MinWindowBytes {
+			w.t.Fatalf("%d bytes held, %d more to take", len(w.held[s]), st.Limit)
 		}
-		st.Op, st.Space = Read, make([]byte, st.Most)
-	case Push:
-		if st.Most != len(w.held[s]) {
-			w.t.Fatalf("%d bytes held, %d to give", len(w.held[s]), st.Most)
+		st.Op, st.Space = Read, make([]byte, st.Limit)
+	case SpliceOut:
+		if st.Limit != len(w.held[s]) {
+			w.t.Fatalf("%d bytes held, %d to give", len(w.held[s]), st.Limit)
 		}
 		st.Op, st.Out = Write, [][]byte{w.held[s]}
 	}
@@ -178,7 +178,7 @@
 	case st.Op == Stop:
 		return false
 	case st.Op == Begin:
-	case st.Op == Settle:
+	case st.Op == RecordDelivery:
 		if len(w.client) > 0 {
 			w.t.Fatal("the client heard before the delivery was booked")
 		}
@@ -187,7 +187,7 @@
 		if n = copy(st.Space, w.toSend); n == 0 && w.sendsEnd {
 			err = io.EOF
 		} else if n == 0 {
-			w.now, err = max(w.now, st.Until), os.ErrDeadlineExceeded
+			w.now, err = max(w.now, st.Deadline), os.ErrDeadlineExceeded
 		}
 		if n > 1 {
 			n = 1 + w.rng.IntN(n)
@@ -198,7 +198,7 @@
 		switch n = 1 + w.rng.IntN(len(all)); {
 		case w.stalls && len(w.endpoint) >= w.answerAt:
 			n, err = 0, os.ErrDeadlineExceeded
-			w.now = max(w.now, st.Until)
+			w.now = max(w.now, st.Deadline)
 		case w.resets && len(w.endpoint) >= w.answerAt:
 			n, err = 0, errBroken
 		}
@@ -213,9 +213,9 @@
 		case ready && w.ends:
 			err = io.EOF
 		default:
-			w.now, err = min(w.now+time.Millisecond, st.Until), os.ErrDeadlineExceeded
+			w.now, err = min(w.now+time.Millisecond, st.Deadline), os.ErrDeadlineExceeded
 			if w.x.step[Up] == Stop {
-				w.now = max(w.now, st.Until)
+				w.now = max(w.now, st.Deadline)
 			}
 		}
 	case st.Op == Write && s == Down:
@@ -231,7 +231,7 @@
 	} else if unseen {
 		w.held[s] = w.held[s][n:]
 	}
-	w.x.Did(s, n, err, w.now)
+	w.x.StepDone(s, n, err, w.now)
 	return true
 }
 
@@ -241,7 +241,7 @@
 	const head = "HTTP/1.1 200 OK\r\n"
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 2))
-		content := make([]byte, rapid.SampledFrom([]int{1, 1000, LeastWindow, 2*LeastWindow + 9, 4 * LeastWindow}).Draw(t, "size"))
+		content := make([]byte, rapid.SampledFrom([]int{1, 1000, MinWindowBytes, 2*MinWindowBytes + 9, 4 * MinWindowBytes}).Draw(t, "size"))
 		for i := range content {
 			content[i] = byte(rng.Uint32())
 		}
@@ -284,7 +284,7 @@
 				w.answerAt = len("HEAD") + whole
 			}
 		}
-		up, err := NewPipe(make([]byte, LeastWindow), newBody(t, f, content), nil, nil)
+		up, err := NewPipe(make([]byte, MinWindowBytes), newBody(t, f, content), nil, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -292,10 +292,10 @@
 		answers := protocol.NewAnswerParser(64 << 10)
 		answers.Stream(protocol.StreamAnswered)
 		w.x = New(Config{
-			Up: up, Answers: answers, Window: func() []byte { return make([]byte, LeastWindow) }, Most: 1 << 30,
-			Idle: time.Second, CutAt: time.Minute, Unseen: rng.IntN(2) == 0,
+			Request: up, Answers: answers, Window: func() []byte { return make([]byte, MinWindowBytes) }, MaxAnswerBytes: 1 << 30,
+			IdleTimeout: time.Second, Deadline: time.Minute, Splice: rng.IntN(2) == 0,
 		})
-		for w.x.End() == Running {
+		for w.x.Outcome() == Running {
 			if w.steps++; w.steps > 1_000_000 {
 				t.Fatal("it does not end")
 			}
@@ -304,23 +304,23 @@
 				s = Down
 			}
 			if !w.step(s) && s == Up && !w.x.Begun() {
-				t.Fatalf("stopped before it began: %v", w.x.End())
+				t.Fatalf("stopped before it began: %v", w.x.Outcome())
 			}
 		}
-		end := w.x.End()
-		if up.Done() != (len(w.endpoint) > 4 && wholeCall(w.endpoint[4:], f, len(content))) {
-			t.Fatalf("%v: done %v with %d bytes at the endpoint", end, up.Done(), len(w.endpoint))
+		end := w.x.Outcome()
+		if up.Written() != (len(w.endpoint) > 4 && wholeCall(w.endpoint[4:], f, len(content))) {
+			t.Fatalf("%v: done %v with %d bytes at the endpoint", end, up.Written(), len(w.endpoint))
 		}
 		if sent := w.endpoint[min(4, len(w.endpoint)):]; f == protocol.ByLength && cut != 3 && !bytes.HasPrefix(content, sent) {
 			t.Fatalf("%v: the endpoint has other bytes", end)
 		}
-		if (end == ClientGone || end == ClientStalled || end == ClientBad) && up.Done() {
+		if (end == ClientGone || end == ClientStalled || end == ClientMalformed) && up.Written() {
 			t.Fatalf("%v, and the endpoint has a whole call", end)
 		}
-		if w.settled && end != Delivered || w.x.Heard() && !w.settled {
+		if w.settled && end != Delivered || w.x.AnswerStarted() && !w.settled {
 			t.Fatalf("%v, settled %v", end, w.settled)
 		}
-		if end == Delivered && w.x.Whole() {
+		if end == Delivered && w.x.AnswerComplete() {
 			if _, body, ok := strings.Cut(string(w.client), "\r\n\r\n"); !ok || !answerWhole {
 				t.Fatalf("whole without a head, or from a part: %.80q", w.client)
 			} else if strings.Contains(string(w.client), "chunked") {
@@ -331,17 +331,17 @@
 				t.Fatalf("answer of %d bytes, %d wanted", len(body), len(back))
 			}
 		}
-		if endpoint, client := w.x.Reusable(); (endpoint || client) && !up.Done() {
+		if endpoint, client := w.x.Reusable(); (endpoint || client) && !up.Written() {
 			t.Fatalf("%v: connections are kept behind half a call", end)
 		}
 		for w.step(Up) || w.step(Down) {
 			t.Fatal("a step behind the end")
 		}
-		if w.x.Again() { // what another attempt would send is all that has come
+		if w.x.Retryable() { // what another attempt would send is all that has come
 			up.Rewind()
-			up.Start(nil, protocol.ToEnd)
-			if again := bytes.Join(up.Out(), nil); int64(len(again)) != up.Came() || cut != 3 && !bytes.HasPrefix(content, again) {
-				t.Fatalf("%v: %d bytes kept of %d", end, len(again), up.Came())
+			up.Start(nil, protocol.UntilClose)
+			if again := bytes.Join(up.Out(), nil); int64(len(again)) != up.Received() || cut != 3 && !bytes.HasPrefix(content, again) {
+				t.Fatalf("%v: %d bytes kept of %d", end, len(again), up.Received())
 			}
 		}
 	})
@@ -358,24 +358,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	up, err := NewPipe(make([]byte, LeastWindow), body, nil, []byte("abc"))
+	up, err := NewPipe(make([]byte, MinWindowBytes), body, nil, []byte("abc"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	up.Start(nil, protocol.ByLength)
 	answers := protocol.NewAnswerParser(64 << 10)
-	x := New(Config{Up: up, Answers: answers, Idle: time.Second, CutAt: time.Minute})
+	x := New(Config{Request: up, Answers: answers, IdleTimeout: time.Second, Deadline: time.Minute})
 	x.Next(Up, 0)
-	x.Did(Up, 0, nil, 0) // begun
+	x.StepDone(Up, 0, nil, 0) // begun
 	st := x.Next(Up, 0)
-	x.Did(Up, len(st.Out[0]), nil, 0)
+	x.StepDone(Up, len(st.Out[0]), nil, 0)
 	reading := x.Next(Up, 0)
 	copy(x.Next(Down, 0).Space, "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n")
-	if !x.Did(Down, len("HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"), nil, 0) || x.End() != Answered {
-		t.Fatalf("%v", x.End())
+	if !x.StepDone(Down, len("HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"), nil, 0) || x.Outcome() != Answered {
+		t.Fatalf("%v", x.Outcome())
 	}
-	x.Did(Up, copy(reading.Space, "defg"), os.ErrDeadlineExceeded, 0)
-	if !x.Again() || !up.Rewind() {
+	x.StepDone(Up, copy(reading.Space, "defg"), os.ErrDeadlineExceeded, 0)
+	if !x.Retryable() || !up.Rewind() {
 		t.Fatal("it can't be sent again")
 	}
 	if got := bytes.Join(up.Out(), nil); string(got) != "abcdefg" {
@@ -407,22 +407,22 @@
 // Bytes may go on unseen only when their length is told and goes on as it is, and the window was used up and written;
 // what went so can't be sent again.
 func TestBytesGoOnUnseen(t *testing.T) {
-	const size = 4 * LeastWindow
+	const size = 4 * MinWindowBytes
 	body, err := protocol.NewBody(protocol.ByLength, size, size)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := NewPipe(make([]byte, LeastWindow), body, nil, make([]byte, LeastWindow-1))
+	p, err := NewPipe(make([]byte, MinWindowBytes), body, nil, make([]byte, MinWindowBytes-1))
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.Start(nil, protocol.ByLength)
-	if p.Straight() != 0 {
+	if p.SpliceLimit() != 0 {
 		t.Error("before the window was written")
 	}
 	p.Out()
-	p.Wrote(LeastWindow - 1)
-	if p.Straight() != 0 || !p.Kept() {
+	p.Wrote(MinWindowBytes - 1)
+	if p.SpliceLimit() != 0 || !p.Rewindable() {
 		t.Error("while the window has room, so that all of it may be sent again")
 	}
 	if err := p.Fill(copy(p.Space(), "x")); err != nil {
@@ -430,21 +430,21 @@
 	}
 	p.Out()
 	p.Wrote(1)
-	if n := p.Straight(); n != LeastWindow {
+	if n := p.SpliceLimit(); n != MinWindowBytes {
 		t.Fatalf("%d bytes at once", n)
 	}
-	p.Pulled(100)
-	if p.Kept() || p.Rewind() || p.Came() != LeastWindow+100 || len(p.Out()) != 0 {
-		t.Errorf("kept %v, %d came", p.Kept(), p.Came())
+	p.SplicedIn(100)
+	if p.Rewindable() || p.Rewind() || p.Received() != MinWindowBytes+100 || len(p.Out()) != 0 {
+		t.Errorf("kept %v, %d came", p.Rewindable(), p.Received())
 	}
-	p.Pushed(100)
-	for p.Straight() > 0 {
-		n := p.Straight()
-		p.Pulled(n)
-		p.Pushed(n)
+	p.SplicedOut(100)
+	for p.SpliceLimit() > 0 {
+		n := p.SpliceLimit()
+		p.SplicedIn(n)
+		p.SplicedOut(n)
 	}
 	for space := p.Space(); space != nil; space = p.Space() { // the rest is too little for that
-		if err := p.Fill(min(len(space), int(body.Left()))); err != nil {
+		if err := p.Fill(min(len(space), int(body.Remaining()))); err != nil {
 			t.Fatal(err)
 		}
 		n := 0
@@ -453,7 +453,7 @@
 		}
 		p.Wrote(n)
 	}
-	if p.Out(); !p.Done() || p.Came() != size {
-		t.Errorf("done %v, %d came", p.Done(), p.Came())
+	if p.Out(); !p.Written() || p.Received() != size {
+		t.Errorf("done %v, %d came", p.Written(), p.Received())
 	}
 }
--- a/internal/transport/accept_test.go
+++ b/internal/transport/accept_test.go
@@ -48,7 +48,7 @@
 				t.Fatal(err)
 			}
 			l := &failingListener{Listener: inner, errors: make(chan error, 8), failed: make(chan struct{}, 8)}
-			s := &Clients{Handler: actingHandler{}, Most: 16}
+			s := &Clients{Handler: actingHandler{}, MaxConnections: 16}
 			ctx, cancel := context.WithCancel(t.Context())
 			var group errgroup.Group
 			group.Go(func() error { return s.Serve(ctx, ctx, l) })
@@ -112,8 +112,8 @@
 	left chan time.Duration
 }
 
-func (h tellingHandler) Take(m protocol.Handover) (*protocol.Refusal, func()) {
-	h.left <- m.Left
+func (h tellingHandler) Accept(m protocol.Submission) (*protocol.Refusal, func()) {
+	h.left <- m.Timeout
 	return nil, nil
 }
 
@@ -121,7 +121,7 @@
 // it had come.
 func TestTheTimeThatARequestWaitedCounts(t *testing.T) {
 	client, conn := ends(t)
-	s := &Clients{Handler: tellingHandler{left: make(chan time.Duration, 2)}, Most: 4, conns: map[*clientConn]struct{}{}}
+	s := &Clients{Handler: tellingHandler{left: make(chan time.Duration, 2)}, MaxConnections: 4, conns: map[*clientConn]struct{}{}}
 	if _, err := client.Write([]byte(handIn("a", ""))); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/transport/agent.go
+++ b/internal/transport/agent.go
@@ -58,10 +58,10 @@
 	return true
 }
 
-// Reach moves to an address once a connection to it has come up, which the watch goes on with. Without one it gives an error
+// MoveIfReachable moves to an address once a connection to it has come up, which the watch goes on with. Without one it gives an error
 // and the old address stands, since a mistyped or dead one would leave this forwarder with a list that only grows old. False
 // says that the address stays where it is.
-func (a *Address) Reach(ctx context.Context, to string) (bool, error) {
+func (a *Address) MoveIfReachable(ctx context.Context, to string) (bool, error) {
 	a.mu.Lock()
 	stays := a.at == to
 	a.mu.Unlock()
@@ -187,7 +187,7 @@
 		}
 		n, err := a.conn.Read(a.parser.Space())
 		if a.parser.Commit(n); err != nil && n == 0 {
-			if m := a.parser.End(errors.Is(err, io.EOF)); m != nil {
+			if m := a.parser.Finish(errors.Is(err, io.EOF)); m != nil {
 				return m, nil
 			}
 			return nil, err
@@ -204,11 +204,11 @@
 
 // Discovery watches discovery's list.
 type Discovery struct {
-	Address *Address
-	Since   int64 // the version known; below zero for none
-	Asking  Asking
-	Learn   func(protocol.List)
-	Logger  zerolog.Logger
+	Address      *Address
+	KnownVersion int64 // the version known; below zero for none
+	Schedule     PollSchedule
+	OnList       func(protocol.List)
+	Logger       zerolog.Logger
 }
 
 // Watch passes on every change until ctx ends. While discovery is silent it keeps asking; nothing waits for it. When
@@ -218,12 +218,12 @@
 	defer a.close()
 	defer d.Address.drop()
 	failing, moved := 0, false
-	pause(ctx, d.Asking.start())
+	pause(ctx, d.Schedule.start())
 	for ctx.Err() == nil {
 		at, here, release := d.Address.follow(ctx)
 		if first := a.address == ""; a.at(at) {
 			if !first {
-				d.Since, moved, failing = -1, true, 0
+				d.KnownVersion, moved, failing = -1, true, 0
 			}
 			a.adopt(d.Address.proven(at))
 		}
@@ -235,15 +235,15 @@
 			if failing++; failing == 1 {
 				d.Logger.Warn().Str("part", "discovery").Err(err).Msg("no answer, the list held stands")
 			}
-			pause(here, d.Asking.again(failing, time.Since(started), moved))
+			pause(here, d.Schedule.again(failing, time.Since(started), moved))
 		default:
 			if failing > 0 || moved {
 				d.Logger.Info().Str("part", "discovery").Str("address", at).Int64("version", list.Index).Msg("answers")
 			}
 			failing, moved = 0, false
-			d.Since = list.Index
-			if list.Whole || len(list.Endpoints) > 0 {
-				d.Learn(list)
+			d.KnownVersion = list.Index
+			if list.Snapshot || len(list.Endpoints) > 0 {
+				d.OnList(list)
 			}
 		}
 		release()
@@ -264,22 +264,22 @@
 // next makes one call: a watch, or one for the whole list, which has nothing to wait for.
 func (d *Discovery) next(ctx context.Context, a *agent) (protocol.List, error) {
 	started, most := time.Now(), callMost
-	if d.Since < 0 {
+	if d.KnownVersion < 0 {
 		most = listMost
 	}
 	if err := a.connect(ctx); err != nil {
 		return protocol.List{}, err
 	}
 	left := most - time.Since(started)
-	m, err := a.do(ctx, protocol.AppendWatch(nil, a.address, d.Since, max(0, left-watchSlack)), left)
+	m, err := a.do(ctx, protocol.AppendWatch(nil, a.address, d.KnownVersion, max(0, left-watchSlack)), left)
 	if err != nil {
 		return protocol.List{}, err
 	}
 	switch status := m.Status(); {
 	case status == 200:
 		return protocol.ParseList(m.Body)
-	case status < 500 && d.Since >= 0: // a version that it does not know any more: the whole list; one that is busy may know it
-		d.Since = -1
+	case status < 500 && d.KnownVersion >= 0: // a version that it does not know any more: the whole list; one that is busy may know it
+		d.KnownVersion = -1
 		return d.next(ctx, a)
 	default:
 		return protocol.List{}, fmt.Errorf("transport: discovery answered %d", status)
@@ -293,15 +293,15 @@
 
 	failing bool // Run's goroutine only
 	mu      sync.Mutex
-	queue   []Pending
+	queue   []PendingReport
 	wake    chan struct{}
 }
 
-// Pending is a notice with what to do once it is acknowledged.
-type Pending struct {
-	protocol.Notice
-	Done func()
-	May  func() (now, never bool) // asked just before it is sent; nil: it may be
+// PendingReport is a notice with what to do once it is acknowledged.
+type PendingReport struct {
+	protocol.DeliveryReport
+	OnAcknowledged func()
+	MaySend        func() (now, never bool) // asked just before it is sent; nil: it may be
 }
 
 // NewReporter reports to discovery's agent.
@@ -310,7 +310,7 @@
 }
 
 // Add queues a notice.
-func (r *Reporter) Add(p Pending) {
+func (r *Reporter) Add(p PendingReport) {
 	r.mu.Lock()
 	r.queue = append(r.queue, p)
 	r.mu.Unlock()
@@ -359,18 +359,18 @@
 }
 
 // batch puts those that may be sent now in front of the queue, and gives them; held says that others have to wait.
-func (r *Reporter) batch() (batch []Pending, held bool) {
+func (r *Reporter) batch() (batch []PendingReport, held bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var later []Pending
+	var later []PendingReport
 	for i, p := range r.queue {
 		if len(batch) == reportMost {
 			later = append(later, r.queue[i:]...)
 			break
 		}
 		now, never := true, false
-		if p.May != nil {
-			now, never = p.May()
+		if p.MaySend != nil {
+			now, never = p.MaySend()
 		}
 		switch {
 		case never:
@@ -381,7 +381,7 @@
 		}
 	}
 	if len(batch) < len(r.queue) && (held || len(batch)+len(later) < len(r.queue)) {
-		r.queue = append(append(make([]Pending, 0, len(batch)+len(later)), batch...), later...)
+		r.queue = append(append(make([]PendingReport, 0, len(batch)+len(later)), batch...), later...)
 	}
 	return batch, held
 }
@@ -396,9 +396,9 @@
 	if len(batch) == 0 || ctx.Err() != nil {
 		return false
 	}
-	notices := make([]protocol.Notice, len(batch))
+	notices := make([]protocol.DeliveryReport, len(batch))
 	for i, p := range batch {
-		notices[i] = p.Notice
+		notices[i] = p.DeliveryReport
 	}
 	at, here, release := r.Address.follow(ctx)
 	defer release()
@@ -430,7 +430,7 @@
 	}
 	r.mu.Unlock()
 	for _, p := range batch {
-		p.Done()
+		p.OnAcknowledged()
 	}
 	return true
 }
--- a/internal/transport/asking.go
+++ b/internal/transport/asking.go
@@ -39,34 +39,34 @@
 	mostDoublings     = 8
 )
 
-// Asking says when discovery is asked: at a start, and again after a failure. Where the list comes only to those that ask,
-// discovery serves the whole fleet, and what it refuses costs it as well. Asking again on a fixed beat is harmless from a few
+// PollSchedule says when discovery is asked: at a start, and again after a failure. Where the list comes only to those that ask,
+// discovery serves the whole fleet, and what it refuses costs it as well. PollSchedule again on a fixed beat is harmless from a few
 // forwarders; from many that a release has started at once it is what keeps discovery overbooked, so that none of them learns
 // the list. Pauses are a share of the fleet's, so that all forwarders together ask as often as a few would, as far as a change
 // is still learned in time.
 //
-// The zero Asking asks at once, and again after retryPause.
-type Asking struct {
+// The zero PollSchedule asks at once, and again after retryPause.
+type PollSchedule struct {
 	spread time.Duration  // the first call goes within this, by chance
 	first  time.Duration  // pause after a failure
 	most   time.Duration  // to which it grows
 	chance func() float64 // from 0 to 1
 }
 
-// AskingFor is for a fleet of so many forwarders, of which each has to ask once within a time. Zero is no such time: the list
+// NewPollSchedule is for a fleet of so many forwarders, of which each has to ask once within a time. Zero is no such time: the list
 // comes by itself.
-func AskingFor(forwarders int, within time.Duration, chance func() float64) Asking {
+func NewPollSchedule(forwarders int, within time.Duration, chance func() float64) PollSchedule {
 	if forwarders < manyForwarders || within <= 0 {
-		return Asking{}
+		return PollSchedule{}
 	}
 	n := time.Duration(min(forwarders, int(within/startPerForwarder))) // beyond that the bounds below hold
-	return Asking{
+	return PollSchedule{
 		spread: min(n*startPerForwarder, within/2, nextWithin), first: min(n*pausePerForwarder, within), most: 2 * within, chance: chance,
 	}
 }
 
 // start is how long after a start the first call goes.
-func (a Asking) start() time.Duration {
+func (a PollSchedule) start() time.Duration {
 	if a.spread <= 0 {
 		return 0
 	}
@@ -75,7 +75,7 @@
 
 // again is the pause after so many failures in a row, the last of which took so long; moved says that no call has been answered
 // since the address moved.
-func (a Asking) again(failures int, took time.Duration, moved bool) time.Duration {
+func (a PollSchedule) again(failures int, took time.Duration, moved bool) time.Duration {
 	if a.first <= 0 {
 		return retryPause
 	}
--- a/internal/transport/asking_test.go
+++ b/internal/transport/asking_test.go
@@ -19,17 +19,17 @@
 
 // learns plays a release that starts a fleet at once, and discovery that takes so many calls a second (and a few at once),
 // of which refused ones count. It tells how many know the list by the end.
-func learns(asking func(chance func() float64) Asking, forwarders int, perSecond, atOnce float64, end time.Duration) int {
+func learns(asking func(chance func() float64) PollSchedule, forwarders int, perSecond, atOnce float64, end time.Duration) int {
 	rng := rand.New(rand.NewPCG(1, 2))
 	type forwarder struct {
-		Asking
+		PollSchedule
 		at       time.Duration
 		failures int
 		knows    bool
 	}
 	fleet := make([]forwarder, forwarders)
 	for i := range fleet {
-		fleet[i].Asking = asking(rng.Float64)
+		fleet[i].PollSchedule = asking(rng.Float64)
 		fleet[i].at = fleet[i].start() + time.Duration(i)*time.Microsecond
 	}
 	left, last, know := atOnce, time.Duration(0), 0
@@ -58,8 +58,8 @@
 }
 
 func TestAFleetThatStartsAtOnceLearnsTheList(t *testing.T) {
-	asking := func(n int) func(func() float64) Asking {
-		return func(chance func() float64) Asking { return AskingFor(n, askWithin, chance) }
+	asking := func(n int) func(func() float64) PollSchedule {
+		return func(chance func() float64) PollSchedule { return NewPollSchedule(n, askWithin, chance) }
 	}
 	for _, n := range []int{20, 80, 200} {
 		perSecond := max(10, float64(n)/8) // each is to ask once in ten seconds, at least
@@ -67,7 +67,7 @@
 			t.Errorf("%d of %d forwarders learned the list", got, n)
 		}
 		// The stand-in does what it is for: on the fixed beat most never learn it.
-		beat := func(func() float64) Asking { return Asking{} }
+		beat := func(func() float64) PollSchedule { return PollSchedule{} }
 		if got := learns(beat, n, perSecond, perSecond, 30*time.Second); got > n/2 {
 			t.Errorf("on a fixed beat %d of %d learned it: discovery was not overbooked", got, n)
 		}
@@ -77,16 +77,16 @@
 func TestAskingByFleet(t *testing.T) {
 	chance := func(v float64) func() float64 { return func() float64 { return v } }
 	for _, n := range []int{-1, 0, 1, 2, 3, manyForwarders - 1} {
-		if a := AskingFor(n, askWithin, nil); a.start() != 0 || a.again(1, 0, false) != retryPause || a.again(1000, 0, false) != retryPause {
+		if a := NewPollSchedule(n, askWithin, nil); a.start() != 0 || a.again(1, 0, false) != retryPause || a.again(1000, 0, false) != retryPause {
 			t.Errorf("%d forwarders don't ask as few do", n)
 		}
 	}
-	if a := AskingFor(80, 0, nil); a.start() != 0 || a.again(5, 0, false) != retryPause {
+	if a := NewPollSchedule(80, 0, nil); a.start() != 0 || a.again(5, 0, false) != retryPause {
 		t.Error("where the list comes by itself, nothing is spread")
 	}
 	for _, n := range []int{manyForwarders, 80, 1000, 1 << 40} {
 		for _, v := range []float64{0, 0.5, 1} {
-			a := AskingFor(n, askWithin, chance(v))
+			a := NewPollSchedule(n, askWithin, chance(v))
 			if s := a.start(); s < 0 || s > askWithin/2 {
 				t.Errorf("%d forwarders: the first call after %v", n, s)
 			}
@@ -114,8 +114,8 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
 		d := Discovery{
-			Address: NewAddress(discovery), Since: 7, Logger: zerolog.Nop(),
-			Learn: func(protocol.List) { t.Error("a refusal taught a list") },
+			Address: NewAddress(discovery), KnownVersion: 7, Logger: zerolog.Nop(),
+			OnList: func(protocol.List) { t.Error("a refusal taught a list") },
 		}
 		go func() { ended <- d.Watch(ctx) }()
 		if first, second := <-asked, <-asked; first != "7" || second != since {
@@ -138,7 +138,7 @@
 	for _, forwarders := range []int{0, 1, manyForwarders - 1, manyForwarders, 20, 80, 300, 100_000, 1 << 40} {
 		for _, within := range []time.Duration{0, 1, 200 * time.Millisecond, askWithin, time.Hour} {
 			for _, chance := range chances {
-				a := AskingFor(forwarders, within, func() float64 { return chance })
+				a := NewPollSchedule(forwarders, within, func() float64 { return chance })
 				if s := a.start(); s > nextWithin {
 					t.Errorf("%d forwarders, %v: the first call %v behind the start", forwarders, within, s)
 				}
@@ -173,9 +173,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	learned, ended := make(chan protocol.List, 1), make(chan error, 1)
 	d := Discovery{
-		Address: NewAddress(discovery), Since: 7, Logger: zerolog.Nop(),
-		Asking: Asking{first: time.Hour, most: time.Hour, chance: func() float64 { return 0 }},
-		Learn: func(l protocol.List) {
+		Address: NewAddress(discovery), KnownVersion: 7, Logger: zerolog.Nop(),
+		Schedule: PollSchedule{first: time.Hour, most: time.Hour, chance: func() float64 { return 0 }},
+		OnList: func(l protocol.List) {
 			select {
 			case learned <- l:
 			default: // once is enough
@@ -220,9 +220,9 @@
 	defer cancel()
 	learned := make(chan protocol.List, 100)
 	d := Discovery{
-		Address: NewAddress(discovery), Since: 7, Logger: zerolog.Nop(),
-		Asking: AskingFor(80, 20*time.Millisecond, rand.New(rand.NewPCG(1, 2)).Float64), // pauses of retryPause
-		Learn:  func(list protocol.List) { learned <- list },
+		Address: NewAddress(discovery), KnownVersion: 7, Logger: zerolog.Nop(),
+		Schedule: NewPollSchedule(80, 20*time.Millisecond, rand.New(rand.NewPCG(1, 2)).Float64), // pauses of retryPause
+		OnList:   func(list protocol.List) { learned <- list },
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- d.Watch(ctx) }()
--- a/internal/transport/client_admission.go
+++ b/internal/transport/client_admission.go
@@ -27,14 +27,14 @@
 	s.counters.Accepted++
 	c.since = c.accepted
 	_ = c.SetReadDeadline(c.accepted.Add(requestFor))
-	room := len(s.conns)-s.endings-s.passings < s.Most || s.drop(silent, 0) || s.drop(idle, idleLeast) || s.drop(asking, askLeast)
+	room := len(s.conns)-s.endings-s.passings < s.MaxConnections || s.drop(silent, 0) || s.drop(idle, idleLeast) || s.drop(asking, askLeast)
 	s.conns[c] = struct{}{}
 	if !room {
-		s.counters.TurnedAway++
+		s.counters.Rejected++
 		s.endings++
 		c.at = ending
 	}
-	if len(s.conns)-s.passings > s.Most+overflow {
+	if len(s.conns)-s.passings > s.MaxConnections+overflow {
 		_ = s.closeAnswered() || s.drop(ending, 0) // perhaps this very one
 	}
 	return room
@@ -143,7 +143,7 @@
 
 // crowded says that many connections are open, most of them surely idle; s.mu is held. Clients have a bound of their own
 // on what they hold, so those that stay keep others from asking long before room is short here.
-func (s *Clients) crowded() bool { return len(s.conns)-s.passings > s.Most/crowdShare }
+func (s *Clients) crowded() bool { return len(s.conns)-s.passings > s.MaxConnections/crowdShare }
 
 // closesNext says whether a connection ends with its next answer.
 func (s *Clients) closesNext(c *clientConn) bool {
--- a/internal/transport/client_conversation.go
+++ b/internal/transport/client_conversation.go
@@ -50,8 +50,8 @@
 }
 
 func (s *Clients) serve(c *clientConn) {
-	parser := protocol.NewRequestParser(protocol.MostBody)
-	if s.Long != nil {
+	parser := protocol.NewRequestParser(protocol.MaxBodyBytes)
+	if s.Streams != nil {
 		parser.Stream(protocol.StreamLong)
 	}
 	s.serveFrom(c, parser)
@@ -64,8 +64,8 @@
 	for {
 		m, err := parser.Next()
 		if err != nil {
-			s.count(&s.counters.Unreadable)
-			s.rejectConnection(c, protocol.Unreadable(err))
+			s.count(&s.counters.BadRequests)
+			s.rejectConnection(c, protocol.ParseErrorRefusal(err))
 			return
 		}
 		if m != nil && m.Long {
@@ -96,7 +96,7 @@
 			continue
 		}
 		if parser.Continue() {
-			if _, err := c.Write([]byte(protocol.GoOn)); err != nil {
+			if _, err := c.Write([]byte(protocol.ContinueResponse)); err != nil {
 				return
 			}
 		}
@@ -139,26 +139,26 @@
 // pass has a long message passed on and answers it once it has ended; false ends the connection.
 func (s *Clients) pass(c *clientConn, parser *protocol.Parser, m *protocol.Message) bool {
 	asked, handover, refusal := protocol.ReadRequest(m)
-	if refusal == nil && asked != protocol.AskHandover {
-		refusal = protocol.Unreadable(protocol.ErrBodySize)
+	if refusal == nil && asked != protocol.SubmitMessage {
+		refusal = protocol.ParseErrorRefusal(protocol.ErrBodySize)
 	}
-	body, raw, err := parser.Rest(s.Long.Most)
+	body, raw, err := parser.Rest(s.Streams.MaxBodyBytes)
 	if refusal == nil && err != nil {
-		refusal = protocol.Unreadable(err)
+		refusal = protocol.ParseErrorRefusal(err)
 	}
 	if refusal != nil {
-		s.count(&s.counters.Unreadable)
+		s.count(&s.counters.BadRequests)
 		s.rejectConnection(c, refusal)
 		return false
 	}
 	framing, length := parser.Framing()
 	old := string(m.Start[2]) == "HTTP/1.0"
 	up := &Upload{
-		passages: s.Long, conn: c, body: body, content: m.Body, raw: raw, framing: framing, length: length,
+		passages: s.Streams, conn: c, body: body, content: m.Body, raw: raw, framing: framing, length: length,
 		expects: parser.Continue(), old: old, last: func() bool { return m.Close || s.closesNext(c) },
 	}
 	defer up.release()
-	refusal, done := s.Handler.Pass(handover, up)
+	refusal, done := s.Handler.Stream(handover, up)
 	if refusal != nil { // the body that follows is nobody's
 		refusal.Close = true
 		s.rejectConnection(c, refusal)
@@ -167,12 +167,12 @@
 	end := <-done
 	switch {
 	case end.Refusal != nil:
-		if s.mark(c, ending); up.end == pump.ClientBad {
+		if s.mark(c, ending); up.end == pump.ClientMalformed {
 			end.Refusal.Status, end.Refusal.Reason = 400, "malformed body"
 		}
 		told := up.end != pump.ClientGone && s.answer(c, 0, end.Refusal, true)
-		if end.Told != nil {
-			end.Told(told)
+		if end.OnAnswered != nil {
+			end.OnAnswered(told)
 		}
 		if told {
 			s.linger(c)
@@ -194,11 +194,11 @@
 	asked, handover, refusal := protocol.ReadRequest(m)
 	status, withdraw := 200, func() {}
 	if refusal != nil {
-		s.count(&s.counters.Unreadable)
-	} else if asked == protocol.AskHandover {
+		s.count(&s.counters.BadRequests)
+	} else if asked == protocol.SubmitMessage {
 		status = 202
-		handover.Left -= c.waited()
-		refusal, withdraw = s.Handler.Take(handover)
+		handover.Timeout -= c.waited()
+		refusal, withdraw = s.Handler.Accept(handover)
 	}
 	if refusal != nil && refusal.Status == 0 { // nothing that could be said is known to be so
 		return false
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -33,33 +33,33 @@
 	acceptAgain = 5 * time.Millisecond    // behind an accept that failed: a message\'s time runs while its connection waits
 )
 
-// Overflow is how many connections there may be beyond the most, while they are turned away or accepted.
-const Overflow = 14
+// OverflowConnections is how many connections there may be beyond the most, while they are turned away or accepted.
+const OverflowConnections = 14
 
 // overflow are those that may stay until they have been told so.
-const overflow = Overflow - 2
+const overflow = OverflowConnections - 2
 
 // Handler decides on what clients hand in.
 type Handler interface {
-	// Take answers a handover; a nil Refusal says that it is taken on, and withdraw, unless it is nil, is to be called
+	// Accept answers a handover; a nil Refusal says that it is taken on, and withdraw, unless it is nil, is to be called
 	// if its client could not be told so. The handover's slices are the caller's.
-	Take(h protocol.Handover) (r *protocol.Refusal, withdraw func())
-	// Pass takes a long message, whose Body is not there. Without a Refusal it is taken on, and its end comes once.
-	Pass(h protocol.Handover, up *Upload) (*protocol.Refusal, <-chan Passed)
+	Accept(h protocol.Submission) (r *protocol.Refusal, withdraw func())
+	// Stream takes a long message, whose Body is not there. Without a Refusal it is taken on, and its end comes once.
+	Stream(h protocol.Submission, up *Upload) (*protocol.Refusal, <-chan StreamEnd)
 }
 
-// Passed is the end of a long message.
-type Passed struct {
-	Refusal *protocol.Refusal // nil for a delivery
-	Told    func(bool)        // to be called unless it is nil: whether the client was told of the Refusal
+// StreamEnd is the end of a long message.
+type StreamEnd struct {
+	Refusal    *protocol.Refusal // nil for a delivery
+	OnAnswered func(bool)        // to be called unless it is nil: whether the client was told of the Refusal
 }
 
 // Clients serves the clients' side.
 type Clients struct {
-	Handler Handler
-	Most    int            // connections at once, beside those with long messages
-	Long    *Passages      // nil: no body may be longer than protocol.MostBody
-	Samples *oplog.Sampler // of connections that end otherwise than in order; nil tells of none
+	Handler        Handler
+	MaxConnections int            // connections at once, beside those with long messages
+	Streams        *Streams       // nil: no body may be longer than protocol.MostBody
+	Samples        *oplog.Sampler // of connections that end otherwise than in order; nil tells of none
 
 	mu       sync.Mutex
 	conns    map[*clientConn]struct{}
@@ -71,12 +71,12 @@
 
 // ClientCounters counts connections and what became of those that did not just ask.
 type ClientCounters struct {
-	Accepted   int64
-	TurnedAway int64 // there was no room for one more
-	ClosedIdle int64 // to make room, after their idle time
-	Silent     int64 // nothing was asked in time, or others needed the room
-	Late       int64 // a request did not come whole in time
-	Unreadable int64 // a request can't be read, or asks for what there is not
+	Accepted    int64
+	Rejected    int64 // there was no room for one more
+	ClosedIdle  int64 // to make room, after their idle time
+	Silent      int64 // nothing was asked in time, or others needed the room
+	Late        int64 // a request did not come whole in time
+	BadRequests int64 // a request can't be read, or asks for what there is not
 	// AcceptFailed counts accepts that failed, Broken the connections that ended under a request or an answer.
 	AcceptFailed, Broken int64
 	Open                 int // now
@@ -84,8 +84,8 @@
 
 // MarshalZerologObject writes the counters' group of the log.
 func (c ClientCounters) MarshalZerologObject(e *zerolog.Event) {
-	e.Int64("connections", c.Accepted).Int("open", c.Open).Int64("turned_away", c.TurnedAway).Int64("closed_idle", c.ClosedIdle).
-		Int64("silent", c.Silent).Int64("late", c.Late).Int64("unreadable", c.Unreadable).
+	e.Int64("connections", c.Accepted).Int("open", c.Open).Int64("turned_away", c.Rejected).Int64("closed_idle", c.ClosedIdle).
+		Int64("silent", c.Silent).Int64("late", c.Late).Int64("unreadable", c.BadRequests).
 		Int64("accept_failed", c.AcceptFailed).Int64("broken", c.Broken)
 }
 
--- a/internal/transport/closing_test.go
+++ b/internal/transport/closing_test.go
@@ -20,14 +20,14 @@
 // actingHandler takes on all that is handed in, and acts first.
 type actingHandler struct{ act func() }
 
-func (d actingHandler) Take(protocol.Handover) (*protocol.Refusal, func()) {
+func (d actingHandler) Accept(protocol.Submission) (*protocol.Refusal, func()) {
 	if d.act != nil {
 		d.act()
 	}
 	return nil, nil
 }
 
-func (actingHandler) Pass(protocol.Handover, *Upload) (*protocol.Refusal, <-chan Passed) {
+func (actingHandler) Stream(protocol.Submission, *Upload) (*protocol.Refusal, <-chan StreamEnd) {
 	return &protocol.Refusal{Status: 503, Close: true}, nil
 }
 
@@ -68,7 +68,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			leave, stop := context.WithCancel(t.Context())
-			s := &Clients{Most: c.most}
+			s := &Clients{MaxConnections: c.most}
 			s.Handler = actingHandler{func() {
 				if c.stops {
 					stop()
@@ -131,7 +131,7 @@
 		t.Run(name, func(t *testing.T) {
 			client, conn := ends(t)
 			gate := &timedOut{conn.(*net.TCPConn), make(chan struct{})}
-			s := &Clients{Handler: actingHandler{}, Most: 4, conns: map[*clientConn]struct{}{}}
+			s := &Clients{Handler: actingHandler{}, MaxConnections: 4, conns: map[*clientConn]struct{}{}}
 			c := &clientConn{lastingConn: lastingConn{gate}}
 			s.admit(c)
 			served := make(chan struct{})
@@ -157,7 +157,7 @@
 func TestEmptyLinesBuyNoTime(t *testing.T) {
 	client, conn := ends(t)
 	l := &lines{TCPConn: conn.(*net.TCPConn)}
-	s := &Clients{Handler: actingHandler{}, Most: 4, conns: map[*clientConn]struct{}{}}
+	s := &Clients{Handler: actingHandler{}, MaxConnections: 4, conns: map[*clientConn]struct{}{}}
 	c := &clientConn{lastingConn: lastingConn{l}}
 	s.admit(c)
 	served := make(chan struct{})
--- a/internal/transport/endpoints.go
+++ b/internal/transport/endpoints.go
@@ -17,17 +17,17 @@
 	"mulleinbeam/internal/protocol"
 )
 
-// CallEnd says how far a call came.
-type CallEnd int
+// CallOutcome says how far a call came.
+type CallOutcome int
 
 // The ends of a call.
 const (
-	Answered    CallEnd = iota // the Reply holds
-	NotBegun                   // it was not let go
-	Unconnected                // no connection, or it broke before the call's last byte was written
-	Broken                     // the connection broke after that
-	Spoilt                     // what came can't be read, or is not whole: the call may have run
-	Abandoned                  // ctx ended before the answer came
+	Answered    CallOutcome = iota // the Reply holds
+	NotBegun                       // it was not let go
+	Unconnected                    // no connection, or it broke before the call's last byte was written
+	Broken                         // the connection broke after that
+	Malformed                      // what came can't be read, or is not whole: the call may have run
+	Abandoned                      // ctx ended before the answer came
 )
 
 const (
@@ -59,20 +59,20 @@
 
 // EndpointCounters counts connections and answers that were not as they should be.
 type EndpointCounters struct {
-	Opened  int64 // connections
-	Ended   int64 // those that had ended, or held bytes that nobody asked for, when they were to be used
-	Spoilt  int64 // answers that can't be read or don't come whole
-	True    int64 // of these, those whose first line says that the message is delivered
-	Surplus int64 // answers with more behind them than belongs to them
-	NoRoom  int64 // tries of a connection for which this machine had no room
-	Idle    int   // now
+	Opened             int64 // connections
+	ClosedBeforeUse    int64 // those that had ended, or held bytes that nobody asked for, when they were to be used
+	Malformed          int64 // answers that can't be read or don't come whole
+	MalformedDelivered int64 // of these, those whose first line says that the message is delivered
+	Surplus            int64 // answers with more behind them than belongs to them
+	LocalDialErrors    int64 // tries of a connection for which this machine had no room
+	Idle               int   // now
 }
 
 // MarshalZerologObject writes the counters' group of the log.
 func (c EndpointCounters) MarshalZerologObject(e *zerolog.Event) {
-	e.Int64("opened", c.Opened).Int("idle", c.Idle).Int64("ended_before_use", c.Ended).Int64("spoilt", c.Spoilt).
-		Int64("delivered_all_the_same", c.True).Int64("surplus", c.Surplus).
-		Int64("no_room", c.NoRoom)
+	e.Int64("opened", c.Opened).Int("idle", c.Idle).Int64("ended_before_use", c.ClosedBeforeUse).Int64("spoilt", c.Malformed).
+		Int64("delivered_all_the_same", c.MalformedDelivered).Int64("surplus", c.Surplus).
+		Int64("no_room", c.LocalDialErrors)
 }
 
 // NewEndpoints keeps at most so many idle connections, each for less than keepAlive.
@@ -132,7 +132,7 @@
 			return c, nil
 		}
 		_ = c.Close()
-		p.count(&p.counters.Ended)
+		p.count(&p.counters.ClosedBeforeUse)
 	}
 	conn, err := p.dial(ctx, address)
 	if err != nil {
@@ -163,7 +163,7 @@
 		if err == nil || !errors.As(err, &number) || !slices.Contains(ownErrors, number) {
 			return conn, err
 		}
-		p.count(&p.counters.NoRoom)
+		p.count(&p.counters.LocalDialErrors)
 		if pause(ctx, dialRetry); ctx.Err() != nil {
 			return nil, err
 		}
@@ -181,9 +181,9 @@
 
 // Result is how a call ended.
 type Result struct {
-	Reply protocol.Reply // with Answered
-	End   CallEnd
-	Kept  bool // its connection had carried a call before
+	Reply   protocol.Reply // with Answered
+	Outcome CallOutcome
+	Reused  bool // its connection had carried a call before
 }
 
 // Call makes one call; nothing is ever written twice.
@@ -192,11 +192,11 @@
 		c, err := p.connection(ctx, call.Name, call.Address, call.Fresh)
 		if err != nil {
 			p.sample(call, "not connected", err)
-			return Result{End: Unconnected}
+			return Result{Outcome: Unconnected}
 		}
 		if !call.Begin() {
 			p.keepIdle(c)
-			return Result{End: NotBegun}
+			return Result{Outcome: NotBegun}
 		}
 		if c.quiet() {
 			kept := c.kept
@@ -207,16 +207,16 @@
 			return Result{reply, end, kept}
 		}
 		_ = c.Close()
-		p.count(&p.counters.Ended)
+		p.count(&p.counters.ClosedBeforeUse)
 		if !c.kept {
-			return Result{End: Unconnected} // accepted, and closed before anything was written
+			return Result{Outcome: Unconnected} // accepted, and closed before anything was written
 		}
 	}
 }
 
 // exchange writes a call and reads its answer. When ctx ends first, the connection is closed before it returns. An answer that was
 // read behind ctx's deadline is not taken: the endpoint was told that nobody waits for it any more, and may not count it.
-func (p *Endpoints) exchange(ctx context.Context, c *endpointConn, call protocol.Call) (protocol.Reply, CallEnd, error) {
+func (p *Endpoints) exchange(ctx context.Context, c *endpointConn, call protocol.Call) (protocol.Reply, CallOutcome, error) {
 	deadline, limited := ctx.Deadline()
 	if limited {
 		call.Timeout = time.Until(deadline)
@@ -261,7 +261,7 @@
 
 // read reads a call's answer; keep says that the connection can carry another call. A first line with 200 is a
 // delivery however the answer goes on. Any other answer that is not whole may stand for a call that ran.
-func (p *Endpoints) read(ctx context.Context, c *endpointConn) (reply protocol.Reply, end CallEnd, keep bool, broken error) {
+func (p *Endpoints) read(ctx context.Context, c *endpointConn) (reply protocol.Reply, end CallOutcome, keep bool, broken error) {
 	parser := p.parsers.Get().(*protocol.Parser)
 	defer func() {
 		parser.Reset()
@@ -285,7 +285,7 @@
 				_ = c.SetReadDeadline(until) // if it is closed by now, the next read tells
 				continue
 			}
-			m = parser.End(errors.Is(err, io.EOF))
+			m = parser.Finish(errors.Is(err, io.EOF))
 		}
 		switch {
 		case m != nil:
@@ -296,8 +296,8 @@
 			reply = protocol.ReadReply(m)
 			return reply, Answered, !m.Close && !surplus && c.SetReadDeadline(time.Time{}) == nil, nil
 		case parser.Status() == 200:
-			p.count(&p.counters.Spoilt)
-			p.count(&p.counters.True)
+			p.count(&p.counters.Malformed)
+			p.count(&p.counters.MalformedDelivered)
 			return protocol.Reply{Status: 200}, Answered, false, err
 		case ctx.Err() != nil:
 			return reply, Abandoned, false, err
@@ -305,8 +305,8 @@
 		if parser.Idle() {
 			return reply, Broken, false, err
 		}
-		p.count(&p.counters.Spoilt)
-		return reply, Spoilt, false, err
+		p.count(&p.counters.Malformed)
+		return reply, Malformed, false, err
 	}
 }
 
--- a/internal/transport/endpoints_test.go
+++ b/internal/transport/endpoints_test.go
@@ -50,7 +50,7 @@
 func TestAnAnswerBehindTheToldTimeIsNotTaken(t *testing.T) {
 	for name, c := range map[string]struct {
 		deadline time.Time
-		end      CallEnd
+		end      CallOutcome
 		idle     int
 	}{
 		"in time": {time.Now().Add(time.Hour), Answered, 1},
--- a/internal/transport/lasting_test.go
+++ b/internal/transport/lasting_test.go
@@ -47,7 +47,7 @@
 	for name, half := range map[string]bool{"open": false, "client has ended its sending": true} {
 		t.Run(name, func(t *testing.T) {
 			client, conn := ends(t)
-			s := &Clients{Handler: actingHandler{}, Most: 4, conns: map[*clientConn]struct{}{}}
+			s := &Clients{Handler: actingHandler{}, MaxConnections: 4, conns: map[*clientConn]struct{}{}}
 			c := &clientConn{lastingConn: lastingConn{&flakyConn{conn.(*net.TCPConn), 3, 3, 3}}}
 			s.admit(c)
 			if _, err := client.Write([]byte(handIn("a", "Connection: close\r\n"))); err != nil {
@@ -68,10 +68,10 @@
 // Guards against a request that was read in part and is never answered, because the rest of it cannot be read.
 func TestARequestThatCannotBeReadIsAnswered(t *testing.T) {
 	client, conn := ends(t)
-	s := &Clients{Handler: actingHandler{}, Most: 4, conns: map[*clientConn]struct{}{}}
+	s := &Clients{Handler: actingHandler{}, MaxConnections: 4, conns: map[*clientConn]struct{}{}}
 	c := &clientConn{lastingConn: lastingConn{&flakyConn{conn.(*net.TCPConn), 1 << 30, 0, 0}}}
 	s.admit(c)
-	parser := protocol.NewRequestParser(protocol.MostBody)
+	parser := protocol.NewRequestParser(protocol.MaxBodyBytes)
 	parser.Commit(copy(parser.Space(), "POST /api HTTP/1.1\r\n"))
 	served := make(chan struct{})
 	go func() { defer close(served); s.serveFrom(c, parser) }()
--- a/internal/transport/passage.go
+++ b/internal/transport/passage.go
@@ -14,11 +14,11 @@
 	"mulleinbeam/internal/pump"
 )
 
-// Passages are the settings and the memory of long messages: those whose bodies are passed on as they come.
-type Passages struct {
-	Most   int64         // bytes of one body, in either direction
-	Idle   time.Duration // no byte moved in either direction for so long ends a call
-	Window int           // bytes held of one body, in either direction
+// Streams are the settings and the memory of long messages: those whose bodies are passed on as they come.
+type Streams struct {
+	MaxBodyBytes int64         // bytes of one body, in either direction
+	IdleTimeout  time.Duration // no byte moved in either direction for so long ends a call
+	WindowBytes  int           // bytes held of one body, in either direction
 
 	windows  sync.Pool
 	bytes    [2]atomic.Int64
@@ -26,34 +26,34 @@
 }
 
 // MarshalZerologObject writes the counters' group of the log.
-func (p *Passages) MarshalZerologObject(e *zerolog.Event) {
-	n := func(name string, end pump.End) { e.Int64(name, p.counters[end].Load()) }
+func (p *Streams) MarshalZerologObject(e *zerolog.Event) {
+	n := func(name string, end pump.Outcome) { e.Int64(name, p.counters[end].Load()) }
 	e.Int64("bytes_up", p.bytes[pump.Up].Load()).Int64("bytes_down", p.bytes[pump.Down].Load())
 	n("delivered", pump.Delivered)
 	n("answered", pump.Answered)
-	n("spoilt", pump.Spoilt)
+	n("spoilt", pump.Malformed)
 	n("broken", pump.Broken)
 	n("not_begun", pump.NotBegun)
 	n("endpoint_stalled", pump.EndpointStalled)
 	n("client_gone", pump.ClientGone)
 	n("client_stalled", pump.ClientStalled)
-	n("client_bad", pump.ClientBad)
+	n("client_bad", pump.ClientMalformed)
 	n("time_up", pump.TimeUp)
 	n("aborted", pump.Aborted)
 }
 
-func (p *Passages) window() *[]byte {
+func (p *Streams) window() *[]byte {
 	if w, ok := p.windows.Get().(*[]byte); ok {
 		return w
 	}
-	w := make([]byte, p.Window)
+	w := make([]byte, p.WindowBytes)
 	return &w
 }
 
 // Upload is the client's side of a long message, from its head to its final answer. One attempt at a time uses it; between
 // them its client's goroutine waits.
 type Upload struct {
-	passages *Passages
+	passages *Streams
 	conn     net.Conn
 	body     *protocol.Body
 	content  []byte // what came of the body with the head,
@@ -64,9 +64,9 @@
 	old      bool // it speaks HTTP/1.0
 	last     func() bool
 	pipe     *pump.Pipe
-	taken    []*[]byte // windows, to be given back
-	end      pump.End  // of the last attempt
-	heard    bool      // a byte of an answer has gone to the client
+	taken    []*[]byte    // windows, to be given back
+	end      pump.Outcome // of the last attempt
+	heard    bool         // a byte of an answer has gone to the client
 	reusable bool
 }
 
@@ -84,7 +84,7 @@
 	}
 	if u.expects && u.pipe.Empty() {
 		if u.conn.SetWriteDeadline(time.Now().Add(answerFor)) == nil {
-			_, _ = u.conn.Write([]byte(protocol.GoOn)) // if the client is gone, the next read tells
+			_, _ = u.conn.Write([]byte(protocol.ContinueResponse)) // if the client is gone, the next read tells
 		}
 	}
 	u.expects = false
@@ -99,56 +99,56 @@
 	u.taken, u.pipe = nil, nil
 }
 
-// Passage is one attempt to pass a long message on.
-type Passage struct {
+// StreamCall is one attempt to pass a long message on.
+type StreamCall struct {
 	Call
-	Upload *Upload
-	Settle func() bool // books a delivery before the client can hear of it
+	Upload         *Upload
+	RecordDelivery func() bool // books a delivery before the client can hear of it
 }
 
-// PassResult is how such an attempt ended.
-type PassResult struct {
-	End   pump.End
-	Reply protocol.Reply // with pump.Answered
-	Begun bool           // a byte may have gone to the endpoint
-	Sent  bool           // all of the body has
-	Again bool           // the body is kept: another attempt can be made
-	Kept  bool           // its connection had carried a call before
+// StreamResult is how such an attempt ended.
+type StreamResult struct {
+	Outcome   pump.Outcome
+	Reply     protocol.Reply // with pump.Answered
+	Begun     bool           // a byte may have gone to the endpoint
+	Sent      bool           // all of the body has
+	Retryable bool           // the body is kept: another attempt can be made
+	Reused    bool           // its connection had carried a call before
 }
 
 var errNoConnection = errors.New("transport: no connection")
 
-// Pass makes one call with a long message. It returns once neither connection has anything of it under way; the
+// Stream makes one call with a long message. It returns once neither connection has anything of it under way; the
 // endpoint's is then closed or idle, the client's is left to its client.
-func (p *Endpoints) Pass(ctx context.Context, call Passage) PassResult {
+func (p *Endpoints) Stream(ctx context.Context, call StreamCall) StreamResult {
 	u := call.Upload
 	s := u.passages
 	c, err := p.connection(ctx, call.Name, call.Address, call.Fresh)
 	if err != nil {
-		return PassResult{End: pump.Broken, Again: true}
+		return StreamResult{Outcome: pump.Broken, Retryable: true}
 	}
 	if err := u.prepare(); err != nil {
-		u.end = pump.ClientBad
+		u.end = pump.ClientMalformed
 		s.counters[u.end].Add(1)
 		p.keepIdle(c)
-		return PassResult{End: u.end, Kept: c.kept}
+		return StreamResult{Outcome: u.end, Reused: c.kept}
 	}
-	d := &duplex{base: time.Now(), client: tcp(u.conn), endpoint: tcp(c), settle: call.Settle, passages: s}
+	d := &duplex{base: time.Now(), client: tcp(u.conn), endpoint: tcp(c), settle: call.RecordDelivery, passages: s}
 	cutAt := 24 * time.Hour
 	if deadline, ok := ctx.Deadline(); ok {
 		cutAt = time.Until(deadline)
 	}
 	call.Timeout = cutAt
 	framing, length := u.framing, u.length
-	if framing == protocol.Chunked && u.pipe.Whole() { // it came whole by now: its length can be told
-		framing, length = protocol.ByLength, u.pipe.Came()
+	if framing == protocol.Chunked && u.pipe.Complete() { // it came whole by now: its length can be told
+		framing, length = protocol.ByLength, u.pipe.Received()
 	}
 	u.pipe.Rewind()
-	u.pipe.Start(protocol.AppendPassage(nil, protocol.Passage{Call: call.Call.Call, Framing: framing, Length: length}), framing)
+	u.pipe.Start(protocol.AppendStreamHead(nil, protocol.StreamHead{Call: call.Call.Call, Framing: framing, Length: length}), framing)
 	parser := p.longAnswers.Get().(*protocol.Parser)
 	defer func() { parser.Reset(); p.longAnswers.Put(parser) }()
 	d.x = pump.New(pump.Config{
-		Up: u.pipe, Answers: parser, Most: s.Most, Idle: s.Idle, CutAt: cutAt, Old: u.old, Last: u.last(), Unseen: true,
+		Request: u.pipe, Answers: parser, MaxAnswerBytes: s.MaxBodyBytes, IdleTimeout: s.IdleTimeout, Deadline: cutAt, HTTP10: u.old, CloseClient: u.last(), Splice: true,
 		Window: func() []byte {
 			w := s.window()
 			u.taken = append(u.taken, w)
@@ -164,7 +164,7 @@
 				return nil
 			}
 			_ = c.Close()
-			p.count(&p.counters.Ended)
+			p.count(&p.counters.ClosedBeforeUse)
 			if !c.kept {
 				return errNoConnection // accepted, and closed before anything was written
 			}
@@ -188,7 +188,7 @@
 }
 
 // passed puts the connections in order behind an exchange and tells how it ended.
-func (p *Endpoints) passed(d *duplex, c *endpointConn, u *Upload) PassResult {
+func (p *Endpoints) passed(d *duplex, c *endpointConn, u *Upload) StreamResult {
 	d.mu.Lock() // an abort may just be under way
 	defer d.mu.Unlock()
 	x := d.x
@@ -201,10 +201,10 @@
 	} else {
 		_ = c.Close()
 	}
-	u.end, u.heard, u.reusable = x.End(), x.Heard(), reusable
+	u.end, u.heard, u.reusable = x.Outcome(), x.AnswerStarted(), reusable
 	u.passages.counters[u.end].Add(1)
-	return PassResult{
-		End: x.End(), Reply: x.Reply(), Begun: x.Begun(), Sent: u.pipe.Done(), Again: x.Again(), Kept: c.kept,
+	return StreamResult{
+		Outcome: x.Outcome(), Reply: x.Reply(), Begun: x.Begun(), Sent: u.pipe.Written(), Retryable: x.Retryable(), Reused: c.kept,
 	}
 }
 
@@ -228,7 +228,7 @@
 	client, endpoint net.Conn
 	begin            func() error
 	settle           func() bool
-	passages         *Passages
+	passages         *Streams
 	unseen           [2]*unseen // what each direction holds of bytes that go on unseen
 }
 
@@ -280,7 +280,7 @@
 }
 
 // step does one step of a direction; false says that there is none any more.
-func (d *duplex) step(s pump.Side, g *gather) bool {
+func (d *duplex) step(s pump.Direction, g *gather) bool {
 	d.mu.Lock()
 	source, sink := d.client, d.endpoint
 	if s == pump.Down {
@@ -289,10 +289,10 @@
 	st := d.x.Next(s, d.now())
 	var err error
 	switch st.Op {
-	case pump.Read, pump.Pull:
-		err = source.SetReadDeadline(d.base.Add(st.Until))
-	case pump.Write, pump.Push:
-		err = sink.SetWriteDeadline(d.base.Add(st.Until))
+	case pump.Read, pump.SpliceIn:
+		err = source.SetReadDeadline(d.base.Add(st.Deadline))
+	case pump.Write, pump.SpliceOut:
+		err = sink.SetWriteDeadline(d.base.Add(st.Deadline))
 	}
 	d.mu.Unlock()
 	n := 0
@@ -305,33 +305,33 @@
 	case st.Op == pump.Write:
 		n, err = g.write(sink, st.Out)
 		d.passages.bytes[s].Add(int64(n))
-	case st.Op == pump.Pull:
+	case st.Op == pump.SpliceIn:
 		if d.unseen[s] == nil {
-			d.unseen[s], err = newUnseen(source, sink, st.Most)
+			d.unseen[s], err = newUnseen(source, sink, st.Limit)
 		}
 		if err == nil {
-			n, err = d.unseen[s].pull(st.Most)
+			n, err = d.unseen[s].pull(st.Limit)
 		}
-	case st.Op == pump.Push:
-		n, err = d.unseen[s].push(st.Most)
+	case st.Op == pump.SpliceOut:
+		n, err = d.unseen[s].push(st.Limit)
 		d.passages.bytes[s].Add(int64(n))
 	case st.Op == pump.Begin:
 		err = d.begin()
-	case st.Op == pump.Settle:
+	case st.Op == pump.RecordDelivery:
 		if !d.settle() {
 			err = errNoConnection
 		}
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.x.Did(s, n, err, d.now()) {
+	if d.x.StepDone(s, n, err, d.now()) {
 		d.wake(1 - s)
 	}
 	return true
 }
 
 // wake ends what a direction is at; d.mu is held.
-func (d *duplex) wake(s pump.Side) {
+func (d *duplex) wake(s pump.Direction) {
 	source, sink := d.client, d.endpoint
 	if s == pump.Down {
 		source, sink = sink, source
@@ -343,7 +343,7 @@
 var longAgo = time.Unix(1, 0)
 
 // abort ends the exchange from outside.
-func (d *duplex) abort(e pump.End) {
+func (d *duplex) abort(e pump.Outcome) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.x.Abort(e)
--- a/internal/transport/passage_test.go
+++ b/internal/transport/passage_test.go
@@ -64,15 +64,15 @@
 }
 
 // passage is a long message of a told length, coming on a connection, to an address.
-func passage(conn net.Conn, address string, length int64) Passage {
+func passage(conn net.Conn, address string, length int64) StreamCall {
 	body, _ := protocol.NewBody(protocol.ByLength, length, length)
-	return Passage{
+	return StreamCall{
 		Call: Call{Call: protocol.Call{ID: "m", Host: address}, Name: "p", Address: address, Begin: func() bool { return true }},
 		Upload: &Upload{
-			passages: &Passages{Most: 1 << 60, Idle: time.Minute, Window: 256 << 10}, conn: conn, body: body, length: length,
+			passages: &Streams{MaxBodyBytes: 1 << 60, IdleTimeout: time.Minute, WindowBytes: 256 << 10}, conn: conn, body: body, length: length,
 			last: func() bool { return false },
 		},
-		Settle: func() bool { return true },
+		RecordDelivery: func() bool { return true },
 	}
 }
 
@@ -91,9 +91,9 @@
 	client, conn := ends(t)
 	go func() { _, _ = client.Write(make([]byte, 1<<20)) }()
 	endpoints := NewEndpoints(time.Minute, time.Second, 8)
-	r := endpoints.Pass(ctx, passage(conn, address, 2<<20))
-	if r.End != pump.Aborted || !r.Begun || r.Sent || r.Again {
-		t.Errorf("%v, %+v", r.End, r)
+	r := endpoints.Stream(ctx, passage(conn, address, 2<<20))
+	if r.Outcome != pump.Aborted || !r.Begun || r.Sent || r.Retryable {
+		t.Errorf("%v, %+v", r.Outcome, r)
 	}
 	if err := <-closed; err == nil {
 		t.Error("the partner took it for whole")
@@ -124,7 +124,7 @@
 			}
 		}
 	}()
-	if r := NewEndpoints(time.Minute, time.Second, 8).Pass(b.Context(), passage(conn, address, int64(b.N)<<20)); r.End != pump.Delivered {
-		b.Fatal(r.End)
+	if r := NewEndpoints(time.Minute, time.Second, 8).Stream(b.Context(), passage(conn, address, int64(b.N)<<20)); r.Outcome != pump.Delivered {
+		b.Fatal(r.Outcome)
 	}
 }
--- a/internal/transport/resting_test.go
+++ b/internal/transport/resting_test.go
@@ -61,8 +61,8 @@
 				r := p.Call(context.Background(), Call{
 					Call: protocol.Call{ID: id, Host: "x"}, Name: "a", Address: l.Addr().String(), Begin: func() bool { return true },
 				})
-				if r.End != Answered || r.Reply.Status != 200 {
-					t.Fatalf("%s ended as %v with %+v", id, r.End, r.Reply)
+				if r.Outcome != Answered || r.Reply.Status != 200 {
+					t.Fatalf("%s ended as %v with %+v", id, r.Outcome, r.Reply)
 				}
 				if got := <-requests; got != id {
 					t.Errorf("%s came", got)
@@ -80,8 +80,8 @@
 			if c.used {
 				opened, ended = 1, 0
 			}
-			if got := p.Counters(); got.Opened != opened || got.Ended != ended || len(requests) != 0 {
-				t.Errorf("%d connections opened, %d had ended, %d further requests", got.Opened, got.Ended, len(requests))
+			if got := p.Counters(); got.Opened != opened || got.ClosedBeforeUse != ended || len(requests) != 0 {
+				t.Errorf("%d connections opened, %d had ended, %d further requests", got.Opened, got.ClosedBeforeUse, len(requests))
 			}
 		})
 	}
--- a/internal/transport/unseen_linux.go
+++ b/internal/transport/unseen_linux.go
@@ -32,19 +32,19 @@
 	from, ok := source.(syscall.Conn)
 	to, also := sink.(syscall.Conn)
 	if !ok || !also {
-		return nil, pump.ErrStraight
+		return nil, pump.ErrNoSplice
 	}
 	u := &unseen{}
 	var err error
 	if u.source, err = from.SyscallConn(); err != nil {
-		return nil, pump.ErrStraight
+		return nil, pump.ErrNoSplice
 	}
 	if u.sink, err = to.SyscallConn(); err != nil {
-		return nil, pump.ErrStraight
+		return nil, pump.ErrNoSplice
 	}
 	var ends [2]int
 	if syscall.Pipe2(ends[:], syscall.O_CLOEXEC|syscall.O_NONBLOCK) != nil {
-		return nil, pump.ErrStraight
+		return nil, pump.ErrNoSplice
 	}
 	u.r, u.w = ends[0], ends[1]
 	_, _, _ = syscall.Syscall(syscall.SYS_FCNTL, uintptr(u.w), setPipeSize, uintptr(size)) // else it is 64 KiB
@@ -76,7 +76,7 @@
 	case err != nil:
 		return 0, err
 	case u.err == syscall.EINVAL:
-		return 0, pump.ErrStraight
+		return 0, pump.ErrNoSplice
 	case u.err != nil:
 		return 0, os.NewSyscallError("splice", u.err)
 	case u.n == 0:
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -24,8 +24,8 @@
 
 // Part is what came in for one instance.
 type Part struct {
-	Who   string            `json:"who"`
-	Input []json.RawMessage `json:"input"`
+	Instance string            `json:"who"`
+	Input    []json.RawMessage `json:"input"`
 }
 
 // Reply is one line of output.
@@ -36,7 +36,7 @@
 
 // ReplyPart is what one instance does.
 type ReplyPart struct {
-	Who       string `json:"who"`
+	Instance  string `json:"who"`
 	Decisions []any  `json:"decisions"`
 }
 
