--- a/cmd/larkreach/config_on.go
+++ b/cmd/larkreach/config_on.go
@@ -44,7 +44,7 @@
 		cmd.From = *c.Revision
 	}
 	switch err := c.decide(cmd); {
-	case err != nil && err.Error() == controlplane.ErrLater.Error():
+	case err != nil && err.Error() == controlplane.ErrConflict.Error():
 		return fmt.Errorf("nothing was committed: the configuration is not at revision %d any more, look again", cmd.From)
 	case err != nil:
 		return fmt.Errorf("nothing was committed: %w", err)
--- a/cmd/larkreach/fleet_faults_test.go
+++ b/cmd/larkreach/fleet_faults_test.go
@@ -151,13 +151,13 @@
 func TestFleetLaterVersion(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, cluster.Setup{Members: 3}, nil)
-	join := controlplane.Command{Kind: controlplane.Join, Life: controlplane.Life{Name: "later"}, Token: "t", Address: "127.0.0.1:1", Zone: "z9", Version: node.Version + 1}
+	join := controlplane.Command{Kind: controlplane.Join, Life: controlplane.Incarnation{Name: "later"}, Token: "t", Address: "127.0.0.1:1", Zone: "z9", Version: node.Version + 1}
 	must(t, f.Order(f.ctx, join))
 	must(t, f.Await(f.ctx, 0, "later member", func(s node.Status) bool { return s.State.Members["later"] != nil }))
 	s, err := f.Look(0)
 	must(t, err)
-	life := controlplane.Life{Name: "later", Number: s.State.Members["later"].Life}
-	must(t, f.Order(f.ctx, controlplane.Command{Kind: controlplane.Keepers, Life: life, From: s.State.Members["later"].Changed, Set: []string{"n1"}}))
+	life := controlplane.Incarnation{Name: "later", Number: s.State.Members["later"].Life}
+	must(t, f.Order(f.ctx, controlplane.Command{Kind: controlplane.SetReplicas, Life: life, From: s.State.Members["later"].Changed, Set: []string{"n1"}}))
 	p := links.NewPeer(f.Members[1].Links)
 	defer p.Close()
 	clock := func() time.Time { return time.Now().Add(-time.Hour) }
--- a/cmd/larkreach/fleet_on.go
+++ b/cmd/larkreach/fleet_on.go
@@ -46,7 +46,7 @@
 		Believe: time.Duration(c.Believe),
 	}
 	for _, f := range founders {
-		setup.Founders = append(setup.Founders, controlplane.Founder{Name: f.Name, Address: f.Address})
+		setup.Founders = append(setup.Founders, controlplane.Voter{Name: f.Name, Address: f.Address})
 	}
 	for _, r := range relays {
 		setup.Relays = append(setup.Relays, controlplane.Relay{Zone: r.Zone, Address: r.Address})
@@ -240,7 +240,7 @@
 	}
 	rows := [][]string{{"DESTINATION", "ROUTE", "FACT", "ORIGIN", "AGE", "LEFT", "PER SECOND"}}
 	for _, f := range s.Facts {
-		row := []string{fmt.Sprint(f.Destination), f.Endpoint, f.Kind.String(), controlplane.Life{Name: f.Origin, Number: f.Life}.String(), short(f.Age), "", ""}
+		row := []string{fmt.Sprint(f.Destination), f.Endpoint, f.Kind.String(), controlplane.Incarnation{Name: f.Origin, Number: f.Life}.String(), short(f.Age), "", ""}
 		if f.Left > 0 {
 			row[5] = short(f.Left)
 		}
@@ -280,14 +280,14 @@
 
 // Run drains.
 func (c drainCmd) Run(io streams) error {
-	return c.order(io, controlplane.Command{Kind: controlplane.Leave, On: true}, "keeps no new copies; others are chosen in its place")
+	return c.order(io, controlplane.Command{Kind: controlplane.Drain, On: true}, "keeps no new copies; others are chosen in its place")
 }
 
 type returnCmd struct{ named }
 
 // Run takes a drain back.
 func (c returnCmd) Run(io streams) error {
-	return c.order(io, controlplane.Command{Kind: controlplane.Leave}, "keeps copies again")
+	return c.order(io, controlplane.Command{Kind: controlplane.Drain}, "keeps copies again")
 }
 
 type removeCmd struct{ named }
@@ -316,14 +316,14 @@
 
 // Run takes a member in.
 func (c foundCmd) Run(io streams) error {
-	return c.order(io, controlplane.Command{Kind: controlplane.Found, On: true}, "learns what the council has decided, and votes then (cluster founders)")
+	return c.order(io, controlplane.Command{Kind: controlplane.ChangeVoters, On: true}, "learns what the council has decided, and votes then (cluster founders)")
 }
 
 type unfoundCmd struct{ named }
 
 // Run lets a founder go.
 func (c unfoundCmd) Run(io streams) error {
-	return c.order(io, controlplane.Command{Kind: controlplane.Found}, "is no founder any more; take it out of everybody's settings")
+	return c.order(io, controlplane.Command{Kind: controlplane.ChangeVoters}, "is no founder any more; take it out of everybody's settings")
 }
 
 type rebuildCmd struct {
@@ -334,7 +334,7 @@
 
 // Run rebuilds.
 func (c rebuildCmd) Run(io streams) error {
-	keeper, kept, err := controlplane.OpenKeeper(fsys.Dir(filepath.Join(c.Folder, node.CouncilDir)), func(line string) { fmt.Fprintln(io.err, line) })
+	keeper, kept, err := controlplane.OpenRaftStore(fsys.Dir(filepath.Join(c.Folder, node.CouncilDir)), func(line string) { fmt.Fprintln(io.err, line) })
 	if err != nil {
 		return err
 	}
--- a/cmd/larkreach/fleet_plan_test.go
+++ b/cmd/larkreach/fleet_plan_test.go
@@ -159,7 +159,7 @@
 	if refused := order(0, seen, "z0", true); refused != "" {
 		t.Fatal(refused)
 	}
-	if refused := order(1, seen, "z1", true); refused != controlplane.ErrLater.Error() {
+	if refused := order(1, seen, "z1", true); refused != controlplane.ErrConflict.Error() {
 		t.Errorf("the second operator was told %q", refused)
 	}
 	must(t, f.AwaitPlan(f.ctx, 0, "empty place", func(s node.PlanStatus) bool {
--- a/cmd/larkreach/fleet_relay_test.go
+++ b/cmd/larkreach/fleet_relay_test.go
@@ -69,7 +69,7 @@
 			must(t, err)
 			version := s.State.Version
 			for _, on := range []bool{true, false} {
-				must(t, f.Order(f.ctx, controlplane.Command{Kind: controlplane.Leave, Life: controlplane.Life{Name: "n0"}, On: on}))
+				must(t, f.Order(f.ctx, controlplane.Command{Kind: controlplane.Drain, Life: controlplane.Incarnation{Name: "n0"}, On: on}))
 			}
 			must(t, f.Await(f.ctx, i, "a later version", func(s node.Status) bool { return s.State.Version > version && s.MayAct }))
 			taken = append(taken, f.take(i, "unsafe"))
--- a/cmd/larkreach/fleet_test.go
+++ b/cmd/larkreach/fleet_test.go
@@ -509,7 +509,7 @@
 func (f *fleetSite) votes(at int, names ...string) {
 	f.t.Helper()
 	must(f.t, f.Await(f.ctx, at, fmt.Sprint("council of ", names), func(s node.Status) bool {
-		return slices.EqualFunc(s.Founders, names, func(x controlplane.Founder, name string) bool { return x.Name == name && !x.Learns })
+		return slices.EqualFunc(s.Founders, names, func(x controlplane.Voter, name string) bool { return x.Name == name && !x.Learns })
 	}))
 }
 
@@ -722,7 +722,7 @@
 		lies[i].Origin, lies[i].Life, lies[i].Serial = "n2", liar, 1e6+uint64(i)
 	}
 	lies = append(lies, observation.Fact{Kind: observation.Wait, Destination: cluster.Group, Left: time.Minute, Origin: "nobody", Life: 1, Serial: 1})
-	must(t, p.Call(f.ctx, "Facts.Push", node.FactsPush{From: controlplane.Life{Name: "n2", Number: liar}, Facts: lies}, &node.FactsAnswer{}))
+	must(t, p.Call(f.ctx, "Facts.Push", node.FactsPush{From: controlplane.Incarnation{Name: "n2", Number: liar}, Facts: lies}, &node.FactsAnswer{}))
 	must(t, f.AwaitFacts(f.ctx, 0, "account of lies", func(s node.FactsStatus) bool { return s.Counts.Bounded == 2 && s.Counts.Absurd == 2 }))
 	if _, seen := f.Members[0].Sees(string(observation.LongWait)); !seen {
 		t.Error("no line of the log tells of it")
--- a/cmd/larkreach/relay_on.go
+++ b/cmd/larkreach/relay_on.go
@@ -29,7 +29,7 @@
 	defer log.close()
 	cfg := relay.Config{Listen: c.Listen, Logger: log.logger(c.Listen)}
 	for _, v := range voters {
-		cfg.Voters = append(cfg.Voters, controlplane.Founder{Name: v.Name, Address: v.Address})
+		cfg.Voters = append(cfg.Voters, controlplane.Voter{Name: v.Name, Address: v.Address})
 	}
 	server, err := relay.Open(cfg)
 	if err != nil {
--- a/internal/cluster/changelog/changelog.go
+++ b/internal/cluster/changelog/changelog.go
@@ -27,16 +27,18 @@
 
 // Cursor is how far a watcher has read.
 type Cursor struct {
-	Selection uint64 `cbor:"1,keyasint,omitempty"` // counts the watcher's selectors; an answer to an earlier one is not applied
-	Has       uint64 `cbor:"2,keyasint,omitempty"` // the revision of the view that it goes by
-	Revision  uint64 `cbor:"3,keyasint,omitempty"` // it has every selected record up to here; beyond Has only while an answer is in pieces
-	Began     uint64 `cbor:"4,keyasint,omitempty"` // the log's revision when the snapshot under way began; 0 is none
-	Seen      uint64 `cbor:"5,keyasint,omitempty"` // the highest revision of a log that gave a piece of the answer under way; 0 is none
-	Restart   bool   `cbor:"6,keyasint,omitempty"` // a snapshot is wanted, whatever it has
+	SelectorGeneration uint64 `cbor:"1,keyasint,omitempty"` // counts the watcher's selectors; an answer to an earlier one is not applied
+	ViewRevision       uint64 `cbor:"2,keyasint,omitempty"` // the revision of the view that it goes by
+	Revision           uint64 `cbor:"3,keyasint,omitempty"` // it has every selected record up to here; beyond Has only while an answer is in pieces
+	SnapshotRevision   uint64 `cbor:"4,keyasint,omitempty"` // the log's revision when the snapshot under way began; 0 is none
+	SourceRevision     uint64 `cbor:"5,keyasint,omitempty"` // the highest revision of a log that gave a piece of the answer under way; 0 is none
+	Restart            bool   `cbor:"6,keyasint,omitempty"` // a snapshot is wanted, whatever it has
 }
 
-// Newest is the revision that a source must have to go on from here.
-func (c Cursor) Newest() uint64 { return max(c.Has, c.Revision, c.Began, c.Seen) }
+// RequiredRevision is the revision that a source must have to go on from here.
+func (c Cursor) RequiredRevision() uint64 {
+	return max(c.ViewRevision, c.Revision, c.SnapshotRevision, c.SourceRevision)
+}
 
 // Selector says which keys a watcher wants.
 type Selector struct {
@@ -194,21 +196,21 @@
 // Read gives a watcher what it wants next, in pieces of some bytes: a piece has one revision at the least. ErrBehind says that this log has
 // not what the watcher has.
 func (l *Log[V]) Read(from Cursor, want Selector, most int) (Batch[V], error) {
-	if from.Newest() > l.revision { // one that is behind Seen may still have keys in places from which they have moved on already
+	if from.RequiredRevision() > l.revision { // one that is behind Seen may still have keys in places from which they have moved on already
 		return Batch[V]{}, ErrBehind
 	}
 	b := Batch[V]{From: from, Floor: l.floor}
 	at := from
-	if from.Restart || max(from.Revision, from.Began) < l.floor {
+	if from.Restart || max(from.Revision, from.SnapshotRevision) < l.floor {
 		b.Reset = true
-		at = Cursor{Selection: from.Selection, Has: from.Has, Began: max(1, l.revision)}
+		at = Cursor{SelectorGeneration: from.SelectorGeneration, ViewRevision: from.ViewRevision, SnapshotRevision: max(1, l.revision)}
 	}
 	l.walk(&b, at, want, most)
 	if b.To = at; b.More {
 		b.To.Revision = b.Records[len(b.Records)-1].Revision
-		b.To.Restart, b.To.Seen = false, l.revision
+		b.To.Restart, b.To.SourceRevision = false, l.revision
 	} else {
-		b.To = Cursor{Selection: from.Selection, Has: l.revision, Revision: l.revision}
+		b.To = Cursor{SelectorGeneration: from.SelectorGeneration, ViewRevision: l.revision, Revision: l.revision}
 	}
 	return b, nil
 }
@@ -217,7 +219,7 @@
 func (l *Log[V]) walk(b *Batch[V], at Cursor, want Selector, most int) {
 	bytes, latest := 0, uint64(0)
 	for r := range l.behind(at.Revision, want) {
-		if !want.Matches(r.Key) || r.Deleted && !want.Mirror && r.Revision <= at.Began {
+		if !want.Matches(r.Key) || r.Deleted && !want.Mirror && r.Revision <= at.SnapshotRevision {
 			continue // who began behind a deletion never had the key
 		}
 		if bytes >= most && r.Revision != latest {
--- a/internal/cluster/changelog/changelog_test.go
+++ b/internal/cluster/changelog/changelog_test.go
@@ -133,7 +133,7 @@
 				replica.Select(selector)
 			},
 		})
-		for replica.Revision() < source.Revision() || replica.Cursor().Restart || replica.Cursor().Began > 0 {
+		for replica.Revision() < source.Revision() || replica.Cursor().Restart || replica.Cursor().SnapshotRevision > 0 {
 			b, err := source.Read(replica.Cursor(), replica.Selector(), 20)
 			if err != nil {
 				t.Fatal(err)
@@ -238,9 +238,9 @@
 	for name, spoil := range map[string]func(*Batch[int]){
 		"a revision of the past": func(b *Batch[int]) { b.Records[0].Revision = 1 },
 		"a revision to come":     func(b *Batch[int]) { b.Records[0].Revision = 99 },
-		"an end before its time": func(b *Batch[int]) { b.To.Revision, b.To.Has = 1, 1 },
+		"an end before its time": func(b *Batch[int]) { b.To.Revision, b.To.ViewRevision = 1, 1 },
 		"pieces without a piece": func(b *Batch[int]) { b.More, b.Records = true, nil },
-		"another selection":      func(b *Batch[int]) { b.To.Selection++ },
+		"another selection":      func(b *Batch[int]) { b.To.SelectorGeneration++ },
 	} {
 		b := good
 		b.Records = append([]Record[int](nil), good.Records...)
--- a/internal/cluster/changelog/replica.go
+++ b/internal/cluster/changelog/replica.go
@@ -35,12 +35,12 @@
 func (r *Replica[V]) Selector() Selector { return r.selector }
 
 // Revision is that of the view; 0 is none yet.
-func (r *Replica[V]) Revision() uint64 { return r.cursor.Has }
+func (r *Replica[V]) Revision() uint64 { return r.cursor.ViewRevision }
 
 // Select changes what is watched. The view stays as it is until a snapshot by the new selector is whole.
 func (r *Replica[V]) Select(s Selector) {
 	r.selector = s
-	r.cursor = Cursor{Selection: r.cursor.Selection + 1, Has: r.cursor.Has, Restart: true}
+	r.cursor = Cursor{SelectorGeneration: r.cursor.SelectorGeneration + 1, ViewRevision: r.cursor.ViewRevision, Restart: true}
 	r.pieces, r.reset = nil, false
 }
 
@@ -66,7 +66,7 @@
 		return nil, ErrStale
 	case !b.coherent():
 		return nil, ErrMalformed
-	case !b.More && b.To.Revision < r.cursor.Has || b.Reset && max(b.To.Began, b.To.Revision) < r.cursor.Has:
+	case !b.More && b.To.Revision < r.cursor.ViewRevision || b.Reset && max(b.To.SnapshotRevision, b.To.Revision) < r.cursor.ViewRevision:
 		return nil, ErrBehind
 	}
 	if b.Reset {
@@ -97,11 +97,11 @@
 	if b.Reset {
 		begin = 0
 	}
-	ends := b.To.Selection == b.From.Selection && !b.To.Restart
+	ends := b.To.SelectorGeneration == b.From.SelectorGeneration && !b.To.Restart
 	if b.More {
-		ends = ends && len(b.Records) > 0 && b.To.Revision == b.Records[len(b.Records)-1].Revision && b.To.Has == b.From.Has
+		ends = ends && len(b.Records) > 0 && b.To.Revision == b.Records[len(b.Records)-1].Revision && b.To.ViewRevision == b.From.ViewRevision
 	} else {
-		ends = ends && b.To.Has == b.To.Revision && b.To.Began == 0
+		ends = ends && b.To.ViewRevision == b.To.Revision && b.To.SnapshotRevision == 0
 	}
 	latest := begin
 	for i, r := range b.Records {
--- a/internal/cluster/controlplane/client.go
+++ b/internal/cluster/controlplane/client.go
@@ -22,32 +22,32 @@
 
 	began    time.Time
 	mu       sync.Mutex
-	first    []Founder // of the settings
-	founders []Founder
+	first    []Voter // of the settings
+	founders []Voter
 	route    *Route // nil: the voters are asked
 	target   string // the voter that answered last
 	leader   string // as the latest answer says
 }
 
 // NewClient asks founders, by ways that at gives; local and server are this process's own part.
-func NewClient(founders []Founder, at func(address string) *links.Peer, local string, server *Server) *Client {
+func NewClient(founders []Voter, at func(address string) *links.Peer, local string, server *Server) *Client {
 	return &Client{first: founders, founders: founders, at: at, local: local, server: server, began: time.Now()}
 }
 
-// Via has requests go through relays, the preferred first; voters are asked only while none of them answers. It is called before Do.
-func (c *Client) Via(relays []Relay) {
+// UseRelays has requests go through relays, the preferred first; voters are asked only while none of them answers. It is called before Do.
+func (c *Client) UseRelays(relays []Relay) {
 	if len(relays) > 0 {
 		c.route = NewRoute(relays)
 	}
 }
 
-// Know takes who the founders are by now; none is those of the settings. Those are asked behind them.
-func (c *Client) Know(list []Founder) {
+// UpdateVoters takes who the founders are by now; none is those of the settings. Those are asked behind them.
+func (c *Client) UpdateVoters(list []Voter) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.founders = slices.Clone(list)
 	for _, f := range c.first {
-		if !slices.ContainsFunc(list, func(x Founder) bool { return x.Name == f.Name }) {
+		if !slices.ContainsFunc(list, func(x Voter) bool { return x.Name == f.Name }) {
 			c.founders = append(c.founders, f)
 		}
 	}
@@ -132,13 +132,13 @@
 	defer c.mu.Unlock()
 	switch now := time.Since(c.began); {
 	case errors.Is(err, context.DeadlineExceeded):
-		c.route.Silent(relay, now, rand.Float64())
+		c.route.TimedOut(relay, now, rand.Float64())
 		return r, false, true
 	case err != nil:
-		c.route.Gone(relay, now, rand.Float64())
+		c.route.Unreachable(relay, now, rand.Float64())
 		return r, false, true
 	case r.elsewhere():
-		c.route.Refused(relay, now)
+		c.route.NoLeader(relay, now)
 		return r, false, false
 	}
 	c.route.Answered(relay)
@@ -174,7 +174,7 @@
 				c.mu.Unlock()
 				return r, true
 			}
-			for _, f := range r.Council { // founders may have changed since this member last heard
+			for _, f := range r.Voters { // founders may have changed since this member last heard
 				address[f.Name] = f.Address
 			}
 			name = r.Leader
@@ -192,7 +192,7 @@
 
 func (c *Client) one(ctx context.Context, name, address string, req Request) (r Response, err error) {
 	if name == c.local && c.server != nil {
-		return c.server.Ask(req), nil
+		return c.server.Handle(req), nil
 	}
 	if address == "" {
 		return r, ErrUnknown
--- a/internal/cluster/controlplane/configuration.go
+++ b/internal/cluster/controlplane/configuration.go
@@ -49,7 +49,7 @@
 // configure applies a change of the configuration, all of it or nothing.
 func (s *State) configure(c Command) error {
 	if c.From != s.Configured {
-		return ErrLater
+		return ErrConflict
 	}
 	if err := s.checkChanges(c.Entries); err != nil {
 		return err
--- a/internal/cluster/controlplane/configuration_test.go
+++ b/internal/cluster/controlplane/configuration_test.go
@@ -31,7 +31,7 @@
 	}
 	decide(t, s, nil, configure(0, set("a", "1"), set("b", "2")))
 	first := s.Configured
-	decide(t, s, ErrLater, configure(0, set("a", "3")))
+	decide(t, s, ErrConflict, configure(0, set("a", "3")))
 	for name, c := range map[string]struct {
 		want    error
 		changes []EntryChange
@@ -114,7 +114,7 @@
 			t.Errorf("a piece of %d bytes", size)
 		}
 		var err error
-		if _, more, err = view.Learn(c); err != nil {
+		if _, more, err = view.Apply(c); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -132,8 +132,8 @@
 	learn := func(version uint64, records ...Change) *State {
 		t.Helper()
 		w := view.Watch()
-		b := Changes{From: w.Cursor, To: changelog.Cursor{Has: version, Revision: version}, Records: records}
-		if _, _, err := view.Learn(&b); err != nil {
+		b := Changes{From: w.Cursor, To: changelog.Cursor{ViewRevision: version, Revision: version}, Records: records}
+		if _, _, err := view.Apply(&b); err != nil {
 			t.Fatal(err)
 		}
 		return view.State()
@@ -158,10 +158,10 @@
 	}
 }
 
-func reports(from, to int, revision uint64) map[Life]ConfigReport {
-	out := map[Life]ConfigReport{}
+func reports(from, to int, revision uint64) map[Incarnation]ConfigReport {
+	out := map[Incarnation]ConfigReport{}
 	for i := from; i < to; i++ {
-		out[Life{fmt.Sprintf("m%04d", i), 1}] = ConfigReport{Revision: revision}
+		out[Incarnation{fmt.Sprintf("m%04d", i), 1}] = ConfigReport{Revision: revision}
 	}
 	return out
 }
@@ -172,18 +172,18 @@
 	r.report(0, "relay 1", Summarize(reports(0, 900, 7)))
 	mixed := reports(900, 1000, 7)
 	for i := 0; i < 40; i++ {
-		mixed[Life{fmt.Sprintf("m%04d", 900+i), 1}] = ConfigReport{Revision: uint64(i % 5)}
+		mixed[Incarnation{fmt.Sprintf("m%04d", 900+i), 1}] = ConfigReport{Revision: uint64(i % 5)}
 	}
 	for i := 60; i < 80; i++ {
-		mixed[Life{fmt.Sprintf("m%04d", 900+i), 1}] = ConfigReport{Revision: 7, Refused: []RefusedEntry{{"class/safe", "no such class"}}}
+		mixed[Incarnation{fmt.Sprintf("m%04d", 900+i), 1}] = ConfigReport{Revision: 7, Refused: []RefusedEntry{{"class/safe", "no such class"}}}
 	}
 	r.report(0, "relay 2", Summarize(mixed))
-	r.report(0, "m2000/1", Summarize(map[Life]ConfigReport{{"m2000", 1}: {Revision: 8}}))
+	r.report(0, "m2000/1", Summarize(map[Incarnation]ConfigReport{{"m2000", 1}: {Revision: 8}}))
 	sum := r.sum(time.Second)
 	if sum.Members() != 1001 || sum.Current(7) != 961 || sum.Current(8) != 1 || sum.Refusing != 20 || len(sum.Refusals) != maxReported {
 		t.Errorf("%d members, %d and %d of them current, %d refuse, %d listed", sum.Members(), sum.Current(7), sum.Current(8), sum.Refusing, len(sum.Refusals))
 	}
-	if first := sum.Refusals[0]; first != (MemberRefusal{Life{"m0960", 1}, "class/safe", "no such class"}) {
+	if first := sum.Refusals[0]; first != (MemberRefusal{Incarnation{"m0960", 1}, "class/safe", "no such class"}) {
 		t.Errorf("refused: %+v", first)
 	}
 	r.report(2*time.Second, "relay 1", Summarize(reports(0, 900, 8)))
@@ -191,13 +191,13 @@
 		t.Errorf("%+v", sum)
 	}
 	for name, c := range map[string]struct {
-		reports map[Life]ConfigReport
+		reports map[Incarnation]ConfigReport
 		want    bool
 	}{
 		"all":                   {reports(0, 3, 8), true},
 		"one was not heard":     {reports(0, 2, 8), false},
 		"one is counted twice":  {reports(0, 4, 8), true},
-		"and another is behind": {map[Life]ConfigReport{{"a", 1}: {Revision: 8}, {"b", 1}: {Revision: 8}, {"b", 2}: {Revision: 8}, {"c", 1}: {Revision: 7}}, false},
+		"and another is behind": {map[Incarnation]ConfigReport{{"a", 1}: {Revision: 8}, {"b", 1}: {Revision: 8}, {"b", 2}: {Revision: 8}, {"c", 1}: {Revision: 7}}, false},
 	} {
 		if got := (Rollout{Revision: 8, Members: 3, Summary: Summarize(c.reports)}).InForce(); got != c.want {
 			t.Errorf("%s: in force %v", name, got)
--- a/internal/cluster/controlplane/core.go
+++ b/internal/cluster/controlplane/core.go
@@ -29,8 +29,8 @@
 // ID is a founder's number in the Raft group.
 func ID(name string) uint64 { return max(1, xxh3.HashString(name)) }
 
-// Disk is what a core has to keep before it speaks: in this order, and all of it when Save has returned.
-type Disk struct {
+// DurableState is what a core has to keep before it speaks: in this order, and all of it when Save has returned.
+type DurableState struct {
 	Hard     raftpb.HardState
 	Entries  []raftpb.Entry
 	Snapshot raftpb.Snapshot // empty for none; replaces everything up to its index,
@@ -38,7 +38,7 @@
 }
 
 // Empty says that there is nothing to keep.
-func (d Disk) Empty() bool {
+func (d DurableState) Empty() bool {
 	return raft.IsEmptyHardState(d.Hard) && len(d.Entries) == 0 && raft.IsEmptySnap(d.Snapshot)
 }
 
@@ -52,7 +52,7 @@
 
 // Step is what a core wants done: Keep first, then Send; Applied and Confirmed are for whoever waits.
 type Step struct {
-	Keep      Disk
+	Persist   DurableState
 	Send      []raftpb.Message
 	Applied   []Applied
 	Confirmed []uint64 // askings of Confirm that are answered
@@ -69,8 +69,8 @@
 type Core struct {
 	id      uint64
 	name    string
-	first   []Founder         // that the settings name
-	list    []Founder         // as far as this one knows,
+	first   []Voter           // that the settings name
+	list    []Voter           // as far as this one knows,
 	listed  uint64            // as of this State.Council
 	names   map[uint64]string // of list
 	node    *raft.RawNode
@@ -84,12 +84,12 @@
 	blank   bool           // it began without anything, or has forgotten, and has not met all others since
 	empty   bool           // it began without anything
 	outside bool           // it is none of the founders
-	meet    Standing       // what it has to have before it votes
+	meet    VoterStatus    // what it has to have before it votes
 	muted   bool           // it does not vote
 }
 
-// Standing is how far a founder is.
-type Standing struct {
+// VoterStatus is how far a founder is.
+type VoterStatus struct {
 	Blank  bool // it has nothing, and does not know whether it ever had
 	Term   uint64
 	Commit uint64
@@ -123,9 +123,9 @@
 
 // NewCore begins, or goes on, with what an earlier run has kept; kept is empty for none. Founders name the group at its
 // beginning; one that was rebuilt or changed has its own. Who is none of them is outside, until the group takes it in.
-func NewCore(name string, founders []Founder, kept Disk) (*Core, error) {
+func NewCore(name string, founders []Voter, kept DurableState) (*Core, error) {
 	c := &Core{id: ID(name), name: name, first: founders}
-	if err := distinct(append(slices.Clone(founders), Founder{Name: name})); err != nil {
+	if err := distinct(append(slices.Clone(founders), Voter{Name: name})); err != nil {
 		return nil, err
 	}
 	var names []string
@@ -149,7 +149,7 @@
 }
 
 // begin makes the Raft node of what is kept; nothing at all makes one that waits for a leader's snapshot.
-func (c *Core) begin(kept Disk) error {
+func (c *Core) begin(kept DurableState) error {
 	c.storage, c.state, c.conf, c.applied, c.snapped = raft.NewMemoryStorage(), NewState(), raftpb.ConfState{}, 0, 0
 	c.log = changelog.NewLog(0, 0, 2*mostDeletions, changeSize)
 	if !raft.IsEmptySnap(kept.Snapshot) {
@@ -169,7 +169,7 @@
 		if err := c.restore(kept.Snapshot); err != nil {
 			return err
 		}
-		if last := c.Last(); kept.Hard.Commit > last { // a folder that lost what it had promised: it must not vote as if it had it
+		if last := c.LastIndex(); kept.Hard.Commit > last { // a folder that lost what it had promised: it must not vote as if it had it
 			return fmt.Errorf("council: the log ends at %d, and %d was committed: rolled back or damaged", last, kept.Hard.Commit)
 		}
 	}
@@ -229,15 +229,15 @@
 // forgot silences a founder whose folder has less than it once said.
 func (c *Core) forgot() { c.muted, c.blank = true, true }
 
-// Last is the index of the latest entry in its log.
-func (c *Core) Last() uint64 {
+// LastIndex is the index of the latest entry in its log.
+func (c *Core) LastIndex() uint64 {
 	last, _ := c.storage.LastIndex()
 	return last
 }
 
-// Yield has another founder lead, if this one leads and takes one of a number for further along than that says it is: a leader
+// YieldLeadership has another founder lead, if this one leads and takes one of a number for further along than that says it is: a leader
 // never goes back behind what it was told, its successor asks anew.
-func (c *Core) Yield(id, last uint64) {
+func (c *Core) YieldLeadership(id, last uint64) {
 	if !c.Leads() {
 		return
 	}
@@ -246,24 +246,24 @@
 	}
 }
 
-// Standing tells how far this founder is.
-func (c *Core) Standing() Standing {
+// Status tells how far this founder is.
+func (c *Core) Status() VoterStatus {
 	s := c.node.BasicStatus()
-	return Standing{Blank: c.muted, Term: s.Term, Commit: s.Commit}
+	return VoterStatus{Blank: c.muted, Term: s.Term, Commit: s.Commit}
 }
 
-// Muted says whether this founder still has to meet the others.
-func (c *Core) Muted() bool { return c.muted && !c.outside }
+// VotingSuspended says whether this founder still has to meet the others.
+func (c *Core) VotingSuspended() bool { return c.muted && !c.outside }
 
-// Met tells a founder that began with an empty folder how far all the others are. One that lost its folder has forgotten whom it
+// Rejoin tells a founder that began with an empty folder how far all the others are. One that lost its folder has forgotten whom it
 // voted for and what it said it had; so it hears nobody before it knows of all, and votes only when it has whatever any of them
 // knows to be decided. Where all are blank the group begins; else who has nothing takes all it has from the leader, the
 // group's founders as well: the settings may name others by now.
-func (c *Core) Met(others []Standing) error {
+func (c *Core) Rejoin(others []VoterStatus) error {
 	if !c.muted || c.outside || len(others) < len(c.names)-1 {
 		return nil
 	}
-	c.meet = Standing{}
+	c.meet = VoterStatus{}
 	begun := false
 	for _, o := range others {
 		if !o.Blank {
@@ -272,7 +272,7 @@
 		}
 	}
 	if begun && c.empty && c.blank {
-		if err := c.begin(Disk{}); err != nil {
+		if err := c.begin(DurableState{}); err != nil {
 			return err
 		}
 	}
@@ -288,8 +288,8 @@
 	}
 }
 
-// Hear takes a message of another founder; one that can't be meant is dropped.
-func (c *Core) Hear(m raftpb.Message) {
+// Receive takes a message of another founder; one that can't be meant is dropped.
+func (c *Core) Receive(m raftpb.Message) {
 	if _, known := c.names[m.From]; !known || c.outside || m.To != c.id || raft.IsLocalMsg(m.Type) {
 		return
 	}
@@ -333,9 +333,9 @@
 	return nil
 }
 
-// Confirm asks whether this founder still leads; Confirmed names the ticket once a majority has said so after now, and all that
+// ConfirmLeadership asks whether this founder still leads; Confirmed names the ticket once a majority has said so after now, and all that
 // was decided before is applied.
-func (c *Core) Confirm(ticket uint64) error {
+func (c *Core) ConfirmLeadership(ticket uint64) error {
 	if !c.Leads() {
 		return ErrNotLeader
 	}
@@ -364,8 +364,8 @@
 // Ready gives what is to be done. Done must be called once Keep is kept and Send is on its way.
 func (c *Core) Ready() (Step, func(), error) {
 	rd := c.node.Ready()
-	step := Step{Keep: Disk{Hard: rd.HardState, Entries: rd.Entries, Snapshot: rd.Snapshot}, Send: rd.Messages}
-	if step.Keep.Reset = !raft.IsEmptySnap(rd.Snapshot); step.Keep.Reset {
+	step := Step{Persist: DurableState{Hard: rd.HardState, Entries: rd.Entries, Snapshot: rd.Snapshot}, Send: rd.Messages}
+	if step.Persist.Reset = !raft.IsEmptySnap(rd.Snapshot); step.Persist.Reset {
 		if err := c.storage.ApplySnapshot(rd.Snapshot); err != nil {
 			return step, nil, fmt.Errorf("council: snapshot: %w", err)
 		}
@@ -433,7 +433,7 @@
 		return step, nil, err
 	}
 	if !raft.IsEmptySnap(snap) {
-		step.Keep.Snapshot = snap // later than one that came with this very step, if one did
+		step.Persist.Snapshot = snap // later than one that came with this very step, if one did
 	}
 	return step, func() { c.node.Advance(rd) }, nil
 }
@@ -464,16 +464,16 @@
 // Rebuild makes what a founder has kept the beginning of a new group: for the operator who has lost a majority for good. All
 // that this founder knows as decided stays; what only the lost ones knew is gone, so the founder that knows most is the one to
 // take. Versions jump, so that nothing of the old group is taken for newer.
-func Rebuild(kept Disk, founders []string) (Disk, error) {
+func Rebuild(kept DurableState, founders []string) (DurableState, error) {
 	if raft.IsEmptySnap(kept.Snapshot) { // its log goes back to the group's beginning
 		var err error
 		if kept.Snapshot, err = founding(founders); err != nil {
-			return Disk{}, err
+			return DurableState{}, err
 		}
 	}
 	state, err := decodeState(kept.Snapshot.Data)
 	if err != nil {
-		return Disk{}, err
+		return DurableState{}, err
 	}
 	index, term := kept.Snapshot.Metadata.Index, max(kept.Hard.Term, kept.Snapshot.Metadata.Term)
 	for _, e := range kept.Entries { // whatever is there, also where nobody knows whether it was decided: it was asked for
@@ -487,18 +487,18 @@
 		}
 	}
 	if index > math.MaxUint64/2 {
-		return Disk{}, errors.New("council: versions are used up")
+		return DurableState{}, errors.New("council: versions are used up")
 	}
 	s, err := founding(founders)
 	if err != nil {
-		return Disk{}, err
+		return DurableState{}, err
 	}
 	s.Metadata.Index, s.Metadata.Term = index+1<<20, term+1<<10
 	state.Version, state.Founders, state.Council = s.Metadata.Index, nil, s.Metadata.Index // those of the settings
 	state.Deleted, state.Floor = nil, s.Metadata.Index                                     // watchers may know what only the lost ones knew
 	state.touch(votersKey)
 	if s.Data, err = encode(state); err != nil {
-		return Disk{}, err
+		return DurableState{}, err
 	}
-	return Disk{Hard: raftpb.HardState{Term: s.Metadata.Term, Commit: s.Metadata.Index}, Snapshot: s}, nil
+	return DurableState{Hard: raftpb.HardState{Term: s.Metadata.Term, Commit: s.Metadata.Index}, Snapshot: s}, nil
 }
--- a/internal/cluster/controlplane/council_test.go
+++ b/internal/cluster/controlplane/council_test.go
@@ -17,24 +17,24 @@
 // A leader ends a life only when whatever it, or a leader before it, has answered is over.
 func TestLeases(t *testing.T) {
 	l := Leases{Lease: time.Second, Margin: 200 * time.Millisecond}
-	a := Life{"a", 1}
-	if l.MayEnd(time.Hour, a) || l.Asked(0, a) {
+	a := Incarnation{"a", 1}
+	if l.MayFence(time.Hour, a) || l.Renew(0, a) {
 		t.Error("something is given or ended without leading")
 	}
 	l.Elected(10 * time.Second)
-	if l.MayEnd(11*time.Second, a) {
+	if l.MayFence(11*time.Second, a) {
 		t.Error("ended while the leader before may have given a lease")
 	}
-	l.Asked(11*time.Second, a)
+	l.Renew(11*time.Second, a)
 	for at, want := range map[time.Duration]bool{12*time.Second + 199*time.Millisecond: false, 12*time.Second + 200*time.Millisecond: true} {
 		m := l
 		m.ending = maps.Clone(l.ending)
-		if got := m.MayEnd(at, a); got != want {
+		if got := m.MayFence(at, a); got != want {
 			t.Errorf("at %v: %v", at, got)
 		}
 	}
-	l.MayEnd(13*time.Second, a)
-	if l.Asked(13*time.Second, a) {
+	l.MayFence(13*time.Second, a)
+	if l.Renew(13*time.Second, a) {
 		t.Error("a lease is given to a life whose end is asked for")
 	}
 }
@@ -50,54 +50,54 @@
 func TestLives(t *testing.T) {
 	s := NewState()
 	join := func(name string, had uint64, token string, fenced bool) Command {
-		return Command{Kind: Join, Life: Life{name, had}, Whole: had > 0, Token: token, Fenced: fenced}
+		return Command{Kind: Join, Life: Incarnation{name, had}, Whole: had > 0, Token: token, Fenced: fenced}
 	}
 	for _, name := range []string{"a", "b", "c"} {
 		decide(t, s, nil, join(name, 0, name+"1", false))
 	}
-	a1, b1, c1 := Life{"a", 1}, Life{"b", 1}, Life{"c", 1}
-	decide(t, s, nil, Command{Kind: Keepers, Life: a1, From: s.Members["a"].Changed, Set: []string{"b", "c"}})
-	decide(t, s, ErrLater, Command{Kind: Keepers, Life: a1, From: 1, Set: []string{"b"}})
-	decide(t, s, ErrTaken, join("a", 0, "other", false))
-	decide(t, s, nil, Command{Kind: End, Life: a1})
-	decide(t, s, nil, Command{Kind: Assign, Life: a1, Taker: b1})
-	decide(t, s, ErrLater, Command{Kind: Assign, Life: a1, Taker: c1})
-	decide(t, s, nil, Command{Kind: End, Life: b1}) // before it was done
-	decide(t, s, ErrLater, Command{Kind: Done, Life: a1, Taker: b1})
-	decide(t, s, nil, Command{Kind: Assign, Life: a1, Taker: c1})
-	decide(t, s, nil, Command{Kind: Done, Life: a1, Taker: c1})
-	if s.Holder(a1) != c1 || s.Holder(b1) != (Life{}) {
-		t.Errorf("held by %v, %v", s.Holder(a1), s.Holder(b1))
+	a1, b1, c1 := Incarnation{"a", 1}, Incarnation{"b", 1}, Incarnation{"c", 1}
+	decide(t, s, nil, Command{Kind: SetReplicas, Life: a1, From: s.Members["a"].Changed, Set: []string{"b", "c"}})
+	decide(t, s, ErrConflict, Command{Kind: SetReplicas, Life: a1, From: 1, Set: []string{"b"}})
+	decide(t, s, ErrNameInUse, join("a", 0, "other", false))
+	decide(t, s, nil, Command{Kind: Fence, Life: a1})
+	decide(t, s, nil, Command{Kind: AssignTakeover, Life: a1, Taker: b1})
+	decide(t, s, ErrConflict, Command{Kind: AssignTakeover, Life: a1, Taker: c1})
+	decide(t, s, nil, Command{Kind: Fence, Life: b1}) // before it was done
+	decide(t, s, ErrConflict, Command{Kind: CompleteTakeover, Life: a1, Taker: b1})
+	decide(t, s, nil, Command{Kind: AssignTakeover, Life: a1, Taker: c1})
+	decide(t, s, nil, Command{Kind: CompleteTakeover, Life: a1, Taker: c1})
+	if s.CurrentOwner(a1) != c1 || s.CurrentOwner(b1) != (Incarnation{}) {
+		t.Errorf("held by %v, %v", s.CurrentOwner(a1), s.CurrentOwner(b1))
 	}
 	decide(t, s, nil, join("b", 1, "b2", false)) // with its folder: what its first life owed is its second's
-	decide(t, s, nil, Command{Kind: Done, Life: b1, Taker: Life{"b", 2}})
+	decide(t, s, nil, Command{Kind: CompleteTakeover, Life: b1, Taker: Incarnation{"b", 2}})
 	decide(t, s, nil, join("a", 0, "a2", false)) // without
-	if m := s.Members["a"]; m.Life != 2 || !m.Lost || s.Holder(b1) != (Life{"b", 2}) {
-		t.Errorf("a is %+v, b's first life is held by %v", m, s.Holder(b1))
+	if m := s.Members["a"]; m.Life != 2 || !m.Lost || s.CurrentOwner(b1) != (Incarnation{"b", 2}) {
+		t.Errorf("a is %+v, b's first life is held by %v", m, s.CurrentOwner(b1))
 	}
-	decide(t, s, ErrLater, Command{Kind: Remove, Life: c1})
+	decide(t, s, ErrConflict, Command{Kind: Remove, Life: c1})
 	decide(t, s, nil, join("gone", 0, "g", false))
-	gone := Life{"gone", 1}
-	decide(t, s, nil, Command{Kind: End, Life: gone})
-	decide(t, s, nil, Command{Kind: Assign, Life: gone, Taker: c1})
-	decide(t, s, nil, Command{Kind: Done, Life: gone, Taker: c1})
+	gone := Incarnation{"gone", 1}
+	decide(t, s, nil, Command{Kind: Fence, Life: gone})
+	decide(t, s, nil, Command{Kind: AssignTakeover, Life: gone, Taker: c1})
+	decide(t, s, nil, Command{Kind: CompleteTakeover, Life: gone, Taker: c1})
 	decide(t, s, nil, Command{Kind: Remove, Life: gone})
 	decide(t, s, nil, join("gone", 1, "g2", false)) // with its folder, of which somebody has taken over what was owed
-	if s.Holder(gone) != c1 || slices.ContainsFunc(s.Jobs, func(j *Job) bool { return j.Life == gone && !j.Done }) {
-		t.Errorf("held by %v, takeovers %v", s.Holder(gone), s.Jobs)
+	if s.CurrentOwner(gone) != c1 || slices.ContainsFunc(s.Jobs, func(j *TakeoverTask) bool { return j.Life == gone && !j.Done }) {
+		t.Errorf("held by %v, takeovers %v", s.CurrentOwner(gone), s.Jobs)
 	}
-	decide(t, s, nil, Command{Kind: End, Life: Life{"gone", 2}})
+	decide(t, s, nil, Command{Kind: Fence, Life: Incarnation{"gone", 2}})
 	s.Jobs[len(s.Jobs)-1].Done = true // nobody had a copy
-	decide(t, s, nil, Command{Kind: Remove, Life: Life{"gone", 2}})
+	decide(t, s, nil, Command{Kind: Remove, Life: Incarnation{"gone", 2}})
 	decide(t, s, nil, join("gone", 0, "g3", false)) // another machine under its name
 	if m := s.Members["gone"]; m.Life != 3 {
 		t.Errorf("life %d begins behind two others", m.Life)
 	}
-	decide(t, s, nil, Command{Kind: End, Life: Life{"gone", 3}})
-	decide(t, s, nil, Command{Kind: Assign, Life: Life{"gone", 3}, Taker: c1})
-	decide(t, s, nil, Command{Kind: Done, Life: Life{"gone", 3}, Taker: c1})
-	decide(t, s, nil, Command{Kind: Remove, Life: Life{"gone", 3}})
-	if rank := s.Ranking("a", nil); !slices.Equal(rank, s.Ranking("a", func(string) bool { return true })) || len(rank) != 2 {
+	decide(t, s, nil, Command{Kind: Fence, Life: Incarnation{"gone", 3}})
+	decide(t, s, nil, Command{Kind: AssignTakeover, Life: Incarnation{"gone", 3}, Taker: c1})
+	decide(t, s, nil, Command{Kind: CompleteTakeover, Life: Incarnation{"gone", 3}, Taker: c1})
+	decide(t, s, nil, Command{Kind: Remove, Life: Incarnation{"gone", 3}})
+	if rank := s.RankReplicas("a", nil); !slices.Equal(rank, s.RankReplicas("a", func(string) bool { return true })) || len(rank) != 2 {
 		t.Errorf("ranking %v", rank)
 	}
 }
@@ -108,7 +108,7 @@
 	names []string
 	cores map[string]*Core
 	disks map[string]*fsys.Mem
-	keeps map[string]*Keeper
+	keeps map[string]*RaftStore
 	queue []raftpb.Message
 	down  map[string]bool
 	loses func() bool       // a message on its way; nil is never
@@ -117,7 +117,7 @@
 }
 
 func newGroup(t *testing.T, names ...string) *group {
-	g := &group{t: t, names: names, saw: map[uint64]string{}, cores: map[string]*Core{}, disks: map[string]*fsys.Mem{}, keeps: map[string]*Keeper{}, down: map[string]bool{}}
+	g := &group{t: t, names: names, saw: map[uint64]string{}, cores: map[string]*Core{}, disks: map[string]*fsys.Mem{}, keeps: map[string]*RaftStore{}, down: map[string]bool{}}
 	for _, name := range g.names {
 		g.disks[name] = fsys.NewMem()
 		g.open(name)
@@ -130,13 +130,13 @@
 	if g.first == nil {
 		g.first = g.names
 	}
-	k, d, err := OpenKeeper(g.disks[name], func(s string) { g.t.Error(s) })
+	k, d, err := OpenRaftStore(g.disks[name], func(s string) { g.t.Error(s) })
 	if err != nil {
 		g.t.Fatal(err)
 	}
-	var founders []Founder
+	var founders []Voter
 	for _, n := range g.first {
-		founders = append(founders, Founder{Name: n})
+		founders = append(founders, Voter{Name: n})
 	}
 	c, err := NewCore(name, founders, d)
 	if err != nil {
@@ -151,17 +151,17 @@
 		c := g.cores[name]
 		for _, other := range g.names {
 			if l := g.cores[other]; !g.down[other] && !g.down[name] && l.Leads() {
-				c.Know(l.State().Founders, l.State().Council)
+				c.UpdateVoters(l.State().Founders, l.State().Council)
 			}
 		}
-		var all []Standing
-		for _, f := range c.Founders() {
-			if other := g.cores[f.Name]; f.Name != name && !g.down[f.Name] && !g.down[name] && c.Muted() {
-				other.Yield(ID(name), c.Last())
-				all = append(all, other.Standing())
+		var all []VoterStatus
+		for _, f := range c.Voters() {
+			if other := g.cores[f.Name]; f.Name != name && !g.down[f.Name] && !g.down[name] && c.VotingSuspended() {
+				other.YieldLeadership(ID(name), c.LastIndex())
+				all = append(all, other.Status())
 			}
 		}
-		if err := c.Met(all); err != nil {
+		if err := c.Rejoin(all); err != nil {
 			g.t.Fatal(err)
 		}
 	}
@@ -185,7 +185,7 @@
 					if err != nil {
 						g.t.Fatal(err)
 					}
-					if err := g.keeps[name].Save(step.Keep); err != nil {
+					if err := g.keeps[name].Save(step.Persist); err != nil {
 						g.t.Fatal(err)
 					}
 					g.queue = append(g.queue, step.Send...)
@@ -213,7 +213,7 @@
 				}
 				for _, name := range g.names {
 					if ID(name) == m.To && !g.down[name] {
-						g.cores[name].Hear(m)
+						g.cores[name].Receive(m)
 					}
 				}
 			}
@@ -238,7 +238,7 @@
 func (g *group) join(name string) {
 	var err error
 	for range 20 { // a leader that is about to hand over takes nothing
-		if err = g.leader().Propose(rand.Uint64(), Command{Kind: Join, Life: Life{Name: name}, Token: name}); err == nil {
+		if err = g.leader().Propose(rand.Uint64(), Command{Kind: Join, Life: Incarnation{Name: name}, Token: name}); err == nil {
 			g.run(3)
 			return
 		}
@@ -261,7 +261,7 @@
 			g.disks[name] = fsys.NewMem() // its folder is lost
 		}
 		g.open(name)
-		if round == 1 && !g.cores[name].Muted() {
+		if round == 1 && !g.cores[name].VotingSuspended() {
 			t.Error("a founder with an empty folder may vote")
 		}
 		g.down[name] = false
@@ -269,7 +269,7 @@
 			g.run(5)
 			g.meet()
 		}
-		if g.cores[name].Muted() {
+		if g.cores[name].VotingSuspended() {
 			t.Errorf("%s: still silent", name)
 		}
 	}
@@ -286,12 +286,12 @@
 	g.t.Helper()
 	for range 60 {
 		l := g.leader()
-		at := slices.IndexFunc(l.Founders(), func(f Founder) bool { return f.Name == name })
-		if on && at >= 0 && !l.Founders()[at].Learns || !on && at < 0 {
+		at := slices.IndexFunc(l.Voters(), func(f Voter) bool { return f.Name == name })
+		if on && at >= 0 && !l.Voters()[at].Learns || !on && at < 0 {
 			return
 		}
-		if !on || at < 0 || len(l.Level()) > 0 {
-			if err := l.Change(rand.Uint64(), Founder{Name: name}, on); errors.Is(err, ErrMajority) {
+		if !on || at < 0 || len(l.CaughtUpLearners()) > 0 {
+			if err := l.ChangeVoters(rand.Uint64(), Voter{Name: name}, on); errors.Is(err, ErrNoMajority) {
 				g.t.Fatal(err)
 			}
 		}
@@ -326,7 +326,7 @@
 	g.open("e")
 	g.down["e"] = false
 	g.meet()
-	if !g.cores["e"].Muted() {
+	if !g.cores["e"].VotingSuspended() {
 		t.Error("a founder that lost its folder may vote")
 	}
 	for range 12 {
@@ -374,13 +374,13 @@
 				if l := g.cores[other]; l.Leads() {
 					f := g.names[rng.IntN(len(g.names))]
 					on := rng.IntN(2) == 0
-					if level := l.Level(); len(level) > 0 {
+					if level := l.CaughtUpLearners(); len(level) > 0 {
 						f, on = level[0].Name, true
 					}
-					if !on || len(l.Level()) > 0 || !slices.ContainsFunc(l.Founders(), func(x Founder) bool { return x.Name == f }) {
-						_ = l.Change(rand.Uint64(), Founder{Name: f}, on)
+					if !on || len(l.CaughtUpLearners()) > 0 || !slices.ContainsFunc(l.Voters(), func(x Voter) bool { return x.Name == f }) {
+						_ = l.ChangeVoters(rand.Uint64(), Voter{Name: f}, on)
 					}
-					_ = l.Propose(rand.Uint64(), Command{Kind: Join, Life: Life{Name: fmt.Sprint(step)}, Token: "t"})
+					_ = l.Propose(rand.Uint64(), Command{Kind: Join, Life: Incarnation{Name: fmt.Sprint(step)}, Token: "t"})
 				}
 			}
 			g.run(rng.IntN(8))
@@ -393,7 +393,7 @@
 			g.run(6)
 		}
 		l := g.leader()
-		for _, f := range l.Founders() {
+		for _, f := range l.Voters() {
 			if s := g.cores[f.Name].State(); s.Version != l.State().Version || s.Members["last"] == nil {
 				t.Fatalf("seed %d: %s at %d, the leader at %d", seed, f.Name, s.Version, l.State().Version)
 			}
@@ -410,7 +410,7 @@
 	if err := g.keeps["a"].Close(); err != nil {
 		t.Fatal(err)
 	}
-	k, kept, err := OpenKeeper(g.disks["a"], func(s string) { t.Error(s) })
+	k, kept, err := OpenRaftStore(g.disks["a"], func(s string) { t.Error(s) })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/controlplane/disk.go
+++ b/internal/cluster/controlplane/disk.go
@@ -23,9 +23,9 @@
 	keptSnapshot
 )
 
-// Keeper keeps what a core has to keep in the journal's store, in a folder of its own. Its methods are not safe for concurrent
+// RaftStore keeps what a core has to keep in the journal's store, in a folder of its own. Its methods are not safe for concurrent
 // use.
-type Keeper struct {
+type RaftStore struct {
 	store *store.Store
 	next  uint64
 	hard  uint64            // the keys of what counts
@@ -33,11 +33,11 @@
 	log   map[uint64]uint64 // by index
 }
 
-// OpenKeeper opens a folder and gives what it has. Damage that the store finds goes to report; a log with a hole in it is an
+// OpenRaftStore opens a folder and gives what it has. Damage that the store finds goes to report; a log with a hole in it is an
 // error, since a founder without a part of its past must not vote.
-func OpenKeeper(fs fsys.FS, report func(string)) (*Keeper, Disk, error) {
-	k := &Keeper{next: 1, log: map[uint64]uint64{}}
-	var d Disk
+func OpenRaftStore(fs fsys.FS, report func(string)) (*RaftStore, DurableState, error) {
+	k := &RaftStore{next: 1, log: map[uint64]uint64{}}
+	var d DurableState
 	entries := map[uint64]raftpb.Entry{}
 	var bad error
 	var err error
@@ -86,7 +86,7 @@
 }
 
 // Save keeps one step's part; it has been kept when it returns. Behind an error it may be called with the same part again.
-func (k *Keeper) Save(d Disk) error {
+func (k *RaftStore) Save(d DurableState) error {
 	if d.Empty() {
 		return nil
 	}
@@ -172,20 +172,20 @@
 }
 
 // compact gains room where that is worth it. What fails is tried again behind the next Save: what was to be kept is.
-func (k *Keeper) compact() {
+func (k *RaftStore) compact() {
 	for did, err := true, error(nil); did && err == nil; {
 		did, err = k.store.Compact(nil)
 	}
 }
 
 // Broken is closed once only the next start can keep anything.
-func (k *Keeper) Broken() <-chan struct{} { return k.store.Broken() }
+func (k *RaftStore) Broken() <-chan struct{} { return k.store.Broken() }
 
 // Replace makes a folder hold just this; see Rebuild.
-func (k *Keeper) Replace(d Disk) error {
+func (k *RaftStore) Replace(d DurableState) error {
 	d.Reset = true
 	return k.Save(d)
 }
 
 // Close closes the folder.
-func (k *Keeper) Close() error { return k.store.Close() }
+func (k *RaftStore) Close() error { return k.store.Close() }
--- a/internal/cluster/controlplane/disk_test.go
+++ b/internal/cluster/controlplane/disk_test.go
@@ -15,17 +15,17 @@
 	entry := func(index, term uint64) raftpb.Entry {
 		return raftpb.Entry{Index: index, Term: term, Data: []byte{byte(index)}}
 	}
-	first := Disk{
+	first := DurableState{
 		Hard: raftpb.HardState{Term: 1, Commit: firstIndex + 2}, Entries: []raftpb.Entry{entry(firstIndex+1, 1), entry(firstIndex+2, 1), entry(firstIndex+3, 1)},
 	}
 	snapshot := raftpb.Snapshot{Data: []byte("s"), Metadata: raftpb.SnapshotMetadata{Index: firstIndex + 2, Term: 1}}
-	next := Disk{
+	next := DurableState{
 		Hard: raftpb.HardState{Term: 2, Commit: firstIndex + 3}, Snapshot: snapshot, Entries: []raftpb.Entry{entry(firstIndex+3, 2), entry(firstIndex+4, 2)},
 	}
 	for works := range 12 { // operations of the disk before one fails
 		mem := fsys.NewMem()
 		faults := &fsys.Faults{FS: mem}
-		k, _, err := OpenKeeper(faults, func(string) {})
+		k, _, err := OpenRaftStore(faults, func(string) {})
 		if err != nil || k.Save(first) != nil {
 			t.Fatal(err)
 		}
@@ -47,11 +47,11 @@
 		if err := k.Close(); err != nil {
 			t.Fatal(err)
 		}
-		_, got, err := OpenKeeper(mem.Crash(fsys.LoseUnsynced, nil), func(string) {})
+		_, got, err := OpenRaftStore(mem.Crash(fsys.LoseUnsynced, nil), func(string) {})
 		if err != nil {
 			t.Fatal(err)
 		}
-		want := Disk{Hard: next.Hard, Snapshot: snapshot, Entries: next.Entries}
+		want := DurableState{Hard: next.Hard, Snapshot: snapshot, Entries: next.Entries}
 		if diff := cmp.Diff(want, got); diff != "" {
 			t.Errorf("behind %d writes:\n%s", works, diff)
 		}
--- a/internal/cluster/controlplane/founders.go
+++ b/internal/cluster/controlplane/founders.go
@@ -12,26 +12,26 @@
 // Who holds the council can change while it goes on, one founder at a time. Who is taken in learns first, and votes once it has all that
 // is decided: a machine that is slow, or was never there, holds nobody up.
 
-// Founder is one of those who hold the council, or may.
-type Founder struct {
+// Voter is one of those who hold the council, or may.
+type Voter struct {
 	Name    string `cbor:"1,keyasint,omitempty"`
 	Address string `cbor:"2,keyasint,omitempty"`
 	Learns  bool   `cbor:"3,keyasint,omitempty"` // it is told of everything, and does not vote yet
 }
 
-// MostFounders bounds a council: more make it slower and hardly safer.
-const MostFounders = 7
+// MaxVoters bounds a council: more make it slower and hardly safer.
+const MaxVoters = 7
 
 // The reasons for which a council is not changed.
 var (
-	ErrFounder  = errors.New("council: it is one of the founders already, or never was one")
-	ErrMany     = errors.New("council: there are as many founders as there may be")
-	ErrMajority = errors.New("council: the founders that would be left and can be reached are no majority")
-	ErrChanging = errors.New("council: another change of the founders is under way, try again")
+	ErrVoterChange      = errors.New("council: it is one of the founders already, or never was one")
+	ErrTooManyVoters    = errors.New("council: there are as many founders as there may be")
+	ErrNoMajority       = errors.New("council: the founders that would be left and can be reached are no majority")
+	ErrChangeInProgress = errors.New("council: another change of the founders is under way, try again")
 )
 
 // distinct says whether founders can be told apart; one that is named twice by the same name can.
-func distinct(list []Founder) error {
+func distinct(list []Voter) error {
 	seen := map[uint64]string{}
 	for _, f := range list {
 		if other, twice := seen[ID(f.Name)]; twice && other != f.Name {
@@ -43,7 +43,7 @@
 }
 
 // know takes a later list of founders; none is that of the settings.
-func (c *Core) know(list []Founder, version uint64) {
+func (c *Core) know(list []Voter, version uint64) {
 	if version < c.listed {
 		return
 	}
@@ -57,32 +57,32 @@
 	}
 }
 
-// Know tells who the founders are, by what was decided up to some version. It is how who is outside, or has lost its folder,
+// UpdateVoters tells who the founders are, by what was decided up to some version. It is how who is outside, or has lost its folder,
 // hears of it.
-func (c *Core) Know(list []Founder, version uint64) {
+func (c *Core) UpdateVoters(list []Voter, version uint64) {
 	if version <= c.listed {
 		return
 	}
 	c.know(list, version)
-	if !c.outside && c.empty && c.blank && slices.ContainsFunc(list, func(f Founder) bool { return f.Name == c.name && f.Learns }) {
+	if !c.outside && c.empty && c.blank && slices.ContainsFunc(list, func(f Voter) bool { return f.Name == c.name && f.Learns }) {
 		c.blank, c.muted = false, false // it is new: there is nothing that it could have forgotten
 	}
 }
 
-// Founders are they, as far as this one knows.
-func (c *Core) Founders() []Founder { return c.list }
+// Voters are they, as far as this one knows.
+func (c *Core) Voters() []Voter { return c.list }
 
-// Outside says that this is none of them.
-func (c *Core) Outside() bool { return c.outside }
+// OutsideGroup says that this is none of them.
+func (c *Core) OutsideGroup() bool { return c.outside }
 
-// Change proposes that a member is taken in as one who learns, that one who learns votes from here on (On, when it is on the list), or
+// ChangeVoters proposes that a member is taken in as one who learns, that one who learns votes from here on (On, when it is on the list), or
 // that one is a founder no longer; Applied tells what became of it, if anything does. Only a leader may; a leader that is itself to go
 // hands that on first.
-func (c *Core) Change(ticket uint64, f Founder, on bool) error {
+func (c *Core) ChangeVoters(ticket uint64, f Voter, on bool) error {
 	if !c.Leads() {
 		return ErrNotLeader
 	}
-	at := slices.IndexFunc(c.list, func(x Founder) bool { return x.Name == f.Name })
+	at := slices.IndexFunc(c.list, func(x Voter) bool { return x.Name == f.Name })
 	list := slices.Clone(c.list)
 	kind := raftpb.ConfChangeAddLearnerNode
 	switch {
@@ -91,8 +91,8 @@
 		if err := distinct(append(list, f)); err != nil {
 			return err
 		}
-		if len(list) >= MostFounders {
-			return ErrMany
+		if len(list) >= MaxVoters {
+			return ErrTooManyVoters
 		}
 		list = append(list, f)
 	case on && list[at].Learns:
@@ -101,7 +101,7 @@
 	case !on && at >= 0:
 		kind = raftpb.ConfChangeRemoveNode
 		if !list[at].Learns && !c.bears(f.Name) {
-			return ErrMajority
+			return ErrNoMajority
 		}
 		if f.Name == c.name {
 			c.yieldTo(0)
@@ -109,9 +109,9 @@
 		}
 		list = slices.Delete(list, at, at+1)
 	default:
-		return ErrFounder
+		return ErrVoterChange
 	}
-	data, err := encodeEntry(entry{ticket, Command{Kind: Found, Life: Life{Name: f.Name}, On: on, From: c.state.Council, Council: list}})
+	data, err := encodeEntry(entry{ticket, Command{Kind: ChangeVoters, Life: Incarnation{Name: f.Name}, On: on, From: c.state.Council, Council: list}})
 	if err != nil {
 		return err
 	}
@@ -138,9 +138,9 @@
 	return 2*active > voters
 }
 
-// Level names founders who learn and have all that is decided.
-func (c *Core) Level() (out []Founder) {
-	if !slices.ContainsFunc(c.list, func(f Founder) bool { return f.Learns }) || !c.Leads() {
+// CaughtUpLearners names founders who learn and have all that is decided.
+func (c *Core) CaughtUpLearners() (out []Voter) {
+	if !slices.ContainsFunc(c.list, func(f Voter) bool { return f.Learns }) || !c.Leads() {
 		return nil
 	}
 	status := c.node.Status()
--- a/internal/cluster/controlplane/items.go
+++ b/internal/cluster/controlplane/items.go
@@ -16,20 +16,20 @@
 // Item is what a key stands for; one of its exported fields is set. One that was sealed, or came over a link, is encoded once for all who get
 // it.
 type Item struct {
-	Member *Member         `cbor:"1,keyasint,omitempty"`
-	Job    *Job            `cbor:"2,keyasint,omitempty"`
-	Plan   *Plan           `cbor:"3,keyasint,omitempty"`
-	Voters *Voters         `cbor:"4,keyasint,omitempty"`
-	Entry  *ConfigEntry    `cbor:"5,keyasint,omitempty"`
-	Config *ConfigRevision `cbor:"6,keyasint,omitempty"`
+	Member   *Member         `cbor:"1,keyasint,omitempty"`
+	Takeover *TakeoverTask   `cbor:"2,keyasint,omitempty"`
+	Plan     *Plan           `cbor:"3,keyasint,omitempty"`
+	Voters   *Voters         `cbor:"4,keyasint,omitempty"`
+	Entry    *ConfigEntry    `cbor:"5,keyasint,omitempty"`
+	Config   *ConfigRevision `cbor:"6,keyasint,omitempty"`
 
 	encoded []byte
 }
 
 // Voters are who holds the control plane, as of a version.
 type Voters struct {
-	List    []Founder `cbor:"1,keyasint,omitempty"`
-	Council uint64    `cbor:"2,keyasint,omitempty"`
+	List    []Voter `cbor:"1,keyasint,omitempty"`
+	Version uint64  `cbor:"2,keyasint,omitempty"`
 }
 
 // Change is one to a key.
@@ -51,7 +51,7 @@
 // MemberKey is a member's.
 func MemberKey(name string) string { return memberPrefix + name }
 
-func jobKey(l Life) string { return fmt.Sprintf("%s%s/%d", jobPrefix, l.Name, l.Number) }
+func jobKey(l Incarnation) string { return fmt.Sprintf("%s%s/%d", jobPrefix, l.Name, l.Number) }
 
 const (
 	// mostDeletions is how many deletions are remembered for watchers that are behind; while they are dropped, up to twice as many.
@@ -70,7 +70,7 @@
 		for _, name := range v.Member.Keepers {
 			size += len(name) + 1
 		}
-	case v.Job != nil:
+	case v.Takeover != nil:
 		size += 64
 	case v.Plan != nil:
 		size += len(v.Plan.Content)
@@ -80,11 +80,11 @@
 	return size
 }
 
-// Everything selects the whole state.
-var Everything = changelog.Selector{All: true}
+// SelectAll selects the whole state.
+var SelectAll = changelog.Selector{All: true}
 
-// Only selects a member by itself, the plan, the voters and the configuration.
-func Only(member string) changelog.Selector {
+// SelectMember selects a member by itself, the plan, the voters and the configuration.
+func SelectMember(member string) changelog.Selector {
 	return changelog.Selector{Keys: []string{MemberKey(member), planKey, votersKey, configRevisionKey}, Prefixes: []string{configPrefix}}
 }
 
@@ -94,7 +94,7 @@
 }
 
 // VotersIn are those that a mirror knows of; none is those that the group began with.
-func VotersIn(m *changelog.Mirror[Item]) []Founder {
+func VotersIn(m *changelog.Mirror[Item]) []Voter {
 	if item, known := m.Get(votersKey); known && item.Voters != nil {
 		return item.Voters.List
 	}
@@ -150,15 +150,15 @@
 }
 
 // changeJob is a takeover that may be changed, as a copy in the place of the one before.
-func (s *State) changeJob(l Life) *Job {
-	i := slices.IndexFunc(s.Jobs, func(j *Job) bool { return j.Life == l })
+func (s *State) changeJob(l Incarnation) *TakeoverTask {
+	i := slices.IndexFunc(s.Jobs, func(j *TakeoverTask) bool { return j.Life == l })
 	j := *s.Jobs[i]
 	s.Jobs[i] = &j
 	s.touch(jobKey(l))
 	return &j
 }
 
-func (s *State) addJob(j *Job) {
+func (s *State) addJob(j *TakeoverTask) {
 	s.Jobs = append(s.Jobs, j)
 	s.touch(jobKey(j.Life))
 }
@@ -183,7 +183,7 @@
 	}
 	for _, j := range s.Jobs {
 		if jobKey(j.Life) == key {
-			return Item{Job: j}.sealed(), true
+			return Item{Takeover: j}.sealed(), true
 		}
 	}
 	return Item{}, false
@@ -191,13 +191,13 @@
 
 // records are all keys, the deleted ones that are remembered among them.
 func (s *State) records() (out []Change) {
-	jobs := make(map[string]*Job, len(s.Jobs))
+	jobs := make(map[string]*TakeoverTask, len(s.Jobs))
 	for _, j := range s.Jobs {
 		jobs[jobKey(j.Life)] = j
 	}
 	for key, revision := range s.Revisions {
 		if j := jobs[key]; j != nil {
-			out = append(out, Change{Key: key, Revision: revision, Value: Item{Job: j}.sealed()})
+			out = append(out, Change{Key: key, Revision: revision, Value: Item{Takeover: j}.sealed()})
 		} else if v, known := s.item(key); known {
 			out = append(out, Change{Key: key, Revision: revision, Value: v})
 		}
@@ -251,7 +251,7 @@
 		out = s.cloneFor(change)
 	}
 	out.Version, out.Revisions, out.Deleted = version, nil, nil
-	jobs := map[Life]*Job{}
+	jobs := map[Incarnation]*TakeoverTask{}
 	for _, j := range out.Jobs {
 		jobs[j.Life] = j
 	}
@@ -279,12 +279,12 @@
 }
 
 // compareJobs orders them by their age.
-func compareJobs(a, b *Job) int {
+func compareJobs(a, b *TakeoverTask) int {
 	return cmp.Or(cmp.Compare(a.At, b.At), compareLives(a.Life, b.Life))
 }
 
 // take puts one change into a watcher's state; true says that it was one of a takeover.
-func (s *State) take(r Change, jobs map[Life]*Job) bool {
+func (s *State) take(r Change, jobs map[Incarnation]*TakeoverTask) bool {
 	if name, isMember := strings.CutPrefix(r.Key, memberPrefix); isMember {
 		if r.Deleted || r.Value.Member == nil {
 			delete(s.Members, name)
@@ -307,9 +307,9 @@
 	case v.Plan != nil:
 		s.Plan = *v.Plan
 	case v.Voters != nil:
-		s.Founders, s.Council = v.Voters.List, v.Voters.Council
-	case v.Job != nil:
-		jobs[v.Job.Life] = v.Job
+		s.Founders, s.Council = v.Voters.List, v.Voters.Version
+	case v.Takeover != nil:
+		jobs[v.Takeover.Life] = v.Takeover
 		return true
 	case r.Deleted:
 		for life := range jobs {
--- a/internal/cluster/controlplane/leases.go
+++ b/internal/cluster/controlplane/leases.go
@@ -18,14 +18,14 @@
 
 	elected time.Duration
 	leads   bool
-	seen    map[Life]time.Duration // latest asking
-	ending  map[Life]bool          // its end was proposed in this leadership
+	seen    map[Incarnation]time.Duration // latest asking
+	ending  map[Incarnation]bool          // its end was proposed in this leadership
 	due     deadlines
 }
 
 // deadline is when a life is to be looked at.
 type deadline struct {
-	life Life
+	life Incarnation
 	at   time.Duration
 }
 
@@ -47,16 +47,16 @@
 }
 
 // Track has Due give a life once its lease is over. A renewal costs nothing here: what is due is looked up only when it may be.
-func (l *Leases) Track(life Life) { l.TrackAt(life, l.Over(life)) }
+func (l *Leases) Track(life Incarnation) { l.TrackAt(life, l.Expiry(life)) }
 
 // TrackAt has Due look at a life at a moment.
-func (l *Leases) TrackAt(life Life, at time.Duration) { heap.Push(&l.due, deadline{life, at}) }
+func (l *Leases) TrackAt(life Incarnation, at time.Duration) { heap.Push(&l.due, deadline{life, at}) }
 
-// Due gives lives whose leases are over, and tracks them no longer.
-func (l *Leases) Due(now time.Duration) (out []Life) {
+// Expired gives lives whose leases are over, and tracks them no longer.
+func (l *Leases) Expired(now time.Duration) (out []Incarnation) {
 	for len(l.due) > 0 && l.due[0].at <= now {
 		life := heap.Pop(&l.due).(deadline).life
-		if over := l.Over(life); over > now {
+		if over := l.Expiry(life); over > now {
 			l.TrackAt(life, over)
 			continue
 		}
@@ -68,7 +68,7 @@
 // Elected begins a leadership.
 func (l *Leases) Elected(now time.Duration) {
 	l.elected, l.leads = now, true
-	l.seen, l.ending, l.due = map[Life]time.Duration{}, map[Life]bool{}, nil
+	l.seen, l.ending, l.due = map[Incarnation]time.Duration{}, map[Incarnation]bool{}, nil
 }
 
 // Deposed ends it.
@@ -77,8 +77,8 @@
 // Leads says whether there is a leadership.
 func (l *Leases) Leads() bool { return l.leads }
 
-// Asked books that a life asks for its lease; false says that it gets none.
-func (l *Leases) Asked(now time.Duration, life Life) bool {
+// Renew books that a life asks for its lease; false says that it gets none.
+func (l *Leases) Renew(now time.Duration, life Incarnation) bool {
 	if !l.leads || l.ending[life] {
 		return false
 	}
@@ -86,15 +86,15 @@
 	return true
 }
 
-// Over is when a life's lease has certainly ended, unless it asks again.
-func (l *Leases) Over(life Life) time.Duration {
+// Expiry is when a life's lease has certainly ended, unless it asks again.
+func (l *Leases) Expiry(life Incarnation) time.Duration {
 	return max(l.elected, l.seen[life]) + l.Lease + l.Margin
 }
 
-// MayEnd says whether a life's end may be proposed, and that it gets no lease any more if so: what was proposed may be decided
+// MayFence says whether a life's end may be proposed, and that it gets no lease any more if so: what was proposed may be decided
 // long after.
-func (l *Leases) MayEnd(now time.Duration, life Life) bool {
-	if !l.leads || now < l.Over(life) {
+func (l *Leases) MayFence(now time.Duration, life Incarnation) bool {
+	if !l.leads || now < l.Expiry(life) {
 		return false
 	}
 	l.ending[life] = true
@@ -102,7 +102,7 @@
 }
 
 // Forget drops lives that are over.
-func (l *Leases) Forget(alive func(Life) bool) {
+func (l *Leases) Forget(alive func(Incarnation) bool) {
 	for life := range l.seen {
 		if !alive(life) {
 			delete(l.seen, life)
--- a/internal/cluster/controlplane/requests.go
+++ b/internal/cluster/controlplane/requests.go
@@ -19,10 +19,10 @@
 // it, for the leases of many. With a Watch the answer brings what has changed, whatever else it is.
 type Request struct {
 	Command  *Command       `cbor:"1,keyasint,omitempty"`
-	Renew    *Life          `cbor:"2,keyasint,omitempty"`
+	Renew    *Incarnation   `cbor:"2,keyasint,omitempty"`
 	Sequence uint64         `cbor:"3,keyasint,omitempty"` // of the renewal, among those of its life; of the batch, among those of its relay
 	Watch    *Watch         `cbor:"4,keyasint,omitempty"`
-	Batch    []Life         `cbor:"5,keyasint,omitempty"`
+	Batch    []Incarnation  `cbor:"5,keyasint,omitempty"`
 	Report   *ConfigReport  `cbor:"6,keyasint,omitempty"` // with Renew: of that member
 	Summary  *ConfigSummary `cbor:"7,keyasint,omitempty"` // with Batch: of the relay's members,
 	Relay    string         `cbor:"8,keyasint,omitempty"` // and which relay's
@@ -31,22 +31,22 @@
 
 // Response answers it.
 type Response struct {
-	Leader   string    `cbor:"1,keyasint,omitempty"`  // who leads, as far as is known
-	Refused  string    `cbor:"2,keyasint,omitempty"`  // why nothing came of it
-	Granted  bool      `cbor:"3,keyasint,omitempty"`  // the lease; of a batch all but those in Ended
-	Sequence uint64    `cbor:"4,keyasint,omitempty"`  // of the request: a lease counts from when that one was sent
-	Silent   bool      `cbor:"5,keyasint,omitempty"`  // this founder does not vote: it has not met all others since it lost what it had
-	Council  []Founder `cbor:"6,keyasint,omitempty"`  // who they are, as far as is known, where it was not this founder to ask
-	Version  uint64    `cbor:"7,keyasint,omitempty"`  // of what is decided as far as is known here; behind a command, as of which it was carried out
-	Joined   *Member   `cbor:"8,keyasint,omitempty"`  // behind a Join: the life that has begun
-	Changes  *Changes  `cbor:"9,keyasint,omitempty"`  // with a Watch; nil is none
-	Ended    []Life    `cbor:"10,keyasint,omitempty"` // of a batch: lives that get no lease any more
-	Rollout  *Rollout  `cbor:"11,keyasint,omitempty"` // where it was asked for
+	Leader          string        `cbor:"1,keyasint,omitempty"`  // who leads, as far as is known
+	Refused         string        `cbor:"2,keyasint,omitempty"`  // why nothing came of it
+	Granted         bool          `cbor:"3,keyasint,omitempty"`  // the lease; of a batch all but those in Ended
+	Sequence        uint64        `cbor:"4,keyasint,omitempty"`  // of the request: a lease counts from when that one was sent
+	VotingSuspended bool          `cbor:"5,keyasint,omitempty"`  // this founder does not vote: it has not met all others since it lost what it had
+	Voters          []Voter       `cbor:"6,keyasint,omitempty"`  // who they are, as far as is known, where it was not this founder to ask
+	Version         uint64        `cbor:"7,keyasint,omitempty"`  // of what is decided as far as is known here; behind a command, as of which it was carried out
+	Joined          *Member       `cbor:"8,keyasint,omitempty"`  // behind a Join: the life that has begun
+	Changes         *Changes      `cbor:"9,keyasint,omitempty"`  // with a Watch; nil is none
+	Fenced          []Incarnation `cbor:"10,keyasint,omitempty"` // of a batch: lives that get no lease any more
+	Rollout         *Rollout      `cbor:"11,keyasint,omitempty"` // where it was asked for
 }
 
 // leaseRequest is leases that were asked for in one request.
 type leaseRequest struct {
-	lives []Life
+	lives []Incarnation
 	batch bool // of a relay, which is told of each
 	tell  func(Response)
 }
@@ -57,13 +57,13 @@
 }
 
 // change asks for a change of the founders, one at a time; a change that got lost is not waited for for long.
-func (s *Server) change(f Founder, on bool, tell func(Response)) {
+func (s *Server) change(f Voter, on bool, tell func(Response)) {
 	s.asked(tell, func(ticket uint64) error {
 		now := s.now()
 		if s.changed > now {
-			return ErrChanging
+			return ErrChangeInProgress
 		}
-		err := s.core.Change(ticket, f, on)
+		err := s.core.ChangeVoters(ticket, f, on)
 		if err == nil {
 			s.changed = now + answerFor
 		}
@@ -96,14 +96,14 @@
 
 // found takes a member into the council, or lets a founder go.
 func (s *Server) found(cmd Command, tell func(Response)) {
-	f := Founder{Name: cmd.Life.Name}
+	f := Voter{Name: cmd.Life.Name}
 	if m := s.core.State().Members[f.Name]; cmd.On {
 		switch {
 		case m == nil || !m.Alive:
 			tell(Response{Refused: ErrUnknown.Error()})
 			return
-		case slices.ContainsFunc(s.core.Founders(), func(x Founder) bool { return x.Name == f.Name }):
-			tell(Response{Refused: ErrFounder.Error()})
+		case slices.ContainsFunc(s.core.Voters(), func(x Voter) bool { return x.Name == f.Name }):
+			tell(Response{Refused: ErrVoterChange.Error()})
 			return
 		}
 		f.Address = m.Address
@@ -111,9 +111,9 @@
 	s.change(f, cmd.On, tell)
 }
 
-// Roster tells who the founders are, as decided up to a version: how one that is none of them, or has lost its folder, hears of it.
-func (s *Server) Roster(list []Founder, version uint64) {
-	s.post(func() { s.core.Know(list, version) })
+// UpdateVoters tells who the founders are, as decided up to a version: how one that is none of them, or has lost its folder, hears of it.
+func (s *Server) UpdateVoters(list []Voter, version uint64) {
+	s.post(func() { s.core.UpdateVoters(list, version) })
 }
 
 // confirm asks a majority once for all leases that were asked for since.
@@ -122,7 +122,7 @@
 		return
 	}
 	s.ticket++
-	if err := s.core.Confirm(s.ticket); err != nil {
+	if err := s.core.ConfirmLeadership(s.ticket); err != nil {
 		for _, a := range s.fresh {
 			a.tell(Response{Refused: err.Error(), Leader: s.core.Leader()})
 		}
@@ -139,7 +139,7 @@
 		return
 	}
 	state := s.core.State()
-	var ended []Life
+	var ended []Incarnation
 	for _, life := range a.lives {
 		if !state.Alive(life) || s.leases.ending[life] {
 			ended = append(ended, life)
@@ -148,15 +148,15 @@
 	r := Response{Granted: true, Version: state.Version, Leader: s.core.Leader()}
 	switch {
 	case a.batch:
-		r.Ended = ended
+		r.Fenced = ended
 	case len(ended) > 0:
-		r.Granted, r.Refused = false, ErrEnded.Error()
+		r.Granted, r.Refused = false, ErrFenced.Error()
 	}
 	a.tell(r)
 }
 
-// Ask answers a request, in any goroutine.
-func (s *Server) Ask(req Request) Response {
+// Handle answers a request, in any goroutine.
+func (s *Server) Handle(req Request) Response {
 	answer := make(chan Response, 1)
 	tell := func(r Response) {
 		select {
@@ -189,13 +189,13 @@
 	}
 	switch {
 	case req.Command == nil && req.Renew == nil && len(req.Batch) == 0 && !req.Rollout: // what is decided, as far as this founder knows
-		r := Response{Leader: s.core.Leader(), Silent: s.core.Muted(), Version: s.core.State().Version}
+		r := Response{Leader: s.core.Leader(), VotingSuspended: s.core.VotingSuspended(), Version: s.core.State().Version}
 		if req.Watch != nil && (r.Leader == "" || s.behind(req.Watch.Cursor)) {
 			r.Refused = ErrNoLeader.Error() // others may know more
 		}
 		tell(r)
 	case !s.core.Leads() || !s.leases.Leads():
-		tell(Response{Refused: ErrNotLeader.Error(), Leader: s.core.Leader(), Council: s.core.Founders()})
+		tell(Response{Refused: ErrNotLeader.Error(), Leader: s.core.Leader(), Voters: s.core.Voters()})
 	case req.Rollout:
 		tell(Response{Leader: s.core.Leader(), Version: s.core.State().Version, Rollout: s.rollout()})
 	case len(req.Batch) > 0:
@@ -205,12 +205,12 @@
 		s.renew(leaseRequest{req.Batch, true, tell})
 	case req.Renew != nil:
 		if req.Report != nil {
-			s.rollouts.report(s.now(), req.Renew.String(), Summarize(map[Life]ConfigReport{*req.Renew: req.Report.Bounded()}))
+			s.rollouts.report(s.now(), req.Renew.String(), Summarize(map[Incarnation]ConfigReport{*req.Renew: req.Report.Bounded()}))
 		}
-		s.renew(leaseRequest{[]Life{*req.Renew}, false, tell})
+		s.renew(leaseRequest{[]Incarnation{*req.Renew}, false, tell})
 	case req.Command.Kind == Join:
 		s.join(*req.Command, tell)
-	case req.Command.Kind == Found:
+	case req.Command.Kind == ChangeVoters:
 		s.found(*req.Command, tell)
 	case req.Command.Kind == Configure:
 		s.proposeConfiguration(*req.Command, tell)
@@ -225,16 +225,16 @@
 	for _, life := range a.lives {
 		if j := s.joining[life.Name]; j != nil { // the life goes on: whoever came under its name is another process
 			delete(s.joining, life.Name)
-			j.tell(Response{Refused: ErrTaken.Error()})
+			j.tell(Response{Refused: ErrNameInUse.Error()})
 		}
-		s.leases.Asked(now, life)
+		s.leases.Renew(now, life)
 	}
 	s.fresh = append(s.fresh, a)
 }
 
 // behind says whether a watcher has more than this founder.
 func (s *Server) behind(c changelog.Cursor) bool {
-	return c.Newest() > s.core.Log().Revision()
+	return c.RequiredRevision() > s.core.Log().Revision()
 }
 
 // ChangesFor are what a watcher does not have yet, or the next piece of it; nil is nothing, also where the watcher has more than the log.
@@ -258,7 +258,7 @@
 		s.propose(cmd, tell)
 	default:
 		if old := s.joining[cmd.Life.Name]; old != nil && old.cmd.Token != cmd.Token {
-			old.tell(Response{Refused: ErrTaken.Error()})
+			old.tell(Response{Refused: ErrNameInUse.Error()})
 		}
 		s.joining[cmd.Life.Name] = &joining{cmd, s.now(), tell}
 	}
--- a/internal/cluster/controlplane/rollout.go
+++ b/internal/cluster/controlplane/rollout.go
@@ -38,9 +38,9 @@
 
 // MemberRefusal is an entry that one member refuses.
 type MemberRefusal struct {
-	Life Life   `cbor:"1,keyasint" json:"life"`
-	Key  string `cbor:"2,keyasint" json:"key"`
-	Why  string `cbor:"3,keyasint" json:"why"`
+	Life Incarnation `cbor:"1,keyasint" json:"life"`
+	Key  string      `cbor:"2,keyasint" json:"key"`
+	Why  string      `cbor:"3,keyasint" json:"why"`
 }
 
 // Rollout is how far a fleet is, as its leader knows.
@@ -79,9 +79,9 @@
 }
 
 // Summarize adds reports up.
-func Summarize(reports map[Life]ConfigReport) (out ConfigSummary) {
+func Summarize(reports map[Incarnation]ConfigReport) (out ConfigSummary) {
 	counts := map[uint64]int{}
-	var refusing []Life
+	var refusing []Incarnation
 	for life, r := range reports {
 		counts[r.Revision]++
 		if len(r.Refused) > 0 {
@@ -102,7 +102,7 @@
 	return out
 }
 
-func compareLives(a, b Life) int {
+func compareLives(a, b Incarnation) int {
 	return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Number, b.Number))
 }
 
--- a/internal/cluster/controlplane/route.go
+++ b/internal/cluster/controlplane/route.go
@@ -115,18 +115,18 @@
 	return time.Duration(spread * float64(within))
 }
 
-// Silent notes that a relay had no answer.
-func (r *Route) Silent(relay Relay, now time.Duration, spread float64) {
+// TimedOut notes that a relay had no answer.
+func (r *Route) TimedOut(relay Relay, now time.Duration, spread float64) {
 	r.aside[relay.Address] = aside{now, now + silentAside/2 + scatter(silentAside, spread), true, returnPatience}
 }
 
-// Gone notes that a relay took no connection, or closed it.
-func (r *Route) Gone(relay Relay, now time.Duration, spread float64) {
+// Unreachable notes that a relay took no connection, or closed it.
+func (r *Route) Unreachable(relay Relay, now time.Duration, spread float64) {
 	r.aside[relay.Address] = aside{now, now + goneAside/2 + scatter(goneAside, spread), true, relayPatience}
 }
 
-// Refused notes that a relay answered that it finds no leader.
-func (r *Route) Refused(relay Relay, now time.Duration) {
+// NoLeader notes that a relay answered that it finds no leader.
+func (r *Route) NoLeader(relay Relay, now time.Duration) {
 	r.direct = 0
 	r.aside[relay.Address] = aside{now, now + refusedAside, false, relayPatience}
 }
--- a/internal/cluster/controlplane/route_test.go
+++ b/internal/cluster/controlplane/route_test.go
@@ -49,20 +49,20 @@
 		}
 	}
 	next(a, relayPatience)
-	r.Silent(a, at, 0)
+	r.TimedOut(a, at, 0)
 	next(b, relayPatience)
 	at += silentAside/2 - 1
 	next(b, relayPatience)
 	at++
 	next(a, returnPatience)
-	r.Silent(a, at, 1)
+	r.TimedOut(a, at, 1)
 	at += silentAside
 	next(b, relayPatience)
 	at += silentAside / 2
 	next(a, returnPatience)
 	r.Answered(a)
 	next(a, relayPatience)
-	r.Gone(a, at, 1)
+	r.Unreachable(a, at, 1)
 	at += goneAside
 	next(b, relayPatience)
 	at += goneAside / 2
@@ -74,15 +74,15 @@
 func TestVotersAreAskedOnlyWhileAllRelaysAreSilent(t *testing.T) {
 	a, b := Relay{Address: "a"}, Relay{Address: "b"}
 	r := NewRoute([]Relay{a, b})
-	r.Refused(a, 0)
+	r.NoLeader(a, 0)
 	if step, got, _ := r.Next(1, 0); step != AskRelay || got != b {
 		t.Errorf("%v, %v", step, got)
 	}
-	r.Silent(b, 1, 0)
+	r.TimedOut(b, 1, 0)
 	if step, got, _ := r.Next(2, 0); step != AskRelay || got != a {
 		t.Errorf("%v, %v: it refused, and answers", step, got)
 	}
-	r.Silent(a, 2, 0)
+	r.TimedOut(a, 2, 0)
 	for at, want := range map[time.Duration]RouteStep{3: Wait, 3 + directWithin/2: Wait, 4 + directWithin/2: AskVoters} {
 		if step, _, _ := r.Next(3, 0.5); step != Wait {
 			t.Errorf("%v at first", step)
@@ -95,8 +95,8 @@
 	if step, got, _ := r.Next(directWithin, 0); step != AskRelay || got != a {
 		t.Errorf("%v, %v", step, got)
 	}
-	r.Silent(a, 2, 1)
-	r.Silent(b, 2, 1)
+	r.TimedOut(a, 2, 1)
+	r.TimedOut(b, 2, 1)
 	if step, _, _ := r.Next(3, 1); step != Wait {
 		t.Errorf("%v: the time to ask voters is counted anew", step)
 	}
@@ -110,9 +110,9 @@
 func TestSilentRelaysAreTriedAgainWhenThereIsNoOther(t *testing.T) {
 	a, b := Relay{Address: "a"}, Relay{Address: "b"}
 	r := NewRoute([]Relay{a, b})
-	r.Silent(a, 1, 1)
+	r.TimedOut(a, 1, 1)
 	at := goneAside
-	r.Silent(b, at, 1)
+	r.TimedOut(b, at, 1)
 	at++
 	for _, want := range []struct {
 		step  RouteStep
@@ -127,7 +127,7 @@
 			t.Fatalf("at %v: %v of %q, wanted %v of %q", at, step, relay.Address, want.step, want.relay.Address)
 		}
 		if step == AskRelay {
-			r.Silent(relay, at, 1)
+			r.TimedOut(relay, at, 1)
 		}
 		at += goneAside
 	}
--- a/internal/cluster/controlplane/rpc.go
+++ b/internal/cluster/controlplane/rpc.go
@@ -10,8 +10,8 @@
 // RPC is what other processes call.
 type RPC struct{ s *Server }
 
-// Calls gives the service of a founder, to be registered as Council.
-func (s *Server) Calls() RPC { return RPC{s} }
+// RPC gives the service of a founder, to be registered as Council.
+func (s *Server) RPC() RPC { return RPC{s} }
 
 // Step takes messages of another founder.
 func (r RPC) Step(raw [][]byte, _ *bool) error {
@@ -25,7 +25,7 @@
 	}
 	if !r.s.post(func() {
 		for _, m := range batch {
-			r.s.core.Hear(m)
+			r.s.core.Receive(m)
 		}
 	}) {
 		return ErrNoLeader
@@ -33,15 +33,15 @@
 	return nil
 }
 
-// Meeting is what a founder says of itself that has to meet the others.
-type Meeting struct {
+// RejoinRequest is what a founder says of itself that has to meet the others.
+type RejoinRequest struct {
 	ID    uint64
 	Last  uint64 // index of the latest entry in its log
 	Token uint64 // of its process
 }
 
 // Meet tells how far this founder is.
-func (r RPC) Meet(m Meeting, out *Standing) error {
+func (r RPC) Meet(m RejoinRequest, out *VoterStatus) error {
 	way := make(chan *lane, 1)
 	if !r.s.post(func() { way <- r.s.lanes[m.ID] }) {
 		return ErrNoLeader
@@ -59,12 +59,12 @@
 		known = to.peer.Call(call, "Council.Who", true, &token) == nil && token == m.Token
 		cancel()
 	}
-	answer := make(chan Standing, 1)
+	answer := make(chan VoterStatus, 1)
 	if !r.s.post(func() {
 		if known {
-			r.s.core.Yield(m.ID, m.Last)
+			r.s.core.YieldLeadership(m.ID, m.Last)
 		}
-		answer <- r.s.core.Standing()
+		answer <- r.s.core.Status()
 	}) {
 		return ErrNoLeader
 	}
@@ -84,6 +84,6 @@
 
 // Ask answers a request.
 func (r RPC) Ask(req Request, out *Response) error {
-	*out = r.s.Ask(req)
+	*out = r.s.Handle(req)
 	return nil
 }
--- a/internal/cluster/controlplane/server.go
+++ b/internal/cluster/controlplane/server.go
@@ -38,14 +38,14 @@
 // Server is a founder's part: it owns the core, in the goroutine of Run.
 type Server struct {
 	core   *Core
-	keeper *Keeper
+	keeper *RaftStore
 	timing Timing
 	logger zerolog.Logger
 	// Dial makes the way to a founder's address, which is this server's from then on: nothing else delays Raft's messages.
 	Dial func(address string) *links.Peer
-	// Furthest asks keepers how far their copies of a life go, and names the one that is furthest; "" is none. It is called in a
+	// FurthestReplica asks keepers how far their copies of a life go, and names the one that is furthest; "" is none. It is called in a
 	// goroutine of its own.
-	Furthest func(ctx context.Context, life Life, keepers []string, s *State) string
+	FurthestReplica func(ctx context.Context, life Incarnation, keepers []string, s *State) string
 	// CheckEntry says why a configuration entry can't be committed; nil is none. It must not wait.
 	CheckEntry func(key string, content []byte) error
 
@@ -62,9 +62,9 @@
 	fresh       []leaseRequest            // not confirmed for yet
 	joining     map[string]*joining       // by name
 	ticks       int                       // in this leadership
-	looking     map[Life]bool             // jobs whose keepers are being asked
+	looking     map[Incarnation]bool      // jobs whose keepers are being asked
 	lanes       map[uint64]*lane
-	seen        []Founder      // to whom the lanes are
+	seen        []Voter        // to whom the lanes are
 	carried     sync.WaitGroup // lanes
 	changed     time.Duration  // until when a change of the founders may be under way
 	meeting     bool
@@ -73,7 +73,7 @@
 
 // lane is the way to another founder.
 type lane struct {
-	Founder
+	Voter
 	peer *links.Peer
 	out  chan []raftpb.Message
 	end  context.CancelFunc
@@ -87,12 +87,12 @@
 }
 
 // NewServer is a founder with what it had kept.
-func NewServer(core *Core, keeper *Keeper, t Timing, logger zerolog.Logger) *Server {
+func NewServer(core *Core, keeper *RaftStore, t Timing, logger zerolog.Logger) *Server {
 	return &Server{
 		core: core, keeper: keeper, timing: t, Dial: links.NewPeer, logger: logger, began: time.Now(), events: make(chan func(), 256),
 		done: make(chan struct{}), token: rand.Uint64(), ticket: rand.Uint64(), leases: Leases{Lease: t.Lease, Margin: t.Margin},
 		waiting: map[uint64]func(Applied){}, unconfirmed: map[uint64][]leaseRequest{}, joining: map[string]*joining{},
-		looking: map[Life]bool{}, lanes: map[uint64]*lane{},
+		looking: map[Incarnation]bool{}, lanes: map[uint64]*lane{},
 	}
 }
 
@@ -124,10 +124,10 @@
 		for n := len(s.events); n > 0; n-- { // all that waits shares a step, and a sync
 			(<-s.events)()
 		}
-		if s.core.Muted() && !s.meeting {
+		if s.core.VotingSuspended() && !s.meeting {
 			s.meeting = true
 			s.logger.Warn().Str("part", "council").Msg("this founder has nothing, or less than it once said: it does not vote before it has met all others")
-			go s.meet(ctx, s.core.Last(), s.others())
+			go s.meet(ctx, s.core.LastIndex(), s.others())
 		}
 		s.confirm()
 		for s.core.HasReady() {
@@ -142,14 +142,14 @@
 
 // roster has a lane to each of the other founders, and to nobody else.
 func (s *Server) roster(ctx context.Context) {
-	if slices.Equal(s.seen, s.core.Founders()) {
+	if slices.Equal(s.seen, s.core.Voters()) {
 		return // as at almost every event
 	}
-	s.seen = s.core.Founders()
+	s.seen = s.core.Voters()
 	keep := map[uint64]bool{}
 	for _, f := range s.seen {
 		id := ID(f.Name)
-		if id == s.core.id || s.core.Outside() {
+		if id == s.core.id || s.core.OutsideGroup() {
 			continue
 		}
 		keep[id] = true
@@ -158,7 +158,7 @@
 		} else if l != nil {
 			l.end()
 		}
-		l := &lane{Founder: f, peer: s.Dial(f.Address), out: make(chan []raftpb.Message, 64)}
+		l := &lane{Voter: f, peer: s.Dial(f.Address), out: make(chan []raftpb.Message, 64)}
 		var its context.Context
 		its, l.end = context.WithCancel(ctx)
 		s.lanes[id] = l
@@ -185,11 +185,11 @@
 func (s *Server) meet(ctx context.Context, last uint64, peers []*links.Peer) {
 	defer s.post(func() { s.meeting = false })
 	for ctx.Err() == nil {
-		var all []Standing
+		var all []VoterStatus
 		for _, peer := range peers {
-			var st Standing
+			var st VoterStatus
 			call, cancel := context.WithTimeout(ctx, stepFor)
-			if peer.Call(call, "Council.Meet", Meeting{s.core.id, last, s.token}, &st) == nil {
+			if peer.Call(call, "Council.Meet", RejoinRequest{s.core.id, last, s.token}, &st) == nil {
 				all = append(all, st)
 			}
 			cancel()
@@ -199,12 +199,12 @@
 			now := s.others()
 			over := len(now) != len(peers) || slices.ContainsFunc(now, func(p *links.Peer) bool { return !slices.Contains(peers, p) })
 			if !over && len(all) == len(peers) {
-				if err := s.core.Met(all); err != nil {
+				if err := s.core.Rejoin(all); err != nil {
 					s.logger.Error().Str("part", "council").Err(err).Msg("a founder that can't begin")
 				}
-				over = !s.core.Muted()
+				over = !s.core.VotingSuspended()
 			}
-			last = s.core.Last()
+			last = s.core.LastIndex()
 			done <- over
 		})
 		select {
@@ -272,7 +272,7 @@
 	if err != nil {
 		return err
 	}
-	if err := s.keep(ctx, step.Keep); err != nil {
+	if err := s.keep(ctx, step.Persist); err != nil {
 		return err
 	}
 	batches := map[uint64][]raftpb.Message{}
@@ -309,7 +309,7 @@
 
 // keep keeps a step's part, and tries for as long as the disk does not take it: nothing may be said before. A sync that has failed is
 // final for this process.
-func (s *Server) keep(ctx context.Context, d Disk) error {
+func (s *Server) keep(ctx context.Context, d DurableState) error {
 	for tries := 1; ; tries++ {
 		err := s.keeper.Save(d)
 		switch {
@@ -330,27 +330,27 @@
 
 // decided tells of a command that was carried out.
 func (s *Server) decided(a Applied) {
-	if c := a.Command; a.Err == nil && c.Kind > 0 && c.Kind != Propose {
+	if c := a.Command; a.Err == nil && c.Kind > 0 && c.Kind != SetPlan {
 		line := s.logger.Info().Str("part", "council").Uint64("version", a.Version)
 		switch c.Kind {
 		case Join:
 			m := s.core.State().Members[c.Life.Name]
-			s.track(Life{c.Life.Name, m.Life})
-			line.Stringer("life", Life{c.Life.Name, m.Life}).Str("zone", c.Zone).Bool("folder lost", m.Lost).Msg("life begins")
-		case End:
+			s.track(Incarnation{c.Life.Name, m.Life})
+			line.Stringer("life", Incarnation{c.Life.Name, m.Life}).Str("zone", c.Zone).Bool("folder lost", m.Lost).Msg("life begins")
+		case Fence:
 			line.Stringer("life", c.Life).Msg("life has ended")
-		case Assign:
+		case AssignTakeover:
 			line.Stringer("life", c.Life).Stringer("taker", c.Taker).Msg("taken over")
-		case Done:
+		case CompleteTakeover:
 			line.Stringer("life", c.Life).Stringer("taker", c.Taker).Msg("taking over is done")
-		case Keepers:
+		case SetReplicas:
 			line.Stringer("life", c.Life).Strs("keepers", c.Set).Msg("copies that count")
 		case Evacuate, Freeze:
 			line.Str("place", c.Place).Bool("on", c.On).Bool("freeze", c.Kind == Freeze).Msg("operators' order")
-		case Found:
+		case ChangeVoters:
 			s.changed = 0
 			var votes, learn []string
-			for _, f := range s.core.Founders() {
+			for _, f := range s.core.Voters() {
 				if f.Learns {
 					learn = append(learn, f.Name)
 				} else {
@@ -358,8 +358,8 @@
 				}
 			}
 			line.Str("name", c.Life.Name).Bool("on", c.On).Strs("founders", votes).Strs("learning", learn).Msg("the council's founders")
-		case Leave, Remove:
-			line.Str("name", c.Life.Name).Bool("leaving", c.Kind == Leave && c.On).Bool("removed", c.Kind == Remove).Msg("member")
+		case Drain, Remove:
+			line.Str("name", c.Life.Name).Bool("leaving", c.Kind == Drain && c.On).Bool("removed", c.Kind == Remove).Msg("member")
 		}
 	}
 	if tell := s.waiting[a.Ticket]; tell != nil {
@@ -369,8 +369,8 @@
 }
 
 // track watches over the lease of a life that has just begun, as if it had asked for it just now: it gets to ask.
-func (s *Server) track(life Life) {
-	if s.leases.Asked(s.now(), life) {
+func (s *Server) track(life Incarnation) {
+	if s.leases.Renew(s.now(), life) {
 		s.leases.Track(life)
 	}
 }
@@ -380,7 +380,7 @@
 	s.leases.Elected(s.now())
 	for name, m := range s.core.State().Members {
 		if m.Alive {
-			s.leases.Track(Life{name, m.Life})
+			s.leases.Track(Incarnation{name, m.Life})
 		}
 	}
 }
@@ -439,13 +439,13 @@
 	}
 	s.admit(now, state)
 	s.endDue(now, state)
-	for _, f := range s.core.Level() {
+	for _, f := range s.core.CaughtUpLearners() {
 		if s.changed <= now {
 			s.change(f, true, nil)
 		}
 	}
 	for _, j := range state.Jobs {
-		if !j.Done && j.Taker.Number == 0 && !s.looking[j.Life] && s.Furthest != nil {
+		if !j.Done && j.Taker.Number == 0 && !s.looking[j.Life] && s.FurthestReplica != nil {
 			s.look(ctx, j, state)
 		}
 	}
@@ -463,12 +463,12 @@
 		if m == nil {
 			continue
 		}
-		life := Life{name, m.Life}
-		if m.Alive && now < s.leases.Over(life) {
+		life := Incarnation{name, m.Life}
+		if m.Alive && now < s.leases.Expiry(life) {
 			continue
 		}
 		delete(s.joining, name)
-		if !m.Alive || s.leases.MayEnd(now, life) {
+		if !m.Alive || s.leases.MayFence(now, life) {
 			j.cmd.Fenced = true
 			s.propose(j.cmd, j.tell)
 		} else {
@@ -479,16 +479,16 @@
 
 // endDue proposes the end of lives whose leases are over.
 func (s *Server) endDue(now time.Duration, state *State) {
-	for _, life := range s.leases.Due(now) {
-		if state.Alive(life) && s.leases.MayEnd(now, life) {
+	for _, life := range s.leases.Expired(now) {
+		if state.Alive(life) && s.leases.MayFence(now, life) {
 			s.leases.TrackAt(life, now+endAgain)
-			s.propose(Command{Kind: End, Life: life}, nil)
+			s.propose(Command{Kind: Fence, Life: life}, nil)
 		}
 	}
 }
 
 // look finds who takes an ended life's messages up.
-func (s *Server) look(ctx context.Context, j *Job, state *State) {
+func (s *Server) look(ctx context.Context, j *TakeoverTask, state *State) {
 	life := j.Life
 	keepers := slices.DeleteFunc(slices.Clone(j.Keepers), func(name string) bool {
 		m := state.Members[name]
@@ -500,11 +500,11 @@
 	s.looking[life] = true
 	state = state.Clone()
 	go func() {
-		name := s.Furthest(ctx, life, keepers, state)
+		name := s.FurthestReplica(ctx, life, keepers, state)
 		s.post(func() {
 			delete(s.looking, life)
 			if m := s.core.State().Members[name]; m != nil && m.Alive && s.leases.Leads() {
-				s.propose(Command{Kind: Assign, Life: life, Taker: Life{name, m.Life}}, nil)
+				s.propose(Command{Kind: AssignTakeover, Life: life, Taker: Incarnation{name, m.Life}}, nil)
 			}
 		})
 	}()
--- a/internal/cluster/controlplane/state.go
+++ b/internal/cluster/controlplane/state.go
@@ -16,13 +16,13 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Life names one life of one forwarder: from the council's word that it begins to its word that it has ended. Numbers only grow.
-type Life struct {
+// Incarnation names one life of one forwarder: from the council's word that it begins to its word that it has ended. Numbers only grow.
+type Incarnation struct {
 	Name   string `cbor:"1,keyasint,omitempty"`
 	Number uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-func (l Life) String() string { return fmt.Sprintf("%s/%d", l.Name, l.Number) }
+func (l Incarnation) String() string { return fmt.Sprintf("%s/%d", l.Name, l.Number) }
 
 // Member is a forwarder that belongs to the fleet.
 type Member struct {
@@ -40,13 +40,13 @@
 	Capacity int64    `cbor:"12,keyasint,omitempty"` // bytes that it has for copies; 0 is not told
 }
 
-// Job is the taking over of what an ended life owed.
-type Job struct {
-	Life    Life     `cbor:"1,keyasint,omitzero"`
-	Keepers []string `cbor:"2,keyasint,omitempty"` // whose copies counted at its end
-	Taker   Life     `cbor:"3,keyasint,omitzero"`  // zero while nobody is left who has a copy
-	Done    bool     `cbor:"4,keyasint,omitempty"` // what was owed is the taker's from here on
-	At      uint64   `cbor:"5,keyasint,omitempty"` // when it ended
+// TakeoverTask is the taking over of what an ended life owed.
+type TakeoverTask struct {
+	Life    Incarnation `cbor:"1,keyasint,omitzero"`
+	Keepers []string    `cbor:"2,keyasint,omitempty"` // whose copies counted at its end
+	Taker   Incarnation `cbor:"3,keyasint,omitzero"`  // zero while nobody is left who has a copy
+	Done    bool        `cbor:"4,keyasint,omitempty"` // what was owed is the taker's from here on
+	At      uint64      `cbor:"5,keyasint,omitempty"` // when it ended
 }
 
 // State is what has been decided. Version is the last command applied to it. Members and jobs are replaced when they change, never
@@ -54,10 +54,10 @@
 type State struct {
 	Version uint64
 	Members map[string]*Member
-	Jobs    []*Job // oldest first
-	Plan    Plan   // of where traffic goes
+	Jobs    []*TakeoverTask // oldest first
+	Plan    Plan            // of where traffic goes
 	// Founders are who holds the council since that was changed, as of version Council; none where it is as it began.
-	Founders []Founder
+	Founders []Voter
 	Council  uint64
 	// Entries are the configuration by key, and Configured the version at which any of them last changed.
 	Entries    map[string]*ConfigEntry
@@ -95,24 +95,24 @@
 
 // The commands.
 const (
-	Join      Kind = iota + 1 // a process begins a life, and ends the one before
-	End                       // a life has ended: its lease is over, and it gets no other
-	Assign                    // somebody takes over an ended life
-	Done                      // who takes over has all that was owed, with copies of it
-	Keepers                   // whose copies count is changed
-	Leave                     // a member is to be drained, or not any more
-	Remove                    // a member that has ended belongs no longer
-	Propose                   // the next plan of where traffic goes
-	Evacuate                  // a place is to be empty of traffic, or not any more
-	Freeze                    // the plan stays as it is, or not any more
-	Found                     // a member belongs to the council's founders, or not any more
-	Configure                 // configuration entries are set or deleted
+	Join             Kind = iota + 1 // a process begins a life, and ends the one before
+	Fence                            // a life has ended: its lease is over, and it gets no other
+	AssignTakeover                   // somebody takes over an ended life
+	CompleteTakeover                 // who takes over has all that was owed, with copies of it
+	SetReplicas                      // whose copies count is changed
+	Drain                            // a member is to be drained, or not any more
+	Remove                           // a member that has ended belongs no longer
+	SetPlan                          // the next plan of where traffic goes
+	Evacuate                         // a place is to be empty of traffic, or not any more
+	Freeze                           // the plan stays as it is, or not any more
+	ChangeVoters                     // a member belongs to the council's founders, or not any more
+	Configure                        // configuration entries are set or deleted
 )
 
 // Command is a change that is asked for. Fields that its kind does not name are ignored.
 type Command struct {
 	Kind    Kind          `cbor:"1,keyasint,omitempty"`
-	Life    Life          `cbor:"2,keyasint,omitzero"`   // Join: Number is the one in its folder, 0 for none
+	Life    Incarnation   `cbor:"2,keyasint,omitzero"`   // Join: Number is the one in its folder, 0 for none
 	Whole   bool          `cbor:"3,keyasint,omitempty"`  // Join: its folder still has the journal of that life
 	Fenced  bool          `cbor:"4,keyasint,omitempty"`  // Join: the life before can do nothing any more; else Join is refused while that lives
 	Token   string        `cbor:"5,keyasint,omitempty"`  // Join: drawn by the process
@@ -122,23 +122,23 @@
 	Region  string        `cbor:"9,keyasint,omitempty"`  // Join
 	Version int           `cbor:"10,keyasint,omitempty"` // Join
 	Space   int64         `cbor:"11,keyasint,omitempty"` // Join
-	Taker   Life          `cbor:"12,keyasint,omitzero"`  // Assign, Done
+	Taker   Incarnation   `cbor:"12,keyasint,omitzero"`  // Assign, Done
 	From    uint64        `cbor:"13,keyasint,omitempty"` // Keepers: Changed of what it replaces. Propose: the plan's number. Evacuate, Freeze: Ordered, as the operator saw it. Found: Council. Configure: Configured, as the operator saw it
 	Set     []string      `cbor:"14,keyasint,omitempty"` // Keepers
 	On      bool          `cbor:"15,keyasint,omitempty"` // Leave, Evacuate, Freeze, Found
 	Number  uint64        `cbor:"16,keyasint,omitempty"` // Propose
 	Content []byte        `cbor:"17,keyasint,omitempty"` // Propose
 	Place   string        `cbor:"18,keyasint,omitempty"` // Evacuate
-	Council []Founder     `cbor:"19,keyasint,omitempty"` // Found: all, as they are to be
+	Council []Voter       `cbor:"19,keyasint,omitempty"` // Found: all, as they are to be
 	Entries []EntryChange `cbor:"20,keyasint,omitempty"` // Configure: each key once
 }
 
 // The reasons for which a command changes nothing.
 var (
-	ErrTaken   = errors.New("council: that name's life goes on in another process")
-	ErrUnknown = errors.New("council: no such life")
-	ErrEnded   = errors.New("council: that life has ended")
-	ErrLater   = errors.New("council: something else was decided before")
+	ErrNameInUse = errors.New("council: that name's life goes on in another process")
+	ErrUnknown   = errors.New("council: no such life")
+	ErrFenced    = errors.New("council: that life has ended")
+	ErrConflict  = errors.New("council: something else was decided before")
 )
 
 // Apply carries a command out at a version, which only grows. An error says why nothing was changed.
@@ -151,7 +151,7 @@
 	switch c.Kind {
 	case Join:
 		return s.join(c)
-	case End:
+	case Fence:
 		m := s.Members[c.Life.Name]
 		if m == nil || m.Life != c.Life.Number {
 			return ErrUnknown
@@ -159,39 +159,39 @@
 		if m.Alive {
 			s.end(c.Life.Name, m)
 		}
-	case Assign:
-		j, taker := s.Job(c.Life), s.Members[c.Taker.Name]
+	case AssignTakeover:
+		j, taker := s.TakeoverTask(c.Life), s.Members[c.Taker.Name]
 		switch {
 		case j == nil || taker == nil:
 			return ErrUnknown
 		case !taker.Alive || taker.Life != c.Taker.Number:
-			return ErrEnded
+			return ErrFenced
 		case j.Done || j.Taker.Number > 0 && j.Taker != c.Taker:
-			return ErrLater
+			return ErrConflict
 		}
 		s.changeJob(c.Life).Taker = c.Taker
-	case Done:
-		j, taker := s.Job(c.Life), s.Members[c.Taker.Name]
+	case CompleteTakeover:
+		j, taker := s.TakeoverTask(c.Life), s.Members[c.Taker.Name]
 		switch {
 		case j == nil || taker == nil:
 			return ErrUnknown
 		case j.Taker != c.Taker:
-			return ErrLater
+			return ErrConflict
 		case !taker.Alive || taker.Life != c.Taker.Number:
-			return ErrEnded
+			return ErrFenced
 		}
 		s.changeJob(c.Life).Done = true
-	case Keepers:
+	case SetReplicas:
 		m := s.Members[c.Life.Name]
 		switch {
 		case m == nil || m.Life != c.Life.Number || !m.Alive:
-			return ErrEnded
+			return ErrFenced
 		case m.Changed != c.From:
-			return ErrLater
+			return ErrConflict
 		}
 		m = s.changeMember(c.Life.Name)
 		m.Keepers, m.Changed = slices.Clone(c.Set), version
-	case Leave:
+	case Drain:
 		m := s.Members[c.Life.Name]
 		if m == nil {
 			return ErrUnknown
@@ -202,20 +202,20 @@
 		if m == nil {
 			return ErrUnknown
 		}
-		if m.Alive || slices.ContainsFunc(s.Jobs, func(j *Job) bool { return j.Life.Name == c.Life.Name && !j.Done }) {
-			return ErrLater
+		if m.Alive || slices.ContainsFunc(s.Jobs, func(j *TakeoverTask) bool { return j.Life.Name == c.Life.Name && !j.Done }) {
+			return ErrConflict
 		}
 		delete(s.Members, c.Life.Name)
 		s.drop(MemberKey(c.Life.Name))
-	case Propose:
+	case SetPlan:
 		if c.From != s.Plan.Number || c.Number <= c.From {
-			return ErrLater
+			return ErrConflict
 		}
 		s.Plan.Number, s.Plan.Content = c.Number, c.Content
 		s.touch(planKey)
 	case Evacuate, Freeze:
 		if c.From != s.Plan.Ordered { // of two operators at once one wins, and the other is told
-			return ErrLater
+			return ErrConflict
 		}
 		s.Plan.Ordered = version
 		s.touch(planKey)
@@ -228,9 +228,9 @@
 			s.Plan.Evacuating = append(s.Plan.Evacuating, c.Place)
 			slices.Sort(s.Plan.Evacuating)
 		}
-	case Found:
+	case ChangeVoters:
 		if c.From != s.Council {
-			return ErrLater
+			return ErrConflict
 		}
 		s.Founders, s.Council = c.Council, version // never changed in place
 		s.touch(votersKey)
@@ -246,17 +246,17 @@
 func (s *State) join(c Command) error {
 	name := c.Life.Name
 	m := s.Members[name]
-	had := Life{name, c.Life.Number}
+	had := Incarnation{name, c.Life.Number}
 	switch {
 	case m == nil:
 		m = &Member{Life: s.lastLife(name)}
-		if c.Whole && s.Job(had) == nil { // it belonged to a council that is gone: nobody here took anything over
-			s.addJob(&Job{Life: had, At: s.Version})
+		if c.Whole && s.TakeoverTask(had) == nil { // it belonged to a council that is gone: nobody here took anything over
+			s.addJob(&TakeoverTask{Life: had, At: s.Version})
 		}
 	case m.Alive && m.Token == c.Token: // asked twice by one process, whose first answer was lost
 		return nil
 	case m.Alive && !c.Fenced:
-		return ErrTaken
+		return ErrNameInUse
 	case m.Alive:
 		s.end(name, m)
 	}
@@ -265,7 +265,7 @@
 		Leaving: m.Leaving, Lost: !c.Whole && m.Life > 0, Changed: s.Version, Version: c.Version, Capacity: c.Space,
 	}
 	s.touch(MemberKey(name))
-	s.inherit(had, Life{name, s.Members[name].Life}, c.Whole)
+	s.inherit(had, Incarnation{name, s.Members[name].Life}, c.Whole)
 	return nil
 }
 
@@ -281,7 +281,7 @@
 }
 
 // inherit gives a new life what earlier lives of its name still owe, as far as its folder says so.
-func (s *State) inherit(had, mine Life, whole bool) {
+func (s *State) inherit(had, mine Incarnation, whole bool) {
 	for _, j := range s.Jobs {
 		switch {
 		case j.Life.Name != mine.Name || j.Done:
@@ -297,13 +297,13 @@
 }
 
 func (s *State) end(name string, m *Member) {
-	life := Life{name, m.Life}
+	life := Incarnation{name, m.Life}
 	for _, j := range s.Jobs { // what it had not finished is anybody's who has a copy
 		if j.Taker == life && !j.Done {
-			s.changeJob(j.Life).Taker = Life{}
+			s.changeJob(j.Life).Taker = Incarnation{}
 		}
 	}
-	s.addJob(&Job{Life: life, Keepers: m.Keepers, At: s.Version})
+	s.addJob(&TakeoverTask{Life: life, Keepers: m.Keepers, At: s.Version})
 	ended := s.changeMember(name)
 	ended.Alive, ended.Keepers = false, nil
 	s.forgetJobs(name)
@@ -322,8 +322,8 @@
 	}
 }
 
-// Job is the taking over of a life; nil where that has not ended, or is long done with.
-func (s *State) Job(l Life) *Job {
+// TakeoverTask is the taking over of a life; nil where that has not ended, or is long done with.
+func (s *State) TakeoverTask(l Incarnation) *TakeoverTask {
 	for _, j := range s.Jobs {
 		if j.Life == l {
 			return j
@@ -332,24 +332,24 @@
 	return nil
 }
 
-// Holder is the life that has what a life owed by now: itself while it goes on, else whoever took over, and took over from that. It
+// CurrentOwner is the life that has what a life owed by now: itself while it goes on, else whoever took over, and took over from that. It
 // is zero while a taking over is not done, and where nobody remembers.
-func (s *State) Holder(l Life) Life {
+func (s *State) CurrentOwner(l Incarnation) Incarnation {
 	for range len(s.Jobs) + 1 {
 		if s.Alive(l) {
 			return l
 		}
-		j := s.Job(l)
+		j := s.TakeoverTask(l)
 		if j == nil || !j.Done {
-			return Life{}
+			return Incarnation{}
 		}
 		l = j.Taker
 	}
-	return Life{}
+	return Incarnation{}
 }
 
 // Alive says whether a life goes on.
-func (s *State) Alive(l Life) bool {
+func (s *State) Alive(l Incarnation) bool {
 	m := s.Members[l.Name]
 	return m != nil && m.Alive && m.Life == l.Number
 }
@@ -366,9 +366,9 @@
 // Names are the members' in their order.
 func (s *State) Names() []string { return slices.Sorted(maps.Keys(s.Members)) }
 
-// Ranking is who should keep copies for a member, the best first: rendezvous hashing, so that a change of the fleet moves few
+// RankReplicas is who should keep copies for a member, the best first: rendezvous hashing, so that a change of the fleet moves few
 // copies, with the best of another zone in front. Who is dead, leaving or refused by usable is not in it.
-func (s *State) Ranking(owner string, usable func(string) bool) []string {
+func (s *State) RankReplicas(owner string, usable func(string) bool) []string {
 	own := s.Members[owner]
 	if own == nil {
 		return nil
--- a/internal/cluster/controlplane/view.go
+++ b/internal/cluster/controlplane/view.go
@@ -14,7 +14,7 @@
 }
 
 // NewView knows nothing yet, and is to know everything.
-func NewView() *View { return NewViewOf(Everything) }
+func NewView() *View { return NewViewOf(SelectAll) }
 
 // NewViewOf knows nothing yet, and is to know what a selector says.
 func NewViewOf(s changelog.Selector) *View {
@@ -29,9 +29,9 @@
 	return &Watch{Cursor: v.replica.Cursor(), Selector: v.replica.Selector()}
 }
 
-// Learn takes an answer. It says whether the state is another one now, and whether a further piece is to be asked for. An error says that the
+// Apply takes an answer. It says whether the state is another one now, and whether a further piece is to be asked for. An error says that the
 // answer changed nothing: it was late or doubled, contradicted itself, or came from a source that knows less.
-func (v *View) Learn(c *Changes) (changed, more bool, err error) {
+func (v *View) Apply(c *Changes) (changed, more bool, err error) {
 	if c == nil {
 		return false, false, nil
 	}
@@ -52,7 +52,7 @@
 }
 
 // Renewal is what is asked for at a moment of the member's own clock. An earlier one counts no longer.
-func (l *Lease) Renewal(now time.Duration, life Life) Request {
+func (l *Lease) Renewal(now time.Duration, life Incarnation) Request {
 	l.sequence++
 	l.sent = now
 	return Request{Renew: &life, Sequence: l.sequence}
--- a/internal/cluster/controlplane/view_test.go
+++ b/internal/cluster/controlplane/view_test.go
@@ -41,34 +41,34 @@
 		if m != nil && rng.IntN(2) == 0 {
 			had = m.Life
 		}
-		return Command{Kind: Join, Life: Life{name, had}, Whole: had > 0, Fenced: true, Token: fmt.Sprint(rng.Uint64()), Zone: "z"}
+		return Command{Kind: Join, Life: Incarnation{name, had}, Whole: had > 0, Fenced: true, Token: fmt.Sprint(rng.Uint64()), Zone: "z"}
 	}
-	life := Life{name, m.Life}
+	life := Incarnation{name, m.Life}
 	switch rng.IntN(10) {
 	case 8, 9:
 		return randomConfiguration(rng, s)
 	case 0:
-		return Command{Kind: End, Life: life}
+		return Command{Kind: Fence, Life: life}
 	case 1:
-		return Command{Kind: Keepers, Life: life, From: m.Changed, Set: []string{fmt.Sprint("m", rng.IntN(6))}}
+		return Command{Kind: SetReplicas, Life: life, From: m.Changed, Set: []string{fmt.Sprint("m", rng.IntN(6))}}
 	case 2:
-		return Command{Kind: Leave, Life: life, On: rng.IntN(2) == 0}
+		return Command{Kind: Drain, Life: life, On: rng.IntN(2) == 0}
 	case 3:
 		return Command{Kind: Remove, Life: life}
 	case 4:
-		return Command{Kind: Propose, From: s.Plan.Number, Number: s.Plan.Number + 1, Content: []byte(fmt.Sprint(rng.Uint64()))}
+		return Command{Kind: SetPlan, From: s.Plan.Number, Number: s.Plan.Number + 1, Content: []byte(fmt.Sprint(rng.Uint64()))}
 	case 5:
 		return Command{Kind: Evacuate, From: s.Plan.Ordered, Place: "z", On: rng.IntN(2) == 0}
 	}
 	for _, j := range s.Jobs {
 		if !j.Done && j.Taker.Number == 0 {
-			return Command{Kind: Assign, Life: j.Life, Taker: life}
+			return Command{Kind: AssignTakeover, Life: j.Life, Taker: life}
 		}
 		if !j.Done {
-			return Command{Kind: Done, Life: j.Life, Taker: j.Taker}
+			return Command{Kind: CompleteTakeover, Life: j.Life, Taker: j.Taker}
 		}
 	}
-	return Command{Kind: End, Life: life}
+	return Command{Kind: Fence, Life: life}
 }
 
 // randomConfiguration sets and deletes entries.
@@ -125,7 +125,7 @@
 					continue
 				}
 				before := v.State().Version
-				_, _, err := v.Learn(late[max(0, len(late)-1-rng.IntN(3))])
+				_, _, err := v.Apply(late[max(0, len(late)-1-rng.IntN(3))])
 				if errors.Is(err, changelog.ErrMalformed) || v.State().Version < before {
 					t.Fatalf("seed %d: version %d behind %d, %v", seed, v.State().Version, before, err)
 				}
@@ -154,7 +154,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := v.Learn(&b); err != nil {
+		if _, _, err := v.Apply(&b); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -176,7 +176,7 @@
 	if err := g.keeps["a"].Close(); err != nil {
 		t.Fatal(err)
 	}
-	k, kept, err := OpenKeeper(g.disks["a"], func(s string) { t.Error(s) })
+	k, kept, err := OpenRaftStore(g.disks["a"], func(s string) { t.Error(s) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -197,7 +197,7 @@
 	if s := v.State(); s.Version <= before || s.Members["kept"] == nil || s.Members["new"] == nil || s.Members["lost"] != nil {
 		t.Errorf("at version %d after %d: %v", s.Version, before, s.Names())
 	}
-	if _, err := old.Log().Read(v.Watch().Cursor, Everything, 100); !errors.Is(err, changelog.ErrBehind) {
+	if _, err := old.Log().Read(v.Watch().Cursor, SelectAll, 100); !errors.Is(err, changelog.ErrBehind) {
 		t.Errorf("an old voter: %v", err)
 	}
 }
@@ -206,7 +206,7 @@
 // or with the answer to an earlier renewal is no longer for it.
 func TestALeaseCountsFromItsOwnSending(t *testing.T) {
 	l := Lease{Length: time.Second}
-	a := Life{"a", 1}
+	a := Incarnation{"a", 1}
 	first := l.Renewal(10*time.Second, a)
 	old := Response{Granted: true, Sequence: first.Sequence}
 	if until, ok := l.Granted(old); !ok || until != 11*time.Second {
@@ -228,30 +228,30 @@
 func TestWhoseLeaseIsDue(t *testing.T) {
 	l := Leases{Lease: time.Second, Margin: 200 * time.Millisecond}
 	l.Elected(0)
-	a, b, late := Life{"a", 1}, Life{"b", 1}, Life{"late", 1}
+	a, b, late := Incarnation{"a", 1}, Incarnation{"b", 1}, Incarnation{"late", 1}
 	l.Track(a)
 	l.Track(b)
-	l.Asked(time.Second, b)
-	if due := l.Due(1199 * time.Millisecond); len(due) != 0 {
+	l.Renew(time.Second, b)
+	if due := l.Expired(1199 * time.Millisecond); len(due) != 0 {
 		t.Errorf("%v are due too early", due)
 	}
-	if diff := cmp.Diff([]Life{a}, l.Due(1200*time.Millisecond)); diff != "" {
+	if diff := cmp.Diff([]Incarnation{a}, l.Expired(1200*time.Millisecond)); diff != "" {
 		t.Error(diff)
 	}
-	l.Asked(2*time.Second, late) // as a server does when it begins
+	l.Renew(2*time.Second, late) // as a server does when it begins
 	l.Track(late)
-	if diff := cmp.Diff([]Life{b}, l.Due(2200*time.Millisecond)); diff != "" {
+	if diff := cmp.Diff([]Incarnation{b}, l.Expired(2200*time.Millisecond)); diff != "" {
 		t.Error(diff)
 	}
 	l.TrackAt(b, 3*time.Second) // its end may not be decided
-	if diff := cmp.Diff([]Life{b}, l.Due(3*time.Second)); diff != "" {
+	if diff := cmp.Diff([]Incarnation{b}, l.Expired(3*time.Second)); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([]Life{late}, l.Due(time.Hour)); diff != "" {
+	if diff := cmp.Diff([]Incarnation{late}, l.Expired(time.Hour)); diff != "" {
 		t.Error(diff)
 	}
 	l.Elected(2 * time.Hour)
-	if due := l.Due(3 * time.Hour); len(due) != 0 {
+	if due := l.Expired(3 * time.Hour); len(due) != 0 {
 		t.Errorf("%v are left of an earlier leadership", due)
 	}
 }
@@ -261,10 +261,10 @@
 	type oldState struct {
 		Version uint64
 		Members map[string]*Member
-		Jobs    []*Job
+		Jobs    []*TakeoverTask
 	}
 	var raw bytes.Buffer
-	old := oldState{Version: 40, Members: map[string]*Member{"a": {Life: 2, Alive: true}}, Jobs: []*Job{{Life: Life{"a", 1}, At: 30}}}
+	old := oldState{Version: 40, Members: map[string]*Member{"a": {Life: 2, Alive: true}}, Jobs: []*TakeoverTask{{Life: Incarnation{"a", 1}, At: 30}}}
 	if err := gob.NewEncoder(&raw).Encode(old); err != nil {
 		t.Fatal(err)
 	}
@@ -276,15 +276,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := log.Read(changelog.Cursor{Has: 20, Revision: 20}, Everything, 1<<20)
+	b, err := log.Read(changelog.Cursor{ViewRevision: 20, Revision: 20}, SelectAll, 1<<20)
 	if err != nil || !b.Reset || b.More {
 		t.Fatalf("%+v, %v", b, err)
 	}
 	v := NewView()
-	if b, err = log.Read(v.Watch().Cursor, Everything, 1<<20); err != nil {
+	if b, err = log.Read(v.Watch().Cursor, SelectAll, 1<<20); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := v.Learn(&b); err != nil || v.State().Version != 40 || v.State().Members["a"].Life != 2 || len(v.State().Jobs) != 1 {
+	if _, _, err := v.Apply(&b); err != nil || v.State().Version != 40 || v.State().Members["a"].Life != 2 || len(v.State().Jobs) != 1 {
 		t.Errorf("%+v, %v", v.State(), err)
 	}
 }
--- a/internal/cluster/controlplane/wire_test.go
+++ b/internal/cluster/controlplane/wire_test.go
@@ -24,12 +24,12 @@
 
 // What is asked and answered comes out of a link as it went in.
 func TestRequestsAndResponsesTravel(t *testing.T) {
-	life := Life{"a", 3}
-	cursor := changelog.Cursor{Selection: 1, Has: 2, Revision: 3, Began: 4, Seen: 5, Restart: true}
+	life := Incarnation{"a", 3}
+	cursor := changelog.Cursor{SelectorGeneration: 1, ViewRevision: 2, Revision: 3, SnapshotRevision: 4, SourceRevision: 5, Restart: true}
 	for _, req := range []Request{
 		{},
 		{Renew: &life, Sequence: 7, Watch: &Watch{Cursor: cursor, Selector: changelog.Selector{Prefixes: []string{"p"}, Keys: []string{"k"}, Mirror: true}}},
-		{Command: &Command{Kind: Join, Life: life, Whole: true, Token: "t", Set: []string{"b"}, Content: []byte{0, 1}, Council: []Founder{{"f", "a:1", true}}}},
+		{Command: &Command{Kind: Join, Life: life, Whole: true, Token: "t", Set: []string{"b"}, Content: []byte{0, 1}, Council: []Voter{{"f", "a:1", true}}}},
 	} {
 		if got := overLink(t, req); !reflect.DeepEqual(got, req) {
 			t.Errorf("%+v came as %+v", req, got)
@@ -37,14 +37,14 @@
 	}
 	member := Member{Life: 3, Alive: true, Keepers: []string{"b"}, Address: "a:1"}
 	batch := Changes{
-		From: cursor, To: changelog.Cursor{Has: 9, Revision: 9}, Reset: true, More: true, Floor: 4,
+		From: cursor, To: changelog.Cursor{ViewRevision: 9, Revision: 9}, Reset: true, More: true, Floor: 4,
 		Records: []Change{
 			{Key: MemberKey("a"), Revision: 8, Value: Item{Member: &member}.sealed()},
 			{Key: MemberKey("b"), Revision: 9, Deleted: true},
 		},
 	}
-	got := overLink(t, Response{Leader: "n0", Granted: true, Sequence: 7, Council: []Founder{{Name: "f"}}, Version: 9, Joined: &member, Changes: &batch})
-	if !got.Granted || got.Leader != "n0" || got.Sequence != 7 || got.Version != 9 || !reflect.DeepEqual(*got.Joined, member) || len(got.Council) != 1 {
+	got := overLink(t, Response{Leader: "n0", Granted: true, Sequence: 7, Voters: []Voter{{Name: "f"}}, Version: 9, Joined: &member, Changes: &batch})
+	if !got.Granted || got.Leader != "n0" || got.Sequence != 7 || got.Version != 9 || !reflect.DeepEqual(*got.Joined, member) || len(got.Voters) != 1 {
 		t.Errorf("%+v", got)
 	}
 	if !reflect.DeepEqual(*got.Changes, batch) {
@@ -63,7 +63,7 @@
 
 // Entries of the log that an earlier program wrote are read, and those of this one.
 func TestEntriesOfEarlierPrograms(t *testing.T) {
-	want := entry{5, Command{Kind: End, Life: Life{"a", 1}, Set: []string{"b"}}}
+	want := entry{5, Command{Kind: Fence, Life: Incarnation{"a", 1}, Set: []string{"b"}}}
 	old, err := encode(want)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cluster/entry/entry.go
+++ b/internal/cluster/entry/entry.go
@@ -59,22 +59,22 @@
 // ErrInvalid is wrapped by every error that says why an entry can't be used.
 var ErrInvalid = errors.New("entry: not usable")
 
-// Invalid tells which field of an entry can't be used. Field is a path as in a settings file, such as endpoint.address.
-type Invalid struct {
-	Field string
-	Index int // of the endpoint; -1 is none
-	What  string
+// InvalidError tells which field of an entry can't be used. Field is a path as in a settings file, such as endpoint.address.
+type InvalidError struct {
+	Field   string
+	Index   int // of the endpoint; -1 is none
+	Problem string
 }
 
-func (e *Invalid) Error() string {
+func (e *InvalidError) Error() string {
 	if e.Index >= 0 {
-		return fmt.Sprintf("entry: endpoint %d: %s: %s", e.Index+1, e.Field, e.What)
+		return fmt.Sprintf("entry: endpoint %d: %s: %s", e.Index+1, e.Field, e.Problem)
 	}
-	return fmt.Sprintf("entry: %s: %s", e.Field, e.What)
+	return fmt.Sprintf("entry: %s: %s", e.Field, e.Problem)
 }
 
 // Unwrap is ErrInvalid.
-func (e *Invalid) Unwrap() error { return ErrInvalid }
+func (e *InvalidError) Unwrap() error { return ErrInvalid }
 
 // Key names the entry; an entry that is set replaces the one with its key.
 func (e Entry) Key() string {
@@ -99,7 +99,7 @@
 func (e Entry) Check() error {
 	switch {
 	case (e.Destination == nil) == (e.Class == nil):
-		return &Invalid{Field: "kind", Index: -1, What: "it is neither a destination nor a class, or both"}
+		return &InvalidError{Field: "kind", Index: -1, Problem: "it is neither a destination nor a class, or both"}
 	case e.Destination != nil:
 		return e.Destination.check()
 	}
@@ -108,20 +108,20 @@
 
 func (c Class) check() error {
 	if what := badName(c.Name); what != "" {
-		return &Invalid{Field: "class", Index: -1, What: what}
+		return &InvalidError{Field: "class", Index: -1, Problem: what}
 	}
 	if what := badRate(c.Rate); what != "" {
-		return &Invalid{Field: "rate", Index: -1, What: what}
+		return &InvalidError{Field: "rate", Index: -1, Problem: what}
 	}
 	return nil
 }
 
 func (d Destination) check() error {
 	if d.Number <= 0 {
-		return &Invalid{Field: "destination", Index: -1, What: fmt.Sprintf("%d is no number of a destination", d.Number)}
+		return &InvalidError{Field: "destination", Index: -1, Problem: fmt.Sprintf("%d is no number of a destination", d.Number)}
 	}
 	if len(d.Endpoints) == 0 || len(d.Endpoints) > maxEndpoints {
-		return &Invalid{Field: "endpoint", Index: -1, What: fmt.Sprintf("%d of them; from 1 to %d are possible", len(d.Endpoints), maxEndpoints)}
+		return &InvalidError{Field: "endpoint", Index: -1, Problem: fmt.Sprintf("%d of them; from 1 to %d are possible", len(d.Endpoints), maxEndpoints)}
 	}
 	seen := make(map[string]bool, len(d.Endpoints))
 	for i, endpoint := range d.Endpoints {
@@ -129,7 +129,7 @@
 			return err
 		}
 		if seen[endpoint.Name] {
-			return &Invalid{Field: "name", Index: i, What: fmt.Sprintf("%q is named twice", endpoint.Name)}
+			return &InvalidError{Field: "name", Index: i, Problem: fmt.Sprintf("%q is named twice", endpoint.Name)}
 		}
 		seen[endpoint.Name] = true
 	}
@@ -137,7 +137,7 @@
 }
 
 func (e Endpoint) check(index int) error {
-	bad := func(field, what string) error { return &Invalid{Field: field, Index: index, What: what} }
+	bad := func(field, what string) error { return &InvalidError{Field: field, Index: index, Problem: what} }
 	if what := badName(e.Name); what != "" {
 		return bad("name", what)
 	}
@@ -182,7 +182,7 @@
 		return nil, fmt.Errorf("entry: %w", err)
 	}
 	if len(content) > MaxBytes {
-		return nil, &Invalid{Field: "size", Index: -1, What: fmt.Sprintf("%d bytes; %d are the most", len(content), MaxBytes)}
+		return nil, &InvalidError{Field: "size", Index: -1, Problem: fmt.Sprintf("%d bytes; %d are the most", len(content), MaxBytes)}
 	}
 	return content, nil
 }
@@ -191,7 +191,7 @@
 // error: half of it in force would not be what the operator asked for.
 func Decode(key string, content []byte) (Entry, error) {
 	if len(content) > MaxBytes {
-		return Entry{}, &Invalid{Field: "size", Index: -1, What: fmt.Sprintf("%d bytes; %d are the most", len(content), MaxBytes)}
+		return Entry{}, &InvalidError{Field: "size", Index: -1, Problem: fmt.Sprintf("%d bytes; %d are the most", len(content), MaxBytes)}
 	}
 	var e Entry
 	decoder := json.NewDecoder(bytes.NewReader(content))
--- a/internal/cluster/entry/entry_test.go
+++ b/internal/cluster/entry/entry_test.go
@@ -56,7 +56,7 @@
 		"rate":             {Entry{Class: &Class{Name: "safe", Rate: -1}}, "rate", -1},
 	} {
 		_, err := c.entry.Encode()
-		var invalid *Invalid
+		var invalid *InvalidError
 		if !errors.As(err, &invalid) || invalid.Field != c.field || invalid.Index != c.index || !errors.Is(err, ErrInvalid) {
 			t.Errorf("%s: %v", name, err)
 		}
--- a/internal/cluster/node/configuration_test.go
+++ b/internal/cluster/node/configuration_test.go
@@ -26,7 +26,7 @@
 	t.Helper()
 	address := "127.0.0.1:0"
 	n, err := Open(Config{
-		Name: "n0", Listen: address, Founders: []controlplane.Founder{{Name: "n0", Address: address}}, Copies: 1, Folder: t.TempDir(),
+		Name: "n0", Listen: address, Founders: []controlplane.Voter{{Name: "n0", Address: address}}, Copies: 1, Folder: t.TempDir(),
 		Timing: controlplane.Timing{Tick: 10 * time.Millisecond, Lease: time.Minute, Margin: 10 * time.Second}, Logger: zerolog.Nop(),
 	})
 	if err != nil {
--- a/internal/cluster/node/facts.go
+++ b/internal/cluster/node/facts.go
@@ -33,7 +33,7 @@
 
 // FactsPush is what one member tells another.
 type FactsPush struct {
-	From    controlplane.Life
+	From    controlplane.Incarnation
 	Facts   []observation.Fact
 	Compare bool
 	Digest  uint64
@@ -60,7 +60,7 @@
 // known says whether a life is one of the fleet's.
 func known(state *controlplane.State) func(origin string, life uint64) bool {
 	return func(origin string, life uint64) bool {
-		return state.Alive(controlplane.Life{Name: origin, Number: life})
+		return state.Alive(controlplane.Incarnation{Name: origin, Number: life})
 	}
 }
 
@@ -144,7 +144,7 @@
 }
 
 // push tells one member.
-func (n *Node) push(ctx context.Context, mine controlplane.Life, p observation.Push, address string) {
+func (n *Node) push(ctx context.Context, mine controlplane.Incarnation, p observation.Push, address string) {
 	call, cancel := context.WithTimeout(ctx, appendFor)
 	defer cancel()
 	var a FactsAnswer
--- a/internal/cluster/node/lives.go
+++ b/internal/cluster/node/lives.go
@@ -61,7 +61,7 @@
 	case !r.Granted: // that life is over
 		n.frozen()
 		n.mu.Lock()
-		n.mine, n.owner, n.asked, n.waiters = controlplane.Life{}, nil, nil, nil // marks are a life's own
+		n.mine, n.owner, n.asked, n.waiters = controlplane.Incarnation{}, nil, nil, nil // marks are a life's own
 		n.mu.Unlock()
 		n.cfg.Logger.Warn().Str("part", "node").Stringer("life", mine).Msg("this life was ended, another begins")
 		return 0
@@ -85,12 +85,12 @@
 }
 
 // resume lets the router go on with what it holds, once it is known whose that is.
-func (n *Node) resume(ctx context.Context, mine controlplane.Life) {
+func (n *Node) resume(ctx context.Context, mine controlplane.Incarnation) {
 	n.mu.Lock()
 	had, state := n.folder.Number, n.view.State()
 	n.mu.Unlock()
-	before := controlplane.Life{Name: mine.Name, Number: had}
-	if job := state.Job(before); had > 0 && had != mine.Number && job != nil && !job.Done && job.Taker == mine {
+	before := controlplane.Incarnation{Name: mine.Name, Number: had}
+	if job := state.TakeoverTask(before); had > 0 && had != mine.Number && job != nil && !job.Done && job.Taker == mine {
 		n.takeBack(ctx, before, mine, state) // asks again with the next beat if it can't
 		return
 	}
@@ -98,10 +98,10 @@
 }
 
 // thaw tells the router which messages are its own.
-func (n *Node) thaw(before, mine controlplane.Life, state *controlplane.State) {
-	kept := before.Number == 0 || state.Holder(before) == mine
+func (n *Node) thaw(before, mine controlplane.Incarnation, state *controlplane.State) {
+	kept := before.Number == 0 || state.CurrentOwner(before) == mine
 	n.router.Thaw(func(m *wal.Message) bool {
-		if m.Owner != "" && state.Holder(controlplane.Life{Name: m.Owner, Number: m.Life}) != mine {
+		if m.Owner != "" && state.CurrentOwner(controlplane.Incarnation{Name: m.Owner, Number: m.Life}) != mine {
 			return false // it was never this forwarder's, or is not any more
 		}
 		return kept || m.Alone
@@ -134,7 +134,7 @@
 	had := n.folder
 	n.mu.Unlock()
 	join := controlplane.Command{
-		Kind: controlplane.Join, Life: controlplane.Life{Name: n.cfg.Name, Number: had.Number}, Whole: had.Number > 0, Token: n.token,
+		Kind: controlplane.Join, Life: controlplane.Incarnation{Name: n.cfg.Name, Number: had.Number}, Whole: had.Number > 0, Token: n.token,
 		Past: had.Token, Address: n.cfg.Listen, Zone: n.cfg.Zone, Region: n.cfg.Region, Version: Version, Space: n.cfg.Space,
 	}
 	if err := n.catchUp(ctx, 1); err != nil { // before there is a lease to hold meanwhile
@@ -159,7 +159,7 @@
 		return err
 	}
 	n.putIntoForce() // before anything is taken on in this life
-	mine := controlplane.Life{Name: n.cfg.Name, Number: m.Life}
+	mine := controlplane.Incarnation{Name: n.cfg.Name, Number: m.Life}
 	n.mu.Lock()
 	n.figures.Lives++
 	n.knows.Store(false)
@@ -191,7 +191,7 @@
 	}
 	n.mu.Lock()
 	was := n.view.State()
-	news, more, err := n.view.Learn(c)
+	news, more, err := n.view.Apply(c)
 	if errors.Is(err, changelog.ErrMalformed) {
 		n.figures.Malformed++
 	}
@@ -215,8 +215,8 @@
 		n.reconfigure()
 	}
 	if changed {
-		n.client.Know(s.Founders)
-		n.server.Roster(s.Founders, s.Council)
+		n.client.UpdateVoters(s.Founders)
+		n.server.UpdateVoters(s.Founders, s.Council)
 	}
 	n.tidy(s)
 	n.nudge()
@@ -227,16 +227,16 @@
 func (n *Node) tidy(s *controlplane.State) {
 	n.shelfMu.Lock()
 	for _, life := range n.shelf.Lives() {
-		if j := s.Job(life); j != nil || !s.Alive(life) && s.Members[life.Name] != nil && s.Members[life.Name].Life >= life.Number {
+		if j := s.TakeoverTask(life); j != nil || !s.Alive(life) && s.Members[life.Name] != nil && s.Members[life.Name].Life >= life.Number {
 			n.shelf.End(life)
 		}
 	}
-	gone := n.shelf.Drop(func(l controlplane.Life) bool {
+	gone := n.shelf.Drop(func(l controlplane.Incarnation) bool {
 		m := s.Members[l.Name]
 		if m == nil || l.Number > m.Life || s.Alive(l) {
 			return true // nothing is known of it yet, or it goes on
 		}
-		j := s.Job(l)
+		j := s.TakeoverTask(l)
 		return j != nil && !j.Done
 	})
 	if _, err := n.disk.Save(gone); err != nil {
--- a/internal/cluster/node/node.go
+++ b/internal/cluster/node/node.go
@@ -37,7 +37,7 @@
 	Name         string
 	Zone, Region string
 	Listen       string // where its links listen, and where others reach them
-	Founders     []controlplane.Founder
+	Founders     []controlplane.Voter
 	Relays       []controlplane.Relay // that carry requests to the voters, in no order; a voter itself uses none
 	Via          map[string]string    // what is dialled for an address, where that differs
 	Copies       int                  // of each message, the owner's own included
@@ -97,7 +97,7 @@
 	peers    *links.Peers
 	client   *controlplane.Client
 	server   *controlplane.Server // a founder, or one that may become it
-	keeper   *controlplane.Keeper
+	keeper   *controlplane.RaftStore
 	token    string
 	folder   life // what was found
 
@@ -108,14 +108,14 @@
 	knows  atomic.Bool  // the ids that were over in the life before
 
 	mu       sync.Mutex
-	mine     controlplane.Life
+	mine     controlplane.Incarnation
 	owner    *replication.Owner
 	view     *controlplane.View
 	waiters  []waiter
 	sending  map[string]bool      // keepers to which a sender is on its way
 	missed   map[string]time.Time // keepers out of reach, and since when
 	heard    map[string]time.Time // when a keeper last answered
-	taking   map[controlplane.Life]bool
+	taking   map[controlplane.Incarnation]bool
 	wake     chan struct{}
 	asked    *controlplane.Command     // for other keepers, and not known to be decided or refused
 	asking   bool                      // the council, just now
@@ -162,7 +162,7 @@
 	}
 	n := &Node{
 		cfg: cfg, peers: &links.Peers{Other: cfg.Via}, token: fmt.Sprintf("%016x", rand.Uint64()), began: time.Now(),
-		view: controlplane.NewView(), renewal: controlplane.Lease{Length: cfg.Timing.Lease}, sending: map[string]bool{}, missed: map[string]time.Time{}, heard: map[string]time.Time{}, taking: map[controlplane.Life]bool{},
+		view: controlplane.NewView(), renewal: controlplane.Lease{Length: cfg.Timing.Lease}, sending: map[string]bool{}, missed: map[string]time.Time{}, heard: map[string]time.Time{}, taking: map[controlplane.Incarnation]bool{},
 		wake: make(chan struct{}, 1), configuring: configuring{changed: make(chan struct{}, 1)}, shelf: replication.NewShelf(rand.Uint64()), talk: newTalk(cfg),
 	}
 	if cfg.Place != nil {
@@ -196,7 +196,7 @@
 
 // found opens the part in the council, of a founder or of one that may become it, and the way to the others.
 func (n *Node) found(report func(string)) error {
-	keeper, kept, err := controlplane.OpenKeeper(fsys.Dir(filepath.Join(n.cfg.Folder, CouncilDir)), report)
+	keeper, kept, err := controlplane.OpenRaftStore(fsys.Dir(filepath.Join(n.cfg.Folder, CouncilDir)), report)
 	if err != nil {
 		return err
 	}
@@ -207,10 +207,10 @@
 	}
 	n.server = controlplane.NewServer(core, keeper, n.cfg.Timing, n.cfg.Logger)
 	n.server.Dial = func(address string) *links.Peer { return links.NewPeer(n.peers.Via(address)) }
-	n.server.Furthest, n.server.CheckEntry = n.furthest, checkEntry
+	n.server.FurthestReplica, n.server.CheckEntry = n.furthest, checkEntry
 	n.client = controlplane.NewClient(n.cfg.Founders, n.peers.At, n.cfg.Name, n.server)
-	if !slices.ContainsFunc(n.cfg.Founders, func(f controlplane.Founder) bool { return f.Name == n.cfg.Name }) {
-		n.client.Via(controlplane.RankRelays(n.cfg.Relays, n.cfg.Name, n.cfg.Zone))
+	if !slices.ContainsFunc(n.cfg.Founders, func(f controlplane.Voter) bool { return f.Name == n.cfg.Name }) {
+		n.client.UseRelays(controlplane.RankRelays(n.cfg.Relays, n.cfg.Name, n.cfg.Zone))
 	}
 	return nil
 }
@@ -262,7 +262,7 @@
 	n.tasks = group
 	group.Go(func() error {
 		return links.Serve(n.listener, map[string]any{
-			"Copies": copiesRPC{n}, "Status": statusRPC{n}, "Facts": factsRPC{n}, "Plan": planRPC{n}, "Council": n.server.Calls(),
+			"Copies": copiesRPC{n}, "Status": statusRPC{n}, "Facts": factsRPC{n}, "Plan": planRPC{n}, "Council": n.server.RPC(),
 		})
 	})
 	group.Go(func() error {
@@ -298,7 +298,7 @@
 func (n *Node) now() time.Duration { return time.Since(n.began) }
 
 // latest is this life and what the council has decided, as far as is known here; n.mu is not held. What is decided is never changed.
-func (n *Node) latest() (mine controlplane.Life, decided *controlplane.State) {
+func (n *Node) latest() (mine controlplane.Incarnation, decided *controlplane.State) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.mine, n.view.State()
@@ -515,7 +515,7 @@
 	if missing <= 0 { // as nearly always: ranking looks at all members
 		return nil
 	}
-	rank := n.view.State().Ranking(n.cfg.Name, func(name string) bool { return n.usable(name) && !slices.Contains(m.Keepers, name) })
+	rank := n.view.State().RankReplicas(n.cfg.Name, func(name string) bool { return n.usable(name) && !slices.Contains(m.Keepers, name) })
 	return rank[:min(len(rank), missing)]
 }
 
@@ -660,7 +660,7 @@
 		return
 	}
 	n.owner.Ask(set)
-	n.asked = &controlplane.Command{Kind: controlplane.Keepers, Life: n.mine, From: m.Changed, Set: set}
+	n.asked = &controlplane.Command{Kind: controlplane.SetReplicas, Life: n.mine, From: m.Changed, Set: set}
 	n.askForKeepers(ctx)
 }
 
--- a/internal/cluster/node/node_test.go
+++ b/internal/cluster/node/node_test.go
@@ -15,7 +15,7 @@
 func TestALifeEndsWhileItsKeepersAreWaitedFor(t *testing.T) {
 	for class, strict := range map[string]bool{"safe": false, "unsafe": true} {
 		n := &Node{cfg: Config{Copies: 2, Alone: map[string]bool{"safe": true}, Patience: time.Millisecond}, began: time.Now()}
-		n.owner = replication.NewOwner(controlplane.Life{Name: "n", Number: 1})
+		n.owner = replication.NewOwner(controlplane.Incarnation{Name: "n", Number: 1})
 		n.owner.SetKeepers([]string{"k"}, nil)
 		n.lease.Store(math.MaxInt64)
 		n.thawed.Store(true)
--- a/internal/cluster/node/plans.go
+++ b/internal/cluster/node/plans.go
@@ -308,7 +308,7 @@
 		return
 	}
 	now := s.n.now()
-	leads := s.n.server.Ask(controlplane.Request{}).Leader == s.n.cfg.Name
+	leads := s.n.server.Handle(controlplane.Request{}).Leader == s.n.cfg.Name
 	s.mu.Lock()
 	r := s.report
 	maps.DeleteFunc(r.Paths, func(p plan.Path, _ plan.Tally) bool { return !s.lists(p) }) // of a list that is over
@@ -400,7 +400,7 @@
 		s.n.cfg.Logger.Error().Str("part", "plan").Int("bytes", b.Len()).Err(err).Msg("a plan that can't be proposed")
 		return
 	}
-	r, err := s.n.decide(ctx, controlplane.Command{Kind: controlplane.Propose, From: state.Plan.Number, Number: next.Version, Content: b.Bytes()})
+	r, err := s.n.decide(ctx, controlplane.Command{Kind: controlplane.SetPlan, From: state.Plan.Number, Number: next.Version, Content: b.Bytes()})
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil || r.Refused != "" { // it may be decided yet: from what is, with the next window
--- a/internal/cluster/node/status.go
+++ b/internal/cluster/node/status.go
@@ -11,19 +11,19 @@
 
 // Status is what a member knows, for operators.
 type Status struct {
-	Name     string                 `json:"name"`
-	Life     controlplane.Life      `json:"life"`
-	MayAct   bool                   `json:"may_act"`
-	Silent   bool                   `json:"silent"`      // a founder that does not vote yet
-	Knows    bool                   `json:"knows_ended"` // the ids that were over in the life before this one
-	Leader   string                 `json:"leader"`      // of the council, as far as this member knows; only founders do
-	State    *controlplane.State    `json:"state"`
-	Founders []controlplane.Founder `json:"founders"`  // of the council, as far as this member knows
-	Unheard  map[string]float64     `json:"unheard_s"` // seconds for which a member has not answered this one
-	Keepers  []KeeperStatus         `json:"keepers"`
-	Copies   []CopyStatus           `json:"copies"`
-	Disk     store.Stats            `json:"disk"`
-	Figures  Figures                `json:"figures"`
+	Name     string                   `json:"name"`
+	Life     controlplane.Incarnation `json:"life"`
+	MayAct   bool                     `json:"may_act"`
+	Silent   bool                     `json:"silent"`      // a founder that does not vote yet
+	Knows    bool                     `json:"knows_ended"` // the ids that were over in the life before this one
+	Leader   string                   `json:"leader"`      // of the council, as far as this member knows; only founders do
+	State    *controlplane.State      `json:"state"`
+	Founders []controlplane.Voter     `json:"founders"`  // of the council, as far as this member knows
+	Unheard  map[string]float64       `json:"unheard_s"` // seconds for which a member has not answered this one
+	Keepers  []KeeperStatus           `json:"keepers"`
+	Copies   []CopyStatus             `json:"copies"`
+	Disk     store.Stats              `json:"disk"`
+	Figures  Figures                  `json:"figures"`
 }
 
 // KeeperStatus is how far one that keeps copies for this member is.
@@ -38,12 +38,12 @@
 
 // CopyStatus is one that this member keeps.
 type CopyStatus struct {
-	Life     controlplane.Life `json:"life"`
-	Has      uint64            `json:"has"`
-	Messages int               `json:"messages"`
-	Past     int               `json:"past"`
-	Unknown  int               `json:"unknown_records"`
-	SkewMS   float64           `json:"skew_ms"`
+	Life     controlplane.Incarnation `json:"life"`
+	Has      uint64                   `json:"has"`
+	Messages int                      `json:"messages"`
+	Past     int                      `json:"past"`
+	Unknown  int                      `json:"unknown_records"`
+	SkewMS   float64                  `json:"skew_ms"`
 }
 
 // Status is what this member knows now.
@@ -69,8 +69,8 @@
 	}
 	n.mu.Unlock()
 	s.MayAct, s.Knows = n.MayAct(), n.knows.Load()
-	r := n.server.Ask(controlplane.Request{})
-	s.Leader, s.Silent = r.Leader, r.Silent
+	r := n.server.Handle(controlplane.Request{})
+	s.Leader, s.Silent = r.Leader, r.VotingSuspended
 	s.Founders = n.cfg.Founders
 	if len(s.State.Founders) > 0 {
 		s.Founders = s.State.Founders
--- a/internal/cluster/node/taking.go
+++ b/internal/cluster/node/taking.go
@@ -45,7 +45,7 @@
 }
 
 // Position says how far a copy goes.
-func (c copiesRPC) Position(life controlplane.Life, have *uint64) error {
+func (c copiesRPC) Position(life controlplane.Incarnation, have *uint64) error {
 	c.n.shelfMu.Lock()
 	defer c.n.shelfMu.Unlock()
 	c.n.shelf.End(life) // it stands still from here on
@@ -57,7 +57,7 @@
 
 // FetchRequest asks for a part of a copy: messages from a number on, behind so many ids that are over.
 type FetchRequest struct {
-	Life controlplane.Life
+	Life controlplane.Incarnation
 	From uint64
 	Past int
 }
@@ -121,7 +121,7 @@
 }
 
 // furthest asks keepers how far their copies go.
-func (n *Node) furthest(ctx context.Context, life controlplane.Life, keepers []string, s *controlplane.State) string {
+func (n *Node) furthest(ctx context.Context, life controlplane.Incarnation, keepers []string, s *controlplane.State) string {
 	var mu sync.Mutex
 	best, most := "", uint64(0)
 	var wg sync.WaitGroup
@@ -192,7 +192,7 @@
 }
 
 // take takes over an ended life, as replication.Takeover says.
-func (n *Node) take(ctx context.Context, life, mine controlplane.Life, keepers []string, s *controlplane.State) (count int, err error) {
+func (n *Node) take(ctx context.Context, life, mine controlplane.Incarnation, keepers []string, s *controlplane.State) (count int, err error) {
 	var content replication.Content
 	var mark uint64
 	for t := replication.NewTakeover(life, mine); ; {
@@ -242,7 +242,7 @@
 func (n *Node) copied(ctx context.Context, mark uint64) error {
 	for ctx.Err() == nil {
 		n.mu.Lock()
-		none := n.owner == nil || len(n.owner.Counted()) == 0 && len(n.view.State().Ranking(n.cfg.Name, nil)) == 0
+		none := n.owner == nil || len(n.owner.Counted()) == 0 && len(n.view.State().RankReplicas(n.cfg.Name, nil)) == 0
 		n.mu.Unlock()
 		if none {
 			return nil // this is the only one left
@@ -257,8 +257,8 @@
 	return ctx.Err()
 }
 
-func (n *Node) decideDone(ctx context.Context, life, mine controlplane.Life) (bool, error) {
-	r, err := n.decide(ctx, controlplane.Command{Kind: controlplane.Done, Life: life, Taker: mine})
+func (n *Node) decideDone(ctx context.Context, life, mine controlplane.Incarnation) (bool, error) {
+	r, err := n.decide(ctx, controlplane.Command{Kind: controlplane.CompleteTakeover, Life: life, Taker: mine})
 	if err != nil {
 		return false, err
 	}
@@ -267,8 +267,8 @@
 
 // takeBack goes on with what an earlier life of this very forwarder owed: its own journal has it, and keepers may know more
 // where the folder is an older one.
-func (n *Node) takeBack(ctx context.Context, before, mine controlplane.Life, s *controlplane.State) {
-	job := s.Job(before)
+func (n *Node) takeBack(ctx context.Context, before, mine controlplane.Incarnation, s *controlplane.State) {
+	job := s.TakeoverTask(before)
 	content, found := n.gather(ctx, before, job.Keepers, s)
 	if found {
 		if _, err := n.router.Adopt(before.Name, before.Number, content.Ordered(), pastOf(content)); err != nil {
@@ -303,14 +303,14 @@
 
 // learnPast asks whoever has what this forwarder's latest life owed for the ids that were over there, so that one which is handed
 // in here again is known. False says that it is to be asked again: nobody has taken over yet, or there was no answer.
-func (n *Node) learnPast(ctx context.Context, mine controlplane.Life, s *controlplane.State) bool {
-	var latest controlplane.Life
+func (n *Node) learnPast(ctx context.Context, mine controlplane.Incarnation, s *controlplane.State) bool {
+	var latest controlplane.Incarnation
 	for _, j := range s.Jobs {
 		if j.Life.Name == mine.Name && j.Life.Number < mine.Number && j.Life.Number > latest.Number {
 			latest = j.Life
 		}
 	}
-	holder := s.Holder(latest)
+	holder := s.CurrentOwner(latest)
 	m := s.Members[holder.Name]
 	if latest.Number == 0 || holder.Name == mine.Name {
 		return true
@@ -335,7 +335,7 @@
 }
 
 // gather merges the copies of a life that can be reached.
-func (n *Node) gather(ctx context.Context, life controlplane.Life, keepers []string, s *controlplane.State) (content replication.Content, found bool) {
+func (n *Node) gather(ctx context.Context, life controlplane.Incarnation, keepers []string, s *controlplane.State) (content replication.Content, found bool) {
 	var mu sync.Mutex
 	add := func(c replication.Content) {
 		mu.Lock()
@@ -367,7 +367,7 @@
 }
 
 // fetch gets a copy from another keeper, piece by piece.
-func (n *Node) fetch(ctx context.Context, life controlplane.Life, address string) (replication.Content, bool) {
+func (n *Node) fetch(ctx context.Context, life controlplane.Incarnation, address string) (replication.Content, bool) {
 	call, cancel := context.WithTimeout(ctx, fetchFor)
 	defer cancel()
 	c := wal.NewCopy()
@@ -404,7 +404,7 @@
 
 // CheckRequest has a keeper compare its copy with its owner's journal at an index.
 type CheckRequest struct {
-	Life   controlplane.Life
+	Life   controlplane.Incarnation
 	Index  uint64
 	Ranges [replication.RangeCount]uint64
 }
--- a/internal/cluster/relay/core.go
+++ b/internal/cluster/relay/core.go
@@ -38,7 +38,7 @@
 // renewal is a member's request whose reply is owed.
 type renewal struct {
 	ticket   Ticket
-	life     controlplane.Life
+	life     controlplane.Incarnation
 	sequence uint64
 	watch    *controlplane.Watch
 }
@@ -46,10 +46,10 @@
 // Core is a relay's state machine. Its methods are not safe for concurrent use.
 type Core struct {
 	mirror   *changelog.Mirror[controlplane.Item]
-	waiting  []renewal                 // for the next batch, in the order of their coming
-	place    map[controlplane.Life]int // of a life's renewal among those
-	sent     []renewal                 // in the batch under way
-	batch    uint64                    // number of the latest one
+	waiting  []renewal                        // for the next batch, in the order of their coming
+	place    map[controlplane.Incarnation]int // of a life's renewal among those
+	sent     []renewal                        // in the batch under way
+	batch    uint64                           // number of the latest one
 	underWay bool
 	more     bool   // the latest answer was a piece
 	leader   string // as the latest answer says
@@ -58,7 +58,7 @@
 
 // NewCore knows nothing yet.
 func NewCore() *Core {
-	return &Core{mirror: controlplane.NewMirror(), place: map[controlplane.Life]int{}}
+	return &Core{mirror: controlplane.NewMirror(), place: map[controlplane.Incarnation]int{}}
 }
 
 // Counters are what it has done so far.
@@ -76,7 +76,7 @@
 }
 
 // Voters are those that have been decided on since the group began; none is those that it began with.
-func (c *Core) Voters() []controlplane.Founder { return controlplane.VotersIn(c.mirror) }
+func (c *Core) Voters() []controlplane.Voter { return controlplane.VotersIn(c.mirror) }
 
 // refusal sends a member elsewhere.
 func refusal() controlplane.Response {
@@ -103,9 +103,9 @@
 	return []Reply{{earlier.ticket, refusal()}}
 }
 
-// Look answers a member that asks for nothing but what is decided.
-func (c *Core) Look(watch *controlplane.Watch) controlplane.Response {
-	if !c.Ready() || watch != nil && watch.Cursor.Newest() > c.Revision() {
+// Read answers a member that asks for nothing but what is decided.
+func (c *Core) Read(watch *controlplane.Watch) controlplane.Response {
+	if !c.Ready() || watch != nil && watch.Cursor.RequiredRevision() > c.Revision() {
 		return refusal()
 	}
 	return c.answer(controlplane.Response{Version: c.Revision()}, watch)
@@ -160,15 +160,15 @@
 		c.leader = r.Leader
 	}
 	c.learn(r.Changes)
-	ended := make(map[controlplane.Life]bool, len(r.Ended))
-	for _, life := range r.Ended {
+	ended := make(map[controlplane.Incarnation]bool, len(r.Fenced))
+	for _, life := range r.Fenced {
 		ended[life] = true
 	}
 	replies := make([]Reply, 0, len(c.sent))
 	for _, m := range c.sent {
 		out := controlplane.Response{Granted: !ended[m.life], Sequence: m.sequence, Version: r.Version}
 		if !out.Granted {
-			out.Refused = controlplane.ErrEnded.Error()
+			out.Refused = controlplane.ErrFenced.Error()
 		}
 		replies = append(replies, Reply{m.ticket, c.answer(out, m.watch)})
 	}
--- a/internal/cluster/relay/core_test.go
+++ b/internal/cluster/relay/core_test.go
@@ -27,9 +27,9 @@
 }
 
 // answer is a voter's to a batch, which grants all but some.
-func (d decisions) answer(req controlplane.Request, ended ...controlplane.Life) controlplane.Response {
+func (d decisions) answer(req controlplane.Request, ended ...controlplane.Incarnation) controlplane.Response {
 	return controlplane.Response{
-		Leader: "n0", Granted: len(req.Batch) > 0, Sequence: req.Sequence, Version: d.Revision(), Ended: ended, Changes: controlplane.ChangesFor(d.Log, *req.Watch),
+		Leader: "n0", Granted: len(req.Batch) > 0, Sequence: req.Sequence, Version: d.Revision(), Fenced: ended, Changes: controlplane.ChangesFor(d.Log, *req.Watch),
 	}
 }
 
@@ -50,11 +50,11 @@
 	return c
 }
 
-func renewalOf(life controlplane.Life, sequence uint64) controlplane.Request {
+func renewalOf(life controlplane.Incarnation, sequence uint64) controlplane.Request {
 	return controlplane.Request{Renew: &life, Sequence: sequence, Watch: controlplane.NewView().Watch()}
 }
 
-var a1, b1 = controlplane.Life{Name: "a", Number: 1}, controlplane.Life{Name: "b", Number: 1}
+var a1, b1 = controlplane.Incarnation{Name: "a", Number: 1}, controlplane.Incarnation{Name: "b", Number: 1}
 
 // Renewals that came while a batch was out go in the next, each is answered by its own number, and with what has been decided.
 func TestRenewalsShareABatch(t *testing.T) {
@@ -76,7 +76,7 @@
 	}
 	second, _ := c.Batch()
 	replies = c.Answered(d.answer(second, b1))
-	if len(replies) != 1 || replies[0].Response.Granted || replies[0].Response.Refused != controlplane.ErrEnded.Error() || replies[0].Response.Sequence != 9 {
+	if len(replies) != 1 || replies[0].Response.Granted || replies[0].Response.Refused != controlplane.ErrFenced.Error() || replies[0].Response.Sequence != 9 {
 		t.Errorf("%+v", replies)
 	}
 }
@@ -116,12 +116,12 @@
 	if got := empty.Renew(1, renewalOf(a1, 1)); len(got) != 1 || got[0].Response.Granted || got[0].Response.Refused != controlplane.ErrNoLeader.Error() {
 		t.Errorf("%+v", got)
 	}
-	if got := empty.Look(nil); got.Refused == "" {
+	if got := empty.Read(nil); got.Refused == "" {
 		t.Errorf("%+v", got)
 	}
 	c := readyCore(t, d)
-	ahead := &controlplane.Watch{Cursor: changelog.Cursor{Has: 100, Revision: 100}, Selector: controlplane.Everything}
-	if got := c.Look(ahead); got.Refused == "" || got.Changes != nil {
+	ahead := &controlplane.Watch{Cursor: changelog.Cursor{ViewRevision: 100, Revision: 100}, Selector: controlplane.SelectAll}
+	if got := c.Read(ahead); got.Refused == "" || got.Changes != nil {
 		t.Errorf("%+v", got)
 	}
 	req := renewalOf(a1, 1)
@@ -140,7 +140,7 @@
 	c.Renew(1, renewalOf(a1, 1))
 	batch, _ := c.Batch()
 	answer := d.answer(batch)
-	answer.Changes = &controlplane.Changes{From: batch.Watch.Cursor, To: changelog.Cursor{Has: 3, Revision: 9}}
+	answer.Changes = &controlplane.Changes{From: batch.Watch.Cursor, To: changelog.Cursor{ViewRevision: 3, Revision: 9}}
 	if got := c.Answered(answer); len(got) != 1 || !got[0].Response.Granted || c.Counters().Malformed != 1 || c.Revision() != d.Revision() {
 		t.Errorf("%+v, %+v", got, c.Counters())
 	}
@@ -161,7 +161,7 @@
 		}
 	}
 	for i := range mostBatch {
-		c.Renew(Ticket(100+i), renewalOf(controlplane.Life{Name: fmt.Sprint(i), Number: 1}, 1))
+		c.Renew(Ticket(100+i), renewalOf(controlplane.Incarnation{Name: fmt.Sprint(i), Number: 1}, 1))
 	}
 	first, _ := c.Batch()
 	c.Failed()
@@ -178,8 +178,8 @@
 	if got := c.Voters(); got != nil {
 		t.Errorf("%v", got)
 	}
-	want := []controlplane.Founder{{Name: "n3", Address: "a:1"}}
-	change := controlplane.Change{Key: "voters", Revision: d.Revision() + 1, Value: controlplane.Item{Voters: &controlplane.Voters{List: want, Council: 2}}}
+	want := []controlplane.Voter{{Name: "n3", Address: "a:1"}}
+	change := controlplane.Change{Key: "voters", Revision: d.Revision() + 1, Value: controlplane.Item{Voters: &controlplane.Voters{List: want, Version: 2}}}
 	if err := d.Put(change); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/relay/server.go
+++ b/internal/cluster/relay/server.go
@@ -20,7 +20,7 @@
 // Config is a relay's.
 type Config struct {
 	Listen string // host:port that members dial
-	Voters []controlplane.Founder
+	Voters []controlplane.Voter
 	Logger zerolog.Logger
 }
 
@@ -47,7 +47,7 @@
 	core    *Core
 	ticket  Ticket
 	replies map[Ticket]chan controlplane.Response
-	voters  []controlplane.Founder // that the client was told of
+	voters  []controlplane.Voter // that the client was told of
 	reports reports
 
 	token string // tells this process from other relays
@@ -74,7 +74,7 @@
 // Run serves until ctx ends.
 func (s *Server) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return links.Serve(s.listener, map[string]any{"Council": Calls{s, ctx}}) })
+	group.Go(func() error { return links.Serve(s.listener, map[string]any{"Council": RPC{s, ctx}}) })
 	group.Go(func() error { s.ask(ctx); return nil })
 	group.Go(func() error { s.report(ctx); return nil })
 	group.Go(func() error {
@@ -140,7 +140,7 @@
 	}
 	if voters := s.core.Voters(); !slices.Equal(voters, s.voters) {
 		s.voters = voters
-		s.client.Know(voters)
+		s.client.UpdateVoters(voters)
 	}
 	if !was && s.core.Ready() {
 		s.cfg.Logger.Info().Str("part", "relay").Uint64("revision", s.core.Revision()).Msg("has all that is decided, and serves")
@@ -205,7 +205,7 @@
 	r.Leader = s.client.Leader()
 	if req.Watch != nil {
 		s.mu.Lock()
-		r.Changes = s.core.Look(req.Watch).Changes
+		r.Changes = s.core.Read(req.Watch).Changes
 		s.mu.Unlock()
 	}
 	return r
@@ -229,14 +229,14 @@
 	}
 }
 
-// Calls is what members call; it is registered under the voters' name, so that members ask both alike.
-type Calls struct {
+// RPC is what members call; it is registered under the voters' name, so that members ask both alike.
+type RPC struct {
 	s   *Server
 	ctx context.Context // of the server's Run
 }
 
 // Ask answers a request.
-func (c Calls) Ask(req controlplane.Request, out *controlplane.Response) error {
+func (c RPC) Ask(req controlplane.Request, out *controlplane.Response) error {
 	switch {
 	case req.Command != nil, req.Rollout:
 		*out = c.s.command(c.ctx, req)
@@ -245,7 +245,7 @@
 	default:
 		c.s.mu.Lock()
 		defer c.s.mu.Unlock()
-		*out = c.s.core.Look(req.Watch)
+		*out = c.s.core.Read(req.Watch)
 	}
 	return nil
 }
--- a/internal/cluster/relay/server_test.go
+++ b/internal/cluster/relay/server_test.go
@@ -34,18 +34,18 @@
 const refusedKey = "class/unusable"
 
 // newVoter runs the only voter of a control plane.
-func newVoter(t *testing.T) controlplane.Founder {
+func newVoter(t *testing.T) controlplane.Voter {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	voter := controlplane.Founder{Name: "n0", Address: listener.Addr().String()}
-	store, kept, err := controlplane.OpenKeeper(fsys.Dir(t.TempDir()), func(line string) { t.Log(line) })
+	voter := controlplane.Voter{Name: "n0", Address: listener.Addr().String()}
+	store, kept, err := controlplane.OpenRaftStore(fsys.Dir(t.TempDir()), func(line string) { t.Log(line) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	core, err := controlplane.NewCore(voter.Name, []controlplane.Founder{voter}, kept)
+	core, err := controlplane.NewCore(voter.Name, []controlplane.Voter{voter}, kept)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,12 +61,12 @@
 	serve(t, server.Run)
 	serve(t, func(ctx context.Context) error {
 		go func() { <-ctx.Done(); _ = listener.Close() }()
-		return links.Serve(listener, map[string]any{"Council": server.Calls()})
+		return links.Serve(listener, map[string]any{"Council": server.RPC()})
 	})
 	return voter
 }
 
-func newRelay(t *testing.T, voters ...controlplane.Founder) controlplane.Relay {
+func newRelay(t *testing.T, voters ...controlplane.Voter) controlplane.Relay {
 	t.Helper()
 	s, err := Open(Config{Listen: "127.0.0.1:0", Voters: voters, Logger: zerolog.Nop()})
 	if err != nil {
@@ -95,8 +95,8 @@
 		} {
 			peers := &links.Peers{}
 			defer peers.Close()
-			client := controlplane.NewClient([]controlplane.Founder{voter}, peers.At, "", nil)
-			client.Via(relays)
+			client := controlplane.NewClient([]controlplane.Voter{voter}, peers.At, "", nil)
+			client.UseRelays(relays)
 			member(t, client, name)
 		}
 	})
@@ -108,21 +108,21 @@
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	view := controlplane.NewView()
-	r, err := client.Do(ctx, controlplane.Request{Command: &controlplane.Command{Kind: controlplane.Join, Life: controlplane.Life{Name: name}, Token: name, Address: "a:1"}})
+	r, err := client.Do(ctx, controlplane.Request{Command: &controlplane.Command{Kind: controlplane.Join, Life: controlplane.Incarnation{Name: name}, Token: name, Address: "a:1"}})
 	if err != nil || r.Joined == nil || r.Joined.Life != 1 {
 		t.Fatalf("%s: %+v, %v", name, r, err)
 	}
 	if client.Leader() != "n0" {
 		t.Errorf("%s: %q leads, by the answer to a command", name, client.Leader())
 	}
-	life, lease := controlplane.Life{Name: name, Number: 1}, controlplane.Lease{Length: time.Minute}
+	life, lease := controlplane.Incarnation{Name: name, Number: 1}, controlplane.Lease{Length: time.Minute}
 	for granted := false; !granted || view.State().Members[name] == nil; {
 		req := lease.Renewal(0, life)
 		req.Watch = view.Watch()
 		if r, err = client.Do(ctx, req); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		if _, _, err := view.Learn(r.Changes); err != nil {
+		if _, _, err := view.Apply(r.Changes); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
 		_, granted = lease.Granted(r)
@@ -130,19 +130,19 @@
 	if client.Leader() != "n0" {
 		t.Errorf("%s: %q leads", name, client.Leader())
 	}
-	req := lease.Renewal(0, controlplane.Life{Name: name, Number: 7})
-	if r, err = client.Do(ctx, req); err != nil || r.Granted || r.Refused != controlplane.ErrEnded.Error() {
+	req := lease.Renewal(0, controlplane.Incarnation{Name: name, Number: 7})
+	if r, err = client.Do(ctx, req); err != nil || r.Granted || r.Refused != controlplane.ErrFenced.Error() {
 		t.Errorf("%s: a life that never was: %+v, %v", name, r, err)
 	}
 }
 
 // Without a voter a relay answers, within a member's patience, that there is no leader.
 func TestARelayWithoutVoters(t *testing.T) {
-	gone := controlplane.Founder{Name: "n0", Address: "127.0.0.1:1"}
+	gone := controlplane.Voter{Name: "n0", Address: "127.0.0.1:1"}
 	peers := &links.Peers{}
 	defer peers.Close()
 	peer := peers.At(newRelay(t, gone).Address)
-	for _, req := range []controlplane.Request{{}, renewalOf(a1, 1), {Command: &controlplane.Command{Kind: controlplane.Leave}}} {
+	for _, req := range []controlplane.Request{{}, renewalOf(a1, 1), {Command: &controlplane.Command{Kind: controlplane.Drain}}} {
 		var r controlplane.Response
 		if err := peer.Call(t.Context(), "Council.Ask", req, &r); err != nil || r.Refused != controlplane.ErrNoLeader.Error() {
 			t.Errorf("%+v, %v", r, err)
@@ -158,9 +158,9 @@
 	defer peers.Close()
 	clients := map[string]*controlplane.Client{}
 	for _, name := range []string{"a", "b", "c"} {
-		clients[name] = controlplane.NewClient([]controlplane.Founder{voter}, peers.At, "", nil)
+		clients[name] = controlplane.NewClient([]controlplane.Voter{voter}, peers.At, "", nil)
 		if name != "c" {
-			clients[name].Via([]controlplane.Relay{newRelay(t, voter)})
+			clients[name].UseRelays([]controlplane.Relay{newRelay(t, voter)})
 		}
 		member(t, clients[name], name)
 	}
@@ -181,7 +181,7 @@
 	if committed.Refused != "" {
 		t.Fatal(committed.Refused)
 	}
-	if r := configure(0, "class/safe"); r.Refused != controlplane.ErrLater.Error() {
+	if r := configure(0, "class/safe"); r.Refused != controlplane.ErrConflict.Error() {
 		t.Errorf("a second operator: %+v", r)
 	}
 	refusal := controlplane.RefusedEntry{Key: "class/safe", Why: "no such class"}
@@ -189,7 +189,7 @@
 	var got controlplane.Rollout
 	for got.Summary.Current(committed.Version) < 3 {
 		for name, client := range clients {
-			req := lease.Renewal(0, controlplane.Life{Name: name, Number: 1})
+			req := lease.Renewal(0, controlplane.Incarnation{Name: name, Number: 1})
 			if req.Report = (&controlplane.ConfigReport{Revision: committed.Version}); name == "b" {
 				req.Report.Refused = []controlplane.RefusedEntry{refusal}
 			}
--- a/internal/cluster/relay/walk_test.go
+++ b/internal/cluster/relay/walk_test.go
@@ -32,7 +32,7 @@
 
 // worldMember is a member's side.
 type worldMember struct {
-	life  controlplane.Life
+	life  controlplane.Incarnation
 	lease controlplane.Lease
 	sent  time.Duration
 	until time.Duration
@@ -48,7 +48,7 @@
 	log     decisions
 	old     decisions // a voter that is behind
 	leases  controlplane.Leases
-	alive   map[controlplane.Life]bool
+	alive   map[controlplane.Incarnation]bool
 	members []*worldMember
 	relays  []*Core
 	tickets map[Ticket]int // whose renewal
@@ -59,12 +59,12 @@
 
 func newWorld(t *rapid.T, without safeguard) *world {
 	w := &world{
-		t: t, without: without, log: newDecisions(), old: newDecisions(), alive: map[controlplane.Life]bool{}, tickets: map[Ticket]int{},
+		t: t, without: without, log: newDecisions(), old: newDecisions(), alive: map[controlplane.Incarnation]bool{}, tickets: map[Ticket]int{},
 		leases: controlplane.Leases{Lease: worldLease, Margin: worldMargin},
 	}
 	w.leases.Elected(0)
 	for i := range 3 {
-		m := &worldMember{life: controlplane.Life{Name: fmt.Sprint("m", i), Number: 1}, lease: controlplane.Lease{Length: worldLease}, view: controlplane.NewView()}
+		m := &worldMember{life: controlplane.Incarnation{Name: fmt.Sprint("m", i), Number: 1}, lease: controlplane.Lease{Length: worldLease}, view: controlplane.NewView()}
 		w.members = append(w.members, m)
 		w.alive[m.life] = true
 		w.decide(m.life.Name, &controlplane.Member{Life: 1, Alive: true})
@@ -115,7 +115,7 @@
 	case 11:
 		m := w.members[w.pick(len(w.members), "member")]
 		i := w.pick(len(w.relays), "relay")
-		r := w.relays[i].Look(m.view.Watch())
+		r := w.relays[i].Read(m.view.Watch())
 		w.send(func() { w.learn(m, r) })
 	}
 }
@@ -165,14 +165,14 @@
 // serve is a voter's answer: the leader's, or for what is decided alone that of one that is behind.
 func (w *world) serve(req controlplane.Request) controlplane.Response {
 	if len(req.Batch) == 0 && rapid.Bool().Draw(w.t, "other voter") {
-		if req.Watch.Cursor.Newest() > w.old.Revision() {
+		if req.Watch.Cursor.RequiredRevision() > w.old.Revision() {
 			return refusal()
 		}
 		return w.old.answer(req)
 	}
-	var ended []controlplane.Life
+	var ended []controlplane.Incarnation
 	for _, life := range req.Batch {
-		if booked := w.leases.Asked(w.now, life); !booked || !w.alive[life] {
+		if booked := w.leases.Renew(w.now, life); !booked || !w.alive[life] {
 			ended = append(ended, life)
 		}
 	}
@@ -212,7 +212,7 @@
 		}
 		return
 	}
-	if changed, _, err := m.view.Learn(r.Changes); err == nil && changed {
+	if changed, _, err := m.view.Apply(r.Changes); err == nil && changed {
 		w.moves(m, m.view.State().Version)
 		w.compare(m)
 	}
@@ -233,7 +233,7 @@
 	}
 	all := controlplane.NewView()
 	for more := true; more; {
-		_, more, _ = all.Learn(controlplane.ChangesFor(w.log.Log, *all.Watch()))
+		_, more, _ = all.Apply(controlplane.ChangesFor(w.log.Log, *all.Watch()))
 	}
 	if known, decided := membersOf(m.view.State()), membersOf(all.State()); known != decided {
 		w.broken = fmt.Sprintf("%s knows %s as of %d, decided was %s", m.life, known, m.at, decided)
@@ -252,7 +252,7 @@
 // end ends lives whose leases are over: none of them may still act.
 func (w *world) end() {
 	for _, m := range w.members {
-		if !w.alive[m.life] || !w.leases.MayEnd(w.now, m.life) {
+		if !w.alive[m.life] || !w.leases.MayFence(w.now, m.life) {
 			continue
 		}
 		w.alive[m.life] = false
--- a/internal/cluster/replication/copies_test.go
+++ b/internal/cluster/replication/copies_test.go
@@ -18,7 +18,7 @@
 
 var (
 	epoch = time.Unix(1_700_000_000, 0)
-	life  = controlplane.Life{Name: "n0", Number: 1}
+	life  = controlplane.Incarnation{Name: "n0", Number: 1}
 )
 
 // content draws what one copy of a life's log may say of a few messages.
--- a/internal/cluster/replication/disk.go
+++ b/internal/cluster/replication/disk.go
@@ -22,7 +22,7 @@
 
 // at is what a record on the disk is of.
 type at struct {
-	life    controlplane.Life
+	life    controlplane.Incarnation
 	message uint64
 	past    string
 }
@@ -33,12 +33,12 @@
 	store *store.Store
 	next  uint64
 	keys  map[at]uint64
-	lives map[controlplane.Life]map[at]bool
+	lives map[controlplane.Incarnation]map[at]bool
 }
 
 // OpenDisk opens a folder and gives what is kept there, in its order. Damaged records are told to report and left out.
 func OpenDisk(fs fsys.FS, space int64, d store.Durability, report func(string), give func(Kept)) (*Disk, error) {
-	k := &Disk{next: 1, keys: map[at]uint64{}, lives: map[controlplane.Life]map[at]bool{}}
+	k := &Disk{next: 1, keys: map[at]uint64{}, lives: map[controlplane.Incarnation]map[at]bool{}}
 	var err error
 	k.store, err = store.Open(store.Options{
 		FS: fs, Bound: space, Segment: min(mostSegment, max(leastSegment, space/spaceShares)), Durability: d, Seed: 1, Report: report,
--- a/internal/cluster/replication/owner.go
+++ b/internal/cluster/replication/owner.go
@@ -20,7 +20,7 @@
 // Batch goes from an owner to a keeper: records one behind the other, or a piece of a snapshot that stands for all of them up to
 // UpTo. An empty one asks how far the keeper is.
 type Batch struct {
-	Life     controlplane.Life
+	Life     controlplane.Incarnation
 	Shelf    uint64 // the keeper's shelf as the owner knows it; 0 asks for it
 	Clock    int64  // the owner's wall clock as it sends, in nanoseconds since 1970
 	Records  []Record
@@ -61,7 +61,7 @@
 
 // Owner is the writer's part. Keepers are named; which of them count is the council's word.
 type Owner struct {
-	life      controlplane.Life
+	life      controlplane.Incarnation
 	next      uint64 // index of the next record
 	tail      []Record
 	tailBytes int
@@ -72,12 +72,12 @@
 }
 
 // NewOwner begins a life's log. What the life found in its folder goes to keepers as a snapshot, and has no index of its own.
-func NewOwner(life controlplane.Life) *Owner {
+func NewOwner(life controlplane.Incarnation) *Owner {
 	return &Owner{life: life, next: 2, keepers: map[string]*progress{}} // index 1 stands for what was there
 }
 
 // Life is whose log it is.
-func (o *Owner) Life() controlplane.Life { return o.life }
+func (o *Owner) Life() controlplane.Incarnation { return o.life }
 
 // Append takes a record, whose payload must not be changed any more, and gives its index.
 func (o *Owner) Append(payload []byte) uint64 {
--- a/internal/cluster/replication/shelf.go
+++ b/internal/cluster/replication/shelf.go
@@ -12,7 +12,7 @@
 // Kept is a record that a shelf wants on the disk: of a message under its number, of an id that is over under its text, or of the
 // copy itself.
 type Kept struct {
-	Life    controlplane.Life
+	Life    controlplane.Incarnation
 	Index   uint64
 	Payload []byte
 	Message uint64 // 0 is none
@@ -24,7 +24,7 @@
 
 // Held is a copy of one life's log.
 type Held struct {
-	Life    controlplane.Life
+	Life    controlplane.Incarnation
 	Have    uint64
 	Content *wal.Copy
 	// Skew is what is added to a time of the owner's wall clock to have it in the keeper's, at the least that was seen: batches
@@ -42,13 +42,13 @@
 // Shelf is a keeper's part: all copies that it has.
 type Shelf struct {
 	id     uint64
-	copies map[controlplane.Life]*Held
-	ended  map[controlplane.Life]bool // nothing is taken for them any more
+	copies map[controlplane.Incarnation]*Held
+	ended  map[controlplane.Incarnation]bool // nothing is taken for them any more
 }
 
 // NewShelf is an empty one; id is drawn anew at each start.
 func NewShelf(id uint64) *Shelf {
-	return &Shelf{id: max(1, id), copies: map[controlplane.Life]*Held{}, ended: map[controlplane.Life]bool{}}
+	return &Shelf{id: max(1, id), copies: map[controlplane.Incarnation]*Held{}, ended: map[controlplane.Incarnation]bool{}}
 }
 
 // ID tells this start of the keeper from others.
@@ -65,7 +65,7 @@
 	}
 }
 
-func (s *Shelf) held(life controlplane.Life) *Held {
+func (s *Shelf) held(life controlplane.Incarnation) *Held {
 	h := s.copies[life]
 	if h == nil {
 		h = &Held{Life: life, Content: wal.NewCopy()}
@@ -119,7 +119,7 @@
 }
 
 // Doubt has a copy that differs from its owner's replaced whole; until then it stays, as the best there is here.
-func (s *Shelf) Doubt(life controlplane.Life) {
+func (s *Shelf) Doubt(life controlplane.Incarnation) {
 	if h := s.copies[life]; h != nil {
 		h.doubt = true
 	}
@@ -192,14 +192,14 @@
 }
 
 // End refuses all further records of a life, so that whoever takes over reads a copy that stands still.
-func (s *Shelf) End(life controlplane.Life) { s.ended[life] = true }
+func (s *Shelf) End(life controlplane.Incarnation) { s.ended[life] = true }
 
 // Copy is that of a life, or nil.
-func (s *Shelf) Copy(life controlplane.Life) *Held { return s.copies[life] }
+func (s *Shelf) Copy(life controlplane.Incarnation) *Held { return s.copies[life] }
 
 // Lives are those of which there is a copy, in their order.
-func (s *Shelf) Lives() []controlplane.Life {
-	return slices.SortedFunc(maps.Keys(s.copies), func(a, b controlplane.Life) int {
+func (s *Shelf) Lives() []controlplane.Incarnation {
+	return slices.SortedFunc(maps.Keys(s.copies), func(a, b controlplane.Incarnation) int {
 		if a.Name != b.Name {
 			if a.Name < b.Name {
 				return -1
@@ -211,7 +211,7 @@
 }
 
 // Drop removes the copies that keep says are of no use to anybody, and gives what goes from the disk.
-func (s *Shelf) Drop(keep func(controlplane.Life) bool) []Kept {
+func (s *Shelf) Drop(keep func(controlplane.Incarnation) bool) []Kept {
 	var out []Kept
 	for _, life := range s.Lives() {
 		if !keep(life) {
--- a/internal/cluster/replication/takeover.go
+++ b/internal/cluster/replication/takeover.go
@@ -19,13 +19,15 @@
 
 // Takeover is the taking over of one ended life by one that lives, as a state machine.
 type Takeover struct {
-	Life, Taker controlplane.Life
+	Life, Taker controlplane.Incarnation
 	doing       Doing
 	failed      bool
 }
 
 // NewTakeover begins one that the council has assigned.
-func NewTakeover(life, taker controlplane.Life) *Takeover { return &Takeover{Life: life, Taker: taker} }
+func NewTakeover(life, taker controlplane.Incarnation) *Takeover {
+	return &Takeover{Life: life, Taker: taker}
+}
 
 // Doing says what is to be done now.
 func (t *Takeover) Doing() Doing { return t.doing }
--- a/internal/lab/capacity/probe_control.go
+++ b/internal/lab/capacity/probe_control.go
@@ -32,7 +32,7 @@
 	}
 	for i := range members {
 		join := controlplane.Command{
-			Kind: controlplane.Join, Life: controlplane.Life{Name: memberName(i)}, Token: fmt.Sprintf("%016x", i), Address: fmt.Sprintf("10.%d.%d.%d:7100", i>>16, i>>8&255, i&255),
+			Kind: controlplane.Join, Life: controlplane.Incarnation{Name: memberName(i)}, Token: fmt.Sprintf("%016x", i), Address: fmt.Sprintf("10.%d.%d.%d:7100", i>>16, i>>8&255, i&255),
 			Zone: fmt.Sprintf("zone-%02d", i%22), Region: fmt.Sprintf("region-%d", i%6), Version: 1, Space: 64 << 20,
 		}
 		if err := decide(join); err != nil {
@@ -41,7 +41,7 @@
 	}
 	for i := range members {
 		replica := controlplane.Command{
-			Kind: controlplane.Keepers, Life: controlplane.Life{Name: memberName(i), Number: 1}, From: s.Members[memberName(i)].Changed,
+			Kind: controlplane.SetReplicas, Life: controlplane.Incarnation{Name: memberName(i), Number: 1}, From: s.Members[memberName(i)].Changed,
 			Set: []string{memberName((i + 1) % members)},
 		}
 		if err := decide(replica); err != nil {
@@ -83,7 +83,7 @@
 			failed = errors.Join(failed, gob.NewDecoder(bytes.NewReader(raw)).Decode(controlplane.NewState()))
 		})
 		clone := timed(effort, func() { s.Clone() })
-		ranking := timed(effort, func() { s.Ranking(memberName(0), nil) })
+		ranking := timed(effort, func() { s.RankReplicas(memberName(0), nil) })
 		if failed != nil {
 			return nil, failed
 		}
@@ -122,7 +122,7 @@
 	link := gob.NewEncoder(&size)
 	view := controlplane.NewView()
 	read := func(w *controlplane.Watch) (controlplane.Response, error) {
-		r := l.server.Ask(controlplane.Request{Watch: w})
+		r := l.server.Handle(controlplane.Request{Watch: w})
 		if r.Changes == nil {
 			return r, errors.New("the leader gives no changes")
 		}
@@ -137,14 +137,14 @@
 		}
 		encode += time.Since(began).Seconds()
 		began = time.Now()
-		if _, more, err = view.Learn(r.Changes); err != nil {
+		if _, more, err = view.Apply(r.Changes); err != nil {
 			return nil, err
 		}
 		learn += time.Since(began).Seconds()
 	}
 	snapshot := float64(size.Len())
 	before := view.Watch()
-	r := l.server.Ask(controlplane.Request{Command: &controlplane.Command{Kind: controlplane.Leave, Life: controlplane.Life{Name: memberName(0)}, On: true}})
+	r := l.server.Handle(controlplane.Request{Command: &controlplane.Command{Kind: controlplane.Drain, Life: controlplane.Incarnation{Name: memberName(0)}, On: true}})
 	if r.Refused != "" {
 		return nil, errors.New(r.Refused)
 	}
@@ -178,7 +178,7 @@
 
 // startLeader starts it and waits until it leads. Leases are so long that none ends meanwhile.
 func startLeader(ctx context.Context, s *controlplane.State, tick time.Duration) (l leader, err error) {
-	store, kept, err := controlplane.OpenKeeper(fsys.NewMem(), func(string) {})
+	store, kept, err := controlplane.OpenRaftStore(fsys.NewMem(), func(string) {})
 	if err != nil {
 		return l, err
 	}
@@ -188,7 +188,7 @@
 			return l, err
 		}
 	}
-	core, err := controlplane.NewCore(voterName, []controlplane.Founder{{Name: voterName}}, kept)
+	core, err := controlplane.NewCore(voterName, []controlplane.Voter{{Name: voterName}}, kept)
 	if err != nil {
 		return l, err
 	}
@@ -198,7 +198,7 @@
 	ended := make(chan struct{})
 	go func() { defer close(ended); _ = l.server.Run(running) }()
 	l.end = func() { cancel(); <-ended; _ = store.Close() }
-	for l.server.Ask(controlplane.Request{}).Leader == "" {
+	for l.server.Handle(controlplane.Request{}).Leader == "" {
 		select {
 		case <-time.After(10 * time.Millisecond):
 		case <-ctx.Done():
@@ -223,10 +223,10 @@
 		idle := idleLoad(effort)
 		watch := watchBehind(s)
 		renewal := perCall(effort, func(i int) {
-			l.server.Ask(controlplane.Request{Renew: &controlplane.Life{Name: memberName(i % n), Number: 1}, Watch: watch})
+			l.server.Handle(controlplane.Request{Renew: &controlplane.Incarnation{Name: memberName(i % n), Number: 1}, Watch: watch})
 		})
 		change := perCall(effort, func(i int) {
-			l.server.Ask(controlplane.Request{Command: &controlplane.Command{Kind: controlplane.Leave, Life: controlplane.Life{Name: memberName(i % n)}, On: i%2 == 0}})
+			l.server.Handle(controlplane.Request{Command: &controlplane.Command{Kind: controlplane.Drain, Life: controlplane.Incarnation{Name: memberName(i % n)}, On: i%2 == 0}})
 		})
 		l.end()
 		t.row(n, idle, renewal, change)
@@ -246,7 +246,7 @@
 
 // watchBehind is that of a member which has all of a state.
 func watchBehind(s *controlplane.State) *controlplane.Watch {
-	return &controlplane.Watch{Cursor: changelog.Cursor{Has: s.Version, Revision: s.Version}, Selector: controlplane.Everything}
+	return &controlplane.Watch{Cursor: changelog.Cursor{ViewRevision: s.Version, Revision: s.Version}, Selector: controlplane.SelectAll}
 }
 
 // idleLoad is the processor time a second that this process takes by itself.
@@ -291,8 +291,8 @@
 		for range atOnce {
 			all.Go(func() {
 				for i := int(next.Add(1)) - 1; i < n; i = int(next.Add(1)) - 1 {
-					join := controlplane.Command{Kind: controlplane.Join, Life: controlplane.Life{Name: memberName(i)}, Token: memberName(i), Zone: "z", Region: "r", Address: "10.0.0.1:7100"}
-					l.server.Ask(controlplane.Request{Command: &join})
+					join := controlplane.Command{Kind: controlplane.Join, Life: controlplane.Incarnation{Name: memberName(i)}, Token: memberName(i), Zone: "z", Region: "r", Address: "10.0.0.1:7100"}
+					l.server.Handle(controlplane.Request{Command: &join})
 				}
 			})
 		}
--- a/internal/lab/capacity/probe_forwarder.go
+++ b/internal/lab/capacity/probe_forwarder.go
@@ -189,7 +189,7 @@
 	t.column("replica.bytes", "held messages", "B", "of a snapshot of it on a link")
 	t.column("replica.take", "held messages", "s", "processor time to take the snapshot")
 	for _, n := range sizes {
-		life := controlplane.Life{Name: "owner", Number: 1}
+		life := controlplane.Incarnation{Name: "owner", Number: 1}
 		owner := replication.NewOwner(life)
 		owner.SetKeepers([]string{"replica"}, nil)
 		var records [][]byte
--- a/internal/lab/capacity/probe_links.go
+++ b/internal/lab/capacity/probe_links.go
@@ -94,9 +94,9 @@
 		}
 		batch := controlplane.Request{Watch: watchBehind(s)}
 		for i := range n {
-			batch.Batch = append(batch.Batch, controlplane.Life{Name: memberName(i), Number: 1})
+			batch.Batch = append(batch.Batch, controlplane.Incarnation{Name: memberName(i), Number: 1})
 		}
-		direct := perCall(effort, func(int) { l.server.Ask(batch) }) / float64(n)
+		direct := perCall(effort, func(int) { l.server.Handle(batch) }) / float64(n)
 		relayed, err := renewThroughRelay(ctx, l, n, watchBehind(s), effort)
 		l.end()
 		if err != nil {
@@ -115,7 +115,7 @@
 		return 0, err
 	}
 	defer stop()
-	r, err := relay.Open(relay.Config{Listen: "127.0.0.1:0", Voters: []controlplane.Founder{{Name: voterName, Address: address}}, Logger: zerolog.Nop()})
+	r, err := relay.Open(relay.Config{Listen: "127.0.0.1:0", Voters: []controlplane.Voter{{Name: voterName, Address: address}}, Logger: zerolog.Nop()})
 	if err != nil {
 		return 0, err
 	}
@@ -136,7 +136,7 @@
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
-		_ = links.Serve(countedListener{listener, moved}, map[string]any{"Council": l.server.Calls()})
+		_ = links.Serve(countedListener{listener, moved}, map[string]any{"Council": l.server.RPC()})
 	}()
 	return listener.Addr().String(), func() { _ = listener.Close(); <-served }, nil
 }
@@ -147,7 +147,7 @@
 	peers := make([]*links.Peer, n)
 	ask := func(i int) error {
 		var r controlplane.Response
-		req := controlplane.Request{Renew: &controlplane.Life{Name: memberName(i), Number: 1}, Watch: watch}
+		req := controlplane.Request{Renew: &controlplane.Incarnation{Name: memberName(i), Number: 1}, Watch: watch}
 		for !r.Granted { // a relay that has just begun refuses
 			r = controlplane.Response{}
 			if err := peers[i].Call(ctx, "Council.Ask", req, &r); err != nil {
--- a/internal/lab/cluster/fleet.go
+++ b/internal/lab/cluster/fleet.go
@@ -500,7 +500,7 @@
 }
 
 // has says whether a member has the copy of a life up to an index.
-func (f *Fleet) has(name string, life controlplane.Life, index uint64) bool {
+func (f *Fleet) has(name string, life controlplane.Incarnation, index uint64) bool {
 	for i, m := range f.Members {
 		if m.Name != name {
 			continue
--- a/internal/lab/cluster/hollow.go
+++ b/internal/lab/cluster/hollow.go
@@ -27,15 +27,15 @@
 	view   *controlplane.View
 	lease  controlplane.Lease
 	active entry.Active // the configuration, as the program's own put it into force
-	life   controlplane.Life
+	life   controlplane.Incarnation
 	until  time.Duration // of the lease
 	// lapses counts leases that had ended before the next came, and lives those that were begun.
 	lapses, lives int
 
-	token string            // of this process
-	had   controlplane.Life // of the process before it in its folder,
-	past  string            // and its token
-	end   func()            // ends it and returns when it has
+	token string                   // of this process
+	had   controlplane.Incarnation // of the process before it in its folder,
+	past  string                   // and its token
+	end   func()                   // ends it and returns when it has
 
 	learned func(version uint64) // is told of each state
 	booked  uint64               // the version up to which the measurement has booked it
@@ -48,14 +48,14 @@
 
 var errNoLife = errors.New("cluster: no life was given")
 
-func newHollow(name, zone string, voters []controlplane.Founder, relays []controlplane.Relay, timing controlplane.Timing) *hollow {
+func newHollow(name, zone string, voters []controlplane.Voter, relays []controlplane.Relay, timing controlplane.Timing) *hollow {
 	h := &hollow{
 		token: fmt.Sprint(name, time.Now().UnixNano()), end: func() {},
 		name: name, zone: zone, peers: &links.Peers{}, timing: timing, began: time.Now(), view: controlplane.NewView(),
 		lease: controlplane.Lease{Length: timing.Lease}, learned: func(uint64) {},
 	}
 	h.client = controlplane.NewClient(voters, h.peers.At, "", nil)
-	h.client.Via(controlplane.RankRelays(relays, name, zone))
+	h.client.UseRelays(controlplane.RankRelays(relays, name, zone))
 	return h
 }
 
@@ -71,7 +71,7 @@
 	}
 	h.mu.Lock()
 	configured := h.view.State().Configured
-	news, more, _ := h.view.Learn(r.Changes) // an answer that is late changes nothing
+	news, more, _ := h.view.Apply(r.Changes) // an answer that is late changes nothing
 	version := h.view.State().Version
 	if h.view.State().Configured != configured {
 		h.active.Update(h.view.State().EntryContents(), func(entry.Entry) error { return nil })
@@ -130,7 +130,7 @@
 		}
 	}
 	join := controlplane.Command{
-		Kind: controlplane.Join, Life: controlplane.Life{Name: h.name, Number: h.had.Number}, Whole: h.had.Number > 0, Token: h.token, Past: h.past,
+		Kind: controlplane.Join, Life: controlplane.Incarnation{Name: h.name, Number: h.had.Number}, Whole: h.had.Number > 0, Token: h.token, Past: h.past,
 		Address: "127.0.0.1:1", Zone: h.zone, Version: 1,
 	}
 	r, _, err := h.ask(ctx, controlplane.Request{Command: &join})
@@ -142,7 +142,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.life = controlplane.Life{Name: h.name, Number: r.Joined.Life}
+	h.life = controlplane.Incarnation{Name: h.name, Number: r.Joined.Life}
 	h.lives++
 	return nil
 }
@@ -168,7 +168,7 @@
 		}
 		h.until = until
 	} else if r.Sequence == 0 || !r.Granted {
-		h.life = controlplane.Life{} // it was ended
+		h.life = controlplane.Incarnation{} // it was ended
 	}
 	return more, nil
 }
--- a/internal/lab/cluster/hollowfleet.go
+++ b/internal/lab/cluster/hollowfleet.go
@@ -15,7 +15,7 @@
 // hollowFleet is hollow members in this process, and an operator who changes them.
 type hollowFleet struct {
 	members   []*hollow
-	voters    []controlplane.Founder
+	voters    []controlplane.Voter
 	relays    []controlplane.Relay
 	timing    controlplane.Timing
 	configure bool // changes are of the configuration
@@ -31,7 +31,7 @@
 }
 
 // newHollowFleet is so many members, which ask relays if there are any.
-func newHollowFleet(n int, voters []controlplane.Founder, relays []controlplane.Relay, narrow, configure bool) *hollowFleet {
+func newHollowFleet(n int, voters []controlplane.Voter, relays []controlplane.Relay, narrow, configure bool) *hollowFleet {
 	f := &hollowFleet{
 		voters: voters, relays: relays, narrow: narrow, configure: configure, timing: controlplane.Timing{Lease: time.Second}, sent: map[uint64]time.Time{}, cancel: func() {},
 		took: hdrhistogram.New(1, time.Hour.Milliseconds(), 3),
@@ -46,7 +46,7 @@
 func (f *hollowFleet) member(name, zone string) *hollow {
 	h := newHollow(name, zone, f.voters, f.relays, f.timing)
 	if f.narrow {
-		h.view = controlplane.NewViewOf(controlplane.Only(name))
+		h.view = controlplane.NewViewOf(controlplane.SelectMember(name))
 	}
 	h.learned = func(version uint64) { f.known(h, version) }
 	return h
@@ -164,7 +164,7 @@
 	if f.configure {
 		r, err = f.configureOne(ctx, h, i)
 	} else {
-		r, err = h.decide(ctx, controlplane.Command{Kind: controlplane.Leave, Life: controlplane.Life{Name: h.name}, On: i/len(f.members)%2 == 0})
+		r, err = h.decide(ctx, controlplane.Command{Kind: controlplane.Drain, Life: controlplane.Incarnation{Name: h.name}, On: i/len(f.members)%2 == 0})
 	}
 	if err != nil {
 		return err
--- a/internal/lab/cluster/measure.go
+++ b/internal/lab/cluster/measure.go
@@ -366,7 +366,7 @@
 		return err
 	}
 	began := time.Now()
-	if err := f.Order(ctx, controlplane.Command{Kind: controlplane.Leave, Life: controlplane.Life{Name: old}, On: true}); err != nil {
+	if err := f.Order(ctx, controlplane.Command{Kind: controlplane.Drain, Life: controlplane.Incarnation{Name: old}, On: true}); err != nil {
 		return err
 	}
 	var fresh node.KeeperStatus
--- a/internal/lab/cluster/model.go
+++ b/internal/lab/cluster/model.go
@@ -59,7 +59,7 @@
 	Class   string
 	Told    bool // its client was answered 202
 	Handed  bool
-	Where   controlplane.Life // it was handed in at first
+	Where   controlplane.Incarnation // it was handed in at first
 	Effects int
 	Ends    map[string]bool
 }
@@ -69,7 +69,7 @@
 	From, To int
 	Batch    *replication.Batch
 	Ack      *replication.Ack
-	Life     controlplane.Life // of the batch that an answer is to
+	Life     controlplane.Incarnation // of the batch that an answer is to
 }
 
 // proc is one forwarder.
@@ -131,8 +131,8 @@
 		p.View = m.Council.Clone()
 	}
 	// the owner's keepers are decided, so that the walk begins where it matters
-	rank := m.Council.Ranking("n0", nil)[:s.Copies-1]
-	m.decide(controlplane.Command{Kind: controlplane.Keepers, Life: controlplane.Life{Name: "n0", Number: 1}, From: m.Council.Members["n0"].Changed, Set: rank})
+	rank := m.Council.RankReplicas("n0", nil)[:s.Copies-1]
+	m.decide(controlplane.Command{Kind: controlplane.SetReplicas, Life: controlplane.Incarnation{Name: "n0", Number: 1}, From: m.Council.Members["n0"].Changed, Set: rank})
 	for _, p := range m.Procs {
 		p.View = m.Council.Clone()
 	}
@@ -201,7 +201,7 @@
 		x.Settle()
 		h := &holding{Seq: x.Seq, Away: true, MayRun: x.MayRun, Begun: x.Attempts > 0}
 		if x.Owner != "" {
-			h.Adopting = controlplane.Life{Name: x.Owner, Number: x.Life}.String()
+			h.Adopting = controlplane.Incarnation{Name: x.Owner, Number: x.Life}.String()
 		}
 		p.Held[x.ID] = h
 	}
@@ -209,7 +209,7 @@
 
 // join begins a life.
 func (m *Model) join(p *proc) {
-	c := controlplane.Command{Kind: controlplane.Join, Life: controlplane.Life{Name: p.Name, Number: p.Folder.Life}, Whole: p.Folder.Life > 0, Fenced: true,
+	c := controlplane.Command{Kind: controlplane.Join, Life: controlplane.Incarnation{Name: p.Name, Number: p.Folder.Life}, Whole: p.Folder.Life > 0, Fenced: true,
 		Token: fmt.Sprint(p.Name, p.Shelves), Zone: "z" + p.Name}
 	if m.decide(c) != nil {
 		return
@@ -219,14 +219,14 @@
 	p.View = m.Council.Clone()
 	m.Lease[p.Name] = true
 	had := p.Folder.Life
-	before := controlplane.Life{Name: p.Name, Number: had}
+	before := controlplane.Incarnation{Name: p.Name, Number: had}
 	mine := had == 0
-	if job := m.Council.Job(before); had > 0 && job != nil && !job.Done && job.Taker == m.life(p) { // what takeBack does, at once
+	if job := m.Council.TakeoverTask(before); had > 0 && job != nil && !job.Done && job.Taker == m.life(p) { // what takeBack does, at once
 		content := m.gather(p, job.Life, job.Keepers)
 		m.adopt(p, job.Life, content, true)
-		mine = m.decide(controlplane.Command{Kind: controlplane.Done, Life: before, Taker: m.life(p)}) == nil
+		mine = m.decide(controlplane.Command{Kind: controlplane.CompleteTakeover, Life: before, Taker: m.life(p)}) == nil
 	} else if job != nil {
-		mine = m.Council.Holder(before) == m.life(p)
+		mine = m.Council.CurrentOwner(before) == m.life(p)
 	}
 	p.View = m.Council.Clone()
 	for _, id := range slices.Sorted(maps.Keys(p.Held)) {
@@ -234,7 +234,7 @@
 		x := p.Folder.Log.Message(h.Seq)
 		keep := mine
 		if x.Owner != "" {
-			keep = keep && m.Council.Holder(controlplane.Life{Name: x.Owner, Number: x.Life}) == m.life(p)
+			keep = keep && m.Council.CurrentOwner(controlplane.Incarnation{Name: x.Owner, Number: x.Life}) == m.life(p)
 		}
 		if h.Adopting, h.Away = "", false; !keep {
 			m.over(p, id, true)
@@ -244,8 +244,8 @@
 	p.Folder.Life, p.Thawed = p.Life, true
 }
 
-func (m *Model) life(p *proc) controlplane.Life {
-	return controlplane.Life{Name: p.Name, Number: p.Life}
+func (m *Model) life(p *proc) controlplane.Incarnation {
+	return controlplane.Incarnation{Name: p.Name, Number: p.Life}
 }
 
 // acts is what a node's MayAct says.
@@ -271,7 +271,7 @@
 }
 
 // gather merges the copies of a life that can be reached.
-func (m *Model) gather(p *proc, life controlplane.Life, keepers []string) replication.Content {
+func (m *Model) gather(p *proc, life controlplane.Incarnation, keepers []string) replication.Content {
 	var out replication.Content
 	for _, name := range keepers {
 		k := m.proc(name)
@@ -301,7 +301,7 @@
 }
 
 // adopt takes on what an ended life owed; what is held here already learns what the copies know.
-func (m *Model) adopt(p *proc, life controlplane.Life, c replication.Content, own bool) {
+func (m *Model) adopt(p *proc, life controlplane.Incarnation, c replication.Content, own bool) {
 	for _, id := range slices.Sorted(maps.Keys(c.Past)) {
 		if h := p.Held[id]; h != nil && own {
 			m.over(p, id, true)
@@ -379,7 +379,7 @@
 	return out
 }
 
-func (m *Model) unanswered(owner, keeper int, life controlplane.Life) {
+func (m *Model) unanswered(owner, keeper int, life controlplane.Incarnation) {
 	if p := m.Procs[owner]; p.Up && p.Owner != nil && p.Owner.Life() == life {
 		p.Owner.Unanswered(m.Procs[keeper].Name)
 	}
@@ -447,7 +447,7 @@
 }
 
 func (m *Model) wanted(p *proc) (out []string) {
-	for _, name := range m.Council.Ranking(p.Name, func(name string) bool { return m.proc(name).Up }) {
+	for _, name := range m.Council.RankReplicas(p.Name, func(name string) bool { return m.proc(name).Up }) {
 		if !slices.Contains(m.Council.Members[p.Name].Keepers, name) && len(out) < m.Setup.Copies-1 {
 			out = append(out, name)
 		}
@@ -465,7 +465,7 @@
 		}
 	}
 	set = append(set, name)
-	if m.decide(controlplane.Command{Kind: controlplane.Keepers, Life: m.life(p), From: member.Changed, Set: set}) == nil {
+	if m.decide(controlplane.Command{Kind: controlplane.SetReplicas, Life: m.life(p), From: member.Changed, Set: set}) == nil {
 		p.Owner.SetKeepers(set, nil)
 		p.View = m.Council.Clone()
 	}
@@ -612,7 +612,7 @@
 
 // tookOver says whether a forwarder goes on with what the first one's first life owed.
 func (m *Model) tookOver(p *proc) bool {
-	j := m.Council.Job(controlplane.Life{Name: "n0", Number: 1})
+	j := m.Council.TakeoverTask(controlplane.Incarnation{Name: "n0", Number: 1})
 	return p.Name != "n0" && j != nil && j.Done && j.Taker == m.life(p) && p.Take == nil
 }
 
@@ -651,7 +651,7 @@
 	}
 	switch t.Doing() {
 	case replication.Gather:
-		job := m.Council.Job(t.Life)
+		job := m.Council.TakeoverTask(t.Life)
 		if job == nil {
 			t.Gathered(false)
 			return
@@ -664,7 +664,7 @@
 	case replication.Wait:
 		t.Held(true)
 	case replication.Decide:
-		t.Decided(true, m.decide(controlplane.Command{Kind: controlplane.Done, Life: t.Life, Taker: t.Taker}) == nil)
+		t.Decided(true, m.decide(controlplane.Command{Kind: controlplane.CompleteTakeover, Life: t.Life, Taker: t.Taker}) == nil)
 		p.View = m.Council.Clone()
 	case replication.Act:
 		of(func(_ string, h *holding) { h.Adopting, h.Away = "", false })
@@ -696,7 +696,7 @@
 				} else {
 					m.Lease[name] = false
 				}
-				_ = m.decide(controlplane.Command{Kind: controlplane.End, Life: controlplane.Life{Name: name, Number: member.Life}})
+				_ = m.decide(controlplane.Command{Kind: controlplane.Fence, Life: controlplane.Incarnation{Name: name, Number: member.Life}})
 			})
 		}
 	}
@@ -716,7 +716,7 @@
 			add("the council gives "+life.String()+" to "+best, func(m *Model) {
 				k := m.proc(best)
 				k.Shelf.End(life)
-				_ = m.decide(controlplane.Command{Kind: controlplane.Assign, Life: life, Taker: m.life(k)})
+				_ = m.decide(controlplane.Command{Kind: controlplane.AssignTakeover, Life: life, Taker: m.life(k)})
 			})
 		}
 	}
--- a/internal/lab/cluster/random.go
+++ b/internal/lab/cluster/random.go
@@ -183,7 +183,7 @@
 	}
 	clients.Wait()
 	if err == nil {
-		err = f.Order(ctx, controlplane.Command{Kind: controlplane.Leave, Life: controlplane.Life{Name: reg.who}}) // whatever it was left at
+		err = f.Order(ctx, controlplane.Command{Kind: controlplane.Drain, Life: controlplane.Incarnation{Name: reg.who}}) // whatever it was left at
 	}
 	if err == nil {
 		err = f.AwaitCopied(ctx, f.All()...)
@@ -220,7 +220,7 @@
 		}
 	}
 	return f.Await(ctx, at, "end of all takeovers", func(s node.Status) bool {
-		return s.State.Version >= newest && !slices.ContainsFunc(s.State.Jobs, func(j *controlplane.Job) bool { return !j.Done })
+		return s.State.Version >= newest && !slices.ContainsFunc(s.State.Jobs, func(j *controlplane.TakeoverTask) bool { return !j.Done })
 	})
 }
 
@@ -390,13 +390,13 @@
 	if err != nil {
 		return
 	}
-	is := slices.ContainsFunc(s.Founders, func(x controlplane.Founder) bool { return x.Name == f.Members[who].Name })
+	is := slices.ContainsFunc(s.Founders, func(x controlplane.Voter) bool { return x.Name == f.Members[who].Name })
 	if is && len(s.Founders) <= 3 {
 		return
 	}
 	call, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	r, err := node.Order(call, f.Members[asking].Links, controlplane.Command{Kind: controlplane.Found, Life: controlplane.Life{Name: f.Members[who].Name}, On: !is})
+	r, err := node.Order(call, f.Members[asking].Links, controlplane.Command{Kind: controlplane.ChangeVoters, Life: controlplane.Incarnation{Name: f.Members[who].Name}, On: !is})
 	f.Event("n%d: founder %v, %q %v", who, !is, r.Refused, err)
 }
 
--- a/internal/lab/cluster/register.go
+++ b/internal/lab/cluster/register.go
@@ -69,9 +69,9 @@
 	for to := c; lab.Sleep(ctx, time.Duration(rng.Int64N(int64(2*registerEvery)))); {
 		op := registerOp{write: rng.IntN(registerWrites) == 0, on: rng.IntN(2) == 0}
 		// answered once a majority has confirmed who leads
-		req := controlplane.Request{Renew: &controlplane.Life{Name: "who asks for nothing"}, Watch: &controlplane.Watch{Selector: changelog.Selector{Keys: []string{controlplane.MemberKey(r.who)}}}}
+		req := controlplane.Request{Renew: &controlplane.Incarnation{Name: "who asks for nothing"}, Watch: &controlplane.Watch{Selector: changelog.Selector{Keys: []string{controlplane.MemberKey(r.who)}}}}
 		if op.write {
-			req = controlplane.Request{Command: &controlplane.Command{Kind: controlplane.Leave, Life: controlplane.Life{Name: r.who}, On: op.on}}
+			req = controlplane.Request{Command: &controlplane.Command{Kind: controlplane.Drain, Life: controlplane.Incarnation{Name: r.who}, On: op.on}}
 		}
 		call, cancel := context.WithTimeout(ctx, registerFor)
 		var a controlplane.Response
--- a/internal/lab/cluster/relayprocess.go
+++ b/internal/lab/cluster/relayprocess.go
@@ -28,9 +28,9 @@
 }
 
 // voters are the control plane's first.
-func (f *Fleet) voters() (out []controlplane.Founder) {
+func (f *Fleet) voters() (out []controlplane.Voter) {
 	for _, m := range f.Members[:f.Founders] {
-		out = append(out, controlplane.Founder{Name: m.Name, Address: m.Links})
+		out = append(out, controlplane.Voter{Name: m.Name, Address: m.Links})
 	}
 	return out
 }
@@ -69,7 +69,7 @@
 }
 
 // newRelayProcess chooses an address; nothing runs yet.
-func newRelayProcess(command, env []string, log string, i int, voters []controlplane.Founder) (*relayProcess, error) {
+func newRelayProcess(command, env []string, log string, i int, voters []controlplane.Voter) (*relayProcess, error) {
 	host := fmt.Sprintf("127.%d.%d.%d", 128+os.Getpid()%64, os.Getpid()/64%256, i+1) // of its own: nobody else takes a port there
 	l, err := net.Listen("tcp", host+":0")
 	if err != nil {
--- a/internal/lab/cluster/scaleconfig.go
+++ b/internal/lab/cluster/scaleconfig.go
@@ -41,7 +41,7 @@
 		}
 		cmd := controlplane.Command{Kind: controlplane.Configure, From: now.Revision, Entries: []controlplane.EntryChange{{Key: e.Key(), Content: content}}}
 		r, err := h.decide(ctx, cmd)
-		if err == nil || err.Error() != controlplane.ErrLater.Error() {
+		if err == nil || err.Error() != controlplane.ErrConflict.Error() {
 			return r, err
 		}
 	}
--- a/internal/lab/cluster/spread.go
+++ b/internal/lab/cluster/spread.go
@@ -111,7 +111,7 @@
 		}
 		p.note(i, now)
 		for _, push := range p.spreads[i].Beat(now, others) {
-			what := node.FactsPush{From: controlplane.Life{Name: p.names[i], Number: 1}, Facts: push.Facts, Compare: push.Compare, Digest: push.Digest}
+			what := node.FactsPush{From: controlplane.Incarnation{Name: p.names[i], Number: 1}, Facts: push.Facts, Compare: push.Compare, Digest: push.Digest}
 			p.send(now, what, func(at time.Duration) { p.pushed(at, p.number[push.To], i, what) })
 		}
 	})
--- a/internal/settings/entries.go
+++ b/internal/settings/entries.go
@@ -91,7 +91,7 @@
 // checkEntry gives an entry's error with the line and key at fault.
 func checkEntry(path string, lines map[string]int, table string, e entry.Entry) error {
 	_, err := e.Encode()
-	var invalid *entry.Invalid
+	var invalid *entry.InvalidError
 	if !errors.As(err, &invalid) {
 		return err
 	}
@@ -103,7 +103,7 @@
 	if field := invalid.Field; field != "class" && field != "destination" && field != "size" { // these are the table's own
 		key += "." + field
 	}
-	return &Error{Path: path, Line: line, Key: key, What: invalid.What}
+	return &Error{Path: path, Line: line, Key: key, What: invalid.Problem}
 }
 
 // FormatEntries writes entries as a file that ParseEntries reads.
