--- a/cmd/larkreach/config_on.go
+++ b/cmd/larkreach/config_on.go
@@ -69,7 +69,7 @@
 func (c configChange) await(io streams, behind uint64) error {
 	began := time.Now()
 	for {
-		r, err := ask(c.at, node.LookRollout)
+		r, err := ask(c.at, node.GetRollout)
 		if err == nil && r.Revision > behind && r.Summary.Refusing == 0 && r.InForce() {
 			fmt.Fprintf(io.out, "revision %d is in force at all %d members after %v\n", r.Revision, r.Members, time.Since(began).Round(time.Millisecond))
 			return nil
@@ -170,7 +170,7 @@
 
 // Run prints how far the configuration is in force.
 func (c configStatusCmd) Run(io streams) error {
-	r, err := ask(c.at, node.LookRollout)
+	r, err := ask(c.at, node.GetRollout)
 	if err != nil {
 		return err
 	}
--- a/cmd/larkreach/fleet_config_test.go
+++ b/cmd/larkreach/fleet_config_test.go
@@ -65,7 +65,7 @@
 func (f *configFleet) inForce(i int) {
 	f.t.Helper()
 	for {
-		r, err := node.LookRollout(f.ctx, f.Members[i].Links)
+		r, err := node.GetRollout(f.ctx, f.Members[i].Links)
 		if err == nil && r.Members == len(f.Members) && r.InForce() {
 			return
 		}
--- a/cmd/larkreach/fleet_on.go
+++ b/cmd/larkreach/fleet_on.go
@@ -39,11 +39,11 @@
 		return nil, err
 	}
 	setup := node.Config{
-		Name: cfg.Name, Zone: c.Zone, Region: c.Region, Listen: c.Listen, Via: c.Via, Copies: c.Copies, Space: int64(c.Space),
-		Timing:   controlplane.Timing{Tick: time.Duration(c.Tick), Lease: time.Duration(c.Lease), Margin: time.Duration(c.Margin)},
-		Patience: time.Duration(c.Patience), Alone: map[string]bool{}, Folder: filepath.Clean(cfg.State), Check: time.Duration(c.Check),
-		Durability: store.Process, Logger: logger, Beat: time.Duration(c.Beat), CatchUp: int64(c.CatchUp),
-		Believe: time.Duration(c.Believe),
+		Name: cfg.Name, Zone: c.Zone, Region: c.Region, Listen: c.Listen, DialAddresses: c.Via, Copies: c.Copies, ReplicaSpace: int64(c.Space),
+		Timing:         controlplane.Timing{Tick: time.Duration(c.Tick), Lease: time.Duration(c.Lease), Margin: time.Duration(c.Margin)},
+		ReplicaTimeout: time.Duration(c.Patience), AllowUnreplicated: map[string]bool{}, Folder: filepath.Clean(cfg.State), CheckInterval: time.Duration(c.Check),
+		Durability: store.Process, Logger: logger, GossipInterval: time.Duration(c.Beat), CatchUpRate: int64(c.CatchUp),
+		ObservationHalfLife: time.Duration(c.Believe),
 	}
 	for _, f := range founders {
 		setup.Founders = append(setup.Founders, controlplane.Founder{Name: f.Name, Address: f.Address})
@@ -52,41 +52,41 @@
 		setup.Relays = append(setup.Relays, controlplane.Relay{Zone: r.Zone, Address: r.Address})
 	}
 	for _, class := range c.Alone {
-		setup.Alone[class] = true
+		setup.AllowUnreplicated[class] = true
 	}
 	for _, class := range cfg.Settings.Classes {
-		setup.Window = max(setup.Window, class.GiveUp)
+		setup.DedupWindow = max(setup.DedupWindow, class.GiveUp)
 	}
 	if own.Bodies != nil {
-		setup.Window = max(setup.Window, time.Duration(own.Bodies.Longest))
+		setup.DedupWindow = max(setup.DedupWindow, time.Duration(own.Bodies.Longest))
 	}
 	if own.Journal != nil && own.Journal.Durability != settings.DurabilityNone {
 		setup.Durability = store.Batch
 	}
-	if setup.Place = places(own.Place); setup.Place != nil {
+	if setup.Locality = places(own.Place); setup.Locality != nil {
 		for _, class := range cfg.Settings.Classes {
-			setup.Place.Worth[class.Name] = class.Worth
+			setup.Locality.Worth[class.Name] = class.Worth
 		}
 	}
 	return node.Open(setup)
 }
 
 // places puts the settings in the planner's terms.
-func places(p *settings.Place) *node.PlaceConfig {
+func places(p *settings.Place) *node.LocalityConfig {
 	if p == nil {
 		return nil
 	}
-	crossing := func(c settings.Crossing) plan.Crossing {
-		return plan.Crossing{Delay: time.Duration(c.Delay), Price: c.Price, Capacity: c.Capacity}
+	crossing := func(c settings.Crossing) plan.Link {
+		return plan.Link{Delay: time.Duration(c.Delay), Price: c.Price, Capacity: c.Capacity}
 	}
-	out := &node.PlaceConfig{
-		Places:  plan.Places{Region: p.Regions, Within: crossing(p.Within), Across: crossing(p.Across), Pairs: map[[2]string]plan.Crossing{}},
-		Planner: plan.Defaults(), Window: time.Duration(p.Window), Members: p.Members, Record: p.Record,
+	out := &node.LocalityConfig{
+		Topology: plan.Topology{Region: p.Regions, Within: crossing(p.Within), Across: crossing(p.Across), Pairs: map[[2]string]plan.Link{}},
+		Planner:  plan.Defaults(), Window: time.Duration(p.Window), MaxMembers: p.Members, RecordFile: p.Record,
 		Worth: map[string]float64{},
 	}
 	out.Planner.Hold, out.Planner.Reserve = time.Duration(p.Hold), p.Reserve
 	for _, c := range p.Crossings {
-		out.Places.Pairs[[2]string{c.From, c.To}] = crossing(c.Crossing)
+		out.Topology.Pairs[[2]string{c.From, c.To}] = crossing(c.Crossing)
 	}
 	return out
 }
@@ -125,7 +125,7 @@
 	return look(ctx, a.At)
 }
 
-func (a at) look() (node.Status, error) { return ask(a, node.Look) }
+func (a at) look() (node.Status, error) { return ask(a, node.GetStatus) }
 
 // refused is a command that the council would not have.
 type refused string
@@ -136,7 +136,7 @@
 func (a at) decide(cmd controlplane.Command) error {
 	ctx, cancel := context.WithTimeout(context.Background(), lookFor)
 	defer cancel()
-	r, err := node.Order(ctx, a.At, cmd)
+	r, err := node.SendCommand(ctx, a.At, cmd)
 	if err == nil && r.Refused != "" {
 		err = refused(r.Refused)
 	}
@@ -234,7 +234,7 @@
 
 // Run prints the facts.
 func (c factsCmd) Run(io streams) error {
-	s, err := ask(c.at, node.LookFacts)
+	s, err := ask(c.at, node.GetObservations)
 	if err != nil {
 		return err
 	}
@@ -334,7 +334,7 @@
 
 // Run rebuilds.
 func (c rebuildCmd) Run(io streams) error {
-	keeper, kept, err := controlplane.OpenKeeper(fsys.Dir(filepath.Join(c.Folder, node.CouncilDir)), func(line string) { fmt.Fprintln(io.err, line) })
+	keeper, kept, err := controlplane.OpenKeeper(fsys.Dir(filepath.Join(c.Folder, node.ControlPlaneDir)), func(line string) { fmt.Fprintln(io.err, line) })
 	if err != nil {
 		return err
 	}
--- a/cmd/larkreach/fleet_places_test.go
+++ b/cmd/larkreach/fleet_places_test.go
@@ -230,7 +230,7 @@
 	order := func(place string, on bool) {
 		var seen uint64
 		f.sees(3, "orders", func(s node.PlanStatus) bool { seen = s.Ordered; return s.Plan != nil })
-		r, err := node.Order(f.ctx, f.Members[3].Links, controlplane.Command{Kind: controlplane.Evacuate, Place: place, On: on, From: seen})
+		r, err := node.SendCommand(f.ctx, f.Members[3].Links, controlplane.Command{Kind: controlplane.Evacuate, Place: place, On: on, From: seen})
 		if must(t, err); r.Refused != "" {
 			t.Fatal(r.Refused)
 		}
--- a/cmd/larkreach/fleet_plan_test.go
+++ b/cmd/larkreach/fleet_plan_test.go
@@ -76,7 +76,7 @@
 }
 
 // grant is what one place may send to another.
-func grant(s node.PlanStatus, from, to string) (g plan.Grant) {
+func grant(s node.PlanStatus, from, to string) (g plan.Quota) {
 	if s.Plan != nil {
 		for _, g := range s.Plan.Grants {
 			if g.From == from && g.To == to {
@@ -152,7 +152,7 @@
 	var seen uint64
 	must(t, f.AwaitPlan(f.ctx, 3, "demand", func(s node.PlanStatus) bool { seen = s.Ordered; return grant(s, "z0", "z0").Rate > 0 }))
 	order := func(at int, from uint64, place string, on bool) string {
-		r, err := node.Order(f.ctx, f.Members[at].Links, controlplane.Command{Kind: controlplane.Evacuate, Place: place, On: on, From: from})
+		r, err := node.SendCommand(f.ctx, f.Members[at].Links, controlplane.Command{Kind: controlplane.Evacuate, Place: place, On: on, From: from})
 		must(t, err)
 		return r.Refused
 	}
--- a/cmd/larkreach/fleet_test.go
+++ b/cmd/larkreach/fleet_test.go
@@ -663,7 +663,7 @@
 }
 
 // heeds says whether a member heeds a wait at the partner.
-func heeds(s node.FactsStatus) bool {
+func heeds(s node.ObservationStatus) bool {
 	for _, l := range s.Heeded {
 		if l.Destination == cluster.Group && l.Wait > 0 {
 			return true
@@ -711,23 +711,23 @@
 	must(t, err)
 	p := links.NewPeer(f.Members[0].Links)
 	defer p.Close()
-	lies := []observation.Fact{
-		{Kind: observation.Wait, Destination: cluster.Group, Left: 365 * 24 * time.Hour},
-		{Kind: observation.Down, Destination: cluster.Group, Age: -time.Hour},
-		{Kind: observation.Limit, Destination: cluster.Group, Rate: math.Inf(1)},
-		{Kind: observation.Limit, Destination: cluster.Group, Rate: -1},
+	lies := []observation.Record{
+		{Kind: observation.RetryAfter, Destination: cluster.Group, Left: 365 * 24 * time.Hour},
+		{Kind: observation.Outage, Destination: cluster.Group, Age: -time.Hour},
+		{Kind: observation.RateLimit, Destination: cluster.Group, Rate: math.Inf(1)},
+		{Kind: observation.RateLimit, Destination: cluster.Group, Rate: -1},
 		{Kind: 200, Destination: -1, Left: -time.Second},
 	}
 	for i := range lies {
 		lies[i].Origin, lies[i].Life, lies[i].Serial = "n2", liar, 1e6+uint64(i)
 	}
-	lies = append(lies, observation.Fact{Kind: observation.Wait, Destination: cluster.Group, Left: time.Minute, Origin: "nobody", Life: 1, Serial: 1})
-	must(t, p.Call(f.ctx, "Facts.Push", node.FactsPush{From: controlplane.Life{Name: "n2", Number: liar}, Facts: lies}, &node.FactsAnswer{}))
-	must(t, f.AwaitFacts(f.ctx, 0, "account of lies", func(s node.FactsStatus) bool { return s.Counts.Bounded == 2 && s.Counts.Absurd == 2 }))
-	if _, seen := f.Members[0].Sees(string(observation.LongWait)); !seen {
+	lies = append(lies, observation.Record{Kind: observation.RetryAfter, Destination: cluster.Group, Left: time.Minute, Origin: "nobody", Life: 1, Serial: 1})
+	must(t, p.Call(f.ctx, "Facts.Push", node.GossipRequest{From: controlplane.Life{Name: "n2", Number: liar}, Facts: lies}, &node.GossipReply{}))
+	must(t, f.AwaitFacts(f.ctx, 0, "account of lies", func(s node.ObservationStatus) bool { return s.Counts.Bounded == 2 && s.Counts.Absurd == 2 }))
+	if _, seen := f.Members[0].Sees(string(observation.ExcessiveWait)); !seen {
 		t.Error("no line of the log tells of it")
 	}
-	must(t, f.AwaitFacts(f.ctx, 1, "word that it passed on", func(s node.FactsStatus) bool { return s.Counts.News > 0 }))
+	must(t, f.AwaitFacts(f.ctx, 1, "word that it passed on", func(s node.ObservationStatus) bool { return s.Counts.News > 0 }))
 	for i := range 2 {
 		f.take(i, "safe") // delivered inside its 20 s: a wait of a year was not heeded
 	}
--- a/cmd/larkreach/plan_on.go
+++ b/cmd/larkreach/plan_on.go
@@ -25,9 +25,9 @@
 	Return   planReturnCmd  `cmd:"" help:"Take an evacuation back."`
 }
 
-func (a at) plan() (node.PlanStatus, error) { return ask(a, node.LookPlan) }
+func (a at) plan() (node.PlanStatus, error) { return ask(a, node.GetPlan) }
 
-func way(g plan.Grant) string {
+func way(g plan.Quota) string {
 	if g.From == g.To {
 		return "near"
 	}
@@ -185,7 +185,7 @@
 	rows := [][]string{{"DESTINATION", "GOES THERE", "OTHERS HAVE", "TO BE SHED"}}
 	for _, n := range needs {
 		shed += n.Shed
-		rows = append(rows, []string{fmt.Sprint(n.Destination), fmt.Sprintf("%.1f a second", n.Asked), fmt.Sprintf("%.1f", n.Spare), fmt.Sprintf("%.1f", n.Shed)})
+		rows = append(rows, []string{fmt.Sprint(n.Destination), fmt.Sprintf("%.1f a second", n.Demand), fmt.Sprintf("%.1f", n.Spare), fmt.Sprintf("%.1f", n.Shed)})
 	}
 	if err := c.print(io, needs, rows); err != nil {
 		return err
--- a/internal/cluster/links/links.go
+++ b/internal/cluster/links/links.go
@@ -178,16 +178,16 @@
 
 // Peers is a set of them by address.
 type Peers struct {
-	// Other maps an address to the one that is dialled for it, where the two differ.
-	Other map[string]string
+	// DialAddresses maps an address to the one that is dialled for it, where the two differ.
+	DialAddresses map[string]string
 
 	mu    sync.Mutex
 	peers map[string]*Peer
 }
 
-// Via is what is dialled for an address.
-func (p *Peers) Via(address string) string {
-	if via, other := p.Other[address]; other {
+// DialAddress is what is dialled for an address.
+func (p *Peers) DialAddress(address string) string {
+	if via, other := p.DialAddresses[address]; other {
 		return via
 	}
 	return address
@@ -202,14 +202,14 @@
 	}
 	peer := p.peers[address]
 	if peer == nil {
-		peer = NewPeer(p.Via(address))
+		peer = NewPeer(p.DialAddress(address))
 		p.peers[address] = peer
 	}
 	return peer
 }
 
-// Keep closes all but those at the addresses given.
-func (p *Peers) Keep(addresses map[string]bool) {
+// Retain closes all but those at the addresses given.
+func (p *Peers) Retain(addresses map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, peer := range p.peers {
@@ -221,7 +221,7 @@
 }
 
 // Close closes all.
-func (p *Peers) Close() { p.Keep(nil) }
+func (p *Peers) Close() { p.Retain(nil) }
 
 // servedConn is closed as soon as its other end has closed it or it has failed. net/rpc would keep it, and its descriptor, until the last
 // call that came on it has ended, although nobody is left to have the answer.
--- a/internal/cluster/node/facts.go
+++ b/internal/cluster/node/facts.go
@@ -24,34 +24,34 @@
 // talk is a node's part in it.
 type talk struct {
 	mu       sync.Mutex
-	book     *observation.Book
-	spread   *observation.Spread
+	book     *observation.Store
+	spread   *observation.Gossip
 	out      map[string]bool      // a push is on its way
 	unheard  map[string]time.Time // since when a member has not answered one
 	complain map[string]time.Time // when a member's absurd facts were last logged
 }
 
-// FactsPush is what one member tells another.
-type FactsPush struct {
+// GossipRequest is what one member tells another.
+type GossipRequest struct {
 	From    controlplane.Life
-	Facts   []observation.Fact
+	Facts   []observation.Record
 	Compare bool
 	Digest  uint64
 }
 
-// FactsAnswer holds what the other should know as well, where the two were to compare.
-type FactsAnswer struct{ Facts []observation.Fact }
+// GossipReply holds what the other should know as well, where the two were to compare.
+type GossipReply struct{ Facts []observation.Record }
 
 type factsRPC struct{ n *Node }
 
 // Push hears facts.
-func (f factsRPC) Push(p FactsPush, a *FactsAnswer) error {
+func (f factsRPC) Push(p GossipRequest, a *GossipReply) error {
 	f.n.hear(p.From.Name, p.Facts)
 	t := &f.n.talk
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if p.Compare && p.Digest != t.book.Digest(f.n.now()) {
-		a.Facts = t.book.All(f.n.now())
+		a.Facts = t.book.Records(f.n.now())
 		a.Facts = a.Facts[:min(len(a.Facts), mostAnswer)]
 	}
 	return nil
@@ -65,7 +65,7 @@
 }
 
 // hear takes facts that a member has told, its own or others'.
-func (n *Node) hear(from string, list []observation.Fact) {
+func (n *Node) hear(from string, list []observation.Record) {
 	_, state := n.latest()
 	belongs := known(state)
 	t := &n.talk
@@ -75,11 +75,11 @@
 		if !belongs(f.Origin, f.Life) {
 			continue // an ended life's, or of one that is not known here yet: comparing brings it again
 		}
-		news, why := t.book.Take(n.now(), f)
+		news, why := t.book.Add(n.now(), f)
 		if news {
-			t.spread.Tell(len(state.Members), f)
+			t.spread.Enqueue(len(state.Members), f)
 		}
-		if why != observation.Fine && time.Since(t.complain[f.Origin]) > complainFor {
+		if why != observation.Valid && time.Since(t.complain[f.Origin]) > complainFor {
 			t.complain[f.Origin] = time.Now()
 			n.cfg.Logger.Warn().Str("part", "facts").Str("origin", f.Origin).Str("from", from).Stringer("kind", f.Kind).Int64("destination", f.Destination).
 				Stringer("age", f.Age).Stringer("left", f.Left).Float64("rate", f.Rate).Str("why", string(why)).Msg("an absurd fact is bounded or dropped")
@@ -89,7 +89,7 @@
 
 // gossip tells and hears until ctx ends.
 func (n *Node) gossip(ctx context.Context) {
-	beat := time.NewTicker(n.cfg.Beat)
+	beat := time.NewTicker(n.cfg.GossipInterval)
 	defer beat.Stop()
 	var others []string
 	var listed *controlplane.State // from which others was made
@@ -109,13 +109,13 @@
 		n.router.Hear(func(own []mb.LearnedLane) []mb.LearnedLane {
 			n.talk.mu.Lock()
 			defer n.talk.mu.Unlock()
-			n.talk.book.Rebirth(mine.Number)
-			n.talk.book.Forget(n.now(), known(state))
-			n.talk.spread.Tell(len(others)+1, n.talk.book.Own(n.now(), own)...)
+			n.talk.book.SetEpoch(mine.Number)
+			n.talk.book.Expire(n.now(), known(state))
+			n.talk.spread.Enqueue(len(others)+1, n.talk.book.LocalUpdates(n.now(), own)...)
 			return n.talk.book.Advice(n.now(), own)
 		})
 		n.talk.mu.Lock()
-		pushes := n.talk.spread.Beat(n.now(), others)
+		pushes := n.talk.spread.Tick(n.now(), others)
 		gone := func(name string, _ time.Time) bool { m := state.Members[name]; return m == nil || !m.Alive }
 		maps.DeleteFunc(n.talk.unheard, gone)
 		maps.DeleteFunc(n.talk.complain, gone)
@@ -147,8 +147,8 @@
 func (n *Node) push(ctx context.Context, mine controlplane.Life, p observation.Push, address string) {
 	call, cancel := context.WithTimeout(ctx, appendFor)
 	defer cancel()
-	var a FactsAnswer
-	err := n.peers.At(address).Call(call, "Facts.Push", FactsPush{From: mine, Facts: p.Facts, Compare: p.Compare, Digest: p.Digest}, &a)
+	var a GossipReply
+	err := n.peers.At(address).Call(call, "Facts.Push", GossipRequest{From: mine, Facts: p.Facts, Compare: p.Compare, Digest: p.Digest}, &a)
 	n.talk.mu.Lock()
 	delete(n.talk.out, p.To)
 	if _, already := n.talk.unheard[p.To]; err == nil {
@@ -162,28 +162,28 @@
 
 // newTalk is the talk of a member that knows nothing yet.
 func newTalk(cfg Config) talk {
-	book := observation.NewBook(observation.Config{Name: cfg.Name, HalfLife: cfg.Believe, Longest: cfg.Window, Keys: factKeys})
+	book := observation.NewStore(observation.Config{Name: cfg.Name, HalfLife: cfg.ObservationHalfLife, MaxRetryAfter: cfg.DedupWindow, MaxKeys: factKeys})
 	return talk{
-		book: book, spread: observation.NewSpread(book, rand.Uint64()), out: map[string]bool{}, unheard: map[string]time.Time{},
+		book: book, spread: observation.NewGossip(book, rand.Uint64()), out: map[string]bool{}, unheard: map[string]time.Time{},
 		complain: map[string]time.Time{},
 	}
 }
 
-// FactsStatus is what a member knows of partners by others' words and its own.
-type FactsStatus struct {
-	Facts  []observation.Fact `json:"facts"`
-	Heeded []mb.LearnedLane   `json:"heeded"` // what its module is told, beside what it sees itself
-	Counts observation.Counts `json:"counts"`
+// ObservationStatus is what a member knows of partners by others' words and its own.
+type ObservationStatus struct {
+	Facts  []observation.Record `json:"facts"`
+	Heeded []mb.LearnedLane     `json:"heeded"` // what its module is told, beside what it sees itself
+	Counts observation.Counts   `json:"counts"`
 }
 
 // Facts tells it.
-func (s statusRPC) Facts(_ bool, out *FactsStatus) error {
+func (s statusRPC) Facts(_ bool, out *ObservationStatus) error {
 	s.n.router.Hear(func(own []mb.LearnedLane) []mb.LearnedLane {
 		s.n.talk.mu.Lock()
 		defer s.n.talk.mu.Unlock()
 		now := s.n.now()
 		advice := s.n.talk.book.Advice(now, own)
-		*out = FactsStatus{Facts: s.n.talk.book.All(now), Heeded: advice, Counts: s.n.talk.book.Counts}
+		*out = ObservationStatus{Facts: s.n.talk.book.Records(now), Heeded: advice, Counts: s.n.talk.book.Counts}
 		return advice
 	})
 	return nil
--- a/internal/cluster/node/lives.go
+++ b/internal/cluster/node/lives.go
@@ -135,7 +135,7 @@
 	n.mu.Unlock()
 	join := controlplane.Command{
 		Kind: controlplane.Join, Life: controlplane.Life{Name: n.cfg.Name, Number: had.Number}, Whole: had.Number > 0, Token: n.token,
-		Past: had.Token, Address: n.cfg.Listen, Zone: n.cfg.Zone, Region: n.cfg.Region, Version: Version, Space: n.cfg.Space,
+		Past: had.Token, Address: n.cfg.Listen, Zone: n.cfg.Zone, Region: n.cfg.Region, Version: Version, Space: n.cfg.ReplicaSpace,
 	}
 	if err := n.catchUp(ctx, 1); err != nil { // before there is a lease to hold meanwhile
 		return err
@@ -207,7 +207,7 @@
 	}
 	changed, reconfigured := s.Council != was.Council, s.Configured != was.Configured
 	if m := s.Members[n.cfg.Name]; n.owner != nil && n.asked != nil && m != nil && m.Changed != n.asked.From {
-		n.owner.Settled() // that, or something else, was decided: what was asked for cannot be any more
+		n.owner.ProposalSettled() // that, or something else, was decided: what was asked for cannot be any more
 		n.asked = nil
 	}
 	n.mu.Unlock()
@@ -226,12 +226,12 @@
 // tidy drops copies of lives that nobody will ask for any more.
 func (n *Node) tidy(s *controlplane.State) {
 	n.shelfMu.Lock()
-	for _, life := range n.shelf.Lives() {
+	for _, life := range n.shelf.Incarnations() {
 		if j := s.Job(life); j != nil || !s.Alive(life) && s.Members[life.Name] != nil && s.Members[life.Name].Life >= life.Number {
-			n.shelf.End(life)
+			n.shelf.Fence(life)
 		}
 	}
-	gone := n.shelf.Drop(func(l controlplane.Life) bool {
+	gone := n.shelf.Retain(func(l controlplane.Life) bool {
 		m := s.Members[l.Name]
 		if m == nil || l.Number > m.Life || s.Alive(l) {
 			return true // nothing is known of it yet, or it goes on
--- a/internal/cluster/node/node.go
+++ b/internal/cluster/node/node.go
@@ -34,26 +34,26 @@
 
 // Config is what a node starts with.
 type Config struct {
-	Name         string
-	Zone, Region string
-	Listen       string // where its links listen, and where others reach them
-	Founders     []controlplane.Founder
-	Relays       []controlplane.Relay // that carry requests to the voters, in no order; a voter itself uses none
-	Via          map[string]string    // what is dialled for an address, where that differs
-	Copies       int                  // of each message, the owner's own included
-	Timing       controlplane.Timing
-	Patience     time.Duration   // how long a keeper may be out of reach before it is replaced
-	Space        int64           // bytes of copies for others
-	Alone        map[string]bool // classes that go on without a copy when nobody can keep one
-	Window       time.Duration   // how long an id that is over is known
-	Folder       string          // the state folder; what is here goes into folders of its own in it
-	Durability   store.Durability
-	Check        time.Duration // between two comparisons of a copy with its owner's journal
-	Beat         time.Duration // between two tellings of facts; 0 is none
-	CatchUp      int64         // bytes a second of a snapshot to one keeper
-	Place        *PlaceConfig  // nil: traffic goes everywhere
-	Believe      time.Duration // how long one member's word of a partner counts by itself
-	Logger       zerolog.Logger
+	Name                string
+	Zone, Region        string
+	Listen              string // where its links listen, and where others reach them
+	Founders            []controlplane.Founder
+	Relays              []controlplane.Relay // that carry requests to the voters, in no order; a voter itself uses none
+	DialAddresses       map[string]string    // what is dialled for an address, where that differs
+	Copies              int                  // of each message, the owner's own included
+	Timing              controlplane.Timing
+	ReplicaTimeout      time.Duration   // how long a keeper may be out of reach before it is replaced
+	ReplicaSpace        int64           // bytes of copies for others
+	AllowUnreplicated   map[string]bool // classes that go on without a copy when nobody can keep one
+	DedupWindow         time.Duration   // how long an id that is over is known
+	Folder              string          // the state folder; what is here goes into folders of its own in it
+	Durability          store.Durability
+	CheckInterval       time.Duration   // between two comparisons of a copy with its owner's journal
+	GossipInterval      time.Duration   // between two tellings of facts; 0 is none
+	CatchUpRate         int64           // bytes a second of a snapshot to one keeper
+	Locality            *LocalityConfig // nil: traffic goes everywhere
+	ObservationHalfLife time.Duration   // how long one member's word of a partner counts by itself
+	Logger              zerolog.Logger
 }
 
 const (
@@ -73,8 +73,8 @@
 	spaceLeast  = 1 << 20
 )
 
-// CouncilDir is the part of the state folder that a founder's council is kept in.
-const CouncilDir = "council"
+// ControlPlaneDir is the part of the state folder that a founder's council is kept in.
+const ControlPlaneDir = "council"
 
 // Errors of a start.
 var (
@@ -120,7 +120,7 @@
 	asked    *controlplane.Command     // for other keepers, and not known to be decided or refused
 	asking   bool                      // the council, just now
 	reported controlplane.ConfigReport // of the configuration that is in force here
-	figures  Figures
+	figures  Counters
 
 	configuring configuring
 
@@ -129,7 +129,7 @@
 	renewal  controlplane.Lease // live's goroutine only
 
 	shelfMu sync.Mutex
-	shelf   *replication.Shelf
+	shelf   *replication.Store
 	disk    *replication.Disk
 
 	tasks *errgroup.Group
@@ -141,8 +141,8 @@
 	done chan struct{}
 }
 
-// Figures count what a node has done.
-type Figures struct {
+// Counters count what a node has done.
+type Counters struct {
 	Batches, Records, Bytes int64 // sent to keepers and answered
 	Snapshots               int64 // that keepers were sent
 	Taken                   int64 // batches taken from others
@@ -161,18 +161,18 @@
 		return nil, errFounders
 	}
 	n := &Node{
-		cfg: cfg, peers: &links.Peers{Other: cfg.Via}, token: fmt.Sprintf("%016x", rand.Uint64()), began: time.Now(),
+		cfg: cfg, peers: &links.Peers{DialAddresses: cfg.DialAddresses}, token: fmt.Sprintf("%016x", rand.Uint64()), began: time.Now(),
 		view: controlplane.NewView(), renewal: controlplane.Lease{Length: cfg.Timing.Lease}, sending: map[string]bool{}, missed: map[string]time.Time{}, heard: map[string]time.Time{}, taking: map[controlplane.Life]bool{},
-		wake: make(chan struct{}, 1), configuring: configuring{changed: make(chan struct{}, 1)}, shelf: replication.NewShelf(rand.Uint64()), talk: newTalk(cfg),
+		wake: make(chan struct{}, 1), configuring: configuring{changed: make(chan struct{}, 1)}, shelf: replication.NewStore(rand.Uint64()), talk: newTalk(cfg),
 	}
-	if cfg.Place != nil {
-		n.steering = newSteering(n, *cfg.Place)
+	if cfg.Locality != nil {
+		n.steering = newSteering(n, *cfg.Locality)
 	}
 	var err error
 	if n.folder, err = readLife(cfg.Folder); err != nil {
 		return nil, err
 	}
-	for _, dir := range []string{CouncilDir, copiesDir} {
+	for _, dir := range []string{ControlPlaneDir, copiesDir} {
 		if err := os.MkdirAll(filepath.Join(cfg.Folder, dir), 0o700); err != nil {
 			return nil, fmt.Errorf("node: %w", err)
 		}
@@ -180,7 +180,7 @@
 	report := func(part string) func(string) {
 		return func(line string) { cfg.Logger.Warn().Str("part", part).Msg(line) }
 	}
-	n.disk, err = replication.OpenDisk(fsys.Dir(filepath.Join(cfg.Folder, copiesDir)), max(spaceLeast, cfg.Space), cfg.Durability,
+	n.disk, err = replication.OpenDisk(fsys.Dir(filepath.Join(cfg.Folder, copiesDir)), max(spaceLeast, cfg.ReplicaSpace), cfg.Durability,
 		report("copies"), n.shelf.Restore)
 	if err != nil {
 		return nil, err
@@ -196,7 +196,7 @@
 
 // found opens the part in the council, of a founder or of one that may become it, and the way to the others.
 func (n *Node) found(report func(string)) error {
-	keeper, kept, err := controlplane.OpenKeeper(fsys.Dir(filepath.Join(n.cfg.Folder, CouncilDir)), report)
+	keeper, kept, err := controlplane.OpenKeeper(fsys.Dir(filepath.Join(n.cfg.Folder, ControlPlaneDir)), report)
 	if err != nil {
 		return err
 	}
@@ -206,7 +206,7 @@
 		return errors.Join(err, keeper.Close())
 	}
 	n.server = controlplane.NewServer(core, keeper, n.cfg.Timing, n.cfg.Logger)
-	n.server.Dial = func(address string) *links.Peer { return links.NewPeer(n.peers.Via(address)) }
+	n.server.Dial = func(address string) *links.Peer { return links.NewPeer(n.peers.DialAddress(address)) }
 	n.server.Furthest, n.server.CheckEntry = n.furthest, checkEntry
 	n.client = controlplane.NewClient(n.cfg.Founders, n.peers.At, n.cfg.Name, n.server)
 	if !slices.ContainsFunc(n.cfg.Founders, func(f controlplane.Founder) bool { return f.Name == n.cfg.Name }) {
@@ -286,10 +286,10 @@
 		group.Go(func() error { n.steering.run(ctx); return nil })
 		group.Go(func() error { n.steering.watchDelays(ctx); return nil })
 	}
-	if n.cfg.Beat > 0 {
+	if n.cfg.GossipInterval > 0 {
 		group.Go(func() error { n.gossip(ctx); return nil })
 	}
-	if n.cfg.Check > 0 {
+	if n.cfg.CheckInterval > 0 {
 		group.Go(func() error { n.compare(ctx); return nil })
 	}
 	return group.Wait()
@@ -341,11 +341,11 @@
 	if n.owner == nil {
 		return 0
 	}
-	return n.owner.Latest()
+	return n.owner.LastIndex()
 }
 
 // Strict says that a class's calls begin only when keepers know of it.
-func (n *Node) Strict(class string) bool { return !n.cfg.Alone[class] && n.cfg.Copies > 1 }
+func (n *Node) Strict(class string) bool { return !n.cfg.AllowUnreplicated[class] && n.cfg.Copies > 1 }
 
 // Ready says whether a message of a class can be taken on: a strict one needs somebody in reach to keep it.
 func (n *Node) Ready(class string) bool {
@@ -361,7 +361,7 @@
 func (n *Node) Holds(mark uint64, class string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cfg.Copies <= 1 || n.owner != nil && (n.owner.Held() >= mark || len(n.owner.Counted()) == 0 || n.cfg.Alone[class] && !n.reachable())
+	return n.cfg.Copies <= 1 || n.owner != nil && (n.owner.HighWatermark() >= mark || len(n.owner.InSync()) == 0 || n.cfg.AllowUnreplicated[class] && !n.reachable())
 }
 
 // Held waits until all who count have the log up to a mark.
@@ -373,11 +373,11 @@
 		return false, nil
 	case n.owner == nil:
 		n.mu.Unlock()
-		return n.cfg.Alone[class], ifStrict(n.cfg.Alone[class])
-	case n.owner.Held() >= mark:
+		return n.cfg.AllowUnreplicated[class], ifStrict(n.cfg.AllowUnreplicated[class])
+	case n.owner.HighWatermark() >= mark:
 		n.mu.Unlock()
 		return false, nil
-	case n.cfg.Alone[class] && !n.reachable():
+	case n.cfg.AllowUnreplicated[class] && !n.reachable():
 		n.mu.Unlock()
 		return true, nil
 	}
@@ -391,7 +391,7 @@
 	}()
 	late := time.NewTimer(heldFor)
 	defer late.Stop()
-	soon := time.NewTimer(n.cfg.Patience)
+	soon := time.NewTimer(n.cfg.ReplicaTimeout)
 	defer soon.Stop()
 	for {
 		select {
@@ -399,13 +399,13 @@
 			return false, nil
 		case <-soon.C:
 			n.mu.Lock()
-			away := n.cfg.Alone[class] && !n.reachable()
+			away := n.cfg.AllowUnreplicated[class] && !n.reachable()
 			n.mu.Unlock()
 			if away {
 				return true, nil
 			}
 		case <-late.C:
-			return n.cfg.Alone[class], ifStrict(n.cfg.Alone[class])
+			return n.cfg.AllowUnreplicated[class], ifStrict(n.cfg.AllowUnreplicated[class])
 		}
 	}
 }
@@ -420,13 +420,13 @@
 // away says whether a member has been out of reach for longer than that is waited for; n.mu is held.
 func (n *Node) away(name string) bool {
 	since, missed := n.missed[name]
-	return missed && time.Since(since) > n.cfg.Patience
+	return missed && time.Since(since) > n.cfg.ReplicaTimeout
 }
 
 // reachable says whether this life may act and everybody who counts can be reached and has room; n.mu is held.
 func (n *Node) reachable() bool {
-	return n.owner != nil && len(n.owner.Counted()) > 0 && n.MayAct() &&
-		!slices.ContainsFunc(n.owner.Counted(), func(name string) bool { return n.away(name) || n.owner.Full(name) })
+	return n.owner != nil && len(n.owner.InSync()) > 0 && n.MayAct() &&
+		!slices.ContainsFunc(n.owner.InSync(), func(name string) bool { return n.away(name) || n.owner.Full(name) })
 }
 
 // unwait drops a waiter that has gone; n.mu is held.
@@ -436,7 +436,7 @@
 
 // held wakes those whose marks are held; n.mu is held.
 func (n *Node) held() {
-	up := n.owner.Held()
+	up := n.owner.HighWatermark()
 	rest := n.waiters[:0]
 	for _, w := range n.waiters {
 		if w.mark <= up {
@@ -481,7 +481,7 @@
 		return
 	}
 	owner := n.owner
-	for _, name := range append(slices.Clone(owner.Counted()), n.wanted(m)...) {
+	for _, name := range append(slices.Clone(owner.InSync()), n.wanted(m)...) {
 		to := n.view.State().Members[name]
 		if to == nil || n.sending[name] {
 			continue
@@ -540,7 +540,7 @@
 		}
 		n.mu.Lock()
 		b, some := owner.Next(name, time.Now().UnixNano())
-		if !some && time.Since(n.heard[name]) > n.cfg.Patience/2 {
+		if !some && time.Since(n.heard[name]) > n.cfg.ReplicaTimeout/2 {
 			b, some = owner.Ping(name, time.Now().UnixNano())
 		}
 		n.mu.Unlock()
@@ -556,7 +556,7 @@
 			if _, away := n.missed[name]; !away {
 				n.missed[name] = time.Now()
 			}
-			owner.Unanswered(name)
+			owner.HandleNoAck(name)
 			n.mu.Unlock()
 			return
 		}
@@ -568,7 +568,7 @@
 		if ack.Full {
 			n.figures.Full++
 		}
-		owner.Answered(name, ack)
+		owner.HandleAck(name, ack)
 		if n.owner == owner {
 			n.held()
 		}
@@ -579,7 +579,7 @@
 			return
 		}
 		if b.Snapshot > 0 && spare { // its share of the link and of this machine: what is taken on meanwhile comes first
-			pause(ctx, time.Duration(float64(batchSize(b))/float64(max(1, n.cfg.CatchUp))*float64(time.Second)))
+			pause(ctx, time.Duration(float64(batchSize(b))/float64(max(1, n.cfg.CatchUpRate))*float64(time.Second)))
 		}
 	}
 }
@@ -626,12 +626,12 @@
 		return
 	}
 	for name, since := range n.missed { // one that does not count is tried again now and then: it may be back
-		if !slices.Contains(m.Keepers, name) && time.Since(since) > retryShares*n.cfg.Patience {
+		if !slices.Contains(m.Keepers, name) && time.Since(since) > retryShares*n.cfg.ReplicaTimeout {
 			delete(n.missed, name)
 		}
 	}
 	more := n.wanted(m)
-	n.owner.SetKeepers(m.Keepers, more)
+	n.owner.SetReplicas(m.Keepers, more)
 	n.held()
 	if n.asked != nil {
 		n.askForKeepers(ctx) // again
@@ -646,7 +646,7 @@
 	}
 	fresh := 0
 	for _, name := range more {
-		if len(set) < most && n.owner.Level(name) {
+		if len(set) < most && n.owner.CaughtUp(name) {
 			set = append(set, name)
 			fresh++
 		}
@@ -659,7 +659,7 @@
 	if slices.Equal(slices.Sorted(slices.Values(set)), slices.Sorted(slices.Values(m.Keepers))) || fresh == 0 && len(set) >= len(m.Keepers) {
 		return
 	}
-	n.owner.Ask(set)
+	n.owner.Propose(set)
 	n.asked = &controlplane.Command{Kind: controlplane.Keepers, Life: n.mine, From: m.Changed, Set: set}
 	n.askForKeepers(ctx)
 }
@@ -678,7 +678,7 @@
 		defer n.mu.Unlock()
 		n.asking = false
 		if n.owner == owner && err == nil && r.Refused != "" {
-			owner.Settled()
+			owner.ProposalSettled()
 			n.asked = nil
 		}
 		return nil
--- a/internal/cluster/node/node_test.go
+++ b/internal/cluster/node/node_test.go
@@ -14,9 +14,9 @@
 // and nobody is left waiting for a mark that means something else in the next life.
 func TestALifeEndsWhileItsKeepersAreWaitedFor(t *testing.T) {
 	for class, strict := range map[string]bool{"safe": false, "unsafe": true} {
-		n := &Node{cfg: Config{Copies: 2, Alone: map[string]bool{"safe": true}, Patience: time.Millisecond}, began: time.Now()}
+		n := &Node{cfg: Config{Copies: 2, AllowUnreplicated: map[string]bool{"safe": true}, ReplicaTimeout: time.Millisecond}, began: time.Now()}
 		n.owner = replication.NewOwner(controlplane.Life{Name: "n", Number: 1})
-		n.owner.SetKeepers([]string{"k"}, nil)
+		n.owner.SetReplicas([]string{"k"}, nil)
 		n.lease.Store(math.MaxInt64)
 		n.thawed.Store(true)
 		type answer struct {
--- a/internal/cluster/node/plans.go
+++ b/internal/cluster/node/plans.go
@@ -28,26 +28,26 @@
 	recordMost  = 64 << 20
 )
 
-// PlaceConfig is what a member is told of places.
-type PlaceConfig struct {
-	Places  plan.Places
-	Planner plan.Config
-	Window  time.Duration
-	Record  string             // a file of what the planner was told, where this leads; "" is none
-	Members int                // forwarders that there may be at the most
-	Worth   map[string]float64 // of a message, by class
+// LocalityConfig is what a member is told of places.
+type LocalityConfig struct {
+	Topology   plan.Topology
+	Planner    plan.Config
+	Window     time.Duration
+	RecordFile string             // a file of what the planner was told, where this leads; "" is none
+	MaxMembers int                // forwarders that there may be at the most
+	Worth      map[string]float64 // of a message, by class
 }
 
 // steering stands before the router, and gathers what it says.
 type steering struct {
 	n   *Node
-	cfg PlaceConfig
+	cfg LocalityConfig
 
 	mu       sync.Mutex
 	follower *plan.Follower
 	shedder  *plan.Shedder
 	report   plan.Report
-	runs     plan.Runs
+	runs     plan.LossStreaks
 	sites    map[int64]map[string]float64
 	targets  map[int64]map[string]plan.Target
 	at       time.Duration // when targets were last made
@@ -72,10 +72,10 @@
 	Moves []plan.Move `json:"moves"`
 }
 
-func newSteering(n *Node, cfg PlaceConfig) *steering {
+func newSteering(n *Node, cfg LocalityConfig) *steering {
 	s := &steering{
 		n: n, cfg: cfg, follower: plan.NewFollower(n.cfg.Zone), shedder: plan.NewShedder(cfg.Worth), targets: map[int64]map[string]plan.Target{}, saved: map[plan.Path]float64{},
-		others: map[string]plan.Report{}, zones: map[string]plan.Summary{}, runs: plan.Runs{},
+		others: map[string]plan.Report{}, zones: map[string]plan.Summary{}, runs: plan.LossStreaks{},
 	}
 	s.fresh()
 	return s
@@ -91,7 +91,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.report.Demand[destination]++
-	return s.shedder.Admit(destination, class, s.follower.Room(s.n.now(), destination))
+	return s.shedder.Admit(destination, class, s.follower.AdmittedShare(s.n.now(), destination))
 }
 
 // Called books how a call ended.
@@ -113,10 +113,10 @@
 	switch out {
 	case mb.OK:
 		tally.OK++
-		tally.Book(took - delayed)
+		tally.RecordLatency(took - delayed)
 	case mb.Failed:
 		tally.Failed++
-		tally.Book(took - delayed)
+		tally.RecordLatency(took - delayed)
 	case mb.Full:
 		tally.Refused++
 	case mb.ConnectFailed:
@@ -144,15 +144,15 @@
 func (s *steering) look(now time.Duration) {
 	span := min(now-s.at, saveUp).Seconds()
 	s.at = now
-	fleet := plan.Fleet{All: s.cfg.Members, Reserve: s.cfg.Planner.Reserve}
+	fleet := plan.FallbackConfig{MaxForwarders: s.cfg.MaxMembers, Reserve: s.cfg.Planner.Reserve}
 	maps.DeleteFunc(s.targets, func(d int64, _ map[string]plan.Target) bool { return s.sites[d] == nil })
 	maps.DeleteFunc(s.saved, func(at plan.Path, _ float64) bool { return !s.lists(at) })
 	for d, capacity := range s.sites {
 		zones := slices.Collect(maps.Keys(capacity))
 		allowed := map[string]plan.Target{}
-		for _, t := range s.follower.Allow(now, d, capacity, s.cfg.Places.Order(s.n.cfg.Zone, zones), fleet) {
-			allowed[t.Place] = t
-			at := plan.Path{Destination: d, To: t.Place}
+		for _, t := range s.follower.Targets(now, d, capacity, s.cfg.Topology.SortByCost(s.n.cfg.Zone, zones), fleet) {
+			allowed[t.Zone] = t
+			at := plan.Path{Destination: d, To: t.Zone}
 			s.saved[at] = min(max(1, t.Rate*saveUp.Seconds()), s.saved[at]+t.Rate*span)
 		}
 		s.targets[d] = allowed
@@ -264,7 +264,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.follower.Known() == decided.Number {
+	if s.follower.LatestVersion() == decided.Number {
 		s.follower.Renew(sent)
 		return
 	}
@@ -273,7 +273,7 @@
 		s.n.cfg.Logger.Warn().Str("part", "plan").Uint64("plan", decided.Number).Err(err).Msg("not understood: the one before holds until it runs out")
 		return
 	}
-	if s.follower.Hear(sent, p); s.follower.Known() != p.Version || len(p.Moves) == 0 {
+	if s.follower.Apply(sent, p); s.follower.LatestVersion() != p.Version || len(p.Moves) == 0 {
 		return
 	}
 	if s.history = append(s.history, Decision{p.Version, time.Now(), p.Moves}); len(s.history) > historyMost {
@@ -290,7 +290,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.follower = plan.NewFollower(s.n.cfg.Zone)
-	s.follower.Since = since
+	s.follower.MinState = since
 }
 
 func readPlan(b []byte) (*plan.Plan, error) {
@@ -312,11 +312,11 @@
 	s.mu.Lock()
 	r := s.report
 	maps.DeleteFunc(r.Paths, func(p plan.Path, _ plan.Tally) bool { return !s.lists(p) }) // of a list that is over
-	maps.DeleteFunc(s.runs, func(p plan.Path, _ plan.Run) bool { return !s.lists(p) })
-	r.Lost = s.runs.Window(r.Paths)
+	maps.DeleteFunc(s.runs, func(p plan.Path, _ plan.LossStreak) bool { return !s.lists(p) })
+	r.Lost = s.runs.EndWindow(r.Paths)
 	s.fresh()
-	s.shedder.Window()
-	r.Observer, r.Obeys = mine.String(), s.follower.Obeys(now)
+	s.shedder.EndWindow()
+	r.Observer, r.Obeys = mine.String(), s.follower.ActiveVersion(now)
 	reports := s.others // those of this window: whoever gathers, or leads, later does not begin with old ones
 	s.others = map[string]plan.Report{}
 	if !leads {
@@ -386,12 +386,12 @@
 				from = &plan.Plan{Version: state.Plan.Number}
 			}
 		}
-		s.planner, s.from = plan.New(s.cfg.Planner, s.cfg.Places, from), state.Plan.Number
+		s.planner, s.from = plan.NewPlanner(s.cfg.Planner, s.cfg.Topology, from), state.Plan.Number
 		in.Elapsed = s.cfg.Window
 	}
 	next, changed := s.planner.Step(in)
 	s.mu.Unlock()
-	s.note(plan.Recorded{Input: in, Places: s.cfg.Places, Config: s.cfg.Planner, Begin: from, Began: began}, next, changed)
+	s.note(plan.RecordedWindow{Input: in, Places: s.cfg.Topology, Config: s.cfg.Planner, Begin: from, Began: began}, next, changed)
 	if !changed {
 		return
 	}
@@ -411,25 +411,25 @@
 }
 
 // note writes a window to the record, if there is one.
-func (s *steering) note(w plan.Recorded, next *plan.Plan, changed bool) {
-	if s.cfg.Record == "" {
+func (s *steering) note(w plan.RecordedWindow, next *plan.Plan, changed bool) {
+	if s.cfg.RecordFile == "" {
 		return
 	}
 	if changed {
 		w.Plan = next
 	}
 	if s.record == nil {
-		f, err := os.Create(s.cfg.Record)
+		f, err := os.Create(s.cfg.RecordFile)
 		if err != nil {
 			s.n.cfg.Logger.Warn().Str("part", "plan").Err(err).Msg("no record is kept")
-			s.cfg.Record = ""
+			s.cfg.RecordFile = ""
 			return
 		}
 		s.file, s.record = f, plan.NewRecorder(f, recordMost)
 	}
-	if err := s.record.Window(w); err != nil {
+	if err := s.record.Write(w); err != nil {
 		s.n.cfg.Logger.Warn().Str("part", "plan").Err(err).Msg("the record ends here")
-		s.cfg.Record = ""
+		s.cfg.RecordFile = ""
 	}
 }
 
@@ -487,7 +487,7 @@
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	*out = PlanStatus{
-		Name: s.n.cfg.Name, Zone: s.n.cfg.Zone, Obeys: st.follower.Obeys(s.n.now()), Evacuating: state.Plan.Evacuating, Frozen: state.Plan.Frozen,
+		Name: s.n.cfg.Name, Zone: s.n.cfg.Zone, Obeys: st.follower.ActiveVersion(s.n.now()), Evacuating: state.Plan.Evacuating, Frozen: state.Plan.Frozen,
 		Ordered: state.Plan.Ordered, Sites: st.sites, Targets: map[int64]map[string]planGoal{}, History: slices.Clone(st.history),
 	}
 	if state.Plan.Number > 0 {
--- a/internal/cluster/node/status.go
+++ b/internal/cluster/node/status.go
@@ -20,14 +20,14 @@
 	State    *controlplane.State    `json:"state"`
 	Founders []controlplane.Founder `json:"founders"`  // of the council, as far as this member knows
 	Unheard  map[string]float64     `json:"unheard_s"` // seconds for which a member has not answered this one
-	Keepers  []KeeperStatus         `json:"keepers"`
+	Keepers  []ReplicaStatus        `json:"keepers"`
 	Copies   []CopyStatus           `json:"copies"`
 	Disk     store.Stats            `json:"disk"`
-	Figures  Figures                `json:"figures"`
+	Figures  Counters               `json:"figures"`
 }
 
-// KeeperStatus is how far one that keeps copies for this member is.
-type KeeperStatus struct {
+// ReplicaStatus is how far one that keeps copies for this member is.
+type ReplicaStatus struct {
 	Name    string  `json:"name"`
 	Counts  bool    `json:"counts"`
 	Has     uint64  `json:"has"`      // the log up to this index,
@@ -51,7 +51,7 @@
 	n.mu.Lock()
 	s := Status{Name: n.cfg.Name, Life: n.mine, State: n.view.State(), Figures: n.figures}
 	if n.owner != nil {
-		names := n.owner.Counted()
+		names := n.owner.InSync()
 		counted := map[string]bool{}
 		for _, name := range names {
 			counted[name] = true
@@ -60,7 +60,7 @@
 			names = append(append([]string(nil), names...), n.wanted(m)...)
 		}
 		for _, name := range names {
-			k := KeeperStatus{Name: name, Counts: counted[name], Has: n.owner.Match(name), Of: n.owner.Latest(), Refuses: n.owner.Full(name)}
+			k := ReplicaStatus{Name: name, Counts: counted[name], Has: n.owner.MatchIndex(name), Of: n.owner.LastIndex(), Refuses: n.owner.Full(name)}
 			if since, away := n.missed[name]; away {
 				k.Missed = time.Since(since).Seconds()
 			}
@@ -83,10 +83,10 @@
 	n.talk.mu.Unlock()
 	n.shelfMu.Lock()
 	defer n.shelfMu.Unlock()
-	for _, life := range n.shelf.Lives() {
-		h := n.shelf.Copy(life)
+	for _, life := range n.shelf.Incarnations() {
+		h := n.shelf.Replica(life)
 		s.Copies = append(s.Copies, CopyStatus{
-			Life: life, Has: h.Have, Messages: len(h.Content.Messages()), Past: len(h.Content.Past()), Unknown: h.Unknown,
+			Life: life, Has: h.LastIndex, Messages: len(h.Content.Messages()), Past: len(h.Content.Past()), Unknown: h.Unknown,
 			SkewMS: float64(h.Skew) / float64(time.Millisecond),
 		})
 	}
@@ -119,18 +119,18 @@
 	return s, p.Call(ctx, method, true, &s)
 }
 
-// Look asks the member at an address what it knows.
-func Look(ctx context.Context, address string) (Status, error) {
+// GetStatus asks the member at an address what it knows.
+func GetStatus(ctx context.Context, address string) (Status, error) {
 	return look[Status](ctx, address, "Status.Get")
 }
 
-// LookFacts asks the member at an address what it knows of partners.
-func LookFacts(ctx context.Context, address string) (FactsStatus, error) {
-	return look[FactsStatus](ctx, address, "Status.Facts")
+// GetObservations asks the member at an address what it knows of partners.
+func GetObservations(ctx context.Context, address string) (ObservationStatus, error) {
+	return look[ObservationStatus](ctx, address, "Status.Facts")
 }
 
-// Order has the member at an address ask the council for a command.
-func Order(ctx context.Context, address string, c controlplane.Command) (r controlplane.Response, err error) {
+// SendCommand has the member at an address ask the council for a command.
+func SendCommand(ctx context.Context, address string, c controlplane.Command) (r controlplane.Response, err error) {
 	p := links.NewPeer(address)
 	defer p.Close()
 	return r, p.Call(ctx, "Status.Command", c, &r)
@@ -145,12 +145,12 @@
 	return err
 }
 
-// LookRollout asks the member at an address how far the configuration is in force in the fleet.
-func LookRollout(ctx context.Context, address string) (controlplane.Rollout, error) {
+// GetRollout asks the member at an address how far the configuration is in force in the fleet.
+func GetRollout(ctx context.Context, address string) (controlplane.Rollout, error) {
 	return look[controlplane.Rollout](ctx, address, "Status.Rollout")
 }
 
-// LookPlan asks the member at an address where traffic goes.
-func LookPlan(ctx context.Context, address string) (PlanStatus, error) {
+// GetPlan asks the member at an address where traffic goes.
+func GetPlan(ctx context.Context, address string) (PlanStatus, error) {
 	return look[PlanStatus](ctx, address, "Status.Plan")
 }
--- a/internal/cluster/node/taking.go
+++ b/internal/cluster/node/taking.go
@@ -22,10 +22,10 @@
 func (c copiesRPC) Append(b replication.Batch, ack *replication.Ack) error {
 	n := c.n
 	n.shelfMu.Lock()
-	keep, a := n.shelf.Take(b, time.Now().UnixNano())
+	keep, a := n.shelf.Append(b, time.Now().UnixNano())
 	last, err := n.disk.Save(keep)
 	if err != nil {
-		n.shelf.Doubt(b.Life) // half of it may be kept: it is sent anew, and until then what is here is the best there is
+		n.shelf.MarkDiverged(b.Life) // half of it may be kept: it is sent anew, and until then what is here is the best there is
 		if !errors.Is(err, replication.ErrFull) {
 			n.cfg.Logger.Warn().Str("part", "copies").Stringer("life", b.Life).Err(err).Msg("copy not kept")
 		}
@@ -48,9 +48,9 @@
 func (c copiesRPC) Position(life controlplane.Life, have *uint64) error {
 	c.n.shelfMu.Lock()
 	defer c.n.shelfMu.Unlock()
-	c.n.shelf.End(life) // it stands still from here on
-	if h := c.n.shelf.Copy(life); h != nil {
-		*have = h.Have
+	c.n.shelf.Fence(life) // it stands still from here on
+	if h := c.n.shelf.Replica(life); h != nil {
+		*have = h.LastIndex
 	}
 	return nil
 }
@@ -62,8 +62,8 @@
 	Past int
 }
 
-// FetchPiece is one.
-type FetchPiece struct {
+// FetchReply is one.
+type FetchReply struct {
 	Have    uint64
 	Skew    time.Duration
 	Records [][]byte
@@ -72,15 +72,15 @@
 }
 
 // Fetch gives a part of a copy, which stands still from the first on.
-func (c copiesRPC) Fetch(r FetchRequest, p *FetchPiece) error {
+func (c copiesRPC) Fetch(r FetchRequest, p *FetchReply) error {
 	c.n.shelfMu.Lock()
 	defer c.n.shelfMu.Unlock()
-	c.n.shelf.End(r.Life)
-	h := c.n.shelf.Copy(r.Life)
-	if h == nil || h.Have == 0 {
+	c.n.shelf.Fence(r.Life)
+	h := c.n.shelf.Replica(r.Life)
+	if h == nil || h.LastIndex == 0 {
 		return nil
 	}
-	p.Have, p.Skew, p.Next = h.Have, h.Skew, r
+	p.Have, p.Skew, p.Next = h.LastIndex, h.Skew, r
 	size := 0
 	for _, m := range h.Content.Messages() {
 		if m.Seq < r.From {
@@ -169,7 +169,7 @@
 				line = n.cfg.Logger.Warn().Err(err)
 			}
 			line.Str("part", "node").Stringer("life", life).Int("messages", count).Dur("ms", time.Since(began)).Msg("taking over")
-			pause(ctx, n.cfg.Patience) // before another try, if it failed
+			pause(ctx, n.cfg.ReplicaTimeout) // before another try, if it failed
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			delete(n.taking, life)
@@ -196,36 +196,36 @@
 	var content replication.Content
 	var mark uint64
 	for t := replication.NewTakeover(life, mine); ; {
-		switch t.Doing() {
+		switch t.Step() {
 		case replication.Gather:
 			found := false
 			if content, found = n.gather(ctx, life, keepers, s); !found {
 				err = errNoCopy
 			}
 			t.Gathered(found)
-		case replication.Adopt:
+		case replication.Stage:
 			mark, err = n.router.Adopt(life.Name, life.Number, content.Ordered(), pastOf(content))
-			t.Adopted(err == nil)
-		case replication.Wait:
+			t.Staged(err == nil)
+		case replication.Replicate:
 			err = n.copied(ctx, mark)
-			t.Held(err == nil)
-		case replication.Decide:
+			t.Replicated(err == nil)
+		case replication.Commit:
 			var done bool
 			done, err = n.decideDone(ctx, life, mine)
-			t.Decided(err == nil, done)
-		case replication.Act:
+			t.Committed(err == nil, done)
+		case replication.Activate:
 			if ok := n.MayAct(); ok {
 				count = n.router.Activate(life.Name, life.Number, true)
-				t.Acted(true)
+				t.Activated(true)
 			} else { // it is this life's: the next thaw, or the next life, goes on with it
 				err = errApart
-				t.Acted(false)
+				t.Activated(false)
 			}
-		case replication.Undo:
+		case replication.Discard:
 			n.router.Activate(life.Name, life.Number, false)
 			err = errors.Join(err, errApart)
-			t.Undone()
-		case replication.Stop:
+			t.Discarded()
+		case replication.Done:
 			return count, err
 		}
 	}
@@ -242,7 +242,7 @@
 func (n *Node) copied(ctx context.Context, mark uint64) error {
 	for ctx.Err() == nil {
 		n.mu.Lock()
-		none := n.owner == nil || len(n.owner.Counted()) == 0 && len(n.view.State().Ranking(n.cfg.Name, nil)) == 0
+		none := n.owner == nil || len(n.owner.InSync()) == 0 && len(n.view.State().Ranking(n.cfg.Name, nil)) == 0
 		n.mu.Unlock()
 		if none {
 			return nil // this is the only one left
@@ -345,8 +345,8 @@
 		}
 	}
 	n.shelfMu.Lock()
-	n.shelf.End(life)
-	if h := n.shelf.Copy(life); h != nil && h.Have > 0 && slices.Contains(keepers, n.cfg.Name) {
+	n.shelf.Fence(life)
+	if h := n.shelf.Replica(life); h != nil && h.LastIndex > 0 && slices.Contains(keepers, n.cfg.Name) {
 		add(replication.ContentOf(h.Content, h.Skew))
 	}
 	n.shelfMu.Unlock()
@@ -373,7 +373,7 @@
 	c := wal.NewCopy()
 	next := FetchRequest{Life: life}
 	for {
-		var p FetchPiece
+		var p FetchReply
 		if err := n.peers.At(address).Call(call, "Copies.Fetch", next, &p); err != nil || p.Have == 0 {
 			return replication.Content{}, false
 		}
@@ -392,7 +392,7 @@
 	for ctx.Err() == nil {
 		pause(ctx, expireEvery)
 		n.shelfMu.Lock()
-		_, err := n.disk.Save(n.shelf.Expire(time.Now().Add(-n.cfg.Window)))
+		_, err := n.disk.Save(n.shelf.Expire(time.Now().Add(-n.cfg.DedupWindow)))
 		n.shelfMu.Unlock()
 		if err = errors.Join(err, n.disk.Compact()); err != nil {
 			n.cfg.Logger.Warn().Str("part", "copies").Err(err).Msg("space not gained")
@@ -409,18 +409,18 @@
 	Ranges [replication.RangeCount]uint64
 }
 
-// CheckAnswer says what came of it.
-type CheckAnswer struct {
+// CheckReply says what came of it.
+type CheckReply struct {
 	Compared bool // the copy was just at that index
 	Differ   int  // ranges
 }
 
 // Check compares; a copy that differs is replaced whole by its owner's next snapshot.
-func (c copiesRPC) Check(r CheckRequest, a *CheckAnswer) error {
+func (c copiesRPC) Check(r CheckRequest, a *CheckReply) error {
 	c.n.shelfMu.Lock()
 	defer c.n.shelfMu.Unlock()
-	h := c.n.shelf.Copy(r.Life)
-	if h == nil || h.Have != r.Index {
+	h := c.n.shelf.Replica(r.Life)
+	if h == nil || h.LastIndex != r.Index {
 		return nil
 	}
 	a.Compared = true
@@ -430,7 +430,7 @@
 		}
 	}
 	if a.Differ > 0 {
-		c.n.shelf.Doubt(r.Life)
+		c.n.shelf.MarkDiverged(r.Life)
 	}
 	return nil
 }
@@ -438,7 +438,7 @@
 // compare has those who count compare their copies now and then.
 func (n *Node) compare(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause(ctx, n.cfg.Check)
+		pause(ctx, n.cfg.CheckInterval)
 		if !n.MayAct() {
 			continue
 		}
@@ -448,13 +448,13 @@
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			if n.owner != nil {
-				req.Life, req.Index = n.owner.Life(), n.owner.Latest()
+				req.Life, req.Index = n.owner.Incarnation(), n.owner.LastIndex()
 			}
 		})
 		n.mu.Lock()
 		to := map[string]string{}
 		if n.owner != nil && req.Index > 0 {
-			for _, name := range n.owner.Counted() {
+			for _, name := range n.owner.InSync() {
 				if m := n.view.State().Members[name]; m != nil {
 					to[name] = m.Address
 				}
@@ -462,7 +462,7 @@
 		}
 		n.mu.Unlock()
 		for name, address := range to {
-			var a CheckAnswer
+			var a CheckReply
 			call, cancel := context.WithTimeout(ctx, appendFor)
 			err := n.peers.At(address).Call(call, "Copies.Check", req, &a)
 			cancel()
@@ -472,7 +472,7 @@
 			n.mu.Lock()
 			n.figures.Differed++
 			if n.owner != nil {
-				n.owner.Unanswered(name) // its next answer says that it has nothing
+				n.owner.HandleNoAck(name) // its next answer says that it has nothing
 			}
 			n.mu.Unlock()
 			n.cfg.Logger.Warn().Str("part", "copies").Str("keeper", name).Stringer("life", req.Life).Int("ranges", a.Differ).
--- a/internal/cluster/observation/book.go
+++ b/internal/cluster/observation/book.go
@@ -18,24 +18,24 @@
 // Kind says what was seen.
 type Kind uint8
 
-// The kinds. Down and Back replace each other: a destination is one of them, or neither.
+// The kinds. Outage and Recovery replace each other: a destination is one of them, or neither.
 const (
-	Wait  Kind = iota + 1 // a partner told a time before which it wants no call
-	Down                  // an outage
-	Back                  // a return from one, perhaps cold
-	Limit                 // calls a second, as a partner reports them
+	RetryAfter Kind = iota + 1 // a partner told a time before which it wants no call
+	Outage                     // an outage
+	Recovery                   // a return from one, perhaps cold
+	RateLimit                  // calls a second, as a partner reports them
 )
 
 // String names a kind.
 func (k Kind) String() string {
 	switch k {
-	case Wait:
+	case RetryAfter:
 		return "wait"
-	case Down:
+	case Outage:
 		return "down"
-	case Back:
+	case Recovery:
 		return "back"
-	case Limit:
+	case RateLimit:
 		return "limit"
 	}
 	return "unknown"
@@ -43,14 +43,14 @@
 
 // slot gathers the kinds that replace each other.
 func (k Kind) slot() Kind {
-	if k == Back {
-		return Down
+	if k == Recovery {
+		return Outage
 	}
 	return k
 }
 
-// Fact is what one forwarder has seen, as it travels.
-type Fact struct {
+// Record is what one forwarder has seen, as it travels.
+type Record struct {
 	Kind        Kind
 	Destination int64
 	Endpoint    string // of a destination whose routes are apart; "" is all of it
@@ -64,16 +64,16 @@
 
 // Config bounds what is believed.
 type Config struct {
-	Name     string        // this forwarder's
-	Life     uint64        // and its life; Rebirth changes it
-	HalfLife time.Duration // how long one forwarder's word alone counts; facts are forgotten after Lives of them
-	Longest  time.Duration // a told wait that two forwarders agree on is heeded for so long at the most
-	Keys     int           // destinations and routes of which something is kept, at the most
+	Name          string        // this forwarder's
+	Epoch         uint64        // and its life; Rebirth changes it
+	HalfLife      time.Duration // how long one forwarder's word alone counts; facts are forgotten after Lives of them
+	MaxRetryAfter time.Duration // a told wait that two forwarders agree on is heeded for so long at the most
+	MaxKeys       int           // destinations and routes of which something is kept, at the most
 }
 
 const (
-	// Lives is for how many half-lives a fact is kept.
-	Lives = 4
+	// RetainedHalfLives is for how many half-lives a fact is kept.
+	RetainedHalfLives = 4
 	// witnesses is how many forwarders' facts of one thing are kept. Further ones that say the same are neither kept nor told on, so
 	// that a fleet's talk of one outage does not grow with the fleet.
 	witnesses  = 4
@@ -88,7 +88,7 @@
 
 // sight is a fact as it is kept, in this process's time.
 type sight struct {
-	Fact
+	Record
 	seen  time.Duration // when its origin saw it, at the latest
 	until time.Duration // of a Wait
 	alone time.Duration // since when its origin's word has been heeded without another's
@@ -100,7 +100,7 @@
 	endpoint    string
 }
 
-func (f Fact) key() key { return key{f.Kind.slot(), f.Destination, f.Endpoint} }
+func (f Record) key() key { return key{f.Kind.slot(), f.Destination, f.Endpoint} }
 
 // fed is what the forwarder was told of a lane; what it shows of that later is not its own sight.
 type fed struct {
@@ -119,8 +119,8 @@
 	Absurd    int64 // dropped: no such value can be meant
 }
 
-// Book is what one forwarder knows. It is not safe for several goroutines at once.
-type Book struct {
+// Store is what one forwarder knows. It is not safe for several goroutines at once.
+type Store struct {
 	cfg      Config
 	serial   uint64
 	patience time.Duration             // how old others' facts are before it tells its own
@@ -135,39 +135,39 @@
 	endpoint    string
 }
 
-// NewBook is one that knows nothing.
-func NewBook(cfg Config) *Book {
+// NewStore is one that knows nothing.
+func NewStore(cfg Config) *Store {
 	share := time.Duration(xxh3.HashString(cfg.Name) % 1000)
 	patience := cfg.HalfLife/10*freshLeast + cfg.HalfLife/10*(freshMost-freshLeast)*share/1000
-	return &Book{cfg: cfg, patience: patience, kept: map[key]map[string]*sight{}, fed: map[mbLane]*fed{}}
+	return &Store{cfg: cfg, patience: patience, kept: map[key]map[string]*sight{}, fed: map[mbLane]*fed{}}
 }
 
-// Rebirth says that another life of this forwarder begins.
-func (b *Book) Rebirth(life uint64) { b.cfg.Life = life }
+// SetEpoch says that another life of this forwarder begins.
+func (b *Store) SetEpoch(life uint64) { b.cfg.Epoch = life }
 
-// Own compares what this forwarder has learned with what it has told, and gives what is to be told now.
-func (b *Book) Own(now time.Duration, lanes []mb.LearnedLane) (news []Fact) {
-	tell := func(f Fact, until time.Duration, age time.Duration) {
+// LocalUpdates compares what this forwarder has learned with what it has told, and gives what is to be told now.
+func (b *Store) LocalUpdates(now time.Duration, lanes []mb.LearnedLane) (news []Record) {
+	tell := func(f Record, until time.Duration, age time.Duration) {
 		k := f.key()
 		if b.enough(k, f, until, now, b.patience) {
 			return
 		}
 		b.serial++
-		f.Origin, f.Life, f.Serial = b.cfg.Name, b.cfg.Life, b.serial
-		s := &sight{Fact: f, seen: now - age, until: until, alone: now}
+		f.Origin, f.Life, f.Serial = b.cfg.Name, b.cfg.Epoch, b.serial
+		s := &sight{Record: f, seen: now - age, until: until, alone: now}
 		if b.keep(k, s) {
 			b.Counts.Own++
 			news = append(news, b.travelling(s, now))
 		}
 	}
 	for _, l := range lanes {
-		f := Fact{Destination: int64(l.Destination), Endpoint: string(l.Endpoint)}
+		f := Record{Destination: int64(l.Destination), Endpoint: string(l.Endpoint)}
 		was := b.fed[mbLane{f.Destination, f.Endpoint}]
 		if was == nil {
 			was = &fed{}
 		}
 		if until := now + l.Wait; l.Wait > sameEnd && until > was.until+sameEnd {
-			f.Kind = Wait
+			f.Kind = RetryAfter
 			if s := b.mine(f.key()); s == nil || until > s.until+sameEnd {
 				tell(f, until, 0)
 			}
@@ -175,15 +175,15 @@
 		own := l.LastBad >= 0 && (!was.cared || now-l.LastBad > was.guard) // what it was told raises a guard without a bad call
 		switch {
 		case own && l.Breaker != mb.BreakerClosed:
-			f.Kind = Down
+			f.Kind = Outage
 		case own && l.Guard && l.GuardFrom >= 0:
-			f.Kind = Back
+			f.Kind = Recovery
 		default:
 			f.Kind = 0
 		}
 		if f.Kind != 0 {
 			age := max(0, l.LastBad)
-			if f.Kind == Back {
+			if f.Kind == Recovery {
 				age = l.GuardFrom
 			}
 			if s := b.mine(f.key()); s == nil || s.Kind != f.Kind || now-s.seen > b.patience && now-age > s.seen {
@@ -191,7 +191,7 @@
 			}
 		}
 		if l.Limit > 0 {
-			f.Kind, f.Rate = Limit, l.Limit
+			f.Kind, f.Rate = RateLimit, l.Limit
 			if s := b.mine(f.key()); s == nil || !near(s.Rate, l.Limit) || now-s.seen > b.patience && now-l.Seen > s.seen {
 				tell(f, 0, max(0, l.Seen))
 			}
@@ -202,17 +202,17 @@
 
 func near(a, b float64) bool { return math.Abs(a-b) <= sameRate*math.Max(a, b) }
 
-func (b *Book) mine(k key) *sight { return b.kept[k][b.cfg.Name] }
+func (b *Store) mine(k key) *sight { return b.kept[k][b.cfg.Name] }
 
 // enough says whether others have told just this, so often that nobody needs it once more.
-func (b *Book) enough(k key, f Fact, until, now, fresh time.Duration) bool {
+func (b *Store) enough(k key, f Record, until, now, fresh time.Duration) bool {
 	n := 0
 	for origin, s := range b.kept[k] {
 		if origin == f.Origin || origin == b.cfg.Name && f.Origin == "" {
 			continue
 		}
 		switch {
-		case f.Kind == Wait && s.until < until-sameEnd, f.Kind != Wait && now-s.seen > fresh, f.Kind != s.Kind, f.Kind == Limit && !near(f.Rate, s.Rate):
+		case f.Kind == RetryAfter && s.until < until-sameEnd, f.Kind != RetryAfter && now-s.seen > fresh, f.Kind != s.Kind, f.Kind == RateLimit && !near(f.Rate, s.Rate):
 		default:
 			n++
 		}
@@ -221,16 +221,16 @@
 }
 
 // keep books a sight; the oldest of too many witnesses goes, and of too many keys the sight itself.
-func (b *Book) keep(k key, s *sight) bool {
+func (b *Store) keep(k key, s *sight) bool {
 	by := b.kept[k]
 	if by == nil {
-		if len(b.kept) >= b.cfg.Keys {
+		if len(b.kept) >= b.cfg.MaxKeys {
 			return false
 		}
 		by = map[string]*sight{}
 		b.kept[k] = by
 	}
-	if old := by[s.Origin]; old != nil && s.seen < old.alone+Lives*b.cfg.HalfLife {
+	if old := by[s.Origin]; old != nil && s.seen < old.alone+RetainedHalfLives*b.cfg.HalfLife {
 		s.alone = old.alone // saying it again does not make one's word last
 	}
 	if by[s.Origin] = s; len(by) <= witnesses {
@@ -247,43 +247,43 @@
 }
 
 // travelling is a sight as it is told on.
-func (b *Book) travelling(s *sight, now time.Duration) Fact {
-	f := s.Fact
+func (b *Store) travelling(s *sight, now time.Duration) Record {
+	f := s.Record
 	f.Age, f.Left = now-s.seen, max(0, s.until-now)
 	return f
 }
 
-// Why says what was wrong with a fact.
-type Why string
+// Problem says what was wrong with a fact.
+type Problem string
 
 // What can be wrong.
 const (
-	Fine     Why = ""
-	FutureOf Why = "an age below zero"
-	LongWait Why = "a wait longer than any that is heeded"
-	NoRate   Why = "a limit that is no rate"
+	Valid         Problem = ""
+	NegativeAge   Problem = "an age below zero"
+	ExcessiveWait Problem = "a wait longer than any that is heeded"
+	InvalidRate   Problem = "a limit that is no rate"
 )
 
-// Take hears a fact. News says that it is to be told on; why says what is wrong with it, if anything. Whether its origin belongs to
+// Add hears a fact. News says that it is to be told on; why says what is wrong with it, if anything. Whether its origin belongs to
 // the fleet, and is in that life, is for the caller to ask first.
-func (b *Book) Take(now time.Duration, f Fact) (news bool, why Why) {
-	if f.Origin == b.cfg.Name || f.Kind < Wait || f.Kind > Limit {
+func (b *Store) Add(now time.Duration, f Record) (news bool, why Problem) {
+	if f.Origin == b.cfg.Name || f.Kind < RetryAfter || f.Kind > RateLimit {
 		b.Counts.Old++ // or of a later version, which knows more kinds
-		return false, Fine
+		return false, Valid
 	}
 	if f.Age < 0 {
-		f.Age, why = 0, FutureOf
+		f.Age, why = 0, NegativeAge
 		b.Counts.Bounded++
 	}
-	if f.Kind == Limit && !(f.Rate > 0 && f.Rate <= mostRate) {
+	if f.Kind == RateLimit && !(f.Rate > 0 && f.Rate <= mostRate) {
 		b.Counts.Absurd++
-		return false, NoRate
+		return false, InvalidRate
 	}
-	if f.Kind == Wait && f.Left > b.cfg.Longest {
-		f.Left, why = b.cfg.HalfLife, LongWait
+	if f.Kind == RetryAfter && f.Left > b.cfg.MaxRetryAfter {
+		f.Left, why = b.cfg.HalfLife, ExcessiveWait
 		b.Counts.Bounded++
 	}
-	if f.Age > Lives*b.cfg.HalfLife || f.Kind == Wait && f.Left <= 0 {
+	if f.Age > RetainedHalfLives*b.cfg.HalfLife || f.Kind == RetryAfter && f.Left <= 0 {
 		b.Counts.Old++
 		return false, why
 	}
@@ -292,8 +292,8 @@
 		b.Counts.Old++
 		return false, why
 	}
-	s := &sight{Fact: f, seen: now - f.Age, alone: now}
-	if f.Kind == Wait {
+	s := &sight{Record: f, seen: now - f.Age, alone: now}
+	if f.Kind == RetryAfter {
 		s.until = now + f.Left
 	}
 	if b.enough(k, f, s.until, now, freshLeast*b.cfg.HalfLife/10) || !b.keep(k, s) {
@@ -306,15 +306,15 @@
 
 // over says whether a sight has nothing to say any more. A wait that is over is kept for a while: its origin's next one is then known
 // for what it is.
-func (b *Book) over(s *sight, now time.Duration) bool {
-	return now-s.seen > Lives*b.cfg.HalfLife || s.Kind == Wait && s.until <= now
+func (b *Store) over(s *sight, now time.Duration) bool {
+	return now-s.seen > RetainedHalfLives*b.cfg.HalfLife || s.Kind == RetryAfter && s.until <= now
 }
 
-// Forget drops what is too old, and what members told that the fleet does not know any more.
-func (b *Book) Forget(now time.Duration, known func(origin string, life uint64) bool) {
+// Expire drops what is too old, and what members told that the fleet does not know any more.
+func (b *Store) Expire(now time.Duration, known func(origin string, life uint64) bool) {
 	for k, by := range b.kept {
 		for origin, s := range by {
-			if now-s.seen > Lives*b.cfg.HalfLife && now-s.alone > Lives*b.cfg.HalfLife || origin != b.cfg.Name && known != nil && !known(origin, s.Life) {
+			if now-s.seen > RetainedHalfLives*b.cfg.HalfLife && now-s.alone > RetainedHalfLives*b.cfg.HalfLife || origin != b.cfg.Name && known != nil && !known(origin, s.Life) {
 				delete(by, origin)
 			}
 		}
@@ -323,14 +323,14 @@
 		}
 	}
 	for l, f := range b.fed {
-		if f.until <= now && (!f.cared || now-f.guard > Lives*b.cfg.HalfLife) {
+		if f.until <= now && (!f.cared || now-f.guard > RetainedHalfLives*b.cfg.HalfLife) {
 			delete(b.fed, l)
 		}
 	}
 }
 
-// All are the facts that are kept, as they travel, by destination, kind and origin.
-func (b *Book) All(now time.Duration) (out []Fact) {
+// Records are the facts that are kept, as they travel, by destination, kind and origin.
+func (b *Store) Records(now time.Duration) (out []Record) {
 	for _, by := range b.kept {
 		for _, s := range by {
 			if !b.over(s, now) {
@@ -338,18 +338,18 @@
 			}
 		}
 	}
-	slices.SortFunc(out, func(x, y Fact) int {
+	slices.SortFunc(out, func(x, y Record) int {
 		return cmp.Or(cmp.Compare(x.Destination, y.Destination), cmp.Compare(x.Endpoint, y.Endpoint), cmp.Compare(x.Kind, y.Kind), cmp.Compare(x.Origin, y.Origin))
 	})
 	return out
 }
 
 // Digest is the same for two books that know the same facts.
-func (b *Book) Digest(now time.Duration) (sum uint64) {
+func (b *Store) Digest(now time.Duration) (sum uint64) {
 	for _, by := range b.kept {
 		for _, s := range by {
 			if !b.over(s, now) {
-				sum += s.Fact.hash()
+				sum += s.Record.hash()
 			}
 		}
 	}
@@ -362,7 +362,7 @@
 //
 // A told wait is heeded to its end, or Longest, where two forwarders tell of it; one forwarder's word for a half-life, and then not
 // again for Lives of them. An outage or a return needs two, and counts for nothing where own calls have succeeded since.
-func (b *Book) Advice(now time.Duration, lanes []mb.LearnedLane) (out []mb.LearnedLane) {
+func (b *Store) Advice(now time.Duration, lanes []mb.LearnedLane) (out []mb.LearnedLane) {
 	own := make(map[mbLane]*mb.LearnedLane, len(lanes))
 	for i := range lanes {
 		own[mbLane{int64(lanes[i].Destination), string(lanes[i].Endpoint)}] = &lanes[i]
@@ -385,12 +385,12 @@
 	for k, by := range b.kept {
 		mine := own[mbLane{k.destination, k.endpoint}]
 		switch k.slot {
-		case Wait:
+		case RetryAfter:
 			if until := b.heededWait(now, by); until > now {
 				lane(k).Wait = until - now
 				fedTo(k).until = max(fedTo(k).until, until)
 			}
-		case Down:
+		case Outage:
 			since, from, ok := b.heededOutage(now, by, mine)
 			if f := b.fed[mbLane{k.destination, k.endpoint}]; !ok || f != nil && f.cared && now-f.guard < 2*b.cfg.HalfLife {
 				continue // once for one outage: its own eyes see from there
@@ -398,7 +398,7 @@
 			l := lane(k)
 			l.Guard, l.GuardSince, l.GuardFrom = true, since, from
 			fedTo(k).guard, fedTo(k).cared = now, true
-		case Limit:
+		case RateLimit:
 			if mine != nil && mine.Limit > 0 {
 				continue // its own eyes
 			}
@@ -418,10 +418,10 @@
 }
 
 // heededWait is until when a wait is heeded: the end that two agree on, or one's for a half-life.
-func (b *Book) heededWait(now time.Duration, by map[string]*sight) (until time.Duration) {
+func (b *Store) heededWait(now time.Duration, by map[string]*sight) (until time.Duration) {
 	var first, second time.Duration
 	for _, s := range by {
-		end := min(s.until, s.seen+b.cfg.Longest)
+		end := min(s.until, s.seen+b.cfg.MaxRetryAfter)
 		if end > first {
 			first, second = end, first
 		} else {
@@ -436,7 +436,7 @@
 
 // heededOutage says whether two others tell of an outage, or a return, that own calls have not disproved: how long ago it began,
 // and how long ago the return; below zero is none.
-func (b *Book) heededOutage(now time.Duration, by map[string]*sight, mine *mb.LearnedLane) (since, from time.Duration, ok bool) {
+func (b *Store) heededOutage(now time.Duration, by map[string]*sight, mine *mb.LearnedLane) (since, from time.Duration, ok bool) {
 	n := 0
 	from = -1
 	for _, s := range by {
@@ -445,7 +445,7 @@
 			continue
 		}
 		n++
-		if since = max(since, ago); s.Kind == Back {
+		if since = max(since, ago); s.Kind == Recovery {
 			from = max(from, ago)
 		}
 	}
@@ -456,7 +456,7 @@
 }
 
 // heededLimit is the limit that most tell of, weighed by age, the more careful on a tie, and how far it is believed.
-func (b *Book) heededLimit(now time.Duration, by map[string]*sight) (rate, trust float64) {
+func (b *Store) heededLimit(now time.Duration, by map[string]*sight) (rate, trust float64) {
 	type vote struct{ rate, weight float64 }
 	var votes []vote
 	sum, youngest := 0.0, 0.0
--- a/internal/cluster/observation/spread.go
+++ b/internal/cluster/observation/spread.go
@@ -11,7 +11,7 @@
 )
 
 // hash names a fact.
-func (f Fact) hash() uint64 {
+func (f Record) hash() uint64 {
 	b := make([]byte, 0, 64)
 	b = append(b, byte(f.Kind))
 	for _, v := range []uint64{uint64(f.Destination), f.Life, f.Serial} {
@@ -40,38 +40,38 @@
 	left int
 }
 
-// Spread decides what is told to whom at each beat. It is not safe for several goroutines at once.
-type Spread struct {
-	book  *Book
+// Gossip decides what is told to whom at each beat. It is not safe for several goroutines at once.
+type Gossip struct {
+	book  *Store
 	rng   *rand.Rand
 	hot   []rumour
 	beats int
 	fresh bool // nothing was compared yet: who has just come asks somebody for all
 }
 
-// NewSpread is one for a book.
-func NewSpread(book *Book, seed uint64) *Spread {
-	return &Spread{book: book, rng: rand.New(rand.NewPCG(seed, 0)), beats: int(seed % evenEach), fresh: true} // not all compare at one beat
+// NewGossip is one for a book.
+func NewGossip(book *Store, seed uint64) *Gossip {
+	return &Gossip{book: book, rng: rand.New(rand.NewPCG(seed, 0)), beats: int(seed % evenEach), fresh: true} // not all compare at one beat
 }
 
 // Push goes to one member. Compare says that its answer is to hold all that it knows where the digest differs from its own.
 type Push struct {
 	To      string
-	Facts   []Fact
+	Facts   []Record
 	Compare bool
 	Digest  uint64
 }
 
-// Tell has facts that are new here be told on.
-func (s *Spread) Tell(members int, facts ...Fact) {
+// Enqueue has facts that are new here be told on.
+func (s *Gossip) Enqueue(members int, facts ...Record) {
 	times := int(math.Ceil(math.Log(float64(max(1, members))))) + extra
 	for _, f := range facts {
 		s.hot = append(s.hot, rumour{f.hash(), f.key(), f.Origin, times})
 	}
 }
 
-// Beat gives what is to be sent now to some of the members, who are all but this one.
-func (s *Spread) Beat(now time.Duration, members []string) (out []Push) {
+// Tick gives what is to be sent now to some of the members, who are all but this one.
+func (s *Gossip) Tick(now time.Duration, members []string) (out []Push) {
 	s.beats++
 	compare := s.beats%evenEach == 0 || s.fresh
 	ask := s.beats%askEach == 0
@@ -101,11 +101,11 @@
 }
 
 // take gives what one push carries; what has been replaced or forgotten meanwhile is told no more.
-func (s *Spread) take(now time.Duration) (facts []Fact) {
+func (s *Gossip) take(now time.Duration) (facts []Record) {
 	rest := s.hot[:0]
 	for _, r := range s.hot {
 		kept := s.book.kept[r.key][r.from]
-		if kept == nil || kept.Fact.hash() != r.id || s.book.over(kept, now) {
+		if kept == nil || kept.Record.hash() != r.id || s.book.over(kept, now) {
 			continue
 		}
 		if len(facts) < mostPush {
--- a/internal/cluster/plan/evidence.go
+++ b/internal/cluster/plan/evidence.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// Book books the time of a call that was answered.
-func (t *Tally) Book(took time.Duration) {
+// RecordLatency books the time of a call that was answered.
+func (t *Tally) RecordLatency(took time.Duration) {
 	ms := math.Max(1, took.Seconds()*1000)
 	t.Took[min(buckets-1, int(math.Ceil(math.Log(ms)/math.Log(1.5))))]++
 }
@@ -55,8 +55,8 @@
 // Lost are calls that had no answer.
 func (t Tally) Lost() float64 { return t.NoConnect + t.Reset + t.Late }
 
-// Bad is the share of calls that had no answer; one that failed with an answer was not lost to the way or the place.
-func (t Tally) Bad() float64 { return t.Lost() / math.Max(1, t.Calls()) }
+// LossRate is the share of calls that had no answer; one that failed with an answer was not lost to the way or the place.
+func (t Tally) LossRate() float64 { return t.Lost() / math.Max(1, t.Calls()) }
 
 // refusesMuch says whether so many were refused that nothing more should come.
 func (t Tally) refusesMuch() bool { return t.Refused > refusedMuch*math.Max(1, t.Refused+t.Calls()) }
@@ -92,12 +92,12 @@
 	Lost     []Path           // on which the latest calls had no answer, over windows; see Runs
 }
 
-// Runs count the calls in a row that had no answer, by path and over windows: a forwarder whose breakers let little through sees too
+// LossStreaks count the calls in a row that had no answer, by path and over windows: a forwarder whose breakers let little through sees too
 // little in one to say anything. It is one forwarder's, and not safe for several goroutines at once.
-type Runs map[Path]Run
+type LossStreaks map[Path]LossStreak
 
-// Run is one of them.
-type Run struct {
+// LossStreak is one of them.
+type LossStreak struct {
 	lost  float64
 	quiet int // windows without a call
 }
@@ -105,15 +105,15 @@
 // runQuiet is how many windows without a call a run is remembered for.
 const runQuiet = 20
 
-// Window takes what a window has seen, and names the paths on which so many calls in a row had no answer that it says as much as a window
+// EndWindow takes what a window has seen, and names the paths on which so many calls in a row had no answer that it says as much as a window
 // of them.
-func (r Runs) Window(paths map[Path]Tally) (lost []Path) {
+func (r LossStreaks) EndWindow(paths map[Path]Tally) (lost []Path) {
 	for p, t := range paths {
 		switch x := r[p]; {
 		case t.OK+t.Failed > 0:
 			delete(r, p)
 		case t.Lost() > 0:
-			r[p] = Run{lost: math.Min(runMost, x.lost+t.Lost()), quiet: -1}
+			r[p] = LossStreak{lost: math.Min(runMost, x.lost+t.Lost()), quiet: -1}
 		}
 	}
 	for p, x := range r {
@@ -225,7 +225,7 @@
 	out := map[Path]bool{}
 	for p, t := range r.Paths {
 		if t.Calls() >= callsLeast {
-			out[p] = t.Bad() >= lossBad
+			out[p] = t.LossRate() >= lossBad
 		}
 	}
 	for _, p := range r.Lost {
@@ -242,7 +242,7 @@
 			continue
 		}
 		bad++
-		if o := others[p]; o.Calls() >= callsLeast && o.Bad() <= lossGood {
+		if o := others[p]; o.Calls() >= callsLeast && o.LossRate() <= lossGood {
 			well++
 		}
 	}
--- a/internal/cluster/plan/model_test.go
+++ b/internal/cluster/plan/model_test.go
@@ -42,10 +42,10 @@
 	return c
 }
 
-var threePlaces = Places{Region: map[string]string{"o1": "r", "o2": "r", "p": "r"}}
+var threePlaces = Topology{Region: map[string]string{"o1": "r", "o2": "r", "p": "r"}}
 
 func newAdoption(windows, leaders, cuts, late int) *adoption {
-	a := &adoption{Planner: New(adoptionConfig(), threePlaces, nil)}
+	a := &adoption{Planner: NewPlanner(adoptionConfig(), threePlaces, nil)}
 	for _, place := range []string{"o1", "o1", "o2"} {
 		a.Followers = append(a.Followers, NewFollower(place))
 		a.Coming, a.CutOff = append(a.Coming, nil), append(a.CutOff, false)
@@ -64,15 +64,15 @@
 		if a.CutOff[i] {
 			continue
 		}
-		n := map[string]float64{"o1": 45, "o2": 90}[f.Place]
+		n := map[string]float64{"o1": 45, "o2": 90}[f.Zone]
 		t := Tally{OK: n}
 		for _, d := range down {
-			if d == f.Place {
+			if d == f.Zone {
 				t = Tally{NoConnect: n}
 			}
 		}
-		reports[f.Place] = append(reports[f.Place], Report{
-			Observer: fmt.Sprint("f", i), Place: f.Place, Span: time.Second, Obeys: f.Obeys(a.Now), Demand: map[int64]float64{1: n}, Paths: map[Path]Tally{{1, f.Place}: t},
+		reports[f.Zone] = append(reports[f.Zone], Report{
+			Observer: fmt.Sprint("f", i), Place: f.Zone, Span: time.Second, Obeys: f.ActiveVersion(a.Now), Demand: map[int64]float64{1: n}, Paths: map[Path]Tally{{1, f.Zone}: t},
 		})
 	}
 	for place, list := range reports {
@@ -92,7 +92,7 @@
 		move("o2 down", func(a *adoption) { a.window("o2") })
 	}
 	if a.Left.Leaders > 0 && a.Decided != nil {
-		move("another leads", func(a *adoption) { a.Left.Leaders--; a.Planner = New(adoptionConfig(), threePlaces, a.Decided) })
+		move("another leads", func(a *adoption) { a.Left.Leaders--; a.Planner = NewPlanner(adoptionConfig(), threePlaces, a.Decided) })
 	}
 	for i, f := range a.Followers {
 		if a.Left.Cuts > 0 || a.CutOff[i] {
@@ -105,8 +105,8 @@
 		if a.Decided == nil || a.CutOff[i] {
 			continue
 		}
-		if f.Known() < a.Decided.Version || a.Now > 0 {
-			move(fmt.Sprint("hears ", i), func(a *adoption) { a.Followers[i].Hear(a.Now, a.Decided) })
+		if f.LatestVersion() < a.Decided.Version || a.Now > 0 {
+			move(fmt.Sprint("hears ", i), func(a *adoption) { a.Followers[i].Apply(a.Now, a.Decided) })
 		}
 		if a.Left.Late > 0 {
 			move(fmt.Sprint("asks ", i), func(a *adoption) {
@@ -118,7 +118,7 @@
 			move(fmt.Sprint("hears late ", i), func(a *adoption) {
 				c := a.Coming[i][0]
 				a.Coming[i] = a.Coming[i][1:]
-				a.Followers[i].Hear(c.Asked, c.Plan)
+				a.Followers[i].Apply(c.Asked, c.Plan)
 			})
 		}
 	}
@@ -128,18 +128,18 @@
 // Broken adds up what all may send to p now.
 func (a *adoption) Broken() string {
 	sum := 0.0
-	fleet := Fleet{All: 4, Reserve: adoptionConfig().Reserve}
+	fleet := FallbackConfig{MaxForwarders: 4, Reserve: adoptionConfig().Reserve}
 	if a.Whole {
-		fleet.All = 1
+		fleet.MaxForwarders = 1
 	}
 	for _, f := range a.Followers {
-		for _, t := range f.Allow(a.Now, 1, map[string]float64{"p": bears, f.Place: bears}, []string{"p"}, fleet) {
-			if t.Place == "p" {
+		for _, t := range f.Targets(a.Now, 1, map[string]float64{"p": bears, f.Zone: bears}, []string{"p"}, fleet) {
+			if t.Zone == "p" {
 				sum += t.Rate
 			}
 		}
-		if f.Obeys(a.Now) == 0 { // and what the rule lets those send whose near is gone from their list
-			for _, t := range f.Allow(a.Now, 1, map[string]float64{"p": bears}, []string{"p"}, fleet) {
+		if f.ActiveVersion(a.Now) == 0 { // and what the rule lets those send whose near is gone from their list
+			for _, t := range f.Targets(a.Now, 1, map[string]float64{"p": bears}, []string{"p"}, fleet) {
 				sum += t.Rate
 			}
 		}
--- a/internal/cluster/plan/places.go
+++ b/internal/cluster/plan/places.go
@@ -10,26 +10,26 @@
 	"time"
 )
 
-// Crossing is what it costs to go from one place to another.
-type Crossing struct {
+// Link is what it costs to go from one place to another.
+type Link struct {
 	Delay    time.Duration // one way and back, beside the partner's own time
 	Price    float64       // of a call, in the users' money
 	Capacity float64       // calls a second that the path takes, of all destinations; 0 is no bound
 }
 
-// Places are zones in regions. A zone of no known region is a region of its own.
-type Places struct {
-	Region map[string]string      // of a zone
-	Within Crossing               // between two zones of a region
-	Across Crossing               // between two regions
-	Pairs  map[[2]string]Crossing // where one way between two zones is another matter; both ways are told apart
+// Topology are zones in regions. A zone of no known region is a region of its own.
+type Topology struct {
+	Region map[string]string  // of a zone
+	Within Link               // between two zones of a region
+	Across Link               // between two regions
+	Pairs  map[[2]string]Link // where one way between two zones is another matter; both ways are told apart
 }
 
-// Crossing is the one from a place to another; staying costs nothing.
-func (p Places) Crossing(from, to string) Crossing {
+// Link is the one from a place to another; staying costs nothing.
+func (p Topology) Link(from, to string) Link {
 	switch c, told := p.Pairs[[2]string{from, to}]; {
 	case from == to:
-		return Crossing{}
+		return Link{}
 	case told:
 		return c
 	case p.near(from, to):
@@ -38,10 +38,10 @@
 	return p.Across
 }
 
-func (p Places) near(a, b string) bool { r, known := p.Region[a]; return known && r == p.Region[b] }
+func (p Topology) near(a, b string) bool { r, known := p.Region[a]; return known && r == p.Region[b] }
 
-// Order sorts places by how dear it is to go there: near first, then within the region, then by price, delay and name.
-func (p Places) Order(from string, to []string) []string {
+// SortByCost sorts places by how dear it is to go there: near first, then within the region, then by price, delay and name.
+func (p Topology) SortByCost(from string, to []string) []string {
 	out := slices.Clone(to)
 	far := func(place string) int {
 		switch {
@@ -53,7 +53,7 @@
 		return 2
 	}
 	slices.SortFunc(out, func(a, b string) int {
-		x, y := p.Crossing(from, a), p.Crossing(from, b)
+		x, y := p.Link(from, a), p.Link(from, b)
 		return cmp.Or(cmp.Compare(far(a), far(b)), cmp.Compare(x.Price, y.Price), cmp.Compare(x.Delay, y.Delay), cmp.Compare(a, b))
 	})
 	return out
--- a/internal/cluster/plan/plan.go
+++ b/internal/cluster/plan/plan.go
@@ -11,16 +11,16 @@
 	Version uint64        // grows; the council's
 	Hold    time.Duration // for so long after it was asked for
 	State   uint64        // the council's version of who the forwarders are; who joined later goes by the rule until the next
-	Grants  []Grant       // sorted by destination, origin and place
-	Floors  []Grant       // what some may still go by of earlier plans, beyond these
+	Grants  []Quota       // sorted by destination, origin and place
+	Floors  []Quota       // what some may still go by of earlier plans, beyond these
 	Sites   []Site        // what the planner goes on from; who leads next begins with these
 	Sick    []string      // forwarders whose own network is bad
 	Frozen  bool
 	Moves   []Move // that it makes against the one before
 }
 
-// Grant lets the forwarders of a place send so much to a place, for one destination. What is granted nowhere is to be turned away.
-type Grant struct {
+// Quota lets the forwarders of a place send so much to a place, for one destination. What is granted nowhere is to be turned away.
+type Quota struct {
 	Destination int64
 	From, To    string
 	Rate        float64 // calls a second, of all forwarders there together; near it is no bound, but what is wanted
@@ -68,24 +68,24 @@
 }
 
 // find is the grant for a way, if there is one.
-func (p *Plan) find(destination int64, from, to string) (Grant, bool) {
+func (p *Plan) find(destination int64, from, to string) (Quota, bool) {
 	if p == nil {
-		return Grant{}, false
+		return Quota{}, false
 	}
-	i, ok := slices.BinarySearchFunc(p.Grants, Grant{Destination: destination, From: from, To: to}, compareGrants)
+	i, ok := slices.BinarySearchFunc(p.Grants, Quota{Destination: destination, From: from, To: to}, compareGrants)
 	if !ok {
-		return Grant{}, false
+		return Quota{}, false
 	}
 	return p.Grants[i], true
 }
 
-func compareGrants(a, b Grant) int {
+func compareGrants(a, b Quota) int {
 	return cmp.Or(cmp.Compare(a.Destination, b.Destination), cmp.Compare(a.From, b.From), cmp.Compare(a.To, b.To))
 }
 
-// Of gives the grants of a place for a destination.
-func (p *Plan) Of(destination int64, from string) []Grant {
-	at, _ := slices.BinarySearchFunc(p.Grants, Grant{Destination: destination, From: from}, compareGrants)
+// QuotasFrom gives the grants of a place for a destination.
+func (p *Plan) QuotasFrom(destination int64, from string) []Quota {
+	at, _ := slices.BinarySearchFunc(p.Grants, Quota{Destination: destination, From: from}, compareGrants)
 	end := at
 	for end < len(p.Grants) && p.Grants[end].Destination == destination && p.Grants[end].From == from {
 		end++
--- a/internal/cluster/plan/plan_test.go
+++ b/internal/cluster/plan/plan_test.go
@@ -33,7 +33,7 @@
 		if len(sum.Sick) != want || sum.Demand[1] != 200 || sum.Observers != 10 {
 			t.Errorf("%d of 10 see all fail: %v are taken for sick, demand %v", sick, sum.Sick, sum.Demand)
 		}
-		if bad := sum.Paths[Path{1, "a"}].Bad(); want == sick && bad != 0 {
+		if bad := sum.Paths[Path{1, "a"}].LossRate(); want == sick && bad != 0 {
 			t.Errorf("%d of 10: %v of calls lost without them", sick, bad)
 		}
 	}
@@ -42,7 +42,7 @@
 // Demand that grows by a little more than it may while the last step of a crossing is not seen yet turns to no further place.
 func TestSwayTurnsToNoFurtherPlace(t *testing.T) {
 	s := situation{map[string]float64{"a": 50}, map[string]float64{"b": 200, "c": 200}, well}
-	p := New(Defaults(), regions, nil)
+	p := NewPlanner(Defaults(), regions, nil)
 	s.play(p, 10)
 	p.last.Grants[0].Rate *= 0.9 // a step that is not seen yet
 	p.grew["a"] = p.last.Version + 1
@@ -55,8 +55,8 @@
 
 // A path's capacity is one for all destinations together, whatever each of them was granted before.
 func TestPathIsSharedByDestinations(t *testing.T) {
-	bounded := Places{Pairs: map[[2]string]Crossing{{"a", "b"}: {Capacity: 30}}}
-	p := New(Defaults(), bounded, nil)
+	bounded := Topology{Pairs: map[[2]string]Link{{"a", "b"}: {Capacity: 30}}}
+	p := NewPlanner(Defaults(), bounded, nil)
 	most := 0.0
 	for window := range 20 {
 		in := Input{Elapsed: time.Second, Capacity: map[int64]map[string]float64{}, Members: map[string]int{"a": 10}}
@@ -92,7 +92,7 @@
 		return Tally{OK: n}
 	}}
 	cfg := Defaults()
-	p := New(cfg, regions, nil)
+	p := NewPlanner(cfg, regions, nil)
 	s.play(p, 6)
 	down = false
 	returning := 0
@@ -100,10 +100,10 @@
 		last, _ := s.play(p, 1)
 		site := p.site(1, "a")
 		f := NewFollower("a")
-		f.Hear(0, last)
+		f.Apply(0, last)
 		rate := 0.0
-		for _, target := range f.Allow(0, 1, s.capacity, nil, Fleet{}) {
-			if target.Place == "a" && !target.Trial {
+		for _, target := range f.Targets(0, 1, s.capacity, nil, FallbackConfig{}) {
+			if target.Zone == "a" && !target.Trial {
 				rate = 10 * target.Rate // of ten forwarders
 			}
 		}
@@ -128,7 +128,7 @@
 	tally := func(calls int, took time.Duration) (out Tally) {
 		out.OK = float64(calls)
 		for range calls {
-			out.Book(took)
+			out.RecordLatency(took)
 		}
 		return out
 	}
@@ -147,7 +147,7 @@
 		"few, then it is well again":  {[]Tally{tally(4, slow), tally(1, usual), tally(4, slow)}, false},
 		"slowness within what is far": {[]Tally{tally(50, 22*time.Millisecond), tally(50, 22*time.Millisecond)}, false},
 	} {
-		p := New(Defaults(), regions, nil)
+		p := NewPlanner(Defaults(), regions, nil)
 		site := p.site(1, "a")
 		p.slow(site, tally(10, usual), true)
 		for _, window := range c.windows {
@@ -162,7 +162,7 @@
 // A limit that answers tell of lowers what a place is taken to have, by the middle of what its forwarders say, and is forgotten; a larger one
 // raises nothing.
 func TestToldLimits(t *testing.T) {
-	p := New(Defaults(), regions, nil)
+	p := NewPlanner(Defaults(), regions, nil)
 	step := func(told ...float64) float64 {
 		var reports []Report
 		for i, rate := range told {
@@ -193,18 +193,18 @@
 
 // A patient whose breakers let one call a window through is found all the same, from the fourth on and until one is answered.
 func TestPatientOfFewCalls(t *testing.T) {
-	runs := Runs{}
+	runs := LossStreaks{}
 	for window, calls := range []Tally{{Late: 1}, {}, {Reset: 2}, {NoConnect: 1}, {}, {OK: 1}, {Late: 3}} {
 		well := map[Path]Tally{{1, "a"}: {OK: 10}}
 		sick := saw("sick", "a", map[Path]Tally{{1, "a"}: calls})
-		sick.Lost = runs.Window(sick.Paths)
+		sick.Lost = runs.EndWindow(sick.Paths)
 		sum := Merge("a", []Report{sick, saw("b", "a", well), saw("c", "a", well)})
 		if want := window == 3 || window == 4; (len(sum.Sick) == 1) != want {
 			t.Errorf("window %d: sick %v", window, sum.Sick)
 		}
 	}
 	for range runQuiet + 1 {
-		runs.Window(nil)
+		runs.EndWindow(nil)
 	}
 	if len(runs) > 0 {
 		t.Errorf("remembered for ever: %v", runs)
@@ -223,7 +223,7 @@
 		}
 		return Tally{OK: n}
 	}}
-	p := New(Defaults(), regions, nil)
+	p := NewPlanner(Defaults(), regions, nil)
 	s.play(p, 12)
 	around, _ := p.last.find(1, "a", "b")
 	cut = false
@@ -274,7 +274,7 @@
 	return last, moves
 }
 
-var regions = Places{Region: map[string]string{"a": "r", "b": "r", "c": "s", "d": "s"}, Within: Crossing{Price: 0.1}, Across: Crossing{Price: 1}}
+var regions = Topology{Region: map[string]string{"a": "r", "b": "r", "c": "s", "d": "s"}, Within: Link{Price: 0.1}, Across: Link{Price: 1}}
 
 func even(n float64) map[string]float64 { return map[string]float64{"a": n, "b": n, "c": n, "d": n} }
 
@@ -318,7 +318,7 @@
 		"one place has all": {situation{even(20), map[string]float64{"a": 100}, well}, "crossing", func(p *Plan) bool { return p.sum("b", "a") == 20 && p.sum("c", "a") == 20 }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			last, moves := c.s.play(New(Defaults(), regions, nil), 12)
+			last, moves := c.s.play(NewPlanner(Defaults(), regions, nil), 12)
 			kinds := ""
 			for _, m := range moves {
 				if m.Place == "a" && m.Kind != "crossing" || c.kinds == "crossing" && kinds == "" {
@@ -343,7 +343,7 @@
 		}
 		return Tally{OK: n}
 	}}
-	p := New(Defaults(), regions, nil)
+	p := NewPlanner(Defaults(), regions, nil)
 	_, before := s.play(p, 10)
 	down = false
 	_, soon := s.play(p, 4)
@@ -362,7 +362,7 @@
 // A place's room that shrinks by a little takes a crossing along, though so small a difference is no change elsewhere.
 func TestCrossingKeepsToShrunkRoom(t *testing.T) {
 	s := situation{map[string]float64{"a": 50}, map[string]float64{"c": 40}, func(_, _ string, n float64) Tally { return Tally{OK: n} }}
-	p := New(Defaults(), regions, nil)
+	p := NewPlanner(Defaults(), regions, nil)
 	before, _ := s.play(p, 10)
 	s.capacity["c"] = 38
 	after, _ := s.play(p, 10)
@@ -375,7 +375,7 @@
 // Whatever is said, of whatever places, nothing is granted that a place does not have, and nothing panics.
 func TestNothingIsGrantedTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := New(Defaults(), regions, nil)
+		p := NewPlanner(Defaults(), regions, nil)
 		number := rapid.OneOf(rapid.Float64Range(0, 200), rapid.SampledFrom([]float64{0, -1, math.NaN(), math.Inf(1), 1e300}))
 		places := []string{"a", "b", "c", "d", "nowhere"}
 		for range rapid.IntRange(1, 12).Draw(t, "windows") {
@@ -451,7 +451,7 @@
 			t.Errorf("no room at all: %v", got)
 		}
 		for range 60 {
-			s.Window()
+			s.EndWindow()
 		}
 		if len(s.asked)+len(s.credit) != 0 {
 			t.Errorf("remembers %v", s.asked)
@@ -462,11 +462,11 @@
 // The part of a plan that has no room is known where messages are handed in; without a plan nothing is turned away for it.
 func TestRoom(t *testing.T) {
 	f := NewFollower("a")
-	f.Hear(0, &Plan{Version: 3, Hold: 5 * time.Second, Grants: []Grant{{Destination: 1, From: "a", To: "a", Share: 0.5}, {Destination: 1, From: "a", To: "b", Share: 0.25}, {Destination: 1, From: "a", To: "c", Share: 0.1, Trial: true}}})
-	if got := f.Room(time.Second, 1); got != 0.75 {
+	f.Apply(0, &Plan{Version: 3, Hold: 5 * time.Second, Grants: []Quota{{Destination: 1, From: "a", To: "a", Share: 0.5}, {Destination: 1, From: "a", To: "b", Share: 0.25}, {Destination: 1, From: "a", To: "c", Share: 0.1, Trial: true}}})
+	if got := f.AdmittedShare(time.Second, 1); got != 0.75 {
 		t.Errorf("room for %v", got)
 	}
-	if f.Room(time.Second, 2) != 1 || f.Room(5*time.Second, 1) != 1 {
+	if f.AdmittedShare(time.Second, 2) != 1 || f.AdmittedShare(5*time.Second, 1) != 1 {
 		t.Error("turned away for no plan's sake")
 	}
 }
@@ -475,7 +475,7 @@
 func TestReplay(t *testing.T) {
 	var b bytes.Buffer
 	r := NewRecorder(&b, 1<<20)
-	p := New(Defaults(), regions, nil)
+	p := NewPlanner(Defaults(), regions, nil)
 	for i := range 12 {
 		in := Input{Elapsed: time.Second, Zones: map[string]Summary{}, Capacity: map[int64]map[string]float64{1: even(100)}, Members: map[string]int{}}
 		for place, n := range even(40) {
@@ -485,11 +485,11 @@
 			}
 			in.Zones[place] = Summary{Place: place, Obeys: p.last.Version, Demand: map[int64]float64{1: n}, Paths: map[Path]Tally{{1, place}: tally}}
 		}
-		w := Recorded{Input: in, Places: regions, Config: Defaults(), Began: i == 0}
+		w := RecordedWindow{Input: in, Places: regions, Config: Defaults(), Began: i == 0}
 		if next, changed := p.Step(in); changed {
 			w.Plan = next
 		}
-		if err := r.Window(w); err != nil {
+		if err := r.Write(w); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -523,7 +523,7 @@
 func BenchmarkStep(b *testing.B) {
 	for _, destinations := range []int64{10, 100, 1000} {
 		b.Run(fmt.Sprint(destinations), func(b *testing.B) {
-			places := Places{Region: map[string]string{"a1": "a", "a2": "a", "a3": "a", "b1": "b", "b2": "b", "b3": "b"}}
+			places := Topology{Region: map[string]string{"a1": "a", "a2": "a", "a3": "a", "b1": "b", "b2": "b", "b3": "b"}}
 			in := Input{Elapsed: time.Second, Zones: map[string]Summary{}, Capacity: map[int64]map[string]float64{}, Members: map[string]int{}}
 			for place := range places.Region {
 				z := Summary{Place: place, Observers: 50, Demand: map[int64]float64{}, Paths: map[Path]Tally{}}
@@ -540,7 +540,7 @@
 				}
 				in.Zones[place], in.Members[place] = z, 50
 			}
-			p := New(Defaults(), places, nil)
+			p := NewPlanner(Defaults(), places, nil)
 			for b.Loop() {
 				p.Step(in)
 			}
@@ -558,8 +558,8 @@
 				r := Report{Observer: fmt.Sprintf("forwarder-%04d/1", i), Place: "a1", Span: time.Second, Obeys: 1000, Demand: map[int64]float64{}, Paths: map[Path]Tally{}}
 				for d := range destinations {
 					t := Tally{OK: 3}
-					t.Book(40 * time.Millisecond)
-					t.Book(90 * time.Millisecond)
+					t.RecordLatency(40 * time.Millisecond)
+					t.RecordLatency(90 * time.Millisecond)
 					r.Demand[d], r.Paths[Path{d, "a1"}] = 3, t
 				}
 				list = append(list, r)
--- a/internal/cluster/plan/planner.go
+++ b/internal/cluster/plan/planner.go
@@ -111,7 +111,7 @@
 // Planner makes plans, one window behind the other. It is not safe for several goroutines at once.
 type Planner struct {
 	cfg      Config
-	places   Places
+	places   Topology
 	sites    map[spot]*Site
 	ways     map[way]*cutState
 	demand   map[spot]float64 // by origin
@@ -134,8 +134,8 @@
 	forgets bool
 }
 
-// New goes on from the plan in force; nil is none. Whatever that grants may be gone by for as long as it holds.
-func New(cfg Config, places Places, from *Plan) *Planner {
+// NewPlanner goes on from the plan in force; nil is none. Whatever that grants may be gone by for as long as it holds.
+func NewPlanner(cfg Config, places Topology, from *Plan) *Planner {
 	p := &Planner{
 		cfg: cfg, places: places, sites: map[spot]*Site{}, ways: map[way]*cutState{}, limits: map[spot]limit{}, runs: map[way]float64{}, slowRuns: map[spot]slowRun{}, demand: map[spot]float64{}, force: map[way][]force{},
 		obeys: map[string]uint64{}, seen: map[string]uint64{}, grew: map[string]uint64{}, waited: map[string]time.Duration{}, who: map[string]heard{}, most: map[string][]count{}, last: from,
@@ -211,7 +211,7 @@
 	for w := range p.force {
 		g, _ := next.find(w.destination, w.from, w.to)
 		if rate := p.possible(w); rate > g.Rate {
-			next.Floors = append(next.Floors, Grant{Destination: w.destination, From: w.from, To: w.to, Rate: rate})
+			next.Floors = append(next.Floors, Quota{Destination: w.destination, From: w.from, To: w.to, Rate: rate})
 		}
 	}
 	slices.SortFunc(next.Floors, compareGrants)
@@ -337,7 +337,7 @@
 
 // carries books what a way may take of the path between its places, where that is bounded.
 func (p *Planner) carries(w way, rate float64) {
-	if at := [2]string{w.from, w.to}; p.places.Crossing(w.from, w.to).Capacity > 0 {
+	if at := [2]string{w.from, w.to}; p.places.Link(w.from, w.to).Capacity > 0 {
 		if p.paths[at] == nil {
 			p.paths[at] = map[int64]float64{}
 		}
@@ -347,7 +347,7 @@
 
 // bears is what the path between a way's places has left for it, beside all other destinations.
 func (p *Planner) bears(w way) float64 {
-	left := p.places.Crossing(w.from, w.to).Capacity
+	left := p.places.Link(w.from, w.to).Capacity
 	if left <= 0 {
 		return math.Inf(1)
 	}
@@ -426,9 +426,9 @@
 				continue
 			}
 			switch {
-			case t.Bad() >= lossBad:
+			case t.LossRate() >= lossBad:
 				bad = append(bad, from)
-			case t.Bad() <= lossGood:
+			case t.LossRate() <= lossGood:
 				good = append(good, from)
 			}
 		}
@@ -524,7 +524,7 @@
 		s.Bad = 0
 		s.Good++
 	}
-	surely := down && sum.Lost() >= surelyLost && sum.Bad() >= surelyShare
+	surely := down && sum.Lost() >= surelyLost && sum.LossRate() >= surelyShare
 	switch {
 	case s.Phase != Down && down && (s.Bad >= p.cfg.Confirm || surely):
 		if s.Phase == Return || s.Flaps > 0 && s.Since < p.cfg.FlapWithin {
@@ -655,7 +655,7 @@
 }
 
 // grant gives what each place's forwarders may send where.
-func (p *Planner) grant(d int64, in Input) (out []Grant) {
+func (p *Planner) grant(d int64, in Input) (out []Quota) {
 	capacity := in.Capacity[d]
 	demand := p.demandOf(d, in)
 	origins, targets := slices.Sorted(maps.Keys(demand)), slices.Sorted(maps.Keys(capacity))
@@ -697,7 +697,7 @@
 		if rate <= 0 {
 			return
 		}
-		g := Grant{Destination: d, From: from, To: to, Rate: rate, Share: math.Min(1, rate/math.Max(1e-9, demand[from])), Trial: trial}
+		g := Quota{Destination: d, From: from, To: to, Rate: rate, Share: math.Min(1, rate/math.Max(1e-9, demand[from])), Trial: trial}
 		old, had := p.last.find(d, from, to)
 		if more := old.Rate - rate; had && !trial && !old.Trial && more > 0 && more <= sameGrant*old.Rate && more <= spare[to] {
 			spare[to] -= more
@@ -729,7 +729,7 @@
 // tester is another place whose forwarders try a place that is down: if they reach it, the way from its own is cut, and not the place
 // down.
 func (p *Planner) tester(d int64, to string, origins []string, in Input) string {
-	for _, from := range p.places.Order(to, origins) {
+	for _, from := range p.places.SortByCost(to, origins) {
 		if _, heard := in.Zones[from]; heard && from != to {
 			return from
 		}
@@ -771,7 +771,7 @@
 	}
 	order := map[string][]string{}
 	for _, from := range origins {
-		order[from] = slices.DeleteFunc(p.places.Order(from, targets), func(to string) bool { return to == from || in.Evacuate[to] })
+		order[from] = slices.DeleteFunc(p.places.SortByCost(from, targets), func(to string) bool { return to == from || in.Evacuate[to] })
 	}
 	for rank := range targets {
 		asks := map[string][]way{}
@@ -835,8 +835,8 @@
 	return out, spare
 }
 
-func sameGrants(a, b []Grant) bool {
-	return slices.EqualFunc(a, b, func(x, y Grant) bool {
+func sameGrants(a, b []Quota) bool {
+	return slices.EqualFunc(a, b, func(x, y Quota) bool {
 		return compareGrants(x, y) == 0 && x.Trial == y.Trial && math.Abs(x.Rate-y.Rate) <= sameGrant*math.Max(x.Rate, y.Rate)
 	})
 }
--- a/internal/cluster/plan/record.go
+++ b/internal/cluster/plan/record.go
@@ -7,12 +7,12 @@
 	"io"
 )
 
-// Recorded is one window as a planner was told of it, and what it made of it.
-type Recorded struct {
+// RecordedWindow is one window as a planner was told of it, and what it made of it.
+type RecordedWindow struct {
 	Input  Input
-	Places Places // with the first
-	Config Config //
-	Begin  *Plan  // where a planner began with this window: what it went on from
+	Places Topology // with the first
+	Config Config   //
+	Begin  *Plan    // where a planner began with this window: what it went on from
 	Began  bool
 	Plan   *Plan // as proposed; nil: nothing was
 }
@@ -41,8 +41,8 @@
 	return &Recorder{out: out, enc: gob.NewEncoder(out), most: most}
 }
 
-// Window writes one. An error says that it, and all behind it, may be missing.
-func (r *Recorder) Window(w Recorded) error {
+// Write writes one. An error says that it, and all behind it, may be missing.
+func (r *Recorder) Write(w RecordedWindow) error {
 	if r.out.n >= r.most {
 		return nil
 	}
@@ -59,9 +59,9 @@
 	dec := gob.NewDecoder(in)
 	var p *Planner
 	var cfg Config
-	var places Places
+	var places Topology
 	for n := 1; ; n++ {
-		var w Recorded
+		var w RecordedWindow
 		switch err := dec.Decode(&w); {
 		case errors.Is(err, io.EOF):
 			return nil
@@ -73,7 +73,7 @@
 		if w.Began {
 			cfg, places = w.Config, w.Places
 			edit(&cfg)
-			p = New(cfg, places, w.Begin)
+			p = NewPlanner(cfg, places, w.Begin)
 		}
 		if p == nil {
 			return fmt.Errorf("plan: record, window %d: no planner has begun", n)
--- a/internal/cluster/plan/shed.go
+++ b/internal/cluster/plan/shed.go
@@ -22,8 +22,8 @@
 	return &Shedder{worth: worth, asked: map[int64]map[string]float64{}, credit: map[int64]map[string]float64{}}
 }
 
-// Window ends one: what was asked for before counts for less.
-func (s *Shedder) Window() {
+// EndWindow ends one: what was asked for before counts for less.
+func (s *Shedder) EndWindow() {
 	for d, by := range s.asked {
 		sum := 0.0
 		for class := range by {
@@ -71,14 +71,14 @@
 	return false
 }
 
-// Room is the share of what is asked for at a place that the plan in force sends somewhere; 1 where none is, or it says nothing of the
+// AdmittedShare is the share of what is asked for at a place that the plan in force sends somewhere; 1 where none is, or it says nothing of the
 // destination.
-func (f *Follower) Room(now time.Duration, destination int64) float64 {
-	if f.Obeys(now) == 0 {
+func (f *Follower) AdmittedShare(now time.Duration, destination int64) float64 {
+	if f.ActiveVersion(now) == 0 {
 		return 1
 	}
 	sum, some := 0.0, false
-	for _, g := range f.plan.Of(destination, f.Place) {
+	for _, g := range f.plan.QuotasFrom(destination, f.Zone) {
 		some = true
 		if !g.Trial {
 			sum += g.Share
--- a/internal/cluster/replication/copies_test.go
+++ b/internal/cluster/replication/copies_test.go
@@ -87,19 +87,19 @@
 	rapid.Check(t, func(t *rapid.T) {
 		mem := fsys.NewMem()
 		var disk *Disk
-		var shelf *Shelf
+		var shelf *Store
 		starts := uint64(0)
 		open := func() {
 			var err error
 			starts++
-			shelf = NewShelf(starts)
+			shelf = NewStore(starts)
 			if disk, err = OpenDisk(mem, 4<<20, store.Process, func(s string) { t.Fatal(s) }, shelf.Restore); err != nil {
 				t.Fatal(err)
 			}
 		}
 		open()
 		owner, truth := NewOwner(life), wal.NewCopy()
-		owner.SetKeepers([]string{"k"}, nil)
+		owner.SetReplicas([]string{"k"}, nil)
 		var flying []Batch
 		var acks []Ack
 		write := func(r []byte) { _ = truth.Apply(r); owner.Append(r) }
@@ -130,7 +130,7 @@
 					return
 				}
 				i := rapid.IntRange(0, len(flying)-1).Draw(t, "which")
-				keep, ack := shelf.Take(flying[i], 0)
+				keep, ack := shelf.Append(flying[i], 0)
 				if _, err := disk.Save(keep); err != nil {
 					t.Fatal(err)
 				}
@@ -139,40 +139,40 @@
 				}
 			case 7, 8:
 				if len(acks) > 0 {
-					owner.Answered("k", acks[0])
+					owner.HandleAck("k", acks[0])
 					acks = acks[1:]
 				}
 			case 9:
 				acks, flying = nil, nil
-				owner.Unanswered("k")
+				owner.HandleNoAck("k")
 			case 10:
 				if err := disk.Close(); err != nil {
 					t.Fatal(err)
 				}
 				open()
 			}
-			if h := shelf.Copy(life); owner.Held() > 0 && starts == 1 && (h == nil || h.Have < owner.Held()) {
-				t.Fatalf("held up to %d, the keeper has %+v", owner.Held(), h)
+			if h := shelf.Replica(life); owner.HighWatermark() > 0 && starts == 1 && (h == nil || h.LastIndex < owner.HighWatermark()) {
+				t.Fatalf("held up to %d, the keeper has %+v", owner.HighWatermark(), h)
 			}
 		}
 		for _, kind := range rapid.SliceOfN(rapid.IntRange(0, 10), 5, 80).Draw(t, "steps") {
 			step(kind)
 		}
 		acks, flying = nil, nil
-		owner.Unanswered("k")
+		owner.HandleNoAck("k")
 		for range 12 { // and now all goes well
 			for _, kind := range []int{2, 5, 7} {
 				step(kind)
 			}
 		}
-		if h := shelf.Copy(life); owner.Held() != owner.Latest() || h == nil || h.Have != owner.Latest() {
-			t.Fatalf("held up to %d of %d", owner.Held(), owner.Latest())
+		if h := shelf.Replica(life); owner.HighWatermark() != owner.LastIndex() || h == nil || h.LastIndex != owner.LastIndex() {
+			t.Fatalf("held up to %d of %d", owner.HighWatermark(), owner.LastIndex())
 		}
 		if err := disk.Close(); err != nil {
 			t.Fatal(err)
 		}
 		open() // what is on the disk is what was said
-		h := shelf.Copy(life)
+		h := shelf.Replica(life)
 		if h == nil {
 			t.Fatal("no copy is on the disk")
 		}
@@ -186,12 +186,12 @@
 // A record of a kind that this version does not know is kept with its message and handed on as it came.
 func TestRecordsOfALaterVersion(t *testing.T) {
 	later := append([]byte{200, 1}, "what this says is not known yet"...)
-	shelf, owner := NewShelf(1), NewOwner(life)
-	owner.SetKeepers([]string{"k"}, nil)
+	shelf, owner := NewStore(1), NewOwner(life)
+	owner.SetReplicas([]string{"k"}, nil)
 	for range 2 {
 		b, _ := owner.Next("k", 0)
-		_, ack := shelf.Take(b, 0)
-		owner.Answered("k", ack)
+		_, ack := shelf.Append(b, 0)
+		owner.HandleAck("k", ack)
 		if owner.NeedsSnapshot("k") {
 			owner.Snapshot("k", nil)
 		}
@@ -200,10 +200,10 @@
 		owner.Append(r)
 	}
 	b, _ := owner.Next("k", 0)
-	shelf.Take(b, 0)
-	h := shelf.Copy(life)
-	if h.Unknown != 1 || h.Have != owner.Latest() {
-		t.Errorf("%d unknown records, up to %d of %d", h.Unknown, h.Have, owner.Latest())
+	shelf.Append(b, 0)
+	h := shelf.Replica(life)
+	if h.Unknown != 1 || h.LastIndex != owner.LastIndex() {
+		t.Errorf("%d unknown records, up to %d of %d", h.Unknown, h.LastIndex, owner.LastIndex())
 	}
 	all := wal.Condense(h.Content.Messages()[0])
 	if !slices.ContainsFunc(all, func(r []byte) bool { return string(r) == string(later) }) {
@@ -213,14 +213,14 @@
 
 // A keeper without room says so, and has no copy that anybody could take for one.
 func TestFullKeeper(t *testing.T) {
-	shelf := NewShelf(1)
+	shelf := NewStore(1)
 	disk, err := OpenDisk(fsys.NewMem(), 1<<20, store.Process, func(s string) { t.Error(s) }, shelf.Restore)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for seq := uint64(1); ; seq++ {
 		m := &wal.Message{Seq: seq, ID: fmt.Sprint(seq), Class: "safe", Deadline: epoch, Body: make([]byte, 60<<10)}
-		_, err := disk.Save([]Kept{{Life: life, Index: seq, Message: seq, Payload: wal.Condense(m)[0]}})
+		_, err := disk.Save([]DiskRecord{{Life: life, Index: seq, Message: seq, Payload: wal.Condense(m)[0]}})
 		if err == ErrFull {
 			break
 		}
@@ -228,7 +228,7 @@
 			t.Fatal(seq, err)
 		}
 	}
-	if _, err := disk.Save([]Kept{{Life: life, Fresh: true}}); err != nil {
+	if _, err := disk.Save([]DiskRecord{{Life: life, Reset: true}}); err != nil {
 		t.Errorf("what is of no use does not go: %v", err)
 	}
 }
--- a/internal/cluster/replication/disk.go
+++ b/internal/cluster/replication/disk.go
@@ -37,7 +37,7 @@
 }
 
 // OpenDisk opens a folder and gives what is kept there, in its order. Damaged records are told to report and left out.
-func OpenDisk(fs fsys.FS, space int64, d store.Durability, report func(string), give func(Kept)) (*Disk, error) {
+func OpenDisk(fs fsys.FS, space int64, d store.Durability, report func(string), give func(DiskRecord)) (*Disk, error) {
 	k := &Disk{next: 1, keys: map[at]uint64{}, lives: map[controlplane.Life]map[at]bool{}}
 	var err error
 	k.store, err = store.Open(store.Options{
@@ -48,7 +48,7 @@
 			report(fmt.Sprintf("copies: record %d: %v, passed over", r.Number, err))
 			return
 		}
-		k.book(at{kept.Life, kept.Message, kept.Past}, r.Key)
+		k.book(at{kept.Life, kept.Message, kept.PastID}, r.Key)
 		give(kept)
 	})
 	if err != nil {
@@ -68,7 +68,7 @@
 
 // Save writes what a shelf wants kept and gives what Commit needs. ErrFull says that there is no room, and that what is kept of
 // that life is of no use any more.
-func (k *Disk) Save(list []Kept) (last uint64, err error) {
+func (k *Disk) Save(list []DiskRecord) (last uint64, err error) {
 	for _, kept := range list {
 		num, err := k.save(kept)
 		if errors.Is(err, store.ErrFull) {
@@ -83,8 +83,8 @@
 	return last, nil
 }
 
-func (k *Disk) save(kept Kept) (num uint64, err error) {
-	if kept.Fresh {
+func (k *Disk) save(kept DiskRecord) (num uint64, err error) {
+	if kept.Reset {
 		for a := range k.lives[kept.Life] {
 			if num, err = k.end(a); err != nil {
 				return num, err
@@ -95,8 +95,8 @@
 			return num, nil
 		}
 	}
-	a := at{kept.Life, kept.Message, kept.Past}
-	if kept.Drop {
+	a := at{kept.Life, kept.Message, kept.PastID}
+	if kept.Delete {
 		if num, err = k.end(a); err != nil || kept.Message == 0 {
 			return num, err
 		}
@@ -154,16 +154,16 @@
 
 func text(b []byte, s string) []byte { return append(binary.AppendUvarint(b, uint64(len(s))), s...) }
 
-func encode(k Kept) []byte {
+func encode(k DiskRecord) []byte {
 	b := text(nil, k.Life.Name)
 	b = binary.AppendUvarint(binary.AppendUvarint(b, k.Life.Number), k.Index)
 	b = binary.AppendVarint(b, int64(k.Skew))
-	return append(text(binary.AppendUvarint(b, k.Message), k.Past), k.Payload...)
+	return append(text(binary.AppendUvarint(b, k.Message), k.PastID), k.Payload...)
 }
 
 var errForm = errors.New("record of no known form")
 
-func decode(b []byte) (k Kept, err error) {
+func decode(b []byte) (k DiskRecord, err error) {
 	number := func() (v uint64) {
 		v, n := binary.Uvarint(b)
 		if n <= 0 {
@@ -187,7 +187,7 @@
 	k.Life.Number, k.Index = number(), number()
 	skew := number()
 	k.Skew = time.Duration(int64(skew>>1) ^ -int64(skew&1))
-	k.Message, k.Past = number(), word()
+	k.Message, k.PastID = number(), word()
 	k.Payload = append([]byte(nil), b...)
 	return k, err
 }
--- a/internal/cluster/replication/owner.go
+++ b/internal/cluster/replication/owner.go
@@ -76,8 +76,8 @@
 	return &Owner{life: life, next: 2, keepers: map[string]*progress{}} // index 1 stands for what was there
 }
 
-// Life is whose log it is.
-func (o *Owner) Life() controlplane.Life { return o.life }
+// Incarnation is whose log it is.
+func (o *Owner) Incarnation() controlplane.Life { return o.life }
 
 // Append takes a record, whose payload must not be changed any more, and gives its index.
 func (o *Owner) Append(payload []byte) uint64 {
@@ -116,11 +116,11 @@
 	}
 }
 
-// Latest is the index of the latest record.
-func (o *Owner) Latest() uint64 { return o.next - 1 }
+// LastIndex is the index of the latest record.
+func (o *Owner) LastIndex() uint64 { return o.next - 1 }
 
-// SetKeepers says who gets the log. Those that count are named by the council alone.
-func (o *Owner) SetKeepers(counted, others []string) {
+// SetReplicas says who gets the log. Those that count are named by the council alone.
+func (o *Owner) SetReplicas(counted, others []string) {
 	o.counted = slices.Clone(counted)
 	want := append(slices.Clone(counted), others...)
 	want = append(want, o.pending...)
@@ -137,24 +137,24 @@
 	o.trim()
 }
 
-// Ask says that the council is asked to count others; until Settled, they count beside those that do.
-func (o *Owner) Ask(set []string) { o.pending = slices.Clone(set) }
+// Propose says that the council is asked to count others; until Settled, they count beside those that do.
+func (o *Owner) Propose(set []string) { o.pending = slices.Clone(set) }
 
-// Settled says that the council has answered, one way or the other: SetKeepers has what holds.
-func (o *Owner) Settled() { o.pending = nil }
+// ProposalSettled says that the council has answered, one way or the other: SetKeepers has what holds.
+func (o *Owner) ProposalSettled() { o.pending = nil }
 
-// Named are those that get the log, in their order.
-func (o *Owner) Named() []string { return slices.Sorted(maps.Keys(o.keepers)) }
+// Replicas are those that get the log, in their order.
+func (o *Owner) Replicas() []string { return slices.Sorted(maps.Keys(o.keepers)) }
 
-// Counted are those that count.
-func (o *Owner) Counted() []string { return o.counted }
+// InSync are those that count.
+func (o *Owner) InSync() []string { return o.counted }
 
-// Held is the index up to which every keeper that counts has the log; without any it is 0.
-func (o *Owner) Held() uint64 {
+// HighWatermark is the index up to which every keeper that counts has the log; without any it is 0.
+func (o *Owner) HighWatermark() uint64 {
 	if len(o.counted) == 0 {
 		return 0
 	}
-	least := o.Latest()
+	least := o.LastIndex()
 	for _, list := range [][]string{o.counted, o.pending} {
 		for _, name := range list {
 			p := o.keepers[name]
@@ -167,10 +167,10 @@
 	return least
 }
 
-// Level says whether a keeper has all that there is but for the few records on their way.
-func (o *Owner) Level(name string) bool {
+// CaughtUp says whether a keeper has all that there is but for the few records on their way.
+func (o *Owner) CaughtUp(name string) bool {
 	p := o.keepers[name]
-	return p != nil && p.known && p.snapshot == 0 && p.match+levelWithin >= o.Latest()
+	return p != nil && p.known && p.snapshot == 0 && p.match+levelWithin >= o.LastIndex()
 }
 
 const levelWithin = 256
@@ -178,8 +178,8 @@
 // Full says whether a keeper has no room.
 func (o *Owner) Full(name string) bool { p := o.keepers[name]; return p != nil && p.full }
 
-// Match is how far a keeper is, for who looks on.
-func (o *Owner) Match(name string) uint64 {
+// MatchIndex is how far a keeper is, for who looks on.
+func (o *Owner) MatchIndex(name string) uint64 {
 	if p := o.keepers[name]; p != nil {
 		return p.match
 	}
@@ -189,7 +189,7 @@
 // NeedsSnapshot says whether a keeper can go on only from one; Snapshot gives it.
 func (o *Owner) NeedsSnapshot(name string) bool {
 	p := o.keepers[name]
-	if p == nil || !p.known || p.out || p.full || p.snapshot > 0 || p.match >= o.Latest() && p.match > 0 {
+	if p == nil || !p.known || p.out || p.full || p.snapshot > 0 || p.match >= o.LastIndex() && p.match > 0 {
 		return false
 	}
 	return p.match == 0 || len(o.tail) == 0 || o.tail[0].Index > p.match+1
@@ -203,7 +203,7 @@
 		return
 	}
 	o.snapshots++
-	p.snapshot, p.upTo, p.piece, p.pieces = o.snapshots, o.Latest(), 0, [][]Record{nil}
+	p.snapshot, p.upTo, p.piece, p.pieces = o.snapshots, o.LastIndex(), 0, [][]Record{nil}
 	size := 0
 	for _, payload := range records {
 		if last := len(p.pieces) - 1; size > 0 && size+len(payload) > mostPiece {
@@ -217,7 +217,7 @@
 // Due says whether there is something to send to a keeper now.
 func (o *Owner) Due(name string) bool {
 	p := o.keepers[name]
-	return p != nil && !p.out && !p.full && (!p.known || p.snapshot > 0 || p.match < o.Latest())
+	return p != nil && !p.out && !p.full && (!p.known || p.snapshot > 0 || p.match < o.LastIndex())
 }
 
 // Next gives what a keeper is to be sent now, if it is time for something; Answered or Unanswered has to follow.
@@ -233,7 +233,7 @@
 	case p.snapshot > 0:
 		b.Snapshot, b.Piece, b.UpTo = p.snapshot, p.piece, p.upTo
 		b.Records, b.Last = p.pieces[p.piece], p.piece == len(p.pieces)-1
-	case p.match < o.Latest() && len(o.tail) > 0 && o.tail[0].Index <= p.match+1:
+	case p.match < o.LastIndex() && len(o.tail) > 0 && o.tail[0].Index <= p.match+1:
 		from := int(p.match + 1 - o.tail[0].Index)
 		size, to := 0, from
 		for to < len(o.tail) && (size == 0 || size+len(o.tail[to].Payload) <= mostBatch) {
@@ -259,15 +259,15 @@
 	return Batch{Life: o.life, Shelf: p.shelf, Clock: clock}, true
 }
 
-// Answered books a keeper's answer to the batch that was out.
-func (o *Owner) Answered(name string, a Ack) {
+// HandleAck books a keeper's answer to the batch that was out.
+func (o *Owner) HandleAck(name string, a Ack) {
 	p := o.keepers[name]
 	if p == nil {
 		return
 	}
 	p.out, p.full = false, a.Full
 	if !p.known || p.shelf != a.Shelf { // another start of it: what it says now is all that it has
-		*p = progress{shelf: a.Shelf, known: true, match: min(a.Have, o.Latest()), full: a.Full}
+		*p = progress{shelf: a.Shelf, known: true, match: min(a.Have, o.LastIndex()), full: a.Full}
 		o.trim()
 		return
 	}
@@ -281,12 +281,12 @@
 			p.piece = 0
 		}
 	}
-	p.match = min(a.Have, o.Latest()) // also where it has less than it said: its word now is what is on its disk
+	p.match = min(a.Have, o.LastIndex()) // also where it has less than it said: its word now is what is on its disk
 	o.trim()
 }
 
-// Unanswered says that nobody knows what became of the batch that was out. The next one asks.
-func (o *Owner) Unanswered(name string) {
+// HandleNoAck says that nobody knows what became of the batch that was out. The next one asks.
+func (o *Owner) HandleNoAck(name string) {
 	if p := o.keepers[name]; p != nil {
 		p.out = false
 		if p.snapshot == 0 {
--- a/internal/cluster/replication/shelf.go
+++ b/internal/cluster/replication/shelf.go
@@ -9,24 +9,24 @@
 	"mulleinbeam/internal/routing/wal"
 )
 
-// Kept is a record that a shelf wants on the disk: of a message under its number, of an id that is over under its text, or of the
+// DiskRecord is a record that a shelf wants on the disk: of a message under its number, of an id that is over under its text, or of the
 // copy itself.
-type Kept struct {
+type DiskRecord struct {
 	Life    controlplane.Life
 	Index   uint64
 	Payload []byte
 	Message uint64 // 0 is none
-	Past    string // "" is none
-	Drop    bool   // the message, or the id, goes
-	Fresh   bool   // everything kept of that life goes first
+	PastID  string // "" is none
+	Delete  bool   // the message, or the id, goes
+	Reset   bool   // everything kept of that life goes first
 	Skew    time.Duration
 }
 
-// Held is a copy of one life's log.
-type Held struct {
-	Life    controlplane.Life
-	Have    uint64
-	Content *wal.Copy
+// Replica is a copy of one life's log.
+type Replica struct {
+	Life      controlplane.Life
+	LastIndex uint64
+	Content   *wal.Copy
 	// Skew is what is added to a time of the owner's wall clock to have it in the keeper's, at the least that was seen: batches
 	// only come later than they are sent.
 	Skew   time.Duration
@@ -39,25 +39,25 @@
 	Unknown int // records of kinds that this version does not know; they are kept
 }
 
-// Shelf is a keeper's part: all copies that it has.
-type Shelf struct {
+// Store is a keeper's part: all copies that it has.
+type Store struct {
 	id     uint64
-	copies map[controlplane.Life]*Held
+	copies map[controlplane.Life]*Replica
 	ended  map[controlplane.Life]bool // nothing is taken for them any more
 }
 
-// NewShelf is an empty one; id is drawn anew at each start.
-func NewShelf(id uint64) *Shelf {
-	return &Shelf{id: max(1, id), copies: map[controlplane.Life]*Held{}, ended: map[controlplane.Life]bool{}}
+// NewStore is an empty one; id is drawn anew at each start.
+func NewStore(id uint64) *Store {
+	return &Store{id: max(1, id), copies: map[controlplane.Life]*Replica{}, ended: map[controlplane.Life]bool{}}
 }
 
 // ID tells this start of the keeper from others.
-func (s *Shelf) ID() uint64 { return s.id }
+func (s *Store) ID() uint64 { return s.id }
 
 // Restore takes a record back that an earlier start had kept, in the order in which they were.
-func (s *Shelf) Restore(k Kept) {
+func (s *Store) Restore(k DiskRecord) {
 	h := s.held(k.Life)
-	if h.Have = max(h.Have, k.Index); !h.skewed || k.Skew < h.Skew {
+	if h.LastIndex = max(h.LastIndex, k.Index); !h.skewed || k.Skew < h.Skew {
 		h.Skew, h.skewed = k.Skew, true
 	}
 	if len(k.Payload) > 0 && h.Content.Apply(k.Payload) != nil {
@@ -65,23 +65,23 @@
 	}
 }
 
-func (s *Shelf) held(life controlplane.Life) *Held {
+func (s *Store) held(life controlplane.Life) *Replica {
 	h := s.copies[life]
 	if h == nil {
-		h = &Held{Life: life, Content: wal.NewCopy()}
+		h = &Replica{Life: life, Content: wal.NewCopy()}
 		s.copies[life] = h
 	}
 	return h
 }
 
-// Take takes a batch in. What it gives has to be on the disk, all of it, before the answer goes; if it can't be, Undo.
+// Append takes a batch in. What it gives has to be on the disk, all of it, before the answer goes; if it can't be, Undo.
 // Batches that are stray, late, doubled or out of order change nothing but what they do not contradict.
-func (s *Shelf) Take(b Batch, clock int64) ([]Kept, Ack) {
+func (s *Store) Append(b Batch, clock int64) ([]DiskRecord, Ack) {
 	ack := Ack{Shelf: s.id}
 	if s.ended[b.Life] {
 		ack.Ended = true
 		if h := s.copies[b.Life]; h != nil {
-			ack.Have = h.Have
+			ack.Have = h.LastIndex
 		}
 		return nil, ack
 	}
@@ -95,12 +95,12 @@
 	if skew := time.Duration(clock - b.Clock); b.Clock != 0 && (!h.skewed || skew < h.Skew) {
 		h.Skew, h.skewed = skew, true
 	}
-	var keep []Kept
+	var keep []DiskRecord
 	if b.Snapshot > 0 {
 		keep = s.piece(h, b)
 	} else {
 		for _, r := range b.Records {
-			if r.Index == h.Have+1 {
+			if r.Index == h.LastIndex+1 {
 				keep = append(keep, s.apply(h, r)...)
 			}
 		}
@@ -112,26 +112,26 @@
 	return keep, ack
 }
 
-func (h *Held) answer(a *Ack) {
+func (h *Replica) answer(a *Ack) {
 	if a.Snapshot, a.Pieces = h.taking, h.pieces; !h.doubt {
-		a.Have = h.Have
+		a.Have = h.LastIndex
 	}
 }
 
-// Doubt has a copy that differs from its owner's replaced whole; until then it stays, as the best there is here.
-func (s *Shelf) Doubt(life controlplane.Life) {
+// MarkDiverged has a copy that differs from its owner's replaced whole; until then it stays, as the best there is here.
+func (s *Store) MarkDiverged(life controlplane.Life) {
 	if h := s.copies[life]; h != nil {
 		h.doubt = true
 	}
 }
 
 // Expire forgets the ids that have been over since before a moment, and gives what goes from the disk.
-func (s *Shelf) Expire(before time.Time) (out []Kept) {
-	for _, life := range s.Lives() {
+func (s *Store) Expire(before time.Time) (out []DiskRecord) {
+	for _, life := range s.Incarnations() {
 		h := s.copies[life]
 		for _, p := range h.Content.Past() {
 			if p.At.Add(h.Skew).Before(before) {
-				out = append(out, Kept{Life: life, Index: h.Have, Past: p.ID, Drop: true, Skew: h.Skew})
+				out = append(out, DiskRecord{Life: life, Index: h.LastIndex, PastID: p.ID, Delete: true, Skew: h.Skew})
 			}
 		}
 		h.Content.Forget(before.Add(-h.Skew))
@@ -140,33 +140,33 @@
 }
 
 // apply takes the next record.
-func (s *Shelf) apply(h *Held, r Record) []Kept {
-	h.Have = r.Index
-	k := Kept{Life: h.Life, Index: r.Index, Payload: r.Payload}
+func (s *Store) apply(h *Replica, r Record) []DiskRecord {
+	h.LastIndex = r.Index
+	k := DiskRecord{Life: h.Life, Index: r.Index, Payload: r.Payload}
 	seq, over, err := wal.Of(r.Payload)
 	m := h.Content.Message(seq)
 	if h.Content.Apply(r.Payload) != nil || err != nil {
 		h.Unknown++
 	}
 	if k.Message = seq; !over {
-		return []Kept{k}
+		return []DiskRecord{k}
 	}
-	k.Drop, k.Payload = true, nil
+	k.Delete, k.Payload = true, nil
 	if m == nil {
-		return []Kept{k}
+		return []DiskRecord{k}
 	}
 	if p, over := h.Content.Ended(m.ID); over {
-		return []Kept{k, {Life: h.Life, Index: r.Index, Payload: wal.CondensePast(p), Past: p.ID}}
+		return []DiskRecord{k, {Life: h.Life, Index: r.Index, Payload: wal.CondensePast(p), PastID: p.ID}}
 	}
-	return []Kept{k}
+	return []DiskRecord{k}
 }
 
 // piece takes one of a snapshot. With the last the copy is what the snapshot says and nothing else.
-func (s *Shelf) piece(h *Held, b Batch) []Kept {
+func (s *Store) piece(h *Replica, b Batch) []DiskRecord {
 	if h.taking != b.Snapshot {
 		h.taking, h.pieces, h.shadow = b.Snapshot, 0, nil
 	}
-	if b.Piece != h.pieces || !h.doubt && b.UpTo <= h.Have {
+	if b.Piece != h.pieces || !h.doubt && b.UpTo <= h.LastIndex {
 		return nil
 	}
 	h.pieces++
@@ -175,30 +175,30 @@
 	}
 	records := h.shadow
 	h.taking, h.pieces, h.shadow, h.doubt = 0, 0, nil, false
-	h.Have, h.Content, h.Unknown = b.UpTo, wal.NewCopy(), 0
-	keep := []Kept{{Life: h.Life, Index: b.UpTo, Fresh: true}}
+	h.LastIndex, h.Content, h.Unknown = b.UpTo, wal.NewCopy(), 0
+	keep := []DiskRecord{{Life: h.Life, Index: b.UpTo, Reset: true}}
 	for _, r := range records {
 		if h.Content.Apply(r.Payload) != nil {
 			h.Unknown++
 		}
 		seq, _, _ := wal.Of(r.Payload)
-		k := Kept{Life: h.Life, Index: b.UpTo, Payload: r.Payload, Message: seq}
+		k := DiskRecord{Life: h.Life, Index: b.UpTo, Payload: r.Payload, Message: seq}
 		if seq == 0 {
-			k.Past = wal.PastOf(r.Payload)
+			k.PastID = wal.PastOf(r.Payload)
 		}
 		keep = append(keep, k)
 	}
 	return keep
 }
 
-// End refuses all further records of a life, so that whoever takes over reads a copy that stands still.
-func (s *Shelf) End(life controlplane.Life) { s.ended[life] = true }
+// Fence refuses all further records of a life, so that whoever takes over reads a copy that stands still.
+func (s *Store) Fence(life controlplane.Life) { s.ended[life] = true }
 
-// Copy is that of a life, or nil.
-func (s *Shelf) Copy(life controlplane.Life) *Held { return s.copies[life] }
+// Replica is that of a life, or nil.
+func (s *Store) Replica(life controlplane.Life) *Replica { return s.copies[life] }
 
-// Lives are those of which there is a copy, in their order.
-func (s *Shelf) Lives() []controlplane.Life {
+// Incarnations are those of which there is a copy, in their order.
+func (s *Store) Incarnations() []controlplane.Life {
 	return slices.SortedFunc(maps.Keys(s.copies), func(a, b controlplane.Life) int {
 		if a.Name != b.Name {
 			if a.Name < b.Name {
@@ -210,14 +210,14 @@
 	})
 }
 
-// Drop removes the copies that keep says are of no use to anybody, and gives what goes from the disk.
-func (s *Shelf) Drop(keep func(controlplane.Life) bool) []Kept {
-	var out []Kept
-	for _, life := range s.Lives() {
+// Retain removes the copies that keep says are of no use to anybody, and gives what goes from the disk.
+func (s *Store) Retain(keep func(controlplane.Life) bool) []DiskRecord {
+	var out []DiskRecord
+	for _, life := range s.Incarnations() {
 		if !keep(life) {
 			delete(s.copies, life)
 			delete(s.ended, life)
-			out = append(out, Kept{Life: life, Fresh: true})
+			out = append(out, DiskRecord{Life: life, Reset: true})
 		}
 	}
 	return out
--- a/internal/lab/capacity/probe_fleet.go
+++ b/internal/lab/capacity/probe_fleet.go
@@ -58,7 +58,7 @@
 	}
 	for _, n := range sizes {
 		in := planInput(n)
-		planner := plan.New(plan.Defaults(), plan.Places{Region: regions}, nil)
+		planner := plan.NewPlanner(plan.Defaults(), plan.Topology{Region: regions}, nil)
 		var latest *plan.Plan
 		for range 3 { // verdicts need some windows
 			latest, _ = planner.Step(in)
--- a/internal/lab/capacity/probe_forwarder.go
+++ b/internal/lab/capacity/probe_forwarder.go
@@ -191,7 +191,7 @@
 	for _, n := range sizes {
 		life := controlplane.Life{Name: "owner", Number: 1}
 		owner := replication.NewOwner(life)
-		owner.SetKeepers([]string{"replica"}, nil)
+		owner.SetReplicas([]string{"replica"}, nil)
 		var records [][]byte
 		for i := range n {
 			m := &wal.Message{
@@ -201,7 +201,7 @@
 			records = append(records, wal.Condense(m)...)
 		}
 		before := heap()
-		replica := replication.NewShelf(1)
+		replica := replication.NewStore(1)
 		size, took := 0.0, 0.0
 		for first := true; ; first = false {
 			if !first && owner.NeedsSnapshot("replica") {
@@ -220,11 +220,11 @@
 			}
 			size += float64(len(raw))
 			began := time.Now()
-			_, ack := replica.Take(b, 0)
+			_, ack := replica.Append(b, 0)
 			took += time.Since(began).Seconds()
-			owner.Answered("replica", ack)
+			owner.HandleAck("replica", ack)
 		}
-		if c := replica.Copy(life); c == nil || len(c.Content.Messages()) != n {
+		if c := replica.Replica(life); c == nil || len(c.Content.Messages()) != n {
 			return nil, fmt.Errorf("the replica of %d messages is not whole", n)
 		}
 		t.row(n, heap()-before, size, took)
--- a/internal/lab/cluster/describe.go
+++ b/internal/lab/cluster/describe.go
@@ -31,7 +31,7 @@
 func (f *Fleet) describePlan(i int) string {
 	ctx, cancel := context.WithTimeout(context.Background(), describeFor)
 	defer cancel()
-	status, err := node.LookPlan(ctx, f.Members[i].Links)
+	status, err := node.GetPlan(ctx, f.Members[i].Links)
 	if err != nil {
 		return err.Error()
 	}
--- a/internal/lab/cluster/fleet.go
+++ b/internal/lab/cluster/fleet.go
@@ -415,12 +415,12 @@
 func (f *Fleet) Look(i int) (node.Status, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	return node.Look(ctx, f.Members[i].Links)
+	return node.GetStatus(ctx, f.Members[i].Links)
 }
 
 // Await looks at a member until something holds of it.
 func (f *Fleet) Await(ctx context.Context, i int, what string, holds func(node.Status) bool) error {
-	return await(ctx, f, i, what, node.Look, holds)
+	return await(ctx, f, i, what, node.GetStatus, holds)
 }
 
 // Order has the council decide something, whichever member passes it on.
@@ -433,7 +433,7 @@
 				continue
 			}
 			call, cancel := context.WithTimeout(ctx, 2*time.Second)
-			r, err = node.Order(call, f.Members[i].Links, c)
+			r, err = node.SendCommand(call, f.Members[i].Links, c)
 			cancel()
 			if err == nil && r.Refused == "" {
 				return nil
@@ -465,12 +465,12 @@
 
 // AwaitPlan looks at where a member sees traffic go until something holds of it.
 func (f *Fleet) AwaitPlan(ctx context.Context, i int, what string, holds func(node.PlanStatus) bool) error {
-	return await(ctx, f, i, what, node.LookPlan, holds)
+	return await(ctx, f, i, what, node.GetPlan, holds)
 }
 
 // AwaitFacts looks at what a member knows of partners until something holds of it.
-func (f *Fleet) AwaitFacts(ctx context.Context, i int, what string, holds func(node.FactsStatus) bool) error {
-	return await(ctx, f, i, what, node.LookFacts, holds)
+func (f *Fleet) AwaitFacts(ctx context.Context, i int, what string, holds func(node.ObservationStatus) bool) error {
+	return await(ctx, f, i, what, node.GetObservations, holds)
 }
 
 // AwaitCopied waits until each of the members may act, speaks in the council if it is a founder, and has as many counted keepers as the
--- a/internal/lab/cluster/measure.go
+++ b/internal/lab/cluster/measure.go
@@ -369,7 +369,7 @@
 	if err := f.Order(ctx, controlplane.Command{Kind: controlplane.Leave, Life: controlplane.Life{Name: old}, On: true}); err != nil {
 		return err
 	}
-	var fresh node.KeeperStatus
+	var fresh node.ReplicaStatus
 	most := memory
 	err = f.Await(ctx, 0, "another keeper", func(s node.Status) bool {
 		if now, err := f.Members[0].Memory(); err == nil {
--- a/internal/lab/cluster/model.go
+++ b/internal/lab/cluster/model.go
@@ -81,7 +81,7 @@
 	Life    uint64
 	Folder  folder
 	Owner   *replication.Owner
-	Shelf   *replication.Shelf
+	Shelf   *replication.Store
 	Shelves uint64
 	Thawed  bool
 	View    *controlplane.State
@@ -90,14 +90,14 @@
 	Take    *replication.Takeover
 	Content replication.Content
 	Mark    uint64
-	Unkept  []replication.Kept // answered for, and not on the disk: the first fault
+	Unkept  []replication.DiskRecord // answered for, and not on the disk: the first fault
 }
 
 // folder outlasts its process.
 type folder struct {
 	Life uint64
 	Log  *wal.Copy // the journal: what its records say
-	Kept []replication.Kept
+	Kept []replication.DiskRecord
 	Next uint64
 }
 
@@ -137,7 +137,7 @@
 		p.View = m.Council.Clone()
 	}
 	o := m.Procs[0].Owner
-	o.SetKeepers(rank, nil)
+	o.SetReplicas(rank, nil)
 	for _, name := range rank {
 		k := m.proc(name)
 		for range 3 {
@@ -145,9 +145,9 @@
 				o.Snapshot(name, nil)
 			}
 			if b, some := o.Next(name, 0); some {
-				keep, ack := k.Shelf.Take(b, 0)
+				keep, ack := k.Shelf.Append(b, 0)
 				k.Folder.keep(keep)
-				o.Answered(name, ack)
+				o.HandleAck(name, ack)
 			}
 		}
 	}
@@ -169,17 +169,19 @@
 }
 
 // keep puts what a shelf wants kept on the disk.
-func (f *folder) keep(list []replication.Kept) {
+func (f *folder) keep(list []replication.DiskRecord) {
 	for _, k := range list {
-		if k.Fresh {
-			f.Kept = slices.DeleteFunc(f.Kept, func(x replication.Kept) bool { return x.Life == k.Life })
+		if k.Reset {
+			f.Kept = slices.DeleteFunc(f.Kept, func(x replication.DiskRecord) bool { return x.Life == k.Life })
 			if k.Index == 0 {
 				continue
 			}
 		}
-		if k.Drop {
-			f.Kept = slices.DeleteFunc(f.Kept, func(x replication.Kept) bool { return x.Life == k.Life && x.Message == k.Message && x.Past == k.Past })
-			k.Drop, k.Message, k.Payload = false, 0, nil
+		if k.Delete {
+			f.Kept = slices.DeleteFunc(f.Kept, func(x replication.DiskRecord) bool {
+				return x.Life == k.Life && x.Message == k.Message && x.PastID == k.PastID
+			})
+			k.Delete, k.Message, k.Payload = false, 0, nil
 		}
 		f.Kept = append(f.Kept, k)
 	}
@@ -189,7 +191,7 @@
 func (m *Model) boot(p *proc) {
 	p.Up, p.Begun, p.Thawed, p.Take, p.Owner, p.Paused = true, false, false, nil, nil, false
 	p.Shelves++
-	p.Shelf = replication.NewShelf(p.Shelves*10 + 1)
+	p.Shelf = replication.NewStore(p.Shelves*10 + 1)
 	for _, k := range p.Folder.Kept {
 		p.Shelf.Restore(k)
 	}
@@ -278,8 +280,8 @@
 		if !k.Up {
 			continue
 		}
-		k.Shelf.End(life)
-		if h := k.Shelf.Copy(life); h != nil && h.Have > 0 {
+		k.Shelf.Fence(life)
+		if h := k.Shelf.Replica(life); h != nil && h.LastIndex > 0 {
 			c := replication.ContentOf(h.Content, 0)
 			if m.Setup.Fault == MergeNever && out.Messages != nil {
 				for seq, x := range c.Messages {
@@ -329,7 +331,7 @@
 		p.Held[y.ID] = &holding{Seq: y.Seq, Away: true, Adopting: life.String(), MayRun: y.MayRun, Begun: y.Attempts > 0}
 	}
 	if p.Owner != nil {
-		p.Mark = p.Owner.Latest()
+		p.Mark = p.Owner.LastIndex()
 	}
 }
 
@@ -380,8 +382,8 @@
 }
 
 func (m *Model) unanswered(owner, keeper int, life controlplane.Life) {
-	if p := m.Procs[owner]; p.Up && p.Owner != nil && p.Owner.Life() == life {
-		p.Owner.Unanswered(m.Procs[keeper].Name)
+	if p := m.Procs[owner]; p.Up && p.Owner != nil && p.Owner.Incarnation() == life {
+		p.Owner.HandleNoAck(m.Procs[keeper].Name)
 	}
 }
 
@@ -430,10 +432,10 @@
 	for n, f := range m.Messages {
 		m.messageMoves(i, p, n, f, add)
 	}
-	if m.acts(p) && (i == 0 || p.Owner.Latest() > 1) { // who has nothing to copy is left out
+	if m.acts(p) && (i == 0 || p.Owner.LastIndex() > 1) { // who has nothing to copy is left out
 		member := m.Council.Members[p.Name]
 		for _, name := range append(slices.Clone(member.Keepers), m.wanted(p)...) {
-			if (p.Owner.Level(name) || m.Setup.Fault == BehindCounts) && !slices.Contains(member.Keepers, name) && len(member.Keepers) < m.Setup.Copies {
+			if (p.Owner.CaughtUp(name) || m.Setup.Fault == BehindCounts) && !slices.Contains(member.Keepers, name) && len(member.Keepers) < m.Setup.Copies {
 				add(p.Name+" counts "+name, func(m *Model) { m.count(m.Procs[i], name) })
 			}
 		}
@@ -466,7 +468,7 @@
 	}
 	set = append(set, name)
 	if m.decide(controlplane.Command{Kind: controlplane.Keepers, Life: m.life(p), From: member.Changed, Set: set}) == nil {
-		p.Owner.SetKeepers(set, nil)
+		p.Owner.SetReplicas(set, nil)
 		p.View = m.Council.Clone()
 	}
 }
@@ -475,13 +477,13 @@
 func (m *Model) sendMoves(i int, p *proc, add func(string, func(*Model))) {
 	member := m.Council.Members[p.Name]
 	for _, name := range append(slices.Clone(member.Keepers), m.wanted(p)...) {
-		if known := slices.Contains(p.Owner.Named(), name); known && !p.Owner.Due(name) {
+		if known := slices.Contains(p.Owner.Replicas(), name); known && !p.Owner.Due(name) {
 			continue
 		}
 		add(p.Name+" sends to "+name, func(m *Model) {
 			p := m.Procs[i]
 			member := m.Council.Members[p.Name]
-			p.Owner.SetKeepers(member.Keepers, m.wanted(p))
+			p.Owner.SetReplicas(member.Keepers, m.wanted(p))
 			if p.Owner.NeedsSnapshot(name) {
 				p.Owner.Snapshot(name, m.snapshot(p))
 			}
@@ -528,8 +530,8 @@
 	m.Net = slices.Delete(m.Net, n, n+1)
 	p := m.Procs[k.To]
 	if k.Ack != nil {
-		if p.Up && p.Owner != nil && p.Owner.Life() == k.Life {
-			p.Owner.Answered(m.Procs[k.From].Name, *k.Ack)
+		if p.Up && p.Owner != nil && p.Owner.Incarnation() == k.Life {
+			p.Owner.HandleAck(m.Procs[k.From].Name, *k.Ack)
 		}
 		return
 	}
@@ -537,7 +539,7 @@
 		m.unanswered(k.From, k.To, k.Batch.Life)
 		return
 	}
-	keep, ack := p.Shelf.Take(*k.Batch, 0)
+	keep, ack := p.Shelf.Append(*k.Batch, 0)
 	if m.Setup.Fault == AckBeforeStored {
 		p.Unkept = append(p.Unkept, keep...) // never reaches the disk before its process ends
 	} else {
@@ -571,7 +573,7 @@
 		}
 		return
 	}
-	if !h.Told && h.Accept > 0 && !h.Away && p.Owner.Held() >= h.Accept {
+	if !h.Told && h.Accept > 0 && !h.Away && p.Owner.HighWatermark() >= h.Accept {
 		add(p.Name+" answers 202 for "+id, func(m *Model) { m.Procs[i].Held[id].Told = true; m.Messages[n].Told = true })
 	}
 	if h.Away || h.Adopting != "" {
@@ -586,7 +588,7 @@
 			h := p.Held[id]
 			h.Started = p.write(wal.StartedRecord(h.Seq, epoch, "z"))
 		})
-	case canSend && h.Started > 0 && (!strict || p.Owner.Held() >= h.Started) && (acts || m.Setup.Fault == NoLeaseLook):
+	case canSend && h.Started > 0 && (!strict || p.Owner.HighWatermark() >= h.Started) && (acts || m.Setup.Fault == NoLeaseLook):
 		add(p.Name+" writes the first byte of "+id, func(m *Model) {
 			h := m.Procs[i].Held[id]
 			h.Out, h.Begun = true, true
@@ -630,11 +632,11 @@
 		}
 		return
 	}
-	name := map[replication.Doing]string{
-		replication.Gather: "gathers", replication.Adopt: "adopts", replication.Wait: "waits", replication.Decide: "asks the council", replication.Act: "acts",
-		replication.Undo: "takes it back", replication.Stop: "is done",
-	}[p.Take.Doing()]
-	if p.Take.Doing() == replication.Wait && len(p.Owner.Counted()) > 0 && p.Owner.Held() < p.Mark {
+	name := map[replication.TakeoverStep]string{
+		replication.Gather: "gathers", replication.Stage: "adopts", replication.Replicate: "waits", replication.Commit: "asks the council", replication.Activate: "acts",
+		replication.Discard: "takes it back", replication.Done: "is done",
+	}[p.Take.Step()]
+	if p.Take.Step() == replication.Replicate && len(p.Owner.InSync()) > 0 && p.Owner.HighWatermark() < p.Mark {
 		return // until it is, or this life is over
 	}
 	add(p.Name+": taking over: "+name, func(m *Model) { m.takeStep(m.Procs[i]) })
@@ -644,35 +646,35 @@
 	t := p.Take
 	of := func(do func(id string, h *holding)) {
 		for _, id := range slices.Sorted(maps.Keys(p.Held)) {
-			if h := p.Held[id]; h.Adopting == t.Life.String() {
+			if h := p.Held[id]; h.Adopting == t.Ended.String() {
 				do(id, h)
 			}
 		}
 	}
-	switch t.Doing() {
+	switch t.Step() {
 	case replication.Gather:
-		job := m.Council.Job(t.Life)
+		job := m.Council.Job(t.Ended)
 		if job == nil {
 			t.Gathered(false)
 			return
 		}
-		p.Content = m.gather(p, t.Life, job.Keepers)
+		p.Content = m.gather(p, t.Ended, job.Keepers)
 		t.Gathered(p.Content.Messages != nil)
-	case replication.Adopt:
-		m.adopt(p, t.Life, p.Content, false)
-		t.Adopted(true)
-	case replication.Wait:
-		t.Held(true)
-	case replication.Decide:
-		t.Decided(true, m.decide(controlplane.Command{Kind: controlplane.Done, Life: t.Life, Taker: t.Taker}) == nil)
+	case replication.Stage:
+		m.adopt(p, t.Ended, p.Content, false)
+		t.Staged(true)
+	case replication.Replicate:
+		t.Replicated(true)
+	case replication.Commit:
+		t.Committed(true, m.decide(controlplane.Command{Kind: controlplane.Done, Life: t.Ended, Taker: t.Successor}) == nil)
 		p.View = m.Council.Clone()
-	case replication.Act:
+	case replication.Activate:
 		of(func(_ string, h *holding) { h.Adopting, h.Away = "", false })
-		t.Acted(true)
-	case replication.Undo:
+		t.Activated(true)
+	case replication.Discard:
 		of(func(id string, _ *holding) { m.over(p, id, false) })
-		t.Undone()
-	case replication.Stop:
+		t.Discarded()
+	case replication.Done:
 		p.Take, p.Content = nil, replication.Content{}
 	}
 }
@@ -707,15 +709,15 @@
 		best, most := "", uint64(0)
 		for _, name := range j.Keepers {
 			k := m.proc(name)
-			if h := k.Shelf.Copy(j.Life); k.Up && k.Begun && m.Council.Alive(m.life(k)) && h != nil && h.Have > most {
-				best, most = name, h.Have
+			if h := k.Shelf.Replica(j.Life); k.Up && k.Begun && m.Council.Alive(m.life(k)) && h != nil && h.LastIndex > most {
+				best, most = name, h.LastIndex
 			}
 		}
 		if best != "" {
 			life := j.Life
 			add("the council gives "+life.String()+" to "+best, func(m *Model) {
 				k := m.proc(best)
-				k.Shelf.End(life)
+				k.Shelf.Fence(life)
 				_ = m.decide(controlplane.Command{Kind: controlplane.Assign, Life: life, Taker: m.life(k)})
 			})
 		}
--- a/internal/lab/cluster/random.go
+++ b/internal/lab/cluster/random.go
@@ -396,7 +396,7 @@
 	}
 	call, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	r, err := node.Order(call, f.Members[asking].Links, controlplane.Command{Kind: controlplane.Found, Life: controlplane.Life{Name: f.Members[who].Name}, On: !is})
+	r, err := node.SendCommand(call, f.Members[asking].Links, controlplane.Command{Kind: controlplane.Found, Life: controlplane.Life{Name: f.Members[who].Name}, On: !is})
 	f.Event("n%d: founder %v, %q %v", who, !is, r.Refused, err)
 }
 
--- a/internal/lab/cluster/spread.go
+++ b/internal/lab/cluster/spread.go
@@ -51,8 +51,8 @@
 	rng     *rand.Rand
 	names   []string
 	number  map[string]int
-	books   []*observation.Book
-	spreads []*observation.Spread
+	books   []*observation.Store
+	spreads []*observation.Gossip
 	size    bytes.Buffer
 	enc     *gob.Encoder // as a connection that has carried pushes before
 	sent    []float64    // bytes, by second
@@ -70,14 +70,14 @@
 		sent: make([]float64, int(s.Length/time.Second)+1), heeds: make([]bool, s.Members),
 	}
 	p.enc = gob.NewEncoder(&p.size)
-	if err := errors.Join(p.enc.Encode(node.FactsPush{}), p.enc.Encode(node.FactsAnswer{})); err != nil {
+	if err := errors.Join(p.enc.Encode(node.GossipRequest{}), p.enc.Encode(node.GossipReply{})); err != nil {
 		return Spread{}, err
 	}
 	for i := range s.Members {
 		name := fmt.Sprintf("forwarder-%04d", i)
-		book := observation.NewBook(observation.Config{Name: name, Life: 1, HalfLife: 10 * time.Second, Longest: time.Minute, Keys: 4096})
+		book := observation.NewStore(observation.Config{Name: name, Epoch: 1, HalfLife: 10 * time.Second, MaxRetryAfter: time.Minute, MaxKeys: 4096})
 		p.names, p.number[name] = append(p.names, name), i
-		p.books, p.spreads = append(p.books, book), append(p.spreads, observation.NewSpread(book, p.rng.Uint64()))
+		p.books, p.spreads = append(p.books, book), append(p.spreads, observation.NewGossip(book, p.rng.Uint64()))
 	}
 	for i := range s.Members {
 		others := slices.DeleteFunc(slices.Clone(p.names), func(name string) bool { return name == p.names[i] })
@@ -105,13 +105,13 @@
 func (p *spreading) beatAt(now time.Duration, i int, others []string) {
 	p.agenda.At(now, func() {
 		p.beatAt(now+p.Beat, i, others)
-		p.books[i].Forget(now, nil)
+		p.books[i].Expire(now, nil)
 		if i < p.Seers && now >= toldAt {
-			p.spreads[i].Tell(p.Members, p.books[i].Own(now, p.seen(now))...)
+			p.spreads[i].Enqueue(p.Members, p.books[i].LocalUpdates(now, p.seen(now))...)
 		}
 		p.note(i, now)
-		for _, push := range p.spreads[i].Beat(now, others) {
-			what := node.FactsPush{From: controlplane.Life{Name: p.names[i], Number: 1}, Facts: push.Facts, Compare: push.Compare, Digest: push.Digest}
+		for _, push := range p.spreads[i].Tick(now, others) {
+			what := node.GossipRequest{From: controlplane.Life{Name: p.names[i], Number: 1}, Facts: push.Facts, Compare: push.Compare, Digest: push.Digest}
 			p.send(now, what, func(at time.Duration) { p.pushed(at, p.number[push.To], i, what) })
 		}
 	})
@@ -126,23 +126,23 @@
 }
 
 // pushed is a push that has come; its answer goes back.
-func (p *spreading) pushed(now time.Duration, to, from int, push node.FactsPush) {
+func (p *spreading) pushed(now time.Duration, to, from int, push node.GossipRequest) {
 	p.take(now, to, push.Facts)
-	var a node.FactsAnswer
+	var a node.GossipReply
 	if push.Compare && push.Digest != p.books[to].Digest(now) {
-		a.Facts = p.books[to].All(now)
+		a.Facts = p.books[to].Records(now)
 	}
 	p.send(now, a, func(at time.Duration) { p.take(at, from, a.Facts) })
 }
 
 // take has a member hear facts.
-func (p *spreading) take(now time.Duration, i int, list []observation.Fact) {
+func (p *spreading) take(now time.Duration, i int, list []observation.Record) {
 	for _, f := range list {
-		if news, _ := p.books[i].Take(now, f); news {
-			p.spreads[i].Tell(p.Members, f)
+		if news, _ := p.books[i].Add(now, f); news {
+			p.spreads[i].Enqueue(p.Members, f)
 		}
 	}
-	p.Largest = max(p.Largest, len(p.books[i].All(now)))
+	p.Largest = max(p.Largest, len(p.books[i].Records(now)))
 }
 
 // send counts what goes out, and has it come a little later, if it is not lost.
--- a/internal/lab/places/places.go
+++ b/internal/lab/places/places.go
@@ -140,7 +140,7 @@
 	name    string
 	place   string
 	reports *plan.Report
-	runs    plan.Runs
+	runs    plan.LossStreaks
 	choose  chooser
 	tokens  map[plan.Path]float64
 	served  map[plan.Path]time.Duration // when tokens were last given
@@ -174,7 +174,7 @@
 	rng       *rand.Rand
 	now       time.Duration
 	zones     []string
-	places    plan.Places
+	places    plan.Topology
 	sites     map[plan.Path]*site
 	order     []*site
 	capacity  map[int64]map[string]float64
@@ -199,7 +199,7 @@
 		byZone: map[string][]*forwarder{}, waiting: map[*forwarder][]message{},
 		result: Result{Day: d.Name, Policy: name, Seed: seed},
 	}
-	r.places = plan.Places{Region: s.Zones, Within: plan.Crossing{Delay: within, Price: withinPrice}, Across: plan.Crossing{Delay: across, Price: acrossPrice}}
+	r.places = plan.Topology{Region: s.Zones, Within: plan.Link{Delay: within, Price: withinPrice}, Across: plan.Link{Delay: across, Price: acrossPrice}}
 	for z := range s.Zones {
 		r.zones = append(r.zones, z)
 	}
@@ -220,7 +220,7 @@
 	for i := range s.Forwarders {
 		f := &forwarder{name: fmt.Sprintf("f%03d", i), place: r.zones[i%len(r.zones)], tokens: map[plan.Path]float64{}, served: map[plan.Path]time.Duration{}, broken: map[plan.Path]breaker{}}
 		f.fresh()
-		f.runs = plan.Runs{}
+		f.runs = plan.LossStreaks{}
 		f.choose = r.policy.join(r, f)
 		r.fleet = append(r.fleet, f)
 		r.byZone[f.place] = append(r.byZone[f.place], f)
@@ -365,9 +365,9 @@
 		if _, asked := allowed[m.destination]; !asked {
 			allowed[m.destination] = f.choose.targets(r.now, m.destination)
 			for i, t := range allowed[m.destination] {
-				at := plan.Path{Destination: m.destination, To: t.Place}
+				at := plan.Path{Destination: m.destination, To: t.Zone}
 				if math.IsInf(t.Rate, 1) { // its own pace, from what the list says and how many call there
-					t.Rate = pace * r.Setup.Capacity / float64(r.callers(f, t.Place))
+					t.Rate = pace * r.Setup.Capacity / float64(r.callers(f, t.Zone))
 				}
 				t.Rate *= r.guard(f, at)
 				allowed[m.destination][i].Rate = t.Rate
@@ -381,7 +381,7 @@
 		}
 		to := ""
 		for _, t := range allowed[m.destination] {
-			at := plan.Path{Destination: m.destination, To: t.Place}
+			at := plan.Path{Destination: m.destination, To: t.Zone}
 			if b := f.broken[at]; r.now < b.until {
 				continue
 			}
@@ -389,7 +389,7 @@
 				continue
 			}
 			f.tokens[at]--
-			to = t.Place
+			to = t.Zone
 			break
 		}
 		if to == "" { // nowhere to go now
@@ -440,7 +440,7 @@
 	r.result.Calls++
 	if to != f.place {
 		r.result.Crossings++
-		r.result.Price += r.places.Crossing(f.place, to).Price
+		r.result.Price += r.places.Link(f.place, to).Price
 		if home := r.sites[plan.Path{Destination: m.destination, To: f.place}]; home.up(r.now) && home.backAt < 0 && home.slow == 1 && !r.cut(f.place, f.place) && home.used < home.present(r.now)*step.Seconds() {
 			r.result.Needless++
 		}
@@ -468,7 +468,7 @@
 		return false
 	}
 	took := time.Duration(float64(service) * s.slow * math.Exp(0.4*r.rng.NormFloat64()))
-	took += r.places.Crossing(f.place, to).Delay
+	took += r.places.Link(f.place, to).Delay
 	if took > late {
 		t.Late++
 		return lose()
@@ -481,7 +481,7 @@
 	}
 	f.broken[at] = b
 	t.OK++
-	t.Book(took)
+	t.RecordLatency(took)
 	s.answered++
 	age := r.now + took - m.at
 	worth := classes[m.class].worth
@@ -505,7 +505,7 @@
 		for _, n := range f.reports.Demand {
 			p.Demand += n
 		}
-		f.reports.Lost = f.runs.Window(f.reports.Paths)
+		f.reports.Lost = f.runs.EndWindow(f.reports.Paths)
 		reports[f.place] = append(reports[f.place], *f.reports)
 		f.fresh()
 	}
--- a/internal/lab/places/policies.go
+++ b/internal/lab/places/policies.go
@@ -14,7 +14,7 @@
 func newPolicy(name string, r *run) (policy, error) {
 	switch name {
 	case "plan":
-		return &planned{planner: plan.New(plan.Defaults(), r.places, nil)}, nil
+		return &planned{planner: plan.NewPlanner(plan.Defaults(), r.places, nil)}, nil
 	case "near":
 		return fixed{near}, nil
 	case "alike":
@@ -53,19 +53,19 @@
 
 func (m *member) hear(now time.Duration) {
 	for len(m.coming) > 0 && now >= m.coming[0].at {
-		m.follower.Hear(now, m.coming[0].p)
+		m.follower.Apply(now, m.coming[0].p)
 		m.coming = m.coming[1:]
 	}
 }
 
-func (m *member) obeys(now time.Duration) uint64 { m.hear(now); return m.follower.Obeys(now) }
+func (m *member) obeys(now time.Duration) uint64 { m.hear(now); return m.follower.ActiveVersion(now) }
 
 func (m *member) targets(now time.Duration, d int64) []plan.Target {
 	m.hear(now)
-	fleet := plan.Fleet{All: m.r.Forwarders, Reserve: plan.Defaults().Reserve}
-	out := m.follower.Allow(now, d, m.r.capacity[d], m.r.places.Order(m.f.place, m.r.zones), fleet)
+	fleet := plan.FallbackConfig{MaxForwarders: m.r.Forwarders, Reserve: plan.Defaults().Reserve}
+	out := m.follower.Targets(now, d, m.r.capacity[d], m.r.places.SortByCost(m.f.place, m.r.zones), fleet)
 	for i, t := range out { // near before far
-		if t.Place == m.f.place {
+		if t.Zone == m.f.place {
 			out[0], out[i] = out[i], out[0]
 		}
 	}
@@ -114,13 +114,13 @@
 func (c byRule) targets(_ time.Duration, d int64) []plan.Target { return c.rule(c.r, c.f, d) }
 
 func near(_ *run, f *forwarder, _ int64) []plan.Target {
-	return []plan.Target{{Place: f.place, Rate: math.Inf(1)}}
+	return []plan.Target{{Zone: f.place, Rate: math.Inf(1)}}
 }
 
 // alike takes any place, and another where its own breaker is open.
 func alike(r *run, _ *forwarder, _ int64) (out []plan.Target) {
 	for _, i := range r.rng.Perm(len(r.zones)) {
-		out = append(out, plan.Target{Place: r.zones[i], Rate: math.Inf(1)})
+		out = append(out, plan.Target{Zone: r.zones[i], Rate: math.Inf(1)})
 	}
 	return out
 }
@@ -137,7 +137,7 @@
 }
 
 func (p *alone) join(r *run, f *forwarder) chooser {
-	h := &hermit{r: r, f: f, planner: plan.New(plan.Defaults(), r.places, nil), follower: plan.NewFollower(f.place), capacity: map[int64]map[string]float64{}}
+	h := &hermit{r: r, f: f, planner: plan.NewPlanner(plan.Defaults(), r.places, nil), follower: plan.NewFollower(f.place), capacity: map[int64]map[string]float64{}}
 	for d, by := range r.capacity {
 		h.capacity[d] = map[string]float64{}
 		for z, c := range by {
@@ -148,17 +148,17 @@
 }
 
 func (h *hermit) targets(now time.Duration, d int64) []plan.Target {
-	return h.follower.Allow(now, d, h.capacity[d], []string{h.f.place}, plan.Fleet{All: 1})
+	return h.follower.Targets(now, d, h.capacity[d], []string{h.f.place}, plan.FallbackConfig{MaxForwarders: 1})
 }
 
 func (p *alone) window(r *run, reports map[string][]plan.Report) {
 	for place, list := range reports {
 		for i, rep := range list {
 			h := r.byZone[place][i].choose.(*hermit)
-			rep.Obeys = h.follower.Known()
+			rep.Obeys = h.follower.LatestVersion()
 			in := plan.Input{Elapsed: window, Zones: map[string]plan.Summary{place: plan.Merge(place, []plan.Report{rep})}, Capacity: h.capacity, Members: map[string]int{place: 1}}
 			next, _ := h.planner.Step(in)
-			h.follower.Hear(r.now, next)
+			h.follower.Apply(r.now, next)
 		}
 	}
 }
@@ -190,13 +190,13 @@
 	if o.t.grants[d] == nil {
 		o.t.grants[d] = o.r.best(now, d)
 	}
-	for _, to := range o.r.places.Order(o.f.place, o.r.zones) {
+	for _, to := range o.r.places.SortByCost(o.f.place, o.r.zones) {
 		if n := o.t.grants[d][[2]string{o.f.place, to}]; n > 0 {
 			rate := truthSlack * n / float64(len(o.r.byZone[o.f.place]))
 			if to == o.f.place && n > o.r.demandOf(to) {
 				rate = math.Inf(1) // all of near, as its module paces
 			}
-			out = append(out, plan.Target{Place: to, Rate: rate})
+			out = append(out, plan.Target{Zone: to, Rate: rate})
 		}
 	}
 	return out
@@ -216,7 +216,7 @@
 	grants := map[[2]string]float64{}
 	for rank := range r.zones {
 		for _, z := range r.zones {
-			to := r.places.Order(z, r.zones)[rank]
+			to := r.places.SortByCost(z, r.zones)[rank]
 			if n := math.Min(left[z], free[to]); n > 0 && !r.cut(z, to) {
 				grants[[2]string{z, to}] += n
 				left[z], free[to] = left[z]-n, free[to]-n
