--- a/cmd/larkreach/main.go
+++ b/cmd/larkreach/main.go
@@ -103,13 +103,13 @@
 	discovery := transport.NewAddress(cfg.Discovery)
 	reporter := transport.NewReporter(discovery, logger)
 	setup := routing.Config{
-		Settings: cfg.Settings, Seed: cfg.Seed, Known: listOf(cfg.Known, true), Log: journal,
-		Caller: caller{endpoints}, Notifier: notifier{reporter}, Logger: logger, Samples: samples, Drain: drainFor, Settle: settleFor,
+		Settings: cfg.Settings, Seed: cfg.Seed, InitialList: listOf(cfg.Known, true), Log: journal,
+		Caller: caller{endpoints}, Notifier: notifier{reporter}, Logger: logger, Sampler: samples, DrainTimeout: drainFor, ClientGrace: settleFor,
 		Long: long,
 	}
 	if remembered != nil {
 		learned := remembered.Learned()
-		setup.Recall, setup.Past = &learned, remembered.Ended
+		setup.Learned, setup.EndedBefore = &learned, remembered.Ended
 	}
 	var part fleet
 	if own.Cluster != nil {
@@ -119,13 +119,13 @@
 		}
 		defer part.Close()
 		journal.Tap(part.Tap)
-		setup.Guard, setup.Steering, setup.Limiter = part, part.Steering(), part.Limiter()
+		setup.Replication, setup.Steering, setup.Limiter = part, part.Steering(), part.Limiter()
 	}
 	router, err := routing.New(setup)
 	if err != nil {
 		return err
 	}
-	clients := &transport.Clients{Handler: handler{router}, Most: room * 3 / 4, Long: passages, Samples: samples}
+	clients := &transport.Clients{Handler: handler{router}, MaxConnections: room * 3 / 4, Streams: passages, Samples: samples}
 	counters := func(when string) {
 		now, line := router.Counters(), logger.Info()
 		if passages != nil {
@@ -163,7 +163,7 @@
 
 // fleet is this forwarder's part in a fleet that keeps copies of what each owes; see fleet_on.go.
 type fleet interface {
-	routing.Guard
+	routing.Replication
 	Steering() routing.Steering
 	Limiter() routing.Limiter
 	Tap(payload []byte)
@@ -175,7 +175,7 @@
 // aside, so that whoever fills the table with connections takes none that is needed later: for the program's own files, the
 // journal's, connections that are turned away, calls that are out, and long messages. Calls get half of what is left at the most.
 func shareDescriptors(cfg *config, long int) (room int, err error) {
-	kept := ownFiles + wal.Descriptors + transport.Overflow + long
+	kept := ownFiles + wal.Descriptors + transport.OverflowConnections + long
 	left := cfg.Limits.Sockets - kept
 	if left < leastRoom {
 		return 0, fmt.Errorf("config: limits: %d descriptors are too few, %d of them are not for connections", cfg.Limits.Sockets, kept)
@@ -216,14 +216,14 @@
 		Clock: clock, Report: report,
 	}
 	for _, c := range cfg.Settings.Classes {
-		o.IDFor = max(o.IDFor, c.GiveUp)
+		o.IDFor = max(o.IDFor, c.DeliveryTimeout)
 	}
 	if own.Bodies != nil {
 		o.IDFor = max(o.IDFor, time.Duration(own.Bodies.Longest))
 	}
 	m := memory.Open(o)
-	if l := m.Learned(); len(l.Lanes) > 0 || m.IDs() > 0 {
-		logger.Info().Str("part", "learned").Int("partners", len(l.Lanes)).Int("ids", m.IDs()).Msg("recalled from an earlier life")
+	if l := m.Learned(); len(l.Circuits) > 0 || m.IDs() > 0 {
+		logger.Info().Str("part", "learned").Int("partners", len(l.Circuits)).Int("ids", m.IDs()).Msg("recalled from an earlier life")
 	}
 	return m
 }
@@ -233,7 +233,7 @@
 	l, ids := router.Learned()
 	s := memory.Snapshot{Learned: l}
 	for _, id := range ids {
-		s.Ended = append(s.Ended, memory.Ended{ID: id.ID, Delivered: id.Delivered, Ago: id.Ago})
+		s.Ended = append(s.Ended, memory.Ended{ID: id.ID, Delivered: id.Delivered, Ago: id.Age})
 	}
 	return s
 }
@@ -252,20 +252,20 @@
 
 // longBodies puts the settings of long bodies in the parts' terms, and tells how many descriptors they take. Without
 // settings there are none.
-func longBodies(b *settings.Bodies, l limits) (routing.LongLimits, *transport.Passages, int, error) {
+func longBodies(b *settings.Bodies, l limits) (routing.LongLimits, *transport.Streams, int, error) {
 	if b == nil {
 		return routing.LongLimits{}, nil, 0, nil
 	}
-	limits := routing.LongLimits{Most: b.AtOnce(), Slots: b.Slots, Longest: time.Duration(b.Longest)}
-	files := limits.Most + filesPerLong*limits.Slots
+	limits := routing.LongLimits{MaxMessages: b.AtOnce(), Slots: b.Slots, MaxTimeLeft: time.Duration(b.Longest)}
+	files := limits.MaxMessages + filesPerLong*limits.Slots
 	if files > l.Sockets/2 {
 		return limits, nil, 0, fmt.Errorf("settings: bodies.total: %d long messages at once and %d calls take more than half of"+
-			" the %d descriptors", limits.Most, limits.Slots, l.Sockets)
+			" the %d descriptors", limits.MaxMessages, limits.Slots, l.Sockets)
 	}
 	if share := int64(heapShare * float64(l.MemoryMB<<20)); int64(b.Total) > share {
 		return limits, nil, 0, fmt.Errorf("settings: bodies.total: %d bytes of %d that may be held in all", b.Total, share)
 	}
-	return limits, &transport.Passages{Most: int64(b.Most), Idle: time.Duration(b.Idle), Window: int(b.Window)}, files, nil
+	return limits, &transport.Streams{MaxBodyBytes: int64(b.Most), IdleTimeout: time.Duration(b.Idle), WindowBytes: int(b.Window)}, files, nil
 }
 
 // errBroken ends the process where its supervisor's next start is the way out.
@@ -296,8 +296,8 @@
 	group.Go(func() error { return reload.run(after, hup) })
 	group.Go(func() error {
 		watch := transport.Discovery{
-			Address: reload.address, Since: cfg.since(), Logger: logger, Asking: cfg.asking(),
-			Learn: func(d protocol.List) { router.Learn(listOf(d, false)) },
+			Address: reload.address, KnownVersion: cfg.since(), Logger: logger, Schedule: cfg.asking(),
+			OnList: func(d protocol.List) { router.Learn(listOf(d, false)) },
 		}
 		return watch.Watch(after)
 	})
--- a/internal/cluster/node/configuration_test.go
+++ b/internal/cluster/node/configuration_test.go
@@ -19,14 +19,14 @@
 
 func (silent) Call(context.Context, routing.Attempt) routing.Result { return routing.Result{} }
 func (silent) CloseIdle(string)                                     {}
-func (silent) Notify(routing.Notice)                                {}
+func (silent) Notify(routing.DeliveryReport)                        {}
 
 // newAlone opens a member that is the only voter, with its control plane running and nothing else.
 func newAlone(t *testing.T) *Node {
 	t.Helper()
 	address := "127.0.0.1:0"
 	n, err := Open(Config{
-		Name: "n0", Listen: address, Founders: []controlplane.Founder{{Name: "n0", Address: address}}, Copies: 1, Folder: t.TempDir(),
+		Name: "n0", Listen: address, Founders: []controlplane.Voter{{Name: "n0", Address: address}}, Copies: 1, Folder: t.TempDir(),
 		Timing: controlplane.Timing{Tick: 10 * time.Millisecond, Lease: time.Minute, Margin: 10 * time.Second}, Logger: zerolog.Nop(),
 	})
 	if err != nil {
@@ -36,9 +36,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	classes := []mb.Class{{Name: "safe", Target: time.Second, GiveUp: time.Minute, Worth: 1, Effect: mb.Safe}}
+	classes := []mb.Class{{Name: "safe", Target: time.Second, DeliveryTimeout: time.Minute, Worth: 1, Effect: mb.Safe}}
 	n.router, err = routing.New(routing.Config{
-		Settings: mb.Settings{Couriers: 1, Slots: 4, LongSlots: 1, MostHeld: 10, MaxAttempts: 6, MaxRetryAfter: time.Second, Classes: classes},
+		Settings: mb.Settings{Forwarders: 1, Slots: 4, LongSlots: 1, MostHeld: 10, MaxAttempts: 6, MaxRetryAfter: time.Second, Classes: classes},
 		Log:      journal, Caller: silent{}, Notifier: silent{}, Logger: zerolog.Nop(),
 	})
 	if err != nil {
--- a/internal/lab/capacity/probe_forwarder.go
+++ b/internal/lab/capacity/probe_forwarder.go
@@ -28,8 +28,8 @@
 
 func forwarderSettings(held int) mb.Settings {
 	return mb.Settings{
-		Couriers: 1, Slots: 64, MostHeld: held, MaxAttempts: 6, MaxRetryAfter: time.Second,
-		Classes: []mb.Class{{Name: "safe", Target: time.Second, GiveUp: hours, Worth: 1, Effect: mb.Safe}},
+		Forwarders: 1, Slots: 64, MostHeld: held, MaxAttempts: 6, MaxRetryAfter: time.Second,
+		Classes: []mb.Class{{Name: "safe", Target: time.Second, DeliveryTimeout: hours, Worth: 1, Effect: mb.Safe}},
 	}
 }
 
@@ -56,14 +56,14 @@
 			return nil, err
 		}
 		now := time.Second
-		d.Handle(now, []mb.Event{mb.Members{Scope: mb.ListWhole, Entries: list}})
+		d.Handle(now, []mb.Event{mb.EndpointUpdate{Scope: mb.ListWhole, Entries: list}})
 		memory := heap() - before
-		learn := timed(effort, func() { d.Handle(now, []mb.Event{mb.Members{Scope: mb.ListWhole, Entries: list}}) })
+		learn := timed(effort, func() { d.Handle(now, []mb.Event{mb.EndpointUpdate{Scope: mb.ListWhole, Entries: list}}) })
 		id, rng := mb.MessageID(0), rand.New(rand.NewPCG(1, 1))
 		submit := timed(effort, func() {
 			now += betweenTakes
 			id++
-			message := mb.Submit{ID: id, Class: "safe", Left: time.Minute, Destination: mb.DestinationID(rng.IntN(n / 2))}
+			message := mb.Submit{ID: id, Class: "safe", TimeLeft: time.Minute, Destination: mb.DestinationID(rng.IntN(n / 2))}
 			for _, a := range d.Handle(now, []mb.Event{message}) {
 				if s, ok := a.(mb.Send); ok {
 					d.Handle(now, []mb.Event{mb.Answer{ID: s.ID, Endpoint: s.Endpoint, Outcome: mb.OK, Latency: time.Millisecond, Settled: true}})
@@ -81,8 +81,8 @@
 func (nobody) Call(context.Context, routing.Attempt) routing.Result {
 	return routing.Result{Outcome: mb.ConnectFailed}
 }
-func (nobody) CloseIdle(string)      {}
-func (nobody) Notify(routing.Notice) {}
+func (nobody) CloseIdle(string)              {}
+func (nobody) Notify(routing.DeliveryReport) {}
 
 // startRouter runs a router on a journal in a folder; it is ready when this returns, after so long.
 func startRouter(ctx context.Context, dir string, held int) (r *routing.Router, ready time.Duration, end func() error, err error) {
@@ -138,8 +138,8 @@
 	}
 	body := make([]byte, messageBytes)
 	take := func(i int) error {
-		v := r.Take(routing.Message{ID: fmt.Sprintf("%016x", i), Class: "safe", Destination: int64(i % 1000), Left: hours, Body: body})
-		if v.Kind != routing.Taken {
+		v := r.Accept(routing.Message{ID: fmt.Sprintf("%016x", i), Class: "safe", Destination: int64(i % 1000), TimeLeft: hours, Body: body})
+		if v.Kind != routing.Accepted {
 			return fmt.Errorf("message %d of %d was not taken on", i, n)
 		}
 		return nil
@@ -189,9 +189,9 @@
 	t.column("replica.bytes", "held messages", "B", "of a snapshot of it on a link")
 	t.column("replica.take", "held messages", "s", "processor time to take the snapshot")
 	for _, n := range sizes {
-		life := controlplane.Life{Name: "owner", Number: 1}
+		life := controlplane.Incarnation{Name: "owner", Number: 1}
 		owner := replication.NewOwner(life)
-		owner.SetKeepers([]string{"replica"}, nil)
+		owner.SetReplicas([]string{"replica"}, nil)
 		var records [][]byte
 		for i := range n {
 			m := &wal.Message{
@@ -201,7 +201,7 @@
 			records = append(records, wal.Condense(m)...)
 		}
 		before := heap()
-		replica := replication.NewShelf(1)
+		replica := replication.NewStore(1)
 		size, took := 0.0, 0.0
 		for first := true; ; first = false {
 			if !first && owner.NeedsSnapshot("replica") {
@@ -220,11 +220,11 @@
 			}
 			size += float64(len(raw))
 			began := time.Now()
-			_, ack := replica.Take(b, 0)
+			_, ack := replica.Append(b, 0)
 			took += time.Since(began).Seconds()
-			owner.Answered("replica", ack)
+			owner.HandleAck("replica", ack)
 		}
-		if c := replica.Copy(life); c == nil || len(c.Content.Messages()) != n {
+		if c := replica.Replica(life); c == nil || len(c.Content.Messages()) != n {
 			return nil, fmt.Errorf("the replica of %d messages is not whole", n)
 		}
 		t.row(n, heap()-before, size, took)
--- a/internal/lab/cluster/model.go
+++ b/internal/lab/cluster/model.go
@@ -59,7 +59,7 @@
 	Class   string
 	Told    bool // its client was answered 202
 	Handed  bool
-	Where   controlplane.Life // it was handed in at first
+	Where   controlplane.Incarnation // it was handed in at first
 	Effects int
 	Ends    map[string]bool
 }
@@ -69,7 +69,7 @@
 	From, To int
 	Batch    *replication.Batch
 	Ack      *replication.Ack
-	Life     controlplane.Life // of the batch that an answer is to
+	Life     controlplane.Incarnation // of the batch that an answer is to
 }
 
 // proc is one forwarder.
@@ -81,7 +81,7 @@
 	Life    uint64
 	Folder  folder
 	Owner   *replication.Owner
-	Shelf   *replication.Shelf
+	Shelf   *replication.Store
 	Shelves uint64
 	Thawed  bool
 	View    *controlplane.State
@@ -90,14 +90,14 @@
 	Take    *replication.Takeover
 	Content replication.Content
 	Mark    uint64
-	Unkept  []replication.Kept // answered for, and not on the disk: the first fault
+	Unkept  []replication.DiskRecord // answered for, and not on the disk: the first fault
 }
 
 // folder outlasts its process.
 type folder struct {
 	Life uint64
 	Log  *wal.Copy // the journal: what its records say
-	Kept []replication.Kept
+	Kept []replication.DiskRecord
 	Next uint64
 }
 
@@ -131,13 +131,13 @@
 		p.View = m.Council.Clone()
 	}
 	// the owner's keepers are decided, so that the walk begins where it matters
-	rank := m.Council.Ranking("n0", nil)[:s.Copies-1]
-	m.decide(controlplane.Command{Kind: controlplane.Keepers, Life: controlplane.Life{Name: "n0", Number: 1}, From: m.Council.Members["n0"].Changed, Set: rank})
+	rank := m.Council.RankReplicas("n0", nil)[:s.Copies-1]
+	m.decide(controlplane.Command{Kind: controlplane.SetReplicas, Life: controlplane.Incarnation{Name: "n0", Number: 1}, From: m.Council.Members["n0"].Changed, Set: rank})
 	for _, p := range m.Procs {
 		p.View = m.Council.Clone()
 	}
 	o := m.Procs[0].Owner
-	o.SetKeepers(rank, nil)
+	o.SetReplicas(rank, nil)
 	for _, name := range rank {
 		k := m.proc(name)
 		for range 3 {
@@ -145,9 +145,9 @@
 				o.Snapshot(name, nil)
 			}
 			if b, some := o.Next(name, 0); some {
-				keep, ack := k.Shelf.Take(b, 0)
+				keep, ack := k.Shelf.Append(b, 0)
 				k.Folder.keep(keep)
-				o.Answered(name, ack)
+				o.HandleAck(name, ack)
 			}
 		}
 	}
@@ -169,17 +169,19 @@
 }
 
 // keep puts what a shelf wants kept on the disk.
-func (f *folder) keep(list []replication.Kept) {
+func (f *folder) keep(list []replication.DiskRecord) {
 	for _, k := range list {
-		if k.Fresh {
-			f.Kept = slices.DeleteFunc(f.Kept, func(x replication.Kept) bool { return x.Life == k.Life })
+		if k.Reset {
+			f.Kept = slices.DeleteFunc(f.Kept, func(x replication.DiskRecord) bool { return x.Life == k.Life })
 			if k.Index == 0 {
 				continue
 			}
 		}
-		if k.Drop {
-			f.Kept = slices.DeleteFunc(f.Kept, func(x replication.Kept) bool { return x.Life == k.Life && x.Message == k.Message && x.Past == k.Past })
-			k.Drop, k.Message, k.Payload = false, 0, nil
+		if k.Delete {
+			f.Kept = slices.DeleteFunc(f.Kept, func(x replication.DiskRecord) bool {
+				return x.Life == k.Life && x.Message == k.Message && x.PastID == k.PastID
+			})
+			k.Delete, k.Message, k.Payload = false, 0, nil
 		}
 		f.Kept = append(f.Kept, k)
 	}
@@ -189,7 +191,7 @@
 func (m *Model) boot(p *proc) {
 	p.Up, p.Begun, p.Thawed, p.Take, p.Owner, p.Paused = true, false, false, nil, nil, false
 	p.Shelves++
-	p.Shelf = replication.NewShelf(p.Shelves*10 + 1)
+	p.Shelf = replication.NewStore(p.Shelves*10 + 1)
 	for _, k := range p.Folder.Kept {
 		p.Shelf.Restore(k)
 	}
@@ -201,7 +203,7 @@
 		x.Settle()
 		h := &holding{Seq: x.Seq, Away: true, MayRun: x.MayRun, Begun: x.Attempts > 0}
 		if x.Owner != "" {
-			h.Adopting = controlplane.Life{Name: x.Owner, Number: x.Life}.String()
+			h.Adopting = controlplane.Incarnation{Name: x.Owner, Number: x.Life}.String()
 		}
 		p.Held[x.ID] = h
 	}
@@ -209,7 +211,7 @@
 
 // join begins a life.
 func (m *Model) join(p *proc) {
-	c := controlplane.Command{Kind: controlplane.Join, Life: controlplane.Life{Name: p.Name, Number: p.Folder.Life}, Whole: p.Folder.Life > 0, Fenced: true,
+	c := controlplane.Command{Kind: controlplane.Join, Life: controlplane.Incarnation{Name: p.Name, Number: p.Folder.Life}, Whole: p.Folder.Life > 0, Fenced: true,
 		Token: fmt.Sprint(p.Name, p.Shelves), Zone: "z" + p.Name}
 	if m.decide(c) != nil {
 		return
@@ -219,14 +221,14 @@
 	p.View = m.Council.Clone()
 	m.Lease[p.Name] = true
 	had := p.Folder.Life
-	before := controlplane.Life{Name: p.Name, Number: had}
+	before := controlplane.Incarnation{Name: p.Name, Number: had}
 	mine := had == 0
-	if job := m.Council.Job(before); had > 0 && job != nil && !job.Done && job.Taker == m.life(p) { // what takeBack does, at once
+	if job := m.Council.TakeoverTask(before); had > 0 && job != nil && !job.Done && job.Taker == m.life(p) { // what takeBack does, at once
 		content := m.gather(p, job.Life, job.Keepers)
 		m.adopt(p, job.Life, content, true)
-		mine = m.decide(controlplane.Command{Kind: controlplane.Done, Life: before, Taker: m.life(p)}) == nil
+		mine = m.decide(controlplane.Command{Kind: controlplane.CompleteTakeover, Life: before, Taker: m.life(p)}) == nil
 	} else if job != nil {
-		mine = m.Council.Holder(before) == m.life(p)
+		mine = m.Council.CurrentOwner(before) == m.life(p)
 	}
 	p.View = m.Council.Clone()
 	for _, id := range slices.Sorted(maps.Keys(p.Held)) {
@@ -234,7 +236,7 @@
 		x := p.Folder.Log.Message(h.Seq)
 		keep := mine
 		if x.Owner != "" {
-			keep = keep && m.Council.Holder(controlplane.Life{Name: x.Owner, Number: x.Life}) == m.life(p)
+			keep = keep && m.Council.CurrentOwner(controlplane.Incarnation{Name: x.Owner, Number: x.Life}) == m.life(p)
 		}
 		if h.Adopting, h.Away = "", false; !keep {
 			m.over(p, id, true)
@@ -244,8 +246,8 @@
 	p.Folder.Life, p.Thawed = p.Life, true
 }
 
-func (m *Model) life(p *proc) controlplane.Life {
-	return controlplane.Life{Name: p.Name, Number: p.Life}
+func (m *Model) life(p *proc) controlplane.Incarnation {
+	return controlplane.Incarnation{Name: p.Name, Number: p.Life}
 }
 
 // acts is what a node's MayAct says.
@@ -271,15 +273,15 @@
 }
 
 // gather merges the copies of a life that can be reached.
-func (m *Model) gather(p *proc, life controlplane.Life, keepers []string) replication.Content {
+func (m *Model) gather(p *proc, life controlplane.Incarnation, keepers []string) replication.Content {
 	var out replication.Content
 	for _, name := range keepers {
 		k := m.proc(name)
 		if !k.Up {
 			continue
 		}
-		k.Shelf.End(life)
-		if h := k.Shelf.Copy(life); h != nil && h.Have > 0 {
+		k.Shelf.Fence(life)
+		if h := k.Shelf.Replica(life); h != nil && h.LastIndex > 0 {
 			c := replication.ContentOf(h.Content, 0)
 			if m.Setup.Fault == MergeNever && out.Messages != nil {
 				for seq, x := range c.Messages {
@@ -301,7 +303,7 @@
 }
 
 // adopt takes on what an ended life owed; what is held here already learns what the copies know.
-func (m *Model) adopt(p *proc, life controlplane.Life, c replication.Content, own bool) {
+func (m *Model) adopt(p *proc, life controlplane.Incarnation, c replication.Content, own bool) {
 	for _, id := range slices.Sorted(maps.Keys(c.Past)) {
 		if h := p.Held[id]; h != nil && own {
 			m.over(p, id, true)
@@ -329,7 +331,7 @@
 		p.Held[y.ID] = &holding{Seq: y.Seq, Away: true, Adopting: life.String(), MayRun: y.MayRun, Begun: y.Attempts > 0}
 	}
 	if p.Owner != nil {
-		p.Mark = p.Owner.Latest()
+		p.Mark = p.Owner.LastIndex()
 	}
 }
 
@@ -379,9 +381,9 @@
 	return out
 }
 
-func (m *Model) unanswered(owner, keeper int, life controlplane.Life) {
-	if p := m.Procs[owner]; p.Up && p.Owner != nil && p.Owner.Life() == life {
-		p.Owner.Unanswered(m.Procs[keeper].Name)
+func (m *Model) unanswered(owner, keeper int, life controlplane.Incarnation) {
+	if p := m.Procs[owner]; p.Up && p.Owner != nil && p.Owner.Incarnation() == life {
+		p.Owner.HandleNoAck(m.Procs[keeper].Name)
 	}
 }
 
@@ -430,10 +432,10 @@
 	for n, f := range m.Messages {
 		m.messageMoves(i, p, n, f, add)
 	}
-	if m.acts(p) && (i == 0 || p.Owner.Latest() > 1) { // who has nothing to copy is left out
+	if m.acts(p) && (i == 0 || p.Owner.LastIndex() > 1) { // who has nothing to copy is left out
 		member := m.Council.Members[p.Name]
 		for _, name := range append(slices.Clone(member.Keepers), m.wanted(p)...) {
-			if (p.Owner.Level(name) || m.Setup.Fault == BehindCounts) && !slices.Contains(member.Keepers, name) && len(member.Keepers) < m.Setup.Copies {
+			if (p.Owner.CaughtUp(name) || m.Setup.Fault == BehindCounts) && !slices.Contains(member.Keepers, name) && len(member.Keepers) < m.Setup.Copies {
 				add(p.Name+" counts "+name, func(m *Model) { m.count(m.Procs[i], name) })
 			}
 		}
@@ -447,7 +449,7 @@
 }
 
 func (m *Model) wanted(p *proc) (out []string) {
-	for _, name := range m.Council.Ranking(p.Name, func(name string) bool { return m.proc(name).Up }) {
+	for _, name := range m.Council.RankReplicas(p.Name, func(name string) bool { return m.proc(name).Up }) {
 		if !slices.Contains(m.Council.Members[p.Name].Keepers, name) && len(out) < m.Setup.Copies-1 {
 			out = append(out, name)
 		}
@@ -465,8 +467,8 @@
 		}
 	}
 	set = append(set, name)
-	if m.decide(controlplane.Command{Kind: controlplane.Keepers, Life: m.life(p), From: member.Changed, Set: set}) == nil {
-		p.Owner.SetKeepers(set, nil)
+	if m.decide(controlplane.Command{Kind: controlplane.SetReplicas, Life: m.life(p), From: member.Changed, Set: set}) == nil {
+		p.Owner.SetReplicas(set, nil)
 		p.View = m.Council.Clone()
 	}
 }
@@ -475,13 +477,13 @@
 func (m *Model) sendMoves(i int, p *proc, add func(string, func(*Model))) {
 	member := m.Council.Members[p.Name]
 	for _, name := range append(slices.Clone(member.Keepers), m.wanted(p)...) {
-		if known := slices.Contains(p.Owner.Named(), name); known && !p.Owner.Due(name) {
+		if known := slices.Contains(p.Owner.Replicas(), name); known && !p.Owner.Due(name) {
 			continue
 		}
 		add(p.Name+" sends to "+name, func(m *Model) {
 			p := m.Procs[i]
 			member := m.Council.Members[p.Name]
-			p.Owner.SetKeepers(member.Keepers, m.wanted(p))
+			p.Owner.SetReplicas(member.Keepers, m.wanted(p))
 			if p.Owner.NeedsSnapshot(name) {
 				p.Owner.Snapshot(name, m.snapshot(p))
 			}
@@ -528,8 +530,8 @@
 	m.Net = slices.Delete(m.Net, n, n+1)
 	p := m.Procs[k.To]
 	if k.Ack != nil {
-		if p.Up && p.Owner != nil && p.Owner.Life() == k.Life {
-			p.Owner.Answered(m.Procs[k.From].Name, *k.Ack)
+		if p.Up && p.Owner != nil && p.Owner.Incarnation() == k.Life {
+			p.Owner.HandleAck(m.Procs[k.From].Name, *k.Ack)
 		}
 		return
 	}
@@ -537,7 +539,7 @@
 		m.unanswered(k.From, k.To, k.Batch.Life)
 		return
 	}
-	keep, ack := p.Shelf.Take(*k.Batch, 0)
+	keep, ack := p.Shelf.Append(*k.Batch, 0)
 	if m.Setup.Fault == AckBeforeStored {
 		p.Unkept = append(p.Unkept, keep...) // never reaches the disk before its process ends
 	} else {
@@ -571,7 +573,7 @@
 		}
 		return
 	}
-	if !h.Told && h.Accept > 0 && !h.Away && p.Owner.Held() >= h.Accept {
+	if !h.Told && h.Accept > 0 && !h.Away && p.Owner.HighWatermark() >= h.Accept {
 		add(p.Name+" answers 202 for "+id, func(m *Model) { m.Procs[i].Held[id].Told = true; m.Messages[n].Told = true })
 	}
 	if h.Away || h.Adopting != "" {
@@ -586,7 +588,7 @@
 			h := p.Held[id]
 			h.Started = p.write(wal.StartedRecord(h.Seq, epoch, "z"))
 		})
-	case canSend && h.Started > 0 && (!strict || p.Owner.Held() >= h.Started) && (acts || m.Setup.Fault == NoLeaseLook):
+	case canSend && h.Started > 0 && (!strict || p.Owner.HighWatermark() >= h.Started) && (acts || m.Setup.Fault == NoLeaseLook):
 		add(p.Name+" writes the first byte of "+id, func(m *Model) {
 			h := m.Procs[i].Held[id]
 			h.Out, h.Begun = true, true
@@ -612,7 +614,7 @@
 
 // tookOver says whether a forwarder goes on with what the first one's first life owed.
 func (m *Model) tookOver(p *proc) bool {
-	j := m.Council.Job(controlplane.Life{Name: "n0", Number: 1})
+	j := m.Council.TakeoverTask(controlplane.Incarnation{Name: "n0", Number: 1})
 	return p.Name != "n0" && j != nil && j.Done && j.Taker == m.life(p) && p.Take == nil
 }
 
@@ -630,11 +632,11 @@
 		}
 		return
 	}
-	name := map[replication.Doing]string{
-		replication.Gather: "gathers", replication.Adopt: "adopts", replication.Wait: "waits", replication.Decide: "asks the council", replication.Act: "acts",
-		replication.Undo: "takes it back", replication.Stop: "is done",
-	}[p.Take.Doing()]
-	if p.Take.Doing() == replication.Wait && len(p.Owner.Counted()) > 0 && p.Owner.Held() < p.Mark {
+	name := map[replication.TakeoverStep]string{
+		replication.Gather: "gathers", replication.Stage: "adopts", replication.Replicate: "waits", replication.Commit: "asks the council", replication.Activate: "acts",
+		replication.Discard: "takes it back", replication.Done: "is done",
+	}[p.Take.Step()]
+	if p.Take.Step() == replication.Replicate && len(p.Owner.InSync()) > 0 && p.Owner.HighWatermark() < p.Mark {
 		return // until it is, or this life is over
 	}
 	add(p.Name+": taking over: "+name, func(m *Model) { m.takeStep(m.Procs[i]) })
@@ -644,35 +646,35 @@
 	t := p.Take
 	of := func(do func(id string, h *holding)) {
 		for _, id := range slices.Sorted(maps.Keys(p.Held)) {
-			if h := p.Held[id]; h.Adopting == t.Life.String() {
+			if h := p.Held[id]; h.Adopting == t.Ended.String() {
 				do(id, h)
 			}
 		}
 	}
-	switch t.Doing() {
+	switch t.Step() {
 	case replication.Gather:
-		job := m.Council.Job(t.Life)
+		job := m.Council.TakeoverTask(t.Ended)
 		if job == nil {
 			t.Gathered(false)
 			return
 		}
-		p.Content = m.gather(p, t.Life, job.Keepers)
+		p.Content = m.gather(p, t.Ended, job.Keepers)
 		t.Gathered(p.Content.Messages != nil)
-	case replication.Adopt:
-		m.adopt(p, t.Life, p.Content, false)
-		t.Adopted(true)
-	case replication.Wait:
-		t.Held(true)
-	case replication.Decide:
-		t.Decided(true, m.decide(controlplane.Command{Kind: controlplane.Done, Life: t.Life, Taker: t.Taker}) == nil)
+	case replication.Stage:
+		m.adopt(p, t.Ended, p.Content, false)
+		t.Staged(true)
+	case replication.Replicate:
+		t.Replicated(true)
+	case replication.Commit:
+		t.Committed(true, m.decide(controlplane.Command{Kind: controlplane.CompleteTakeover, Life: t.Ended, Taker: t.Successor}) == nil)
 		p.View = m.Council.Clone()
-	case replication.Act:
+	case replication.Activate:
 		of(func(_ string, h *holding) { h.Adopting, h.Away = "", false })
-		t.Acted(true)
-	case replication.Undo:
+		t.Activated(true)
+	case replication.Discard:
 		of(func(id string, _ *holding) { m.over(p, id, false) })
-		t.Undone()
-	case replication.Stop:
+		t.Discarded()
+	case replication.Done:
 		p.Take, p.Content = nil, replication.Content{}
 	}
 }
@@ -696,7 +698,7 @@
 				} else {
 					m.Lease[name] = false
 				}
-				_ = m.decide(controlplane.Command{Kind: controlplane.End, Life: controlplane.Life{Name: name, Number: member.Life}})
+				_ = m.decide(controlplane.Command{Kind: controlplane.Fence, Life: controlplane.Incarnation{Name: name, Number: member.Life}})
 			})
 		}
 	}
@@ -707,16 +709,16 @@
 		best, most := "", uint64(0)
 		for _, name := range j.Keepers {
 			k := m.proc(name)
-			if h := k.Shelf.Copy(j.Life); k.Up && k.Begun && m.Council.Alive(m.life(k)) && h != nil && h.Have > most {
-				best, most = name, h.Have
+			if h := k.Shelf.Replica(j.Life); k.Up && k.Begun && m.Council.Alive(m.life(k)) && h != nil && h.LastIndex > most {
+				best, most = name, h.LastIndex
 			}
 		}
 		if best != "" {
 			life := j.Life
 			add("the council gives "+life.String()+" to "+best, func(m *Model) {
 				k := m.proc(best)
-				k.Shelf.End(life)
-				_ = m.decide(controlplane.Command{Kind: controlplane.Assign, Life: life, Taker: m.life(k)})
+				k.Shelf.Fence(life)
+				_ = m.decide(controlplane.Command{Kind: controlplane.AssignTakeover, Life: life, Taker: m.life(k)})
 			})
 		}
 	}
