--- a/bench_test.go
+++ b/bench_test.go
@@ -48,7 +48,7 @@
 
 // Destinations that are no longer listed and have nothing held are forgotten; those never listed as well.
 func TestDestinationsAreForgotten(t *testing.T) {
-	r := newRig(t, testSettings(), listOf(1000)...)
+	r := newHarness(t, testSettings(), listOf(1000)...)
 	for i := range 300 {
 		r.submit("safe", DestinationID(i), 0)
 		r.submit("safe", DestinationID(5000+i), 0) // never listed
@@ -56,10 +56,10 @@
 	}
 	r.do(EndpointUpdate{Scope: ListWhole, Entries: listOf(10)})
 	r.pass(10 * time.Second)
-	r.now += forgetAfter + forgetEvery
-	r.do(Timer{Cookie: heartbeatMark})
-	if len(r.d.dests) != 5 || len(r.d.eps) != 10 || len(r.d.busy) != 0 {
-		t.Errorf("remembered: %d destinations, %d endpoints, %d busy; want 5, 10, 0", len(r.d.dests), len(r.d.eps), len(r.d.busy))
+	r.now += staleAfter + cleanupInterval
+	r.do(Timer{Cookie: checkTimerCookie})
+	if len(r.d.destinations) != 5 || len(r.d.endpoints) != 10 || len(r.d.busy) != 0 {
+		t.Errorf("remembered: %d destinations, %d endpoints, %d busy; want 5, 10, 0", len(r.d.destinations), len(r.d.endpoints), len(r.d.busy))
 	}
 }
 
@@ -67,7 +67,7 @@
 func TestBurstAfterAFrozenSpell(t *testing.T) {
 	s := testSettings()
 	s.Slots, s.MostHeld, s.Forwarders = 3, 12, 75
-	r := newRig(t, s, listOf(1000)...)
+	r := newHarness(t, s, listOf(1000)...)
 	var out []Send
 	for i := range 3 {
 		r.submit("safe", DestinationID(i), 0)
@@ -89,8 +89,8 @@
 		r.settle(always(OK))
 		r.pass(50 * ms)
 	}
-	if len(r.d.msgs) != 0 {
-		t.Errorf("%d messages left", len(r.d.msgs))
+	if len(r.d.messages) != 0 {
+		t.Errorf("%d messages left", len(r.d.messages))
 	}
 	for _, text := range r.logs {
 		t.Errorf("blamed: %s", text)
@@ -102,20 +102,20 @@
 func TestRefusalsThatTheToldShareExplains(t *testing.T) {
 	for _, left := range []float64{0.05, 0.9} {
 		s := testSettings()
-		s.Forwarders = manyCouriers - 1 // many wait longer for their next call
-		r := newRig(t, s)
+		s.Forwarders = largeFleetSize - 1 // many wait longer for their next call
+		r := newHarness(t, s)
 		r.submit("safe", 1, 0)
 		sent := r.last()
 		r.do(Answer{ID: sent.ID, Endpoint: "a", Outcome: Refused, Limit: &LimitReport{Remaining: left, Rate: 6}})
-		if r.d.dests[1].lanes[0].guard {
+		if r.d.destinations[1].circuits[0].slowStart {
 			t.Errorf("%v of the limit left: guard after one refusal", left)
 		}
 		r.now += 700 * ms
-		r.do(Timer{Cookie: heartbeatMark})
+		r.do(Timer{Cookie: checkTimerCookie})
 		r.do(Answer{
 			ID: sent.ID, Attempt: r.sent[sent.ID] - 1, Endpoint: "a", Outcome: Refused, Limit: &LimitReport{Remaining: left, Rate: 6},
 		})
-		if got := r.d.dests[1].lanes[0].guard; got != (left > 0.5) || r.sent[sent.ID] != 2 {
+		if got := r.d.destinations[1].circuits[0].slowStart; got != (left > 0.5) || r.sent[sent.ID] != 2 {
 			t.Errorf("%v of the limit left: guard %v after %d refusals", left, got, r.sent[sent.ID])
 		}
 	}
@@ -123,15 +123,15 @@
 
 // An answer for another attempt or endpoint than the one that is out is ignored.
 func TestForeignAnswersAreIgnored(t *testing.T) {
-	r := newRig(t, testSettings())
+	r := newHarness(t, testSettings())
 	id := r.submit("safe", 1, 0)
 	r.do(Answer{ID: id, Attempt: 1, Endpoint: "a", Outcome: OK, Settled: true},
 		Answer{ID: id, Attempt: 0, Endpoint: "b", Outcome: OK, Settled: true})
-	if r.d.slotsUsed != 1 || r.d.msgs[id] == nil {
+	if r.d.slotsUsed != 1 || r.d.messages[id] == nil {
 		t.Error("a foreign answer ended the attempt that is out")
 	}
 	r.answer(r.last(), OK, 0)
-	if r.d.slotsUsed != 0 || len(r.d.msgs) != 0 {
+	if r.d.slotsUsed != 0 || len(r.d.messages) != 0 {
 		t.Error("its own answer was not taken")
 	}
 }
--- a/decide.go
+++ b/decide.go
@@ -1,7 +1,7 @@
 package mulleinbeam
 
-// All decisions of mulleinbeam. The interface (settings, events, actions) is in mulleinbeam.go.
-// Kept from the source: a count-based breaker, a bulkhead cap and jittered, growing retry waits.
+// All decisions of the package; the interface is in mulleinbeam.go. Each circuit has a count-based circuit
+// breaker and a bulkhead (a limit on concurrent calls); retries back off with jitter.
 
 import (
 	"cmp"
@@ -10,108 +10,108 @@
 	"time"
 )
 
-// Figures. Shares are of 1; "ours" marks starting values, "tuned" and "worse" name measured choices.
+// Shares and factors are relative to 1.
 const (
-	windowSize   = 20    // outcomes that a breaker remembers (source)
-	windowLeast  = 10    // outcomes before the failure rate is judged (source)
-	tripShare    = 0.5   // share of failures that opens a breaker (source)
-	runTrip      = 2     // further failures in a row that open it: a small slice fills the window slowly (ours)
-	runLeast     = 2     // failures or refusals in a row that raise the guard, at least (one: worse at size)
-	flukeShare   = 0.02  // chance of a run under which it is no chance (ours)
-	strayPrior   = 20.0  // calls, one of them lost, that a courier starts with in that reckoning (ours)
-	idleHitsMin  = 3     // calls lost after a pause before connections are closed for their age (tuned: hb)
-	idleRatio    = 3.0   // their share of losses over that of all other calls, at least (ours)
-	tallyMost    = 60.0  // calls after which a tally is halved: old evidence fades (ours)
-	keptMost     = 200.0 // calls after which a tally of resets is halved (ours)
-	freshLeast   = 50.0  // calls that a share of resets is taken of, at least (ours)
-	freshGain    = 0.03  // share of resets saved for which an unsafe message pays a handshake (ours)
-	idleMargin   = 0.8   // of the shortest pause that met a dead connection: the bound (ours)
-	tightRun     = 2     // failed connects in a row that may still be a full connection table (ours)
-	manyCouriers = 8     // from here on what a courier does is counted as what all do (ours)
-	trialsClose  = 3     // successful trials that close a half-open breaker (source: 5)
-	openGrow     = 1.5   // growth of the open period from failed trial to failed trial (ours)
-	capStart     = 0.25  // of the slots: where a cap starts and falls back to (0.34: worse on hb)
-	capTop       = 0.75  // of the slots: a cap stays under this (design)
-	capStep      = 0.5   // what a success within the aim adds to a cap (ours)
-	retryGrow    = 2.0   // growth of the retry wait from try to try (source)
-	jitterShare  = 0.5   // waits vary by up to this share (source)
-	paceCut      = 0.75  // the paced rate after a refusal at the limit, as a share (ours)
-	paceGrow     = 0.02  // of the base rate: what each success adds to the paced rate (ours)
-	paceTop      = 1.6   // of the base rate: the paced rate's top; hints may be half too low (ours)
-	paceFloor    = 0.1   // of the base rate: the paced rate's bottom (ours)
-	ownCut       = 0.5   // among many, of what a courier is itself asked for: the same four (0.75: worse)
-	ownGrow      = 0.1   // (tuned, from 0.05)
-	ownTop       = 1.5   // (tuned, from 2)
-	ownLeast     = 0.25  // of an even part of the rate: what a courier is taken to be asked for (ours)
-	ownDepth     = 2.0   // calls that may be sent in one go, at least (ours)
-	fullRuns     = 3     // refusals in a row that raise the guard among many couriers (5: no change)
-	debtMost     = 4     // calls by which a run of refusals without a wait empties the bucket further (ours)
-	leftHigh     = 0.5   // reported share of the limit left from which a refusal is not the limit's doing (ours)
-	x0Low        = 0.1   // reported share of the limit left at which the bucket is emptied (ours)
-	leastRate    = 0.5   // calls a second that a lane is taken for where nothing tells, at least (ours)
-	servedPrior  = 0.5   // calls' weight of the mean lane in a lane's own rate (ours)
-	roughMargin  = 0.8   // of a rough hint, which may be half too high, counts as capacity (ours)
-	guardMargin  = 0.9   // of the fail-back budget is used at most (tuned: riga, hb)
-	usualLoad    = 0.7   // of a destination's rate is called for in the mean (ours)
-	evenMost     = 2.0   // even parts: the most that a courier takes for its share of the traffic (ours)
-	unevenness   = 1.27  // of a few couriers' traffic: more than an even split of the fail-back budget (ours)
-	minBudget    = 0.01  // calls a span: the smallest part (ours)
-	timeoutScale = 8.0   // a repeatable call's time-out over its expected latency (ours)
-	silenceScale = 6.0   // silence over expected latency before a lane counts as stalled (ours)
-	silentCalls  = 2     // such calls that open a breaker; one twice as late counts double (ours)
-	latencyGain  = 0.2   // weight of a new latency in a lane's pace (ours)
-	classGain    = 0.05  // weight of a new latency in a class's mean (ours)
-	gatherShare  = 0.4   // of its aim: how long a message waits for others at a limited lane (ours)
-	growthFirst  = 0.25  // of a call's time: what each further message adds, before any is seen (ours)
-	firstGuess   = 0.15  // of a class's aim: its latency before any is seen (ours)
-	paceLeast    = 0.05  // bounds of a lane's pace
-	paceMost     = 200.0
-	urgencyShare = 0.8  // how much of what a wait would cost counts in the ranking (tuned: iecd0a0, from 0.6)
-	unsafeTrial  = 0.02 // weight of unsafe messages in the choice of trials (ours)
-	holdShare    = 0.92 // of the hold: above this the least worth is given up (ours)
-	ttlMargin    = 0.9  // of a key's life in which repeats are sent (ours)
-	closeRoom    = 2.0  // a call's usual time that must be left before this life ends (ours)
-	closeUnsafe  = 2.0  // times as much for an unsafe message (ours)
+	windowSize         = 20    // outcomes in a breaker's sliding window
+	minWindow          = 10    // outcomes in the window before the failure rate counts
+	tripFailureShare   = 0.5   // failure rate that opens a breaker
+	tripExtraFailures  = 2     // further consecutive failures that open it: low traffic fills the window slowly
+	minOutageRun       = 2     // consecutive failures or refusals for slow start; 1 is worse in large fleets
+	chanceThreshold    = 0.02  // a run of failures less likely than this by chance is an outage
+	strayPriorCalls    = 20.0  // prior of the loss share: calls that it starts with, one of them lost
+	minIdleLosses      = 3     // calls lost after an idle pause before idle connections are closed
+	idleLossRatio      = 3.0   // least ratio of their loss share to that of all other calls
+	maxTallyCalls      = 60.0  // calls at which a tally is halved, so that old outcomes fade
+	maxResetTallyCalls = 200.0 // the same for a tally of resets
+	minResetSample     = 50.0  // least number of calls that a share of resets is computed over
+	minResetReduction  = 0.03  // reduction of the reset share that is worth a handshake to an unsafe message
+	idleLimitMargin    = 0.8   // the idle limit as a share of the shortest pause after which a call was lost
+	maxTableFullRun    = 2     // failed connects in a row that may still mean a full connection table
+	largeFleetSize     = 8     // forwarders from which on the rules for a large fleet apply
+	trialsToClose      = 3     // successful trials that close a half-open breaker, fewer than the usual 5
+	openGrowth         = 1.5   // growth of the open period with each failed trial
+	callLimitStart     = 0.25  // share of the slots: initial call limit, also after a failure; 0.34 is worse
+	callLimitTop       = 0.75  // share of the slots that a call limit stays below
+	callLimitStep      = 0.5   // calls that a success within the class's target adds to the call limit
+	retryGrowth        = 2.0   // growth of the retry wait with each attempt
+	jitterShare        = 0.5   // waits vary by up to this share
+	rateCut            = 0.75  // factor applied to the rate limit by a refusal
+	rateGrow           = 0.02  // share of the rate base that a success adds to the rate limit
+	rateMax            = 1.6   // highest rate limit per rate base; capacity hints may be half too low
+	rateMin            = 0.1   // lowest rate limit per rate base
+	fleetCut           = 0.5   // rateCut in a large fleet; 0.75 is worse
+	fleetGrow          = 0.1   // rateGrow in a large fleet; 0.05 is worse
+	fleetMax           = 1.5   // rateMax in a large fleet; 2 is worse
+	fleetMin           = 0.25  // least rate base in a large fleet, as a share of an even part of the capacity
+	fleetBurst         = 2.0   // least burst in a large fleet, in calls
+	fleetRefusals      = 3     // least refusals in a row for slow start in a large fleet; 5 is no different
+	maxTokenDebt       = 4     // largest token debt, in calls, after refusals without a Retry-After
+	unspentShare       = 0.5   // reported remaining share of the limit from which the limit explains no refusal
+	spentShare         = 0.1   // reported remaining share of the limit below which the tokens are cleared
+	minCapacityPerS    = 0.5   // least capacity, calls a second, of a circuit without report or hint
+	successPrior       = 0.5   // weight, in calls, of the mean circuit in the estimate of a circuit's capacity
+	roughHintMargin    = 0.8   // usable share of a rough capacity hint, which may be half too high
+	slowStartMargin    = 0.9   // share of the slow-start budget that is used
+	meanLoad           = 0.7   // calls that destinations get on average, as a share of their capacity
+	maxEvenShares      = 2.0   // a forwarder's largest assumed traffic, in even shares
+	unevenness         = 1.27  // extra slow-start share of a few forwarders: their traffic is uneven
+	minSlowStartCalls  = 0.01  // least slow-start budget, in calls per Settings.TipAfter
+	timeoutFactor      = 8.0   // timeout of a repeatable call, in expected latencies
+	stallFactor        = 6.0   // time without an answer after which a call is stalled, in expected latencies
+	stalledCallsToTrip = 2     // stalled calls that open a breaker; one twice as late counts as two
+	latencyFactorGain  = 0.2   // weight of a new latency in a circuit's latency factor
+	classGain          = 0.05  // weight of a new latency in a class's mean
+	batchWaitShare     = 0.4   // share of its target that a message waits for a batch at a limited circuit
+	batchGrowthStart   = 0.25  // initial share of a call's time that each further message in it adds
+	latencyGuessShare  = 0.15  // initial latency of a class, as a share of its target
+	minLatencyFactor   = 0.05  // bounds of a circuit's latency factor
+	maxLatencyFactor   = 200.0
+	urgencyShare       = 0.8  // weight of the cost of waiting in the ranking; 0.6 is worse
+	unsafeTrialWeight  = 0.02 // weight of unsafe messages when a trial is chosen
+	shedAboveShare     = 0.92 // share of MostHeld above which messages of least worth are shed
+	keyTTLMargin       = 0.9  // share of a key's TTL within which repeats are sent
+	shutdownRoom       = 2.0  // usual latencies of a call that must be left before a shutdown
+	shutdownRoomUnsafe = 2.0  // factor on that for an unsafe message
 
-	openFirst     = 1000 * time.Millisecond // first open period (tuned: riga, hb, from 1.5 s)
-	openMost      = 3 * time.Second         // longest open period (tuned; 6 s was worse)
-	retryFirst    = 100 * time.Millisecond  // first retry wait (source)
-	retryFull     = 400 * time.Millisecond  // after a refusal: limits count in spans (ours)
-	retryMost     = 3 * time.Second         // longest retry wait (ours)
-	timeoutLeast  = 2 * time.Second         // shortest time-out; stalls pass (1.2 and 3 s: worse)
-	silenceLeast  = 1500 * time.Millisecond // shortest silence taken for a stall (1 s: no change)
-	unsafeStuck   = 4 * time.Second         // an unsafe call this old may be called off for its slot (ours)
-	briefFor      = 800 * time.Millisecond  // no outage is over so soon after its first sign (ours)
-	quietFor      = time.Second             // without success for this, refusals are no mere limit (ours)
-	longWait      = 2500 * time.Millisecond // a told wait above this tells of an outage, not of a limit (ours)
-	paceHold      = 500 * time.Millisecond  // at most one cut of the paced rate in this time (ours)
-	paceDepth     = 600 * time.Millisecond  // of the paced rate: what may be sent in one go (ours)
-	lookAhead     = 2 * time.Second         // the wait whose cost the ranking looks at (1 s was worse)
-	downDelay     = 3 * time.Second         // delay assumed for a lane that is not taking calls (ours)
-	heartbeat     = 20 * time.Millisecond   // how often held messages are looked at (ours)
-	idleBeat      = 100 * time.Millisecond  // how often calls out are looked at (ours)
-	answerEarly   = 60 * time.Millisecond   // a held message is answered this long before its time is up
-	askFirst      = 500 * time.Millisecond  // first wait before asking for the list again (ours)
-	askMost       = 6 * time.Second         // longest (ours)
-	tenantDepth   = 1500 * time.Millisecond // of a tenant's allowance: what may come in one go (ours)
-	askedFor      = 8 * time.Second         // over how long messages handed in are counted (ours)
-	limitedFor    = 10 * time.Second        // a refusal so recent marks a kind as limited (ours)
-	servedFor     = 30 * time.Second        // over how long served calls are counted (ours)
-	classRest     = 10 * time.Second        // how long an endpoint that failed a class is kept off (ours)
-	forgetEvery   = 10 * time.Second        // how often the memory is swept (ours)
-	forgetAfter   = 60 * time.Second        // an endpoint gone for so long is forgotten
-	idleLeast     = 250 * time.Millisecond  // a pause shorter than this is no idling (ours)
-	idleQuick     = 100 * time.Millisecond  // a dead connection shows within this beyond a usual call (ours)
-	tightRecent   = 5 * time.Second         // a success so recent speaks for a full table (ours)
-	tightFor      = 10 * time.Second        // how long idle connections are closed after one (ours)
-	heartbeatMark = 1                       // the cookie of the heartbeat timer
+	openFirst           = 1000 * time.Millisecond // first open period of a breaker; 1.5 s is worse
+	openMax             = 3 * time.Second         // longest open period; 6 s is worse
+	retryFirst          = 100 * time.Millisecond  // first retry wait
+	retryRefused        = 400 * time.Millisecond  // first retry wait after a refusal: limits count per interval
+	retryMax            = 3 * time.Second         // longest retry wait
+	minCallTimeout      = 2 * time.Second         // shortest timeout, longer than a stall; 1.2 s, 3 s: worse
+	minStall            = 1500 * time.Millisecond // shortest stall; 1 s makes no difference
+	unsafeStuckAfter    = 4 * time.Second         // age at which an unsafe call may be cancelled for its slot
+	minOutage           = 800 * time.Millisecond  // shortest outage, from its first sign
+	quietPeriod         = time.Second             // refusals without a success for this long mean an outage
+	outageRetryAfter    = 2500 * time.Millisecond // a longer Retry-After means an outage, not a limit
+	rateCutInterval     = 500 * time.Millisecond  // least time between two cuts of a rate limit
+	rateBurst           = 600 * time.Millisecond  // burst that a rate limit allows, as time at that rate
+	lookAhead           = 2 * time.Second         // wait whose cost enters the ranking; 1 s is worse
+	unavailableDelay    = 3 * time.Second         // assumed delay of a circuit whose breaker is not closed
+	heldCheckInterval   = 20 * time.Millisecond   // interval of checks while messages are held
+	callCheckInterval   = 100 * time.Millisecond  // interval of checks while calls are out
+	answerMargin        = 60 * time.Millisecond   // a held message is answered this long before its deadline
+	subscribeRetryFirst = 500 * time.Millisecond  // first wait before subscribing again
+	subscribeRetryMax   = 6 * time.Second         // longest wait before subscribing again
+	tenantBurst         = 1500 * time.Millisecond // burst of a tenant, as time at its allowance
+	submitDecay         = 8 * time.Second         // decay time of the count of submitted messages
+	limitedPeriod       = 10 * time.Second        // time for which a refusal marks a kind as limited
+	successDecay        = 30 * time.Second        // decay time of the count of successes
+	classFailurePeriod  = 10 * time.Second        // how long an endpoint is avoided by a class it failed
+	cleanupInterval     = 10 * time.Second        // interval at which stale state is removed
+	staleAfter          = 60 * time.Second        // age at which a removed endpoint is forgotten
+	minIdlePause        = 250 * time.Millisecond  // shortest pause that counts as idle
+	quickLoss           = 100 * time.Millisecond  // a dead connection fails this soon after the usual latency
+	recentSuccess       = 5 * time.Second         // a success within this makes a full table likely
+	tableFullPeriod     = 10 * time.Second        // how long idle connections are closed after a full table
+	checkTimerCookie    = 1                       // cookie of the timer for checks
 )
 
-// Handle takes what came in at now and returns what to do, in order.
+// Handle processes the events that arrived at now and returns the actions to perform, in order.
 func (d *Decider) Handle(now time.Duration, events []Event) []Action {
-	d.now, d.out = now, nil
+	d.now, d.actions = now, nil
 	if d.round++; d.round == 1 {
-		d.startAt = now
+		d.startedAt = now
 	}
 	for _, e := range events {
 		switch e := e.(type) {
@@ -120,114 +120,113 @@
 		case Answer:
 			d.answer(e)
 		case EndpointUpdate:
-			d.members(e)
+			d.updateEndpoints(e)
 		case MessageCancelled:
-			if m := d.msgs[e.ID]; m != nil && !m.ended {
-				d.end(m)
+			if m := d.messages[e.ID]; m != nil && !m.ended {
+				d.finish(m)
 			}
 		case Shutdown:
-			d.closeAt = d.now + max(e.In, 1)
+			d.shutdownAt = d.now + max(e.In, 1)
 		case Timer:
-			if e.Cookie == heartbeatMark && d.now >= d.wakeAt {
-				d.wakeAt = 0
+			if e.Cookie == checkTimerCookie && d.now >= d.timerAt {
+				d.timerAt = 0
 			}
 		}
 	}
-	if d.askAt > 0 && d.now >= d.askAt {
-		d.ask()
+	if d.subscribeAt > 0 && d.now >= d.subscribeAt {
+		d.subscribe()
 	}
-	if d.now >= d.forgetAt {
-		d.forgetAt = d.now + forgetEvery
-		d.forget(d.now - forgetAfter)
+	if d.now >= d.cleanupAt {
+		d.cleanupAt = d.now + cleanupInterval
+		d.removeStale(d.now - staleAfter)
 	}
 	d.expire()
-	d.watchSilence()
+	d.detectStalls()
 	d.shed()
 	d.dispatch()
 	d.dispatchLong()
-	d.settle()
-	d.arm()
-	return d.out
+	d.dropIdleDestinations()
+	d.scheduleTimer()
+	return d.actions
 }
 
-// arm asks for the next look: soon while messages are held, seldom while calls are only out.
-func (d *Decider) arm() {
-	after := idleBeat
+// scheduleTimer sets the next check: soon while messages are held, later while only calls are out.
+func (d *Decider) scheduleTimer() {
+	after := callCheckInterval
 	if slices.ContainsFunc(d.busy, func(dest *destination) bool { return len(dest.held) > 0 }) {
-		after = heartbeat
-	} else if len(d.busy) == 0 && d.askAt == 0 {
+		after = heldCheckInterval
+	} else if len(d.busy) == 0 && d.subscribeAt == 0 {
 		return
 	}
-	if d.wakeAt == 0 || d.now+after < d.wakeAt {
-		d.wakeAt = d.now + after
-		d.do(SetTimer{After: after, Cookie: heartbeatMark})
+	if d.timerAt == 0 || d.now+after < d.timerAt {
+		d.timerAt = d.now + after
+		d.emit(SetTimer{After: after, Cookie: checkTimerCookie})
 	}
 }
 
-// many couriers each see little of a destination.
-func (d *Decider) many() bool { return d.s.Forwarders >= manyCouriers }
+// largeFleet reports whether there are so many forwarders that each sees few calls of a destination.
+func (d *Decider) largeFleet() bool { return d.cfg.Forwarders >= largeFleetSize }
 
-// vary draws the factor by which a wait varies.
-func (d *Decider) vary() float64 { return 1 + jitterShare*(2*d.rng.Float64()-1) }
+// jitter returns a random factor for a wait.
+func (d *Decider) jitter() float64 { return 1 + jitterShare*(2*d.rng.Float64()-1) }
 
-// ---- the list of endpoints ----
+// ---- list of endpoints ----
 
-// ask subscribes; should no answer come at all, it asks again in time to count as having asked.
-func (d *Decider) ask() {
-	d.do(Subscribe{})
-	d.askAt = d.now + max(d.s.SubscribeWithin/2, askMost)
+// subscribe requests the list, and again before SubscribeWithin ends if there is no response at all.
+func (d *Decider) subscribe() {
+	d.emit(Subscribe{})
+	d.subscribeAt = d.now + max(d.cfg.SubscribeWithin/2, subscribeRetryMax)
 }
 
-func (d *Decider) members(e EndpointUpdate) {
+func (d *Decider) updateEndpoints(e EndpointUpdate) {
 	if e.Scope == ListError {
-		if d.s.MustSubscribe {
-			d.askWait = min(max(askFirst, 2*d.askWait), askMost)
-			d.askAt = d.now + time.Duration(d.vary()*float64(d.askWait))
-			d.logf("list: asking failed, again in %v", d.askAt-d.now)
+		if d.cfg.MustSubscribe {
+			d.subscribeBackoff = min(max(subscribeRetryFirst, 2*d.subscribeBackoff), subscribeRetryMax)
+			d.subscribeAt = d.now + time.Duration(d.jitter()*float64(d.subscribeBackoff))
+			d.logf("endpoint list: subscription failed, retrying in %v", d.subscribeAt-d.now)
 		}
 		return
 	}
 	if e.Scope != ListChanges {
-		d.unlist(e.Entries)
+		d.removeUnlisted(e.Entries)
 	}
 	for _, en := range e.Entries {
-		d.entry(en)
+		d.updateEndpoint(en)
 	}
-	if d.s.MustSubscribe {
+	if d.cfg.MustSubscribe {
 		if e.Scope == ListSaved {
-			d.ask()
+			d.subscribe()
 		} else {
-			d.askAt, d.askWait = 0, 0
+			d.subscribeAt, d.subscribeBackoff = 0, 0
 		}
 	}
 }
 
-func (d *Decider) entry(en Entry) {
-	if ep := d.find(en); ep != nil {
-		if d.s.UseCapacityHints && en.CapacityHint > 0 && !math.IsInf(en.CapacityHint, 1) {
-			ep.lane.hint = en.CapacityHint
+func (d *Decider) updateEndpoint(en Entry) {
+	if ep := d.endpointOf(en); ep != nil {
+		if d.cfg.UseCapacityHints && en.CapacityHint > 0 && !math.IsInf(en.CapacityHint, 1) {
+			ep.circuit.capacityHint = en.CapacityHint
 		}
-		d.setState(ep, en.Readiness)
+		d.setReadiness(ep, en.Readiness)
 	}
 }
 
-// departs clears a lane of what an endpoint that leaves the list has caused: until the list told it, its
-// refused connects looked like an outage of the destination. Where an endpoint that stays has failed as well,
-// or this one has served in between, breaker and guard stand. Harm: an outage that begins just as an endpoint
-// is replaced is seen some calls later.
-func (d *Decider) departs(ep *endpoint) {
-	l := ep.lane
-	if !l.guard || ep.failedAt < l.guardSince || ep.lastOK > l.guardSince {
+// clearDeparted resets the circuit state that a removed endpoint caused: its refused connects looked like an
+// outage of the destination. Breaker and slow start stay if a listed endpoint failed too or this one has
+// succeeded since. Drawback: an outage that starts at that moment is seen some calls later.
+func (d *Decider) clearDeparted(ep *endpoint) {
+	l := ep.circuit
+	if !l.slowStart || ep.unavailableAt < l.outageSince || ep.lastOK > l.outageSince {
 		return
 	}
-	for _, o := range l.eps {
-		if o.state == Serving && o.failedAt >= l.guardSince {
+	for _, o := range l.endpoints {
+		if o.readiness == Serving && o.unavailableAt >= l.outageSince {
 			return
 		}
 	}
-	l.guard, l.guardFrom, l.badRun, l.fullRun, l.window = false, -1, 0, 0, nil
-	if l.rate > 0 {
-		l.rate = max(l.rate, d.base(l))
+	l.slowStart, l.recoveredAt, l.consecFailures, l.consecRefusals, l.window = false, -1, 0, 0, nil
+	if l.rateLimit > 0 {
+		l.rateLimit = max(l.rateLimit, d.capacity(l))
 	}
 	if l.state != closed {
 		d.setBreaker(l, closed)
@@ -237,68 +236,68 @@
 // ---- messages ----
 
 func (d *Decider) submit(e Submit) {
-	if d.msgs[e.ID] != nil {
+	if d.messages[e.ID] != nil {
 		return
 	}
 	c := d.classes[e.Class]
-	if c == nil { // an unknown class is treated as the most delicate one
+	if c == nil { // unknown classes get the strictest rules
 		left := max(e.TimeLeft, time.Millisecond)
 		c = &classState{Class: Class{Target: left, DeliveryTimeout: left, Worth: 1, Effect: Unsafe}}
-		c.mean = firstGuess * left.Seconds()
+		c.meanSec = latencyGuessShare * left.Seconds()
 	}
 	m := &message{
-		id: e.ID, class: c, key: e.Key, dest: d.dest(e.Destination), deadline: d.now + e.TimeLeft,
-		worth: c.Worth, notBefore: d.now, attempts: e.Attempts, long: e.Long, spent: e.BodyConsumed,
-		owed: e.Resumed && e.Attempts == 0,
+		id: e.ID, class: c, key: e.Key, dest: d.destinationOf(e.Destination), deadline: d.now + e.TimeLeft,
+		worth: c.Worth, notBefore: d.now, attempts: e.Attempts, long: e.Long, bodyGone: e.BodyConsumed,
+		untried: e.Resumed && e.Attempts == 0,
 	}
-	if m.until = m.deadline; m.long {
-		m.deadline = min(m.until, d.now+c.DeliveryTimeout)
+	if m.expiresAt = m.deadline; m.long {
+		m.deadline = min(m.expiresAt, d.now+c.DeliveryTimeout)
 	}
 	if e.MayHaveRun != nil {
-		m.mayRun, m.ranAt, m.ranZone = true, d.now-e.MayHaveRun.SentAgo, e.MayHaveRun.Zone
+		m.mayHaveRun, m.ranAt, m.ranZone = true, d.now-e.MayHaveRun.SentAgo, e.MayHaveRun.Zone
 	}
 	if t := d.tenants[e.Tenant]; t != nil {
-		t.bucket = math.Min(t.bucket+t.rate*(d.now-t.at).Seconds(), math.Max(1, t.rate*tenantDepth.Seconds()))
-		if t.at = d.now; t.bucket < 1 {
-			m.worth *= d.s.OverShareWorth
+		t.tokens = math.Min(t.tokens+t.rate*(d.now-t.tokensAt).Seconds(), math.Max(1, t.rate*tenantBurst.Seconds()))
+		if t.tokensAt = d.now; t.tokens < 1 {
+			m.worth *= d.cfg.OverShareWorth
 		} else {
-			t.bucket--
+			t.tokens--
 		}
 	}
-	d.msgs[m.id] = m
-	m.dest.asked.add(d.now, askedFor)
-	d.count(m, 1)
-	d.hold(m)
-	d.enqueue(m)
+	d.messages[m.id] = m
+	m.dest.submitted.add(d.now, submitDecay)
+	d.countHeld(m, 1)
+	d.enqueueHeld(m)
+	d.enqueueByKey(m)
 }
 
-// giveUp answers at once: a refusal, with the time to come back, where the rules permit one and what may
-// have run is still known as a repeat then; else a failure.
-func (d *Decider) giveUp(m *message) {
-	r := Refuse{ID: m.id, RetryAfter: min(max(retryFull, d.delay(m.dest)), d.s.MaxRetryAfter)}
+// abandon ends a message at once: with a refusal and a Retry-After where a repeat by the client is allowed
+// and would still be recognized as one at that time, otherwise with a failure.
+func (d *Decider) abandon(m *message) {
+	r := Refuse{ID: m.id, RetryAfter: min(max(retryRefused, d.expectedWait(m.dest)), d.cfg.MaxRetryAfter)}
 	comes := d.now
-	if d.s.SendRetryAfter { // else clients come when they like
+	if d.cfg.SendRetryAfter { // otherwise clients may come back at any time
 		comes += r.RetryAfter
 	}
-	keyed := m.class.Effect == Keyed && !m.class.SameZoneOnly && comes < d.keyUntil(m)
-	if m.class.Effect == Safe || !m.mayRun || keyed {
-		d.do(r)
+	keyed := m.class.Effect == Keyed && !m.class.SameZoneOnly && comes < d.repeatUntil(m)
+	if m.class.Effect == Safe || !m.mayHaveRun || keyed {
+		d.emit(r)
 	} else {
-		d.do(Fail{ID: m.id})
+		d.emit(Fail{ID: m.id})
 	}
-	d.end(m)
+	d.finish(m)
 }
 
-// keyUntil is when a message may no longer be repeated: a keyed one that may have run, before its key's end.
-func (d *Decider) keyUntil(m *message) time.Duration {
-	if !m.mayRun || m.class.Effect != Keyed {
-		return m.until
+// repeatUntil returns when repeats of a message must stop: if keyed and possibly run, before its key expires.
+func (d *Decider) repeatUntil(m *message) time.Duration {
+	if !m.mayHaveRun || m.class.Effect != Keyed {
+		return m.expiresAt
 	}
-	return m.ranAt + time.Duration(ttlMargin*float64(m.class.KeyTTL))
+	return m.ranAt + time.Duration(keyTTLMargin*float64(m.class.KeyTTL))
 }
 
-// value is a message's worth if it is delivered at t.
-func (d *Decider) value(m *message, t time.Duration) float64 {
+// worthAt returns a message's worth if it is delivered at t.
+func (d *Decider) worthAt(m *message, t time.Duration) float64 {
 	c := m.class
 	age := t - (m.deadline - c.DeliveryTimeout)
 	switch {
@@ -306,7 +305,7 @@
 		return 0
 	case age <= c.Target:
 		return m.worth
-	case d.s.Decay == DecayExponential:
+	case d.cfg.Decay == DecayExponential:
 		late := (age - c.Target).Seconds() / c.Target.Seconds()
 		return m.worth * math.Max(c.LateWorth, math.Exp2(-late))
 	}
@@ -314,26 +313,26 @@
 	return m.worth * (1 - (1-c.LateWorth)*math.Min(1, late))
 }
 
-// expected is how long a call of the class takes at the lane, by what was seen there and is out now.
-func (d *Decider) expected(c *classState, l *lane) time.Duration {
-	sec := c.mean * l.pace
+// expectedLatency estimates a call's latency from its class, its circuit and the age of calls still out.
+func (d *Decider) expectedLatency(c *classState, l *circuit) time.Duration {
+	sec := c.meanSec * l.latencyFactor
 	if len(l.inflight) > 0 {
 		sec = math.Max(sec, (d.now-l.inflight[0].sentAt).Seconds()/2)
 	}
 	return time.Duration(sec * float64(time.Second))
 }
 
-// delay estimates how long until the destination takes a new message.
-func (d *Decider) delay(dest *destination) time.Duration {
-	least := downDelay
-	for _, l := range dest.lanes {
+// expectedWait estimates how long until the destination takes a new message.
+func (d *Decider) expectedWait(dest *destination) time.Duration {
+	least := unavailableDelay
+	for _, l := range dest.circuits {
 		w := max(0, l.waitUntil-d.now)
 		if l.state != closed {
-			w = max(w, l.openUntil-d.now, downDelay)
+			w = max(w, l.openUntil-d.now, unavailableDelay)
 		}
-		gap := 1 / math.Max(0.1, cmp.Or(l.rate, d.base(l)))
-		if l.guard {
-			gap = max(gap, d.s.TipAfter.Seconds()/d.guardBudget(l))
+		gap := 1 / math.Max(0.1, cmp.Or(l.rateLimit, d.capacity(l)))
+		if l.slowStart {
+			gap = max(gap, d.cfg.TipAfter.Seconds()/d.slowStartBudget(l))
 		}
 		w += time.Duration(float64(len(dest.held)) * gap * float64(time.Second) / 2)
 		least = min(least, w)
@@ -341,29 +340,29 @@
 	return least
 }
 
-// canRepeat says whether the rules let the message be sent to the endpoint now.
-func (d *Decider) canRepeat(m *message, ep *endpoint) bool {
-	return !m.mayRun || m.class.Effect == Safe || m.class.Effect == Keyed &&
-		d.now < d.keyUntil(m) && (!m.class.SameZoneOnly || ep.zone == m.ranZone)
+// maySend reports whether the rules allow sending the message to the endpoint now.
+func (d *Decider) maySend(m *message, ep *endpoint) bool {
+	return !m.mayHaveRun || m.class.Effect == Safe || m.class.Effect == Keyed &&
+		d.now < d.repeatUntil(m) && (!m.class.SameZoneOnly || ep.zone == m.ranZone)
 }
 
-// MayBegin says whether a call's first byte may still go: connections can come up behind a window or a wait.
+// MayBegin reports whether a call may still start now that its connection is up: windows may have closed.
 func (d *Decider) MayBegin(now time.Duration, id MessageID) bool {
-	m := d.msgs[id]
-	return m != nil && m.call != nil && now >= m.call.ep.lane.waitUntil &&
-		now < min(m.deadline-answerEarly, d.keyUntil(m))
+	m := d.messages[id]
+	return m != nil && m.call != nil && now >= m.call.endpoint.circuit.waitUntil &&
+		now < min(m.deadline-answerMargin, d.repeatUntil(m))
 }
 
-// expire gives up at once what no allowed attempt can deliver: attempts used up, an unsafe message that may
-// have run, a long one whose body is gone or goes with this life, or no moment left, before its time or its
-// key's ends, at which a send could go. What is owed is tried unless a told wait forbids it to the end.
+// expire abandons what no allowed attempt can deliver: attempts used up, an unsafe message that may have run,
+// a long one whose body is gone or is lost at shutdown, or no time left for a call before the deadline or the
+// key's expiry. An untried message of an earlier process ends only if a Retry-After blocks it until then.
 func (d *Decider) expire() {
 	for _, dest := range d.busy {
-		var free, told time.Duration // the earliest moment at which a lane may take a call, and has told no wait
-		for i, l := range dest.lanes {
+		var free, told time.Duration // earliest time a circuit is free, and free of Retry-After
+		for i, l := range dest.circuits {
 			at := max(l.waitUntil, l.openUntil)
-			if l.guard && l.guardFrom < 0 && len(l.inflight) == 0 { // else a success may end it
-				at = max(at, d.guardFrees(l))
+			if l.slowStart && l.recoveredAt < 0 && len(l.inflight) == 0 { // otherwise a success may end slow start
+				at = max(at, d.nextSlowStartCall(l))
 			}
 			if i == 0 {
 				free, told = at, l.waitUntil
@@ -371,26 +370,26 @@
 			free, told = min(free, at), min(told, l.waitUntil)
 		}
 		for _, m := range slices.Clone(dest.held) {
-			if m.attempts >= d.s.MaxAttempts || m.mayRun && m.class.Effect == Unsafe ||
-				m.long && (m.spent || d.closeAt > 0) || max(d.now, m.notBefore, m.waits(free, told)) >=
-				min(m.deadline-answerEarly, d.keyUntil(m)) {
-				d.giveUp(m)
+			if m.attempts >= d.cfg.MaxAttempts || m.mayHaveRun && m.class.Effect == Unsafe ||
+				m.long && (m.bodyGone || d.shutdownAt > 0) || max(d.now, m.notBefore, m.waitsUntil(free, told)) >=
+				min(m.deadline-answerMargin, d.repeatUntil(m)) {
+				d.abandon(m)
 			}
 		}
 	}
 }
 
-// shed keeps room in the hold by giving up what is worth least, but for what is owed.
+// shed limits the held messages by abandoning the least worth, except untried ones of an earlier process.
 func (d *Decider) shed() {
-	most := max(1, int(holdShare*float64(d.s.MostHeld)))
+	most := max(1, int(shedAboveShare*float64(d.cfg.MostHeld)))
 	for d.heldCount > most {
-		d.logHold()
+		d.logShedding()
 		var worst *message
 		low := math.Inf(1)
 		for _, dest := range d.busy {
-			wait := d.delay(dest)
+			wait := d.expectedWait(dest)
 			for _, m := range dest.held {
-				if v := d.value(m, d.now+wait); !m.long && !m.owed && v < low {
+				if v := d.worthAt(m, d.now+wait); !m.long && !m.untried && v < low {
 					worst, low = m, v
 				}
 			}
@@ -398,313 +397,312 @@
 		if worst == nil {
 			return
 		}
-		d.giveUp(worst)
+		d.abandon(worst)
 	}
 }
 
 // ---- outcomes ----
 
 func (d *Decider) answer(e Answer) {
-	m := d.msgs[e.ID]
-	if m == nil || m.call == nil || m.call.ep.id != e.Endpoint || e.Attempt != m.attempts-1 {
-		return // not the attempt that is out
+	m := d.messages[e.ID]
+	if m == nil || m.call == nil || m.call.endpoint.id != e.Endpoint || e.Attempt != m.attempts-1 {
+		return // not for the current attempt
 	}
 	c := m.call
-	ep, l := c.ep, c.ep.lane
-	d.release(m)
+	ep, l := c.endpoint, c.endpoint.circuit
+	d.endAttempt(m)
 	switch e.Outcome {
 	case Failed, TimedOut, Reset, Cancelled:
-		if !m.mayRun {
-			m.mayRun, m.ranAt, m.ranZone = true, c.sentAt, ep.zone
+		if !m.mayHaveRun {
+			m.mayHaveRun, m.ranAt, m.ranZone = true, c.sentAt, ep.zone
 		}
-		if t := d.turns[m.key]; t != nil && m.class.InOrder && e.Outcome != Failed {
-			t.restUntil, t.restFor = d.now+d.s.TurnGap, m
+		if t := d.keyQueues[m.key]; t != nil && m.class.InOrder && e.Outcome != Failed {
+			t.gapUntil, t.gapFor = d.now+d.cfg.TurnGap, m
 		}
-		if m.avoid = ep; m.class.Name != "" && !(m.long && e.Outcome == Cancelled) {
-			ep.bad[m.class] = mark{ep.bad[m.class].run + 1, d.now}
+		if m.avoidEndpoint = ep; m.class.Name != "" && !(m.long && e.Outcome == Cancelled) {
+			ep.classFailures[m.class] = classFailures{ep.classFailures[m.class].consecutive + 1, d.now}
 		}
 	case ConnectFailed:
-		m.avoid = ep
+		m.avoidEndpoint = ep
 	case Refused:
 		l.waitUntil = max(l.waitUntil, d.now+e.RetryAfter)
 	case OK:
-		delete(ep.bad, m.class)
+		delete(ep.classFailures, m.class)
 	}
-	if l.left = -1; e.Limit != nil && e.Limit.Rate > 0 && !math.IsInf(e.Limit.Rate, 1) {
-		if l.x1, l.left = e.Limit.Rate, e.Limit.Remaining; l.left < x0Low {
-			l.bucket = math.Min(l.bucket, 0)
+	if l.limitRemaining = -1; e.Limit != nil && e.Limit.Rate > 0 && !math.IsInf(e.Limit.Rate, 1) {
+		if l.reportedLimit, l.limitRemaining = e.Limit.Rate, e.Limit.Remaining; l.limitRemaining < spentShare {
+			l.tokens = math.Min(l.tokens, 0)
 		}
 	}
 	ep.lostConn = e.Outcome == ConnectFailed || e.Outcome == Reset
 	if ep.usedAt = d.now; ep.lostConn || e.Outcome == Refused {
-		ep.failedAt = d.now
+		ep.unavailableAt = d.now
 	}
-	if d.now < ep.tightUntil && len(m.dest.held) == 0 && len(c.msgs) == 0 {
-		d.do(CloseIdle{Endpoint: ep.id})
+	if d.now < ep.tableFullUntil && len(m.dest.held) == 0 && len(c.messages) == 0 {
+		d.emit(CloseIdle{Endpoint: ep.id})
 	}
-	if !c.heard || e.Outcome == OK && !c.served { // a call has one fate; a success corrects a time-out
-		c.heard, c.served = e.Outcome != NotSent, e.Outcome == OK
-		switch dead := d.deadIdle(c, e.Outcome, e.Latency) || d.deadKept(e); {
-		case dead || e.Outcome == NotSent || e.Outcome == Cancelled: // they speak of no endpoint
+	if !c.counted || e.Outcome == OK && !c.succeeded { // a call counts once; a success corrects a timeout
+		c.counted, c.succeeded = e.Outcome != NotSent, e.Outcome == OK
+		switch dead := d.lostToIdleConn(c, e.Outcome, e.Latency) || d.lostToReusedConn(e); {
+		case dead || e.Outcome == NotSent || e.Outcome == Cancelled: // no evidence about the endpoint
 		case e.Outcome == OK:
-			d.learnOK(c, e.Latency)
+			d.onSuccess(c, e.Latency)
 		case e.Outcome == Refused:
-			d.learnFull(l, e.RetryAfter)
-		case e.Outcome == ConnectFailed && d.tableFull(ep, e.Latency): // nor does this
+			d.onRefusal(l, e.RetryAfter)
+		case e.Outcome == ConnectFailed && d.connTableFull(ep, e.Latency): // none here either
 		default:
-			d.learnBad(l, ep, e.Outcome)
+			d.onFailure(l, ep, e.Outcome)
 		}
 	}
 	if e.Settled || m.ended {
-		d.end(m)
+		d.finish(m)
 		return
 	}
 	first := retryFirst
 	if e.Outcome == Refused {
-		first = retryFull
+		first = retryRefused
 	}
-	m.backoff = max(first, min(retryMost, time.Duration(retryGrow*float64(m.backoff))))
-	m.notBefore = d.now + time.Duration(c.spread*float64(m.backoff))
-	if m.spent = e.BodyConsumed; m.long {
-		m.deadline = min(m.until, d.now+m.class.DeliveryTimeout)
+	m.retryWait = max(first, min(retryMax, time.Duration(retryGrowth*float64(m.retryWait))))
+	m.notBefore = d.now + time.Duration(c.jitter*float64(m.retryWait))
+	if m.bodyGone = e.BodyConsumed; m.long {
+		m.deadline = min(m.expiresAt, d.now+m.class.DeliveryTimeout)
 	}
-	d.hold(m)
+	d.enqueueHeld(m)
 }
 
-// deadIdle tells a call lost to an old connection from one that speaks of the endpoint. Calls after a pause
-// (within KeepAlive) are tallied beside all others; lost are those reset at once or without an answer. When
-// the former are lost far more often, connections idle for longer than the shortest such pause are closed
-// before the next call, and their losses count for no breaker. Covers restarts and small slices. Harm: some
-// handshakes after a hang.
-func (d *Decider) deadIdle(c *call, o Outcome, latency time.Duration) bool {
-	quick := latency < idleQuick+time.Duration(c.class.mean*float64(time.Second))
+// lostToIdleConn reports whether a call was lost because its connection died while idle. Calls after a pause
+// (within KeepAlive) are tallied apart; lost are those reset at once or without answer. If far more of these
+// are lost, connections idle longer than the shortest such pause are closed before the next call, and no
+// breaker counts the losses. Works across restarts and at low traffic. Drawback: handshakes after a stall.
+func (d *Decider) lostToIdleConn(c *call, o Outcome, latency time.Duration) bool {
+	quick := latency < quickLoss+time.Duration(c.class.meanSec*float64(time.Second))
 	lost := o == TimedOut || o == Cancelled || o == Reset && quick
 	if c.tallied || !lost && o != OK {
-		return c.dead && o != OK
+		return c.staleConn && o != OK
 	}
 	c.tallied = true
 	t := &d.others
-	if c.idle >= idleLeast && c.idle < d.s.KeepAlive {
-		t = &d.paused
+	if c.idleFor >= minIdlePause && c.idleFor < d.cfg.KeepAlive {
+		t = &d.afterIdle
 	}
-	if t.add(lost, tallyMost); !lost || t != &d.paused || t.lost < idleHitsMin {
+	if t.add(lost, maxTallyCalls); !lost || t != &d.afterIdle || t.lost < minIdleLosses {
 		return false
 	}
-	if t.lost/t.n < idleRatio*(d.others.lost+1)/(d.others.n+1) {
+	if t.lost/t.calls < idleLossRatio*(d.others.lost+1)/(d.others.calls+1) {
 		return false
 	}
-	c.dead, d.idleHitAt = true, d.now
-	if bound := time.Duration(idleMargin * float64(c.idle)); d.idleBound == 0 || bound < d.idleBound {
-		d.idleBound = bound
-		d.logf("connections: idle over %v are closed before use", bound.Round(time.Millisecond))
+	c.staleConn, d.idleLossAt = true, d.now
+	if bound := time.Duration(idleLimitMargin * float64(c.idleFor)); d.idleLimit == 0 || bound < d.idleLimit {
+		d.idleLimit = bound
+		d.logf("connections: those idle for over %v are closed before use", bound.Round(time.Millisecond))
 	}
 	return true
 }
 
-// deadKept tells a call that was reset with the connection that it shared with earlier ones: this speaks of
-// the connection, since an endpoint that is down refuses the next one. Both kinds of connection are tallied.
-func (d *Decider) deadKept(e Answer) bool {
-	t := &d.onFresh
+// lostToReusedConn reports whether a call was reset with a connection that carried earlier calls, which says
+// nothing of the endpoint: one that is down refuses the next connection. Resets are tallied for both kinds.
+func (d *Decider) lostToReusedConn(e Answer) bool {
+	t := &d.newConn
 	if e.ReusedConn {
-		t = &d.onKept
+		t = &d.reusedConn
 	}
 	if e.Outcome == OK || e.Outcome == Reset {
-		t.add(e.Outcome == Reset, keptMost)
+		t.add(e.Outcome == Reset, maxResetTallyCalls)
 	}
 	return e.ReusedConn && e.Outcome == Reset
 }
 
-// wantsFresh says whether a message goes on a new connection: an unsafe one, which a reset ends, where kept
+// wantsNewConn reports whether a message needs a new connection: an unsafe one, which a reset ends, if reused
 // connections are reset more often than new ones by more than a handshake is worth.
-func (d *Decider) wantsFresh(m *message) bool {
-	share := func(t tally) float64 { return t.lost / math.Max(t.n, freshLeast) }
-	return m.class.Effect == Unsafe && share(d.onKept) > share(d.onFresh)+freshGain
+func (d *Decider) wantsNewConn(m *message) bool {
+	share := func(t lossTally) float64 { return t.lost / math.Max(t.calls, minResetSample) }
+	return m.class.Effect == Unsafe && share(d.reusedConn) > share(d.newConn)+minResetReduction
 }
 
-// base is the lane's rate from all couriers: as reported or hinted, else what they likely serve there, by the
-// own calls served, drawn towards the mean lane's. What is served is never more than the lane can do.
-func (d *Decider) base(l *lane) float64 {
-	if told := cmp.Or(l.x1, l.hint); told > 0 {
+// capacity returns a circuit's rate for all forwarders: as reported or hinted, otherwise estimated from this
+// one's successes, weighted with the mean circuit's. A circuit never serves more than it can.
+func (d *Decider) capacity(l *circuit) float64 {
+	if told := cmp.Or(l.reportedLimit, l.capacityHint); told > 0 {
 		return told
 	}
-	sec := d.seconds(servedFor)
-	mean := d.rateOf(&d.served, servedFor) / math.Max(1, float64(len(d.dests)))
-	own := (l.served.at(d.now, servedFor) + servedPrior) / (sec + servedPrior/math.Max(mean, 1e-6))
-	return math.Max(float64(d.s.Forwarders)*own, leastRate)
+	sec := d.decaySeconds(successDecay)
+	mean := d.rateOf(&d.successes, successDecay) / math.Max(1, float64(len(d.destinations)))
+	own := (l.successes.at(d.now, successDecay) + successPrior) / (sec + successPrior/math.Max(mean, 1e-6))
+	return math.Max(float64(d.cfg.Forwarders)*own, minCapacityPerS)
 }
 
-// part is what a paced rate is measured by: the lane's whole rate, which among many binds none of them; there
-// what each is itself asked for, and the sum follows. Harm: a clump waits.
-func (d *Decider) part(l *lane) float64 {
-	if !d.many() {
-		return d.base(l)
+// rateBase returns what a rate limit is relative to: the circuit's capacity, or in a large fleet, where that
+// limits no single forwarder, the rate of messages submitted, which the sum follows. Drawback: bursts wait.
+func (d *Decider) rateBase(l *circuit) float64 {
+	if !d.largeFleet() {
+		return d.capacity(l)
 	}
-	return math.Max(ownLeast*d.base(l)/float64(d.s.Forwarders), d.rateOf(&l.dest.asked, askedFor))
+	return math.Max(fleetMin*d.capacity(l)/float64(d.cfg.Forwarders), d.rateOf(&l.dest.submitted, submitDecay))
 }
 
-// paced is how paced rates move. Among many, where refused calls use a limit up, none gets through until the
-// sum is under it: hence the deep cut and the low top.
-func (d *Decider) paced() pacing {
-	if !d.many() {
-		return pacing{cut: paceCut, grow: paceGrow, top: paceTop, depth: 1, first: math.Inf(1)}
+// rateControl returns how a rate limit changes. If refused calls use up the limit of a destination, a large
+// fleet gets no call through until its sum is below the limit: hence the deep cut and the low maximum.
+func (d *Decider) rateControl() rateControl {
+	if !d.largeFleet() {
+		return rateControl{cut: rateCut, grow: rateGrow, max: rateMax, burst: 1, start: math.Inf(1)}
 	}
-	return pacing{cut: ownCut, grow: ownGrow, top: ownTop, depth: ownDepth, first: 1}
+	return rateControl{cut: fleetCut, grow: fleetGrow, max: fleetMax, burst: fleetBurst, start: 1}
 }
 
-// tableFull tells a full connection table from an endpoint that is down: the connect fails at once, behind
-// successes of late, and with no run of failures. Idle ones are then closed after use. Harm: handshakes.
-func (d *Decider) tableFull(ep *endpoint, latency time.Duration) bool {
-	if ep.run >= tightRun || latency > idleQuick || d.now-ep.lastOK > tightRecent {
+// connTableFull reports whether a connect failed at a full connection table, not at an endpoint that is down:
+// at once, soon after a success, with few failures. Idle ones then close after use. Drawback: handshakes.
+func (d *Decider) connTableFull(ep *endpoint, latency time.Duration) bool {
+	if ep.consecFailures >= maxTableFullRun || latency > quickLoss || d.now-ep.lastOK > recentSuccess {
 		return false
 	}
-	ep.run++
-	if d.now >= ep.tightUntil {
-		d.logf("connections: table of %s is full, idle ones are closed", ep.id)
+	ep.consecFailures++
+	if d.now >= ep.tableFullUntil {
+		d.logf("connections: connection table of %s is full, closing idle connections", ep.id)
 	}
-	ep.tightUntil = d.now + tightFor
-	d.do(CloseIdle{Endpoint: ep.id})
+	ep.tableFullUntil = d.now + tableFullPeriod
+	d.emit(CloseIdle{Endpoint: ep.id})
 	return true
 }
 
-func (d *Decider) learnOK(k *call, latency time.Duration) {
-	l, ep := k.ep.lane, k.ep
-	ep.run, ep.lastOK = 0, d.now
-	d.strayBad.addRun(l.badRun, d.unlikely(&d.strayBad), tallyMost)
-	d.strayFull.addRun(l.fullRun, d.unlikely(&d.strayFull), tallyMost)
-	l.badRun, l.fullRun, l.lastOK = 0, 0, d.now
+func (d *Decider) onSuccess(k *call, latency time.Duration) {
+	l, ep := k.endpoint.circuit, k.endpoint
+	ep.consecFailures, ep.lastOK = 0, d.now
+	d.strayFailures.addRun(l.consecFailures, d.outageThreshold(&d.strayFailures), maxTallyCalls)
+	d.strayRefusals.addRun(l.consecRefusals, d.outageThreshold(&d.strayRefusals), maxTallyCalls)
+	l.consecFailures, l.consecRefusals, l.lastOK = 0, 0, d.now
 	if !k.long {
-		d.learnPace(k, latency)
-	}
-	l.served.add(d.now, servedFor)
-	d.served.add(d.now, servedFor)
-	if p, part := d.paced(), d.part(l); l.rate > 0 {
-		l.rate = math.Min(l.rate+p.grow*part, p.top*part)
-	}
-	d.record(l, false)
-	if brief := d.now < l.guardSince+briefFor && k.sentAt >= l.guardSince; l.guard && l.guardFrom < 0 {
-		l.guard = !l.guardConn || !brief
-		if l.guardFrom = d.now; d.many() { // it was back before; seldom long before: each calls in its gaps
-			l.guardFrom -= (d.now - l.lastBad) / 4
+		d.onLatency(k, latency)
+	}
+	l.successes.add(d.now, successDecay)
+	d.successes.add(d.now, successDecay)
+	if p, part := d.rateControl(), d.rateBase(l); l.rateLimit > 0 {
+		l.rateLimit = math.Min(l.rateLimit+p.grow*part, p.max*part)
+	}
+	d.recordOutcome(l, false)
+	if brief := d.now < l.outageSince+minOutage && k.sentAt >= l.outageSince; l.slowStart && l.recoveredAt < 0 {
+		l.slowStart = !l.slowStartByConns || !brief
+		if l.recoveredAt = d.now; d.largeFleet() { // it recovered earlier: each forwarder calls rarely
+			l.recoveredAt -= (d.now - l.outageSeenAt) / 4
 		}
 	}
 	switch l.state {
-	case open: // an answer from a lane taken for silent: it is slow or back
+	case open: // an answer from a stalled circuit: it is slow or back
 		d.setBreaker(l, halfOpen)
 	case halfOpen:
-		if l.trialsOK++; l.trialsOK >= trialsClose {
+		if l.trialsOK++; l.trialsOK >= trialsToClose {
 			d.setBreaker(l, closed)
 		}
 	}
 }
 
-// learnPace takes a served call's time as its endpoint's pace.
-func (d *Decider) learnPace(k *call, latency time.Duration) {
-	l, c := k.ep.lane, k.class
+// onLatency updates latency factor, class mean and call limit with a successful call's latency.
+func (d *Decider) onLatency(k *call, latency time.Duration) {
+	l, c := k.endpoint.circuit, k.class
 	if k.size > 1 {
-		more := (latency.Seconds()/(c.mean*l.pace) - 1) / float64(k.size-1)
-		d.growth = math.Max(0, d.growth+classGain*(math.Min(more, 1)-d.growth))
+		more := (latency.Seconds()/(c.meanSec*l.latencyFactor) - 1) / float64(k.size-1)
+		d.batchGrowth = math.Max(0, d.batchGrowth+classGain*(math.Min(more, 1)-d.batchGrowth))
 	}
-	sec := latency.Seconds() / d.weight(k.size)
-	l.pace += latencyGain * (sec/c.mean - l.pace)
-	l.pace = math.Min(paceMost, math.Max(paceLeast, l.pace))
-	c.mean = math.Max(1e-4, c.mean+classGain*(math.Min(sec/l.pace, 3*c.mean)-c.mean))
+	sec := latency.Seconds() / d.callWeight(k.size)
+	l.latencyFactor += latencyFactorGain * (sec/c.meanSec - l.latencyFactor)
+	l.latencyFactor = math.Min(maxLatencyFactor, math.Max(minLatencyFactor, l.latencyFactor))
+	c.meanSec = math.Max(1e-4, c.meanSec+classGain*(math.Min(sec/l.latencyFactor, 3*c.meanSec)-c.meanSec))
 	if latency <= c.Target {
-		l.cap = math.Min(d.capCeil(), l.cap+capStep)
+		l.callLimit = math.Min(d.callLimitCeil(), l.callLimit+callLimitStep)
 	} else {
-		l.cap = math.Max(1, l.cap-capStep)
+		l.callLimit = math.Max(1, l.callLimit-callLimitStep)
 	}
 }
 
-// learnFull tells a limit, which slows the pacing, from a destination that is shut. Refusals with no success,
-// or a long wait, are an outage. Where none has ever told a wait, a spent limit explains them and an outage
-// takes longer to show; else one that comes with the limit told as unspent is an outage's.
-func (d *Decider) learnFull(l *lane, wait time.Duration) {
-	d.fullAt[l.kind] = d.now
-	if l.fullRun++; l.fullRun == 1 {
-		l.fullSince = d.now
-	}
-	if d.now >= l.cutAt+paceHold {
-		l.cutAt = d.now
-		if l.rate == 0 { // nothing told: from what was sent of late
-			l.bucketAt = d.now
-			l.rate = float64(len(l.sends)) / max(d.s.TipAfter, time.Second).Seconds()
+// onRefusal tells a rate limit, which lowers the allowed rate, from an outage. Refusals without a success, or
+// a long Retry-After, are an outage. If no refusal has carried a Retry-After, a spent limit explains them and
+// an outage takes longer to detect; otherwise a refusal with the limit reported as unspent is an outage's.
+func (d *Decider) onRefusal(l *circuit, wait time.Duration) {
+	d.refusedAt[l.kind] = d.now
+	if l.consecRefusals++; l.consecRefusals == 1 {
+		l.refusedSince = d.now
+	}
+	if d.now >= l.rateCutAt+rateCutInterval {
+		l.rateCutAt = d.now
+		if l.rateLimit == 0 { // no limit known: start from the recent rate
+			l.tokensAt = d.now
+			l.rateLimit = float64(len(l.recentCalls)) / max(d.cfg.TipAfter, time.Second).Seconds()
 		}
-		p, part := d.paced(), d.part(l)
-		l.rate = math.Max(paceFloor*part, math.Min(l.rate, p.top*part)*p.cut)
+		p, part := d.rateControl(), d.rateBase(l)
+		l.rateLimit = math.Max(rateMin*part, math.Min(l.rateLimit, p.max*part)*p.cut)
 	}
-	l.bucket = math.Min(l.bucket, 0)
-	if wait == 0 && !d.many() {
-		l.bucket = math.Min(l.bucket, -float64(min(l.fullRun, debtMost)))
+	l.tokens = math.Min(l.tokens, 0)
+	if wait == 0 && !d.largeFleet() {
+		l.tokens = math.Min(l.tokens, -float64(min(l.consecRefusals, maxTokenDebt)))
 	}
-	least, span := d.unlikely(&d.strayFull), retryFull/2
-	if d.many() && l.left < 0 { // each sees few calls, and the limit refuses all alike
-		least, span = max(least, fullRuns), quietFor
+	least, span := d.outageThreshold(&d.strayRefusals), retryRefused/2
+	if d.largeFleet() && l.limitRemaining < 0 { // each sees few calls, and the limit refuses all
+		least, span = max(least, fleetRefusals), quietPeriod
 	}
-	d.tells = d.tells || wait > 0
-	explained := !d.tells && l.left >= 0 && l.left < leftHigh
+	d.retryAfterSeen = d.retryAfterSeen || wait > 0
+	explained := !d.retryAfterSeen && l.limitRemaining >= 0 && l.limitRemaining < unspentShare
 	if explained { // by the limit
-		span = quietFor
+		span = quietPeriod
 	}
-	unspent := d.tells && l.left >= leftHigh && d.now-l.lastOK > quietFor
-	quiet := d.now - max(l.lastOK, l.fullSince)
-	if unspent || l.fullRun >= least && quiet > span || wait > longWait {
-		d.raiseGuard(l, l.fullSince, explained && wait <= longWait && l.fullRun <= least+1)
+	unspent := d.retryAfterSeen && l.limitRemaining >= unspentShare && d.now-l.lastOK > quietPeriod
+	quiet := d.now - max(l.lastOK, l.refusedSince)
+	if unspent || l.consecRefusals >= least && quiet > span || wait > outageRetryAfter {
+		d.beginSlowStart(l, l.refusedSince, explained && wait <= outageRetryAfter && l.consecRefusals <= least+1)
 	}
 	if l.state != closed {
-		d.record(l, true)
-		d.trip(l, "refused on trial")
-	} else if quiet > quietFor && l.fullRun >= least+runTrip+1 {
+		d.recordOutcome(l, true)
+		d.trip(l, "trial refused")
+	} else if quiet > quietPeriod && l.consecRefusals >= least+tripExtraFailures+1 {
 		d.trip(l, "refusals only")
 	}
 }
 
-func (d *Decider) learnBad(l *lane, ep *endpoint, o Outcome) {
-	if l.badRun++; l.badRun == 1 {
-		l.badSince = d.now
-	}
-	l.runConn = ep.lostConn && (l.runConn || l.badRun == 1)
-	ep.run++
-	l.cap = d.capFloor()
-	d.record(l, true)
-	least := d.unlikely(&d.strayBad)
-	// Among many, one sign of an outage counts where strays are rare and nobody else of the lane served since.
-	one := d.many() && least == runLeast && ep.lastOK >= l.lastOK && o == ConnectFailed
-	if l.badRun >= least || one {
-		d.raiseGuard(l, l.badSince, false)
-		l.guardConn = l.runConn
+func (d *Decider) onFailure(l *circuit, ep *endpoint, o Outcome) {
+	if l.consecFailures++; l.consecFailures == 1 {
+		l.failedSince = d.now
+	}
+	l.onlyLostConns = ep.lostConn && (l.onlyLostConns || l.consecFailures == 1)
+	ep.consecFailures++
+	l.callLimit = d.callLimitFloor()
+	d.recordOutcome(l, true)
+	least := d.outageThreshold(&d.strayFailures)
+	// In a large fleet one failure is enough if stray ones are rare and no other endpoint has succeeded since.
+	one := d.largeFleet() && least == minOutageRun && ep.lastOK >= l.lastOK && o == ConnectFailed
+	if l.consecFailures >= least || one {
+		d.beginSlowStart(l, l.failedSince, false)
+		l.slowStartByConns = l.onlyLostConns
 	}
 	switch {
 	case l.state != closed:
 		d.trip(l, "trial failed")
-	case len(l.window) >= windowLeast && l.failShare() >= tripShare:
+	case len(l.window) >= minWindow && l.failureShare() >= tripFailureShare:
 		d.trip(l, "failure rate")
-	case l.badRun >= least+runTrip:
-		d.trip(l, "failures in a row")
+	case l.consecFailures >= least+tripExtraFailures:
+		d.trip(l, "consecutive failures")
 	}
 }
 
-// unlikely is how many failures in a row are no chance: what share of a healthy lane's calls fails is told by
-// the runs that a success ended. Covers lost answers and limits; harm: an outage is seen some calls later.
-func (d *Decider) unlikely(t *tally) int {
-	share := (t.lost + 1) / (t.n + strayPrior)
-	return max(runLeast, int(math.Ceil(math.Log(flukeShare)/math.Log(share))))
+// outageThreshold returns how many consecutive failures are unlikely by chance: the loss share of a healthy
+// circuit is that in runs that a success ended. Drawback: at high shares an outage is seen some calls later.
+func (d *Decider) outageThreshold(t *lossTally) int {
+	share := (t.lost + 1) / (t.calls + strayPriorCalls)
+	return max(minOutageRun, int(math.Ceil(math.Log(chanceThreshold)/math.Log(share))))
 }
 
-// raiseGuard notes signs of an outage: until successes show otherwise, sends keep to the fail-back budget.
-// Lost connections alone, with a success too soon after the first for an outage, take it back. A
-// run of refusals that the told share explains raises a weak guard, which keeps the sum at the rate itself.
-func (d *Decider) raiseGuard(l *lane, since time.Duration, weak bool) {
-	if d.s.OverloadFactor <= 0 || d.s.TipAfter <= 0 {
-		return // no such rule
-	}
-	if l.weak = weak && (l.weak || !l.guard); !l.guard {
-		l.guard, l.guardSince, l.phase = true, since, d.rng.Float64()
-		l.gaps = l.phase
-	}
-	l.guardFrom, l.lastBad, l.guardConn = -1, d.now, false
+// beginSlowStart limits calls to the slow-start budget after signs of an outage, until successes end it. If
+// only connections were lost, a success too soon after the first loss for an outage cancels it. Refusals that
+// the reported limit explains start a weak one, which holds the fleet's sum at the capacity itself.
+func (d *Decider) beginSlowStart(l *circuit, since time.Duration, weak bool) {
+	if d.cfg.OverloadFactor <= 0 || d.cfg.TipAfter <= 0 {
+		return // slow start is not configured
+	}
+	if l.weakSlowStart = weak && (l.weakSlowStart || !l.slowStart); !l.slowStart {
+		l.slowStart, l.outageSince, l.gapPhase = true, since, d.rng.Float64()
+		l.gapsDue = l.gapPhase
+	}
+	l.recoveredAt, l.outageSeenAt, l.slowStartByConns = -1, d.now, false
 }
 
-func (d *Decider) trip(l *lane, why string) {
+func (d *Decider) trip(l *circuit, why string) {
 	if l.state == open {
 		return
 	}
@@ -712,39 +710,39 @@
 		l.openFor = openFirst
 		d.logf("breaker %s: open (%s)", l.name, why)
 	} else {
-		l.openFor = min(openMost, time.Duration(openGrow*float64(l.openFor)))
+		l.openFor = min(openMax, time.Duration(openGrowth*float64(l.openFor)))
 	}
-	d.raiseGuard(l, d.now, false)
-	l.openUntil = d.now + time.Duration(d.vary()*float64(l.openFor))
+	d.beginSlowStart(l, d.now, false)
+	l.openUntil = d.now + time.Duration(d.jitter()*float64(l.openFor))
 	d.setBreaker(l, open)
 }
 
-// overdue is the age at which a call counts as stuck.
-func (d *Decider) overdue(c *call) time.Duration {
-	usual := c.class.mean * c.ep.lane.pace * d.weight(c.size)
-	return max(silenceLeast, time.Duration(silenceScale*usual*float64(time.Second)))
+// stuckAfter returns the age at which a call counts as stuck.
+func (d *Decider) stuckAfter(c *call) time.Duration {
+	usual := c.class.meanSec * c.endpoint.circuit.latencyFactor * d.callWeight(c.size)
+	return max(minStall, time.Duration(stallFactor*usual*float64(time.Second)))
 }
 
-// weight is a call's work by its number of messages, relative to a call with one.
-func (d *Decider) weight(size int) float64 { return 1 + d.growth*float64(size-1) }
+// callWeight returns the work of a call with that many messages, relative to a call with one.
+func (d *Decider) callWeight(size int) float64 { return 1 + d.batchGrowth*float64(size-1) }
 
-// watchSilence opens a breaker on calls that are out far too long with no success since the oldest was sent.
-func (d *Decider) watchSilence() {
+// detectStalls opens a breaker if calls are out far too long with no success since the oldest was sent.
+func (d *Decider) detectStalls() {
 	for _, dest := range d.busy {
-		for _, l := range dest.lanes {
+		for _, l := range dest.circuits {
 			late := 0
 			for _, c := range l.inflight {
-				limit, age := d.overdue(c), d.now-c.sentAt
-				if age > limit && !d.deadIdle(c, TimedOut, age) && l.lastOK < c.sentAt {
+				limit, age := d.stuckAfter(c), d.now-c.sentAt
+				if age > limit && !d.lostToIdleConn(c, TimedOut, age) && l.lastOK < c.sentAt {
 					late++
 					if age > 2*limit {
 						late++
 					}
 				}
 			}
-			if late >= silentCalls && l.state == closed {
-				l.cap = d.capFloor()
-				d.trip(l, "silence")
+			if late >= stalledCallsToTrip && l.state == closed {
+				l.callLimit = d.callLimitFloor()
+				d.trip(l, "stalled calls")
 			}
 		}
 	}
@@ -752,105 +750,108 @@
 
 // ---- sending ----
 
-func (d *Decider) capFloor() float64 { return math.Max(1, math.Floor(capStart*float64(d.s.Slots))) }
+func (d *Decider) callLimitFloor() float64 {
+	return math.Max(1, math.Floor(callLimitStart*float64(d.cfg.Slots)))
+}
 
-func (d *Decider) capCeil() float64 { return math.Max(1, math.Ceil(capTop*float64(d.s.Slots))-1) }
+func (d *Decider) callLimitCeil() float64 {
+	return math.Max(1, math.Ceil(callLimitTop*float64(d.cfg.Slots))-1)
+}
 
-// guardFrees is when the guard lets the next call go, so that this courier keeps its part of the fail-back
-// budget: overload factor x present share of the capacity x span, in any span. It is divided among those that
-// likely saw the outage. The warm-up counts from the first success; among many from a quarter of the way back
-// to the last failure. Where less than a call is due in a span, the first gap, and that behind a told wait,
-// is a part of one by chance. Harm: where rates are taken for far too low, a backlog drains slowly.
-func (d *Decider) guardFrees(l *lane) time.Duration {
-	if !l.guard {
+// nextSlowStartCall returns when slow start admits the next call, so that this forwarder keeps to its part of
+// the budget: overload factor x current share of the capacity x TipAfter, in any such interval, divided among
+// the forwarders likely to have seen the outage. The warm-up starts at the first success, in a large fleet a
+// quarter of the way back to the last failure. If an interval has less than one call, the first gap and that
+// after a Retry-After are random. Drawback: with an underestimated capacity a backlog drains slowly.
+func (d *Decider) nextSlowStartCall(l *circuit) time.Duration {
+	if !l.slowStart {
 		return 0
 	}
-	budget := d.guardBudget(l)
+	budget := d.slowStartBudget(l)
 	switch {
-	case !l.guard || budget >= 1 && d.guardRoom(l, budget) >= 1:
+	case !l.slowStart || budget >= 1 && d.slowStartRoom(l, budget) >= 1:
 		return 0
 	case budget >= 1:
 		return d.now + 1
 	}
-	gap := float64(d.s.TipAfter) / budget // a call that weighed more is followed by a longer one
-	return max(l.lastSend+time.Duration(gap*l.gaps), l.waitUntil+time.Duration(gap*l.phase))
+	gap := float64(d.cfg.TipAfter) / budget // a heavier call is followed by a longer gap
+	return max(l.lastSend+time.Duration(gap*l.gapsDue), l.waitUntil+time.Duration(gap*l.gapPhase))
 }
 
-// guardRoom is what the budget leaves after the calls of the last span, by weight.
-func (d *Decider) guardRoom(l *lane, budget float64) float64 {
-	for _, s := range l.sends {
-		if s.at > d.now-d.s.TipAfter {
+// slowStartRoom returns the budget left after the calls of the last interval, by weight.
+func (d *Decider) slowStartRoom(l *circuit, budget float64) float64 {
+	for _, s := range l.recentCalls {
+		if s.at > d.now-d.cfg.TipAfter {
 			budget -= s.weight
 		}
 	}
 	return budget
 }
 
-// guardBudget is how many calls this courier may send in a span; a warm lane loses its guard.
-func (d *Decider) guardBudget(l *lane) float64 {
-	share, until := d.s.ColdFrom, d.now
-	if l.weak {
-		share = max(share, min(1, 1/d.s.OverloadFactor))
-	}
-	if l.guardFrom >= 0 {
-		until = l.guardFrom
-		share += (1 - share) * (d.now - until).Seconds() / math.Max(0.1, d.s.WarmWithin.Seconds())
-	}
-	l.guard = l.guard && share < 1
-	est := d.base(l)
-	if l.x1 <= 0 && d.s.RoughCapacityHints {
-		est *= roughMargin
-	}
-	n, span := float64(d.s.Forwarders), d.s.TipAfter.Seconds()
-	seen := 1 + (n-1)*(1-math.Exp(-usualLoad*d.base(l)*min(until-l.guardSince, d.longest).Seconds()/n))
+// slowStartBudget returns the calls this forwarder may send per interval; a warm circuit ends slow start.
+func (d *Decider) slowStartBudget(l *circuit) float64 {
+	share, until := d.cfg.ColdFrom, d.now
+	if l.weakSlowStart {
+		share = max(share, min(1, 1/d.cfg.OverloadFactor))
+	}
+	if l.recoveredAt >= 0 {
+		until = l.recoveredAt
+		share += (1 - share) * (d.now - until).Seconds() / math.Max(0.1, d.cfg.WarmWithin.Seconds())
+	}
+	l.slowStart = l.slowStart && share < 1
+	est := d.capacity(l)
+	if l.reportedLimit <= 0 && d.cfg.RoughCapacityHints {
+		est *= roughHintMargin
+	}
+	n, span := float64(d.cfg.Forwarders), d.cfg.TipAfter.Seconds()
+	seen := 1 + (n-1)*(1-math.Exp(-meanLoad*d.capacity(l)*min(until-l.outageSince, d.maxTimeout).Seconds()/n))
 	part := math.Min(1/math.Sqrt(seen), (1+unevenness/math.Sqrt(seen))/seen)
-	if d.many() { // half evenly, half by what each has served, so that all together keep to the budget
-		own := d.rateOf(&l.served, servedFor) / (usualLoad * d.base(l))
-		part = (1/seen + math.Min(evenMost/seen, own)) / 2
+	if d.largeFleet() { // half even, half by successes, so that the sum keeps to the budget
+		own := d.rateOf(&l.successes, successDecay) / (meanLoad * d.capacity(l))
+		part = (1/seen + math.Min(maxEvenShares/seen, own)) / 2
 	}
-	return math.Max(minBudget, guardMargin*d.s.OverloadFactor*share*est*span*part)
+	return math.Max(minSlowStartCalls, slowStartMargin*d.cfg.OverloadFactor*share*est*span*part)
 }
 
-// admits says whether the lane takes one more call now.
-func (d *Decider) admits(l *lane) bool {
-	if d.now < l.waitUntil || float64(len(l.inflight)) >= l.cap {
+// admits reports whether the circuit takes one more call now.
+func (d *Decider) admits(l *circuit) bool {
+	if d.now < l.waitUntil || float64(len(l.inflight)) >= l.callLimit {
 		return false
 	}
 	if l.state == open && d.now < l.openUntil || l.state != closed && l.trialsOut > l.trialsOK {
 		return false
 	}
-	p := d.paced()
-	if l.rate == 0 {
-		if cmp.Or(l.x1, l.hint) <= 0 { // unknown until a refusal shows it
-			return d.now >= d.guardFrees(l)
+	p := d.rateControl()
+	if l.rateLimit == 0 {
+		if cmp.Or(l.reportedLimit, l.capacityHint) <= 0 { // unknown until a refusal shows it
+			return d.now >= d.nextSlowStartCall(l)
 		}
-		l.rate, l.bucketAt, l.bucket = math.Min(d.base(l), p.top*d.part(l)), d.now, p.first
+		l.rateLimit, l.tokensAt, l.tokens = math.Min(d.capacity(l), p.max*d.rateBase(l)), d.now, p.start
 	}
-	depth := math.Max(p.depth, l.rate*paceDepth.Seconds())
-	l.bucket = math.Min(l.bucket+l.rate*(d.now-l.bucketAt).Seconds(), depth)
-	l.bucketAt = d.now
-	return l.bucket >= 1 && d.now >= d.guardFrees(l)
+	depth := math.Max(p.burst, l.rateLimit*rateBurst.Seconds())
+	l.tokens = math.Min(l.tokens+l.rateLimit*(d.now-l.tokensAt).Seconds(), depth)
+	l.tokensAt = d.now
+	return l.tokens >= 1 && d.now >= d.nextSlowStartCall(l)
 }
 
-// pickEndpoint chooses the endpoint a message may go to: with the fewest failures of its class and itself,
-// since others' successes hide these, then with the fewest failures and calls out, then by each courier's
-// own order.
-func (d *Decider) pickEndpoint(l *lane, m *message) *endpoint {
+// pickEndpoint chooses a message's endpoint: with the fewest failures of its class and itself, since others'
+// successes hide these, then with fewest failures, fewest calls out, and by this forwarder's random order.
+func (d *Decider) pickEndpoint(l *circuit, m *message) *endpoint {
 	shy := func(ep *endpoint) (n int) {
-		if k := ep.bad[m.class]; d.now < k.at+classRest {
-			n = k.run
+		if k := ep.classFailures[m.class]; d.now < k.lastAt+classFailurePeriod {
+			n = k.consecutive
 		}
-		if m.avoid == ep {
+		if m.avoidEndpoint == ep {
 			n++
 		}
 		return n
 	}
 	var best *endpoint
-	for _, ep := range l.eps {
-		if ep.state != Serving || !d.canRepeat(m, ep) {
+	for _, ep := range l.endpoints {
+		if ep.readiness != Serving || !d.maySend(m, ep) {
 			continue
 		}
-		if best == nil || cmp.Or(shy(ep)-shy(best), ep.run-best.run,
+		if best == nil || cmp.Or(shy(ep)-shy(best), ep.consecFailures-best.consecFailures,
 			ep.inflight-best.inflight, cmp.Compare(ep.rank, best.rank)) < 0 {
 			best = ep
 		}
@@ -858,30 +859,30 @@
 	return best
 }
 
-// inTurn says whether the order of its key lets the message go out.
+// inTurn reports whether the order of its key allows the message to be sent.
 func (d *Decider) inTurn(m *message) bool {
-	t := d.turns[m.key]
+	t := d.keyQueues[m.key]
 	if t == nil || !m.class.InOrder {
 		return true
 	}
-	return t.queue[0] == m && (d.now >= t.restUntil || t.restFor == m)
+	return t.queue[0] == m && (d.now >= t.gapUntil || t.gapFor == m)
 }
 
-// ready says whether the message's own wait is over and its turn has come.
+// ready reports whether the message's retry wait is over and its turn has come.
 func (d *Decider) ready(m *message) bool { return d.now >= m.notBefore && d.inTurn(m) }
 
-// gathered says whether a call should go: where a lane of the kind refused of late, messages that may share
-// one wait for others while that costs no worth, until one has used up a part of its aim. Covers any bound
-// on calls; harm: a call that fails then has less time left for another.
-func (d *Decider) gathered(l *lane) bool {
-	if at, ok := d.fullAt[l.kind]; l.batch <= 1 || !ok || d.now > at+limitedFor {
+// batchReady reports whether a call should be sent now. At a kind with recent refusals, messages that can
+// share a call wait for others until one has used part of its target, which costs no worth. This saves calls
+// under any limit. Drawback: less time for a retry.
+func (d *Decider) batchReady(l *circuit) bool {
+	if at, ok := d.refusedAt[l.kind]; l.batch <= 1 || !ok || d.now > at+limitedPeriod {
 		return true
 	}
 	n := 0
 	for _, m := range l.dest.held {
 		if d.ready(m) {
 			n++
-			due := m.deadline - m.class.DeliveryTimeout + time.Duration(gatherShare*float64(m.class.Target))
+			due := m.deadline - m.class.DeliveryTimeout + time.Duration(batchWaitShare*float64(m.class.Target))
 			if n >= l.batch || d.now >= due {
 				return true
 			}
@@ -890,83 +891,83 @@
 	return false
 }
 
-// choose finds the destination's best message to send now: most worth and cost of waiting per slot time.
-func (d *Decider) choose(dest *destination) {
-	dest.best, dest.bestLane, dest.score = nil, nil, 0
-	if len(dest.held) == 0 || dest.inflight >= int(d.capCeil()) {
+// chooseBest selects the destination's best message to send: most worth and cost of waiting per slot time.
+func (d *Decider) chooseBest(dest *destination) {
+	dest.bestMessage, dest.bestCircuit, dest.bestScore = nil, nil, 0
+	if len(dest.held) == 0 || dest.inflight >= int(d.callLimitCeil()) {
 		return
 	}
-	for _, l := range dest.lanes {
-		if !d.admits(l) || !d.gathered(l) {
+	for _, l := range dest.circuits {
+		if !d.admits(l) || !d.batchReady(l) {
 			continue
 		}
 		for _, m := range dest.held {
 			if m.long || !d.ready(m) || d.pickEndpoint(l, m) == nil {
 				continue
 			}
-			took := d.expected(m.class, l)
-			v := d.value(m, d.now+took)
-			if v <= 0 || !d.fits(m, took) {
+			took := d.expectedLatency(m.class, l)
+			v := d.worthAt(m, d.now+took)
+			if v <= 0 || !d.fitsBeforeShutdown(m, took) {
 				continue
 			}
-			v -= urgencyShare*d.value(m, d.now+took+lookAhead) + l.fee*d.meanWorth
-			score := l.score(v, took)
-			if l.state != closed || l.due { // trials: where a loss hurts least, and not one message's attempts only
+			v -= urgencyShare*d.worthAt(m, d.now+took+lookAhead) + l.zoneFee*d.meanWorth
+			score := l.callScore(v, took)
+			if l.state != closed || l.tryNext { // trials: least loss, not always the same message
 				score /= float64(1 + m.attempts)
 				if m.class.Effect == Unsafe {
-					score *= unsafeTrial
+					score *= unsafeTrialWeight
 				}
 			}
-			if dest.best == nil || score > dest.score {
-				dest.best, dest.bestLane, dest.score = m, l, score
+			if dest.bestMessage == nil || score > dest.bestScore {
+				dest.bestMessage, dest.bestCircuit, dest.bestScore = m, l, score
 			}
 		}
 	}
 }
 
-// fits says whether a call that usually takes so long will be over before this life ends; an unsafe message
-// must be surer of it, since a lost answer is its end.
-func (d *Decider) fits(m *message, took time.Duration) bool {
-	room := closeRoom
+// fitsBeforeShutdown reports whether a call of this usual latency ends before the shutdown; an unsafe message
+// needs a wider margin, since a lost answer ends it.
+func (d *Decider) fitsBeforeShutdown(m *message, took time.Duration) bool {
+	room := shutdownRoom
 	if m.class.Effect == Unsafe {
-		room *= closeUnsafe
+		room *= shutdownRoomUnsafe
 	}
-	return d.closeAt == 0 || d.now+time.Duration(room*float64(took)) < d.closeAt
+	return d.shutdownAt == 0 || d.now+time.Duration(room*float64(took)) < d.shutdownAt
 }
 
 // dispatch fills the free slots with the best messages of all destinations.
 func (d *Decider) dispatch() {
 	for _, dest := range d.busy {
-		d.choose(dest)
+		d.chooseBest(dest)
 	}
 	for {
 		var top *destination
 		for _, dest := range d.busy {
-			if dest.best != nil && (top == nil || dest.score > top.score) {
+			if dest.bestMessage != nil && (top == nil || dest.bestScore > top.bestScore) {
 				top = dest
 			}
 		}
 		if top == nil {
 			return
 		}
-		if d.slotsUsed >= d.s.Slots {
-			d.callOff()
+		if d.slotsUsed >= d.cfg.Slots {
+			d.cancelStuck()
 			return
 		}
-		d.send(top.best, top.bestLane)
-		d.choose(top)
+		d.send(top.bestMessage, top.bestCircuit)
+		d.chooseBest(top)
 	}
 }
 
-// dispatchLong starts long messages, beside the slots, where a lane admits them. At a lane in doubt one at a
-// time is tried: a trial that lasts must not keep others from closing the breaker.
+// dispatchLong starts long messages, in slots of their own, where a circuit admits them. If its breaker is
+// not closed, one at a time: a trial that takes long must not keep others from closing the breaker.
 func (d *Decider) dispatchLong() {
 	for _, dest := range d.busy {
-		for i := len(dest.held) - 1; i >= 0 && d.longUsed < d.s.LongSlots; i-- {
-			m := dest.held[len(dest.held)-1-i] // oldest first; what is sent leaves the list
-			for _, l := range dest.lanes {
+		for i := len(dest.held) - 1; i >= 0 && d.longSlotsUsed < d.cfg.LongSlots; i-- {
+			m := dest.held[len(dest.held)-1-i] // oldest first; a sent message leaves the list
+			for _, l := range dest.circuits {
 				if m.long && d.ready(m) && d.pickEndpoint(l, m) != nil &&
-					(l.state == closed || l.longs == 0) && d.admits(l) {
+					(l.state == closed || l.longCalls == 0) && d.admits(l) {
 					d.sendLong(m, l)
 					break
 				}
@@ -975,46 +976,46 @@
 	}
 }
 
-// sendLong calls an endpoint with a long message; only its time being up cuts it.
-func (d *Decider) sendLong(m *message, l *lane) {
+// sendLong sends a long message; only its expiry cuts the call.
+func (d *Decider) sendLong(m *message, l *circuit) {
 	ep := d.pickEndpoint(l, m)
 	if l.state == open {
 		d.setBreaker(l, halfOpen)
 	}
-	c := &call{ep: ep, class: m.class, sentAt: d.now, round: d.round, spread: d.vary(), tallied: true}
+	c := &call{endpoint: ep, class: m.class, sentAt: d.now, round: d.round, jitter: d.jitter(), tallied: true}
 	c.long = true
-	d.occupy(m, c)
-	l.bucket--
+	d.beginAttempt(m, c)
+	l.tokens--
 	ep.usedAt = d.now
-	d.note(l, 1)
-	d.do(Send{ID: m.id, Endpoint: ep.id, CutAt: m.until, NewConnection: d.wantsFresh(m)})
+	d.recordCall(l, 1)
+	d.emit(Send{ID: m.id, Endpoint: ep.id, CutAt: m.expiresAt, NewConnection: d.wantsNewConn(m)})
 }
 
-// send calls the endpoint with the message and all others ready for it, as far as its kind lets them share a
-// call and, under guard, the budget. They share its fate, so an unsafe message never joins a trial.
-func (d *Decider) send(m *message, l *lane) {
+// send sends the message in one call with all others ready for the endpoint, up to the batch limit of its
+// kind and the slow-start budget. They share one outcome, so an unsafe message never joins a trial.
+func (d *Decider) send(m *message, l *circuit) {
 	ep := d.pickEndpoint(l, m)
 	if l.state == open {
 		d.setBreaker(l, halfOpen)
 	}
-	c := ep.latest
-	if c == nil || c.round != d.round || c.size >= l.batch { // else it joins the one of this round
-		c = &call{ep: ep, class: m.class, sentAt: d.now, round: d.round, spread: d.vary()}
+	c := ep.lastCall
+	if c == nil || c.round != d.round || c.size >= l.batch { // otherwise it joins the call of this round
+		c = &call{endpoint: ep, class: m.class, sentAt: d.now, round: d.round, jitter: d.jitter()}
 		c.trial = l.state == halfOpen
-		if ep.latest = c; c.trial {
+		if ep.lastCall = c; c.trial {
 			l.trialsOut++
 		}
-		if c.idle = d.now - ep.usedAt; d.idleBound > 0 && c.idle > d.idleBound {
-			c.idle = 0
-			d.do(CloseIdle{Endpoint: ep.id})
+		if c.idleFor = d.now - ep.usedAt; d.idleLimit > 0 && c.idleFor > d.idleLimit {
+			c.idleFor = 0
+			d.emit(CloseIdle{Endpoint: ep.id})
 		}
-		l.bucket--
+		l.tokens--
 	}
 	ep.usedAt = d.now
 	with, most := []*message{m}, l.batch-c.size
-	if l.guard {
-		if room := d.guardRoom(l, d.guardBudget(l)); room >= 1 {
-			most = min(most, 1+int((room-1)/math.Max(0.01, d.growth)))
+	if l.slowStart {
+		if room := d.slowStartRoom(l, d.slowStartBudget(l)); room >= 1 {
+			most = min(most, 1+int((room-1)/math.Max(0.01, d.batchGrowth)))
 		}
 	}
 	for _, o := range m.dest.held {
@@ -1024,38 +1025,37 @@
 		}
 	}
 	for _, o := range with {
-		d.occupy(o, c)
+		d.beginAttempt(o, c)
 	}
-	weight := d.weight(c.size)
-	d.note(l, weight)
-	usual := c.class.mean * l.pace * weight
-	limit := max(timeoutLeast, time.Duration(timeoutScale*usual*float64(time.Second)))
+	weight := d.callWeight(c.size)
+	d.recordCall(l, weight)
+	usual := c.class.meanSec * l.latencyFactor * weight
+	limit := max(minCallTimeout, time.Duration(timeoutFactor*usual*float64(time.Second)))
 	for _, o := range with {
-		cut := min(o.deadline, cmp.Or(d.closeAt, o.deadline))
+		cut := min(o.deadline, cmp.Or(d.shutdownAt, o.deadline))
 		if o.class.Effect != Unsafe {
 			cut = min(cut, d.now+limit)
 		}
-		d.do(Send{ID: o.id, Endpoint: ep.id, CutAt: cut, NewConnection: d.wantsFresh(o)})
+		d.emit(Send{ID: o.id, Endpoint: ep.id, CutAt: cut, NewConnection: d.wantsNewConn(o)})
 	}
 }
 
-// callOff frees a slot held by a call that is out far too long, when others could use it; by age, as a
-// silent spell that is over leaves calls behind that are never answered. Harm: at a lane just turned slow
-// some calls are lost.
-func (d *Decider) callOff() {
-	if !d.s.MayCancel {
+// cancelStuck frees a slot for waiting messages by cancelling a stuck call. The age decides: a stall that is
+// over leaves calls without an answer. Drawback: at a circuit that just became slow some calls are lost.
+func (d *Decider) cancelStuck() {
+	if !d.cfg.MayCancel {
 		return
 	}
 	var worst *call
 	low := 0.0
 	for c := range d.calls() {
-		age, least, worth := d.now-c.sentAt, timeoutLeast, 0.0
-		for _, m := range c.msgs {
+		age, least, worth := d.now-c.sentAt, minCallTimeout, 0.0
+		for _, m := range c.messages {
 			if worth += m.worth; m.class.Effect == Unsafe {
-				least = unsafeStuck
+				least = unsafeStuckAfter
 			}
 		}
-		if c.cancelled || age < max(least, d.overdue(c)) {
+		if c.cancelled || age < max(least, d.stuckAfter(c)) {
 			continue
 		}
 		if worst == nil || worth < low || worth == low && c.sentAt < worst.sentAt {
@@ -1064,8 +1064,8 @@
 	}
 	if worst != nil {
 		worst.cancelled = true
-		for _, m := range worst.msgs {
-			d.do(Cancel{ID: m.id, Attempt: m.attempts - 1})
+		for _, m := range worst.messages {
+			d.emit(Cancel{ID: m.id, Attempt: m.attempts - 1})
 		}
 	}
 }
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -16,10 +16,10 @@
 // A few couriers pace a lane by its whole rate, as they always did; many pace what each is itself asked for, and never less
 // than a part of an even share.
 func TestPacedByTheSizeOfTheFleet(t *testing.T) {
-	for couriers, want := range map[int]float64{1: 50, 3: 50, manyCouriers - 1: 50, manyCouriers: 50 * ownLeast / manyCouriers, 1000: 50 * ownLeast / 1000} {
-		r := newRig(t, fleetSettings(couriers))
-		l := r.d.dests[1].lanes[0]
-		if part := r.d.part(l); part != want {
+	for couriers, want := range map[int]float64{1: 50, 3: 50, largeFleetSize - 1: 50, largeFleetSize: 50 * fleetMin / largeFleetSize, 1000: 50 * fleetMin / 1000} {
+		r := newHarness(t, fleetSettings(couriers))
+		l := r.d.destinations[1].circuits[0]
+		if part := r.d.rateBase(l); part != want {
 			t.Errorf("%d couriers: paced by %v, want %v", couriers, part, want)
 		}
 		for range 400 { // two a second
@@ -27,16 +27,16 @@
 			r.settle(always(OK))
 			r.pass(500 * ms)
 		}
-		p, part := r.d.paced(), r.d.part(l)
-		top := p.top
-		if couriers < manyCouriers && p != (pacing{cut: paceCut, grow: paceGrow, top: paceTop, depth: 1, first: math.Inf(1)}) {
+		p, part := r.d.rateControl(), r.d.rateBase(l)
+		top := p.max
+		if couriers < largeFleetSize && p != (rateControl{cut: rateCut, grow: rateGrow, max: rateMax, burst: 1, start: math.Inf(1)}) {
 			t.Errorf("%d couriers: paced by %+v", couriers, p)
 		}
-		if many := couriers >= manyCouriers; many && (part < 1.5 || part > 2.5) || !many && part != 50 {
+		if many := couriers >= largeFleetSize; many && (part < 1.5 || part > 2.5) || !many && part != 50 {
 			t.Errorf("%d couriers: asked for two a second and paced by %v", couriers, part)
 		}
-		if l.rate > 1.1*top*part { // the part fades between two messages
-			t.Errorf("%d couriers: a rate of %v, over %v times %v", couriers, l.rate, top, part)
+		if l.rateLimit > 1.1*top*part { // the part fades between two messages
+			t.Errorf("%d couriers: a rate of %v, over %v times %v", couriers, l.rateLimit, top, part)
 		}
 	}
 }
@@ -44,36 +44,36 @@
 // Among many couriers a refusal halves what this one sends, whatever the lane's rate; a further one within the time for which
 // a cut stands takes nothing.
 func TestARefusalCutsTheOwnPart(t *testing.T) {
-	r := newRig(t, fleetSettings(80))
-	l := r.d.dests[1].lanes[0]
+	r := newHarness(t, fleetSettings(80))
+	l := r.d.destinations[1].circuits[0]
 	for range 100 {
 		r.submit("safe", 1, 0)
 		r.settle(always(OK))
 		r.pass(500 * ms)
 	}
-	before, part := l.rate, 0.0
+	before, part := l.rateLimit, 0.0
 	for range 2 {
-		part = r.d.part(l)
-		r.d.learnFull(l, 0)
+		part = r.d.rateBase(l)
+		r.d.onRefusal(l, 0)
 	}
-	if want := before * ownCut; l.rate > want+1e-9 || l.rate < paceFloor*part {
-		t.Errorf("after a refusal paced at %v; before %v, asked for %v", l.rate, before, part)
+	if want := before * fleetCut; l.rateLimit > want+1e-9 || l.rateLimit < rateMin*part {
+		t.Errorf("after a refusal paced at %v; before %v, asked for %v", l.rateLimit, before, part)
 	}
 }
 
 // Where nothing is told of the limit, a refusal or two are the limit's among many couriers, each of which sees few calls; a run
 // of them over a second with no success still raises the guard. A few couriers see it as soon as before.
 func TestRefusalsAmongMany(t *testing.T) {
-	for couriers, want := range map[int]int{3: runLeast, 80: fullRuns} {
-		r := newRig(t, fleetSettings(couriers))
-		l := r.d.dests[1].lanes[0]
+	for couriers, want := range map[int]int{3: minOutageRun, 80: fleetRefusals} {
+		r := newHarness(t, fleetSettings(couriers))
+		l := r.d.destinations[1].circuits[0]
 		r.submit("safe", 1, 0)
 		r.settle(always(OK)) // its answer tells nothing of the limit
 		r.pass(time.Second)
 		n := 0
-		for ; !l.guard && n < 10; n++ {
+		for ; !l.slowStart && n < 10; n++ {
 			r.d.now += 600 * ms
-			r.d.learnFull(l, 0)
+			r.d.onRefusal(l, 0)
 		}
 		if n != want {
 			t.Errorf("%d couriers: %d refusals raised the guard, want %d", couriers, n, want)
@@ -85,15 +85,15 @@
 // twice an even part of that half. However uneven their traffic, all together have no more than the budget.
 func TestPartsOfTheFailBackBudget(t *testing.T) {
 	budget := func(couriers int, every time.Duration) float64 {
-		r := newRig(t, fleetSettings(couriers))
-		l := r.d.dests[1].lanes[0]
+		r := newHarness(t, fleetSettings(couriers))
+		l := r.d.destinations[1].circuits[0]
 		for range int(60 * time.Second / every) {
 			r.submit("safe", 1, 0)
 			r.settle(always(OK))
 			r.pass(every)
 		}
-		r.d.raiseGuard(l, r.d.now-10*time.Second, false)
-		return r.d.guardBudget(l)
+		r.d.beginSlowStart(l, r.d.now-10*time.Second, false)
+		return r.d.slowStartBudget(l)
 	}
 	if few, much := budget(3, 2*time.Second), budget(3, 100*ms); few != much {
 		t.Errorf("three couriers: a budget of %v with little traffic, %v with much", few, much)
@@ -110,7 +110,7 @@
 	for range 72 {
 		all += budget(80, 72*time.Second*10/175)
 	}
-	if most := s.OverloadFactor * s.ColdFrom * roughMargin * 50 * s.TipAfter.Seconds(); all > most || all < 0.7*most {
+	if most := s.OverloadFactor * s.ColdFrom * roughHintMargin * 50 * s.TipAfter.Seconds(); all > most || all < 0.7*most {
 		t.Errorf("eighty couriers: %v calls in a span together, of a budget of %v", all, most)
 	}
 }
@@ -119,7 +119,7 @@
 // destination and paces itself from there on. A few send as many as the rate allows in one go.
 func TestANewLifeAmongMany(t *testing.T) {
 	for couriers, want := range map[int]int{3: 2, 80: 1} { // two is the cap of eight slots
-		r := newRig(t, fleetSettings(couriers))
+		r := newHarness(t, fleetSettings(couriers))
 		for range 5 {
 			r.submit("safe", 1, 0)
 		}
@@ -141,7 +141,7 @@
 		{Endpoint: "a", Zone: "z0", Destination: 1, Kind: "shared", CapacityHint: 50},
 		{Endpoint: "b", Zone: "z1", Destination: 1, Kind: "shared", CapacityHint: 50},
 	}
-	next := func(r *rig, class string) EndpointID {
+	next := func(r *harness, class string) EndpointID {
 		r.sends = nil
 		r.submit(class, 1, 0)
 		to := r.last().Endpoint
@@ -150,8 +150,8 @@
 		return to
 	}
 	for _, due := range []bool{false, true} {
-		r := newRig(t, s, entries...)
-		r.d.dests[1].lanes[0].pace = 3 // as its calls were before it went down
+		r := newHarness(t, s, entries...)
+		r.d.destinations[1].circuits[0].latencyFactor = 3 // as its calls were before it went down
 		for range 5 {
 			if to := next(r, "safe"); to != "b" {
 				t.Fatalf("due %v: the slower lane is gone to as it is: %s", due, to)
--- a/learned_test.go
+++ b/learned_test.go
@@ -173,7 +173,7 @@
 // What others tell is heeded beside what is seen: a wait, a limit until it lapses or one of its own is told, care at an outage.
 func TestHearsOthers(t *testing.T) {
 	r := newLife(t, nil, "a")
-	l := r.d.dests[1].lanes[0]
+	l := r.d.destinations[1].circuits[0]
 	hear := func(f LearnedCircuit) {
 		f.Destination = 1
 		r.d.ApplyObservations(r.now, []LearnedCircuit{f})
@@ -186,24 +186,24 @@
 	if l.waitUntil != r.now+5*time.Second {
 		t.Errorf("a shorter wait took it back: %v", l.waitUntil)
 	}
-	base := r.d.base(l)
+	base := r.d.capacity(l)
 	hear(LearnedCircuit{Limit: 2 * base, Trust: 0.5, GuardFrom: -1})
-	if want := 1.5 * base; l.x1 != want {
-		t.Errorf("limit %v, want %v", l.x1, want)
+	if want := 1.5 * base; l.reportedLimit != want {
+		t.Errorf("limit %v, want %v", l.reportedLimit, want)
 	}
 	hear(LearnedCircuit{Limit: 1e6, Trust: 1, GuardFrom: -1})
-	if l.x1 != hearFactor*base {
-		t.Errorf("limit %v of %v", l.x1, base)
+	if l.reportedLimit != maxPeerLimitFactor*base {
+		t.Errorf("limit %v of %v", l.reportedLimit, base)
 	}
-	if hear(LearnedCircuit{GuardFrom: -1}); l.x1 != 0 {
-		t.Errorf("limit %v when it has lapsed", l.x1)
+	if hear(LearnedCircuit{GuardFrom: -1}); l.reportedLimit != 0 {
+		t.Errorf("limit %v when it has lapsed", l.reportedLimit)
 	}
-	l.x1 = 33
-	if hear(LearnedCircuit{Limit: 99, Trust: 1, GuardFrom: -1}); l.x1 != 33 {
-		t.Errorf("its own limit became %v", l.x1)
+	l.reportedLimit = 33
+	if hear(LearnedCircuit{Limit: 99, Trust: 1, GuardFrom: -1}); l.reportedLimit != 33 {
+		t.Errorf("its own limit became %v", l.reportedLimit)
 	}
 	hear(LearnedCircuit{Guard: true, GuardSince: 3 * time.Second, GuardFrom: time.Second})
-	if !l.guard || l.guardFrom != max(0, r.now-time.Second) {
-		t.Errorf("guard %v since its return at %v", l.guard, l.guardFrom)
+	if !l.slowStart || l.recoveredAt != max(0, r.now-time.Second) {
+		t.Errorf("guard %v since its return at %v", l.slowStart, l.recoveredAt)
 	}
 }
--- a/lives_test.go
+++ b/lives_test.go
@@ -32,7 +32,7 @@
 		case "unsafe late":
 			c.class, left = "unsafe", 0
 		}
-		r := newRig(t, testSettings())
+		r := newHarness(t, testSettings())
 		sends := r.do(Submit{ID: 9, Class: c.class, Destination: 1, TimeLeft: left, Attempts: c.attempts, MayHaveRun: c.ran})
 		if got := r.ended(9); got != c.ends || len(sends) != c.sends {
 			t.Errorf("%s: ended %q with %d sends, want %q with %d", name, got, len(sends), c.ends, c.sends)
@@ -42,7 +42,7 @@
 		}
 		r.sent[9] += c.attempts
 		r.answer(sends[0], Refused, 0)
-		if r.d.msgs[9].call != nil {
+		if r.d.messages[9].call != nil {
 			t.Errorf("%s: the answer to attempt %d was not known", name, c.attempts)
 		}
 	}
@@ -50,7 +50,7 @@
 
 // Before a life ends nothing begins that may be out then, an unsafe message first of all, and no call lasts past it.
 func TestClosingKeepsCallsInsideThisLife(t *testing.T) {
-	r := newRig(t, testSettings())
+	r := newHarness(t, testSettings())
 	r.do(Shutdown{In: time.Second})
 	r.submit("unsafe", 1, 0) // taken to last 450 ms: four times that is too long
 	if len(r.sends) != 0 {
@@ -72,9 +72,9 @@
 func TestEveryRefusalTellsWhenToComeBack(t *testing.T) {
 	s := testSettings()
 	s.MaxAttempts, s.MaxRetryAfter = 1, 2*time.Second
-	r := newRig(t, s)
+	r := newHarness(t, s)
 	id := r.submit("keyed", 1, 0)
-	r.d.dests[1].lanes[0].waitUntil = r.now + 30*time.Second
+	r.d.destinations[1].circuits[0].waitUntil = r.now + 30*time.Second
 	r.now += 3500 * ms
 	r.answer(r.last(), TimedOut, 0)
 	if got := r.ended(id); got != "refuse" {
@@ -87,7 +87,7 @@
 
 // An endpoint that the list moves to another destination serves that one, and the old one no more.
 func TestEndpointMovesToAnotherDestination(t *testing.T) {
-	r := newRig(t, testSettings())
+	r := newHarness(t, testSettings())
 	r.submit("safe", 1, 0)
 	r.do(EndpointUpdate{Scope: ListChanges, Entries: []Entry{{Endpoint: "a", Destination: 2, CapacityHint: 50}}})
 	r.answer(r.last(), OK, 0) // a call from before the move
@@ -101,16 +101,16 @@
 // What a restart finds taken on and untried is tried: a full hold gives up what came later, and neither a breaker nor a guard
 // that a fresh life raises ends it before its time. A told wait to the end does, at once.
 func TestWhatARestartFindsUntriedIsTried(t *testing.T) {
-	resumed := func(r *rig, n int) {
+	resumed := func(r *harness, n int) {
 		for range n {
 			r.next++
 			r.do(Submit{ID: r.next, Class: "safe", Destination: 1, TimeLeft: 5 * time.Second, Resumed: true})
 		}
 	}
-	full := func() *rig {
+	full := func() *harness {
 		s := testSettings()
 		s.MostHeld, s.Slots = 10, 1
-		return newRig(t, s)
+		return newHarness(t, s)
 	}
 	r := full()
 	resumed(r, 9) // one goes out, eight wait
@@ -128,9 +128,9 @@
 
 	r = full()
 	resumed(r, 3)
-	l := r.d.dests[1].lanes[0]
-	l.guard, l.guardFrom, l.guardSince, l.lastSend = true, -1, r.now-10*time.Second, r.now
-	l.state, l.openUntil, l.hint = open, r.now+10*time.Second, 0.01
+	l := r.d.destinations[1].circuits[0]
+	l.slowStart, l.recoveredAt, l.outageSince, l.lastSend = true, -1, r.now-10*time.Second, r.now
+	l.state, l.openUntil, l.capacityHint = open, r.now+10*time.Second, 0.01
 	r.answer(r.last(), Failed, 0)
 	fresh := r.submit("safe", 1, 0)
 	if got := r.ended(fresh); got != "refuse" {
--- a/long_test.go
+++ b/long_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-func longRig(t *testing.T) *rig {
+func longRig(t *testing.T) *harness {
 	t.Helper()
 	s := testSettings()
 	s.LongSlots = 2
-	return newRig(t, s)
+	return newHarness(t, s)
 }
 
 // long hands a long message in and wants it sent at once.
-func (r *rig) long(class string, left time.Duration) Send {
+func (r *harness) long(class string, left time.Duration) Send {
 	r.t.Helper()
 	r.next++
 	sends := r.do(Submit{ID: r.next, Class: class, Destination: 1, TimeLeft: left, Long: true})
@@ -31,17 +31,17 @@
 		r.submit("unsafe", 1, 0)
 		r.settle(always(OK))
 	}
-	l := r.d.dests[1].lanes[0]
-	pace, limit, mean := l.pace, l.cap, r.d.classes["unsafe"].mean
+	l := r.d.destinations[1].circuits[0]
+	pace, limit, mean := l.latencyFactor, l.callLimit, r.d.classes["unsafe"].meanSec
 	s := r.long("unsafe", 30*time.Minute)
 	if got := s.CutAt - r.now; got != 30*time.Minute {
 		t.Errorf("cut after %v", got)
 	}
 	r.pass(5 * time.Minute)
 	r.do(Answer{ID: s.ID, Endpoint: s.Endpoint, Outcome: OK, Latency: 5 * time.Minute, Settled: true})
-	if l.pace != pace || l.cap != limit || r.d.classes["unsafe"].mean != mean || l.state != closed || len(r.logs) > 0 {
-		t.Errorf("pace %v to %v, cap %v to %v, mean %v to %v, %s, %v", pace, l.pace, limit, l.cap, mean,
-			r.d.classes["unsafe"].mean, stateNames[l.state], r.logs)
+	if l.latencyFactor != pace || l.callLimit != limit || r.d.classes["unsafe"].meanSec != mean || l.state != closed || len(r.logs) > 0 {
+		t.Errorf("pace %v to %v, cap %v to %v, mean %v to %v, %s, %v", pace, l.latencyFactor, limit, l.callLimit, mean,
+			r.d.classes["unsafe"].meanSec, stateNames[l.state], r.logs)
 	}
 }
 
@@ -71,14 +71,14 @@
 // The breaker counts long calls fairly: endpoints' failures as any, what clients did not at all.
 func TestBreakerAndLongCalls(t *testing.T) {
 	r := longRig(t)
-	l := r.d.dests[1].lanes[0]
+	l := r.d.destinations[1].circuits[0]
 	for range 30 {
 		s := r.long("safe", time.Minute)
 		r.do(Answer{ID: s.ID, Endpoint: s.Endpoint, Outcome: Cancelled, Latency: time.Second, BodyConsumed: true})
 		r.pass(500 * ms)
 	}
-	if ep := r.d.eps["a"]; len(ep.bad) > 0 || ep.run > 0 {
-		t.Errorf("what clients did is held against their endpoint: %v, run %d", ep.bad, ep.run)
+	if ep := r.d.endpoints["a"]; len(ep.classFailures) > 0 || ep.consecFailures > 0 {
+		t.Errorf("what clients did is held against their endpoint: %v, run %d", ep.classFailures, ep.consecFailures)
 	}
 	if l.state != closed || len(l.window) != 0 {
 		t.Errorf("%s after clients went away, window %v", stateNames[l.state], l.window)
@@ -100,9 +100,9 @@
 // close the breaker.
 func TestLongTrials(t *testing.T) {
 	r := longRig(t)
-	l := r.d.dests[1].lanes[0]
+	l := r.d.destinations[1].circuits[0]
 	r.d.trip(l, "test")
-	l.guard = false
+	l.slowStart = false
 	a, b := r.next+1, r.next+2
 	r.next = b
 	r.do(Submit{ID: a, Class: "safe", Destination: 1, TimeLeft: time.Minute, Long: true},
@@ -119,8 +119,8 @@
 	if len(r.sends) != 2 {
 		t.Errorf("%d sends: a short trial waits for a long one", len(r.sends))
 	}
-	for range trialsClose {
-		l.guard = false
+	for range trialsToClose {
+		l.slowStart = false
 		r.answer(r.last(), OK, 0)
 		r.submit("safe", 1, 0)
 		r.pass(time.Second)
--- a/mulleinbeam.go
+++ b/mulleinbeam.go
@@ -1,11 +1,11 @@
-// Package mulleinbeam decides what an outbound gateway's couriers do with the
-// messages they take: when each is sent, to which endpoint, how long it may
-// wait, and when it is given up.
+// Package mulleinbeam makes the decisions of a forwarder of messages: when each
+// message is sent, to which endpoint, how long it may wait, and when it is
+// abandoned.
 //
-// A courier feeds a [Decider] everything it observes as events and performs
-// the actions that come back. The package keeps no clock, starts no
-// goroutines and does no input or output, so equal events give equal actions.
-// This file is the interface; every decision is in decide.go.
+// A forwarder passes everything that it observes to a [Decider] as events and
+// performs the actions that are returned. The package reads no clock, starts no
+// goroutines and does no I/O, so equal events give equal actions. This file is
+// the interface; the decisions are in decide.go.
 package mulleinbeam
 
 import (
@@ -17,83 +17,83 @@
 	"time"
 )
 
-// MessageID names one message; it is never used twice.
+// MessageID identifies a message; it is never reused.
 type MessageID uint64
 
-// EndpointID names one endpoint of a destination.
+// EndpointID identifies an endpoint of a destination.
 type EndpointID string
 
-// DestinationID numbers a destination.
+// DestinationID identifies a destination.
 type DestinationID int64
 
-// OrderKey is the key by which messages of an ordered class take turns; zero is none.
+// OrderKey is the key within which messages of an ordered class are delivered in order; zero is none.
 type OrderKey uint64
 
-// Effect says what repeating a message of a class can do.
+// Effect says what happens if a message of a class is delivered repeatedly.
 type Effect int
 
-// The effects a class may have.
+// The effects of a class.
 const (
-	Safe   Effect = iota // may be repeated at will
-	Keyed                // repeats are dropped within KeyTTL
+	Safe   Effect = iota // may be repeated at any time
+	Keyed                // the destination drops repeats within KeyTTL
 	Unsafe               // must never take effect twice
 )
 
-// Decay says how the worth of a message falls after its aim.
+// Decay says how the worth of a message falls after its class's target.
 type Decay int
 
-// The ways in which worth falls.
+// The kinds of decay.
 const (
-	DecayLinear      Decay = iota // evenly, down to LateWorth at the deadline
-	DecayExponential              // by half with each further aim, not under LateWorth
+	DecayLinear      Decay = iota // linearly, to LateWorth at the deadline
+	DecayExponential              // halved with each further target, but not below LateWorth
 )
 
 // Class describes one class of messages.
 type Class struct {
 	Name            string
-	Target          time.Duration // delivered within this, a message earns its full worth
-	DeliveryTimeout time.Duration // the deadline, from when it was first handed in
+	Target          time.Duration // a message delivered within this has its full worth
+	DeliveryTimeout time.Duration // the deadline, from the first submission
 	Worth           float64
-	LateWorth       float64 // share of the worth left at the deadline
+	LateWorth       float64 // share of the worth that is left at the deadline
 	Effect          Effect
-	SameZoneOnly    bool          // repeats are dropped only by endpoints in the first one's zone
-	KeyTTL          time.Duration // how long a keyed message's destination drops repeats
-	InOrder         bool          // messages with one key go one at a time, in order
+	SameZoneOnly    bool          // repeats are dropped only by endpoints in the zone of the first attempt
+	KeyTTL          time.Duration // how long a destination drops repeats of a keyed message
+	InOrder         bool          // messages with the same key are delivered one at a time, in order
 }
 
 // Tenant is a client with a share of the service.
 type Tenant struct {
 	Name          string
-	AllowancePerS float64 // messages a second within its share, over all couriers
+	AllowancePerS float64 // messages a second within its share, over all forwarders
 }
 
-// Settings is all that a courier is told at its start.
+// Settings holds the configuration of a forwarder.
 type Settings struct {
-	Forwarders     int // how many couriers serve side by side, this one included
+	Forwarders     int // number of forwarders side by side, this one included
 	Slots          int // calls out at once
-	LongSlots      int // calls out with long messages, beside Slots; see Submit.Long
+	LongSlots      int // calls with long messages out at once, beside Slots; see Submit.Long
 	MostHeld       int // messages held at once, sent or not
 	MaxAttempts    int
 	Classes        []Class
 	Decay          Decay
 	Tenants        []Tenant
-	OverShareWorth float64         // worth of what exceeds a tenant's share, as a fraction
-	SeparateRoutes map[string]bool // by kind: each endpoint is a route with limit and outages of its own
-	SeparateZones  bool            // a destination's endpoints in each zone have limit and outages of their own; a told wait binds all
-	// BatchByKind says by kind how many messages may share a call; see Send. Kinds that are missing, or below one,
+	OverShareWorth float64         // factor on the worth of messages beyond a tenant's share
+	SeparateRoutes map[string]bool // by kind: each endpoint is a circuit of its own
+	SeparateZones  bool            // the endpoints in each zone are a circuit; a Retry-After still applies to all zones
+	// BatchByKind is how many messages may share a call, by kind; see Send. Kinds that are missing or below one
 	// send each message in a call of its own.
 	BatchByKind        map[string]int
 	ZoneFee            map[string]float64
-	UseCapacityHints   bool // capacity hints say something
-	RoughCapacityHints bool // and may be up to half too high or too low
+	UseCapacityHints   bool // the capacity hints of the list can be used
+	RoughCapacityHints bool // the hints may be up to half too high or too low
 	MayProbe           bool
 	MayCancel          bool
 	SendRetryAfter     bool
 	MaxRetryAfter      time.Duration
-	MustSubscribe      bool // the list of endpoints comes only when asked for
+	MustSubscribe      bool // the list of endpoints has to be subscribed to
 	SubscribeWithin    time.Duration
 	KeepAlive          time.Duration // idle connections close after this
-	ConnectTimeout     time.Duration // a connection that is not there after this is given up
+	ConnectTimeout     time.Duration // a connect that takes longer fails
 	AnswerSlack        time.Duration
 	DrainGrace         time.Duration
 	TurnGap            time.Duration
@@ -103,15 +103,15 @@
 	WarmWithin         time.Duration
 }
 
-// ErrSettings is wrapped by every error about settings.
+// ErrSettings is wrapped by all errors about settings.
 var ErrSettings = errors.New("mulleinbeam: settings")
 
-// Validate reports, by name, a setting that can't be used.
+// Validate returns an error that names an unusable setting.
 func (s Settings) Validate() error {
 	bad := func(what string) error { return fmt.Errorf("%w: %s", ErrSettings, what) }
 	switch {
 	case s.Forwarders < 1:
-		return bad("Couriers must be at least 1")
+		return bad("Forwarders must be at least 1")
 	case s.Slots < 1:
 		return bad("Slots must be at least 1")
 	case s.MostHeld < 1:
@@ -131,7 +131,7 @@
 		case names[c.Name]:
 			return bad(fmt.Sprintf("class %q is named twice", c.Name))
 		case c.DeliveryTimeout <= 0 || c.Target <= 0:
-			return bad(fmt.Sprintf("class %q needs Target and GiveUp", c.Name))
+			return bad(fmt.Sprintf("class %q needs Target and DeliveryTimeout (give-up)", c.Name))
 		case c.Effect < Safe || c.Effect > Unsafe:
 			return bad(fmt.Sprintf("class %q has no known Effect", c.Name))
 		case c.Effect == Keyed && c.KeyTTL <= 0:
@@ -163,7 +163,7 @@
 		name string
 		d    time.Duration
 	}{
-		{"MaxRetryAfter", s.MaxRetryAfter}, {"AskWithin", s.SubscribeWithin}, {"KeepAlive", s.KeepAlive},
+		{"MaxRetryAfter", s.MaxRetryAfter}, {"SubscribeWithin", s.SubscribeWithin}, {"KeepAlive", s.KeepAlive},
 		{"ConnectTimeout", s.ConnectTimeout},
 		{"AnswerSlack", s.AnswerSlack}, {"DrainGrace", s.DrainGrace}, {"TurnGap", s.TurnGap},
 		{"TipAfter", s.TipAfter}, {"WarmWithin", s.WarmWithin},
@@ -183,26 +183,26 @@
 	return nil
 }
 
-// Readiness is what the list says of an endpoint; it tells nothing of health.
+// Readiness is the state of an endpoint on the list; it says nothing about its health.
 type Readiness int
 
-// The states an endpoint is listed in.
+// The states of a listed endpoint.
 const (
 	Serving Readiness = iota
 	Draining
 	Deleted
 )
 
-// Entry is one line of the list of endpoints.
+// Entry describes an endpoint on the list.
 type Entry struct {
 	Endpoint     EndpointID
 	Zone         string
 	Kind         string
 	Destination  DestinationID
 	Readiness    Readiness
-	CapacityHint float64 // calls a second taken from all couriers together
-	// TryNext says that it has to be found out how the endpoint stands: the next call of its destination goes there as soon as its lane admits one,
-	// however much faster others look. It counts for all endpoints of a lane alike; see Settings.SeparatePlaces.
+	CapacityHint float64 // calls a second from all forwarders together
+	// TryNext requests a call that shows the endpoint's state: the next call of its destination goes there as soon as its
+	// circuit admits one, however much faster others are. It applies to the whole circuit; see Settings.SeparateZones.
 	TryNext bool
 }
 
@@ -213,46 +213,46 @@
 const (
 	OK            Outcome = iota
 	Failed                // an error answer; it may have taken effect
-	Refused               // turned away unseen (never ran)
+	Refused               // rejected unread (never ran)
 	TimedOut              // no answer in time
 	ConnectFailed         // no connection in time (never ran)
 	Reset                 // the connection broke
-	Cancelled             // called off; of a long message also cut by its client, which is no endpoint's doing
-	NotSent               // not sent at all (never ran)
+	Cancelled             // by a Cancel action, or for a long message by its client; no evidence about the endpoint
+	NotSent               // never sent (never ran)
 )
 
-// Event is something a courier observed: one of the types below.
+// Event is something that a forwarder observed: one of the types below.
 type Event interface{ isEvent() }
 
-// Submit hands in a new message.
+// Submit adds a new message.
 type Submit struct {
 	ID          MessageID
 	Class       string
 	Tenant      string
 	Key         OrderKey
-	TimeLeft    time.Duration // how long it may still be delivered
+	TimeLeft    time.Duration // until its deadline
 	Destination DestinationID
-	// Resumed marks a message that an earlier life of this forwarder took on: one that it had not tried is tried in this one.
+	// Resumed marks a message that an earlier process of this forwarder accepted; if that made no attempt, this one does.
 	Resumed bool
-	// The attempts that life has made, and the first of them that may have taken effect, if one may. Attempts are numbered on
-	// from these.
+	// Attempts is how many attempts were made before, and MayHaveRun the first that may have taken effect. Numbers of
+	// attempts continue from there.
 	Attempts   int
 	MayHaveRun *PriorAttempt
-	// Long marks a message whose body is passed on as it comes. Its calls take none of Slots but one of LongSlots, and how
-	// long they take is no endpoint's doing. It waits for a call for as long as its class lets a message live, and a call
-	// of it may last until Left is over.
+	// Long marks a message whose body is streamed. Its calls take one of LongSlots instead of Slots, and their latency
+	// says nothing about the endpoint. It waits for a call for up to its class's delivery timeout, and the call may last
+	// until TimeLeft is over.
 	Long bool
-	// BodyConsumed marks a long message whose body is gone, so that no attempt of it can begin: it ends at once.
+	// BodyConsumed marks a long message whose body can't be sent again: it ends at once.
 	BodyConsumed bool
 }
 
-// PriorAttempt is an attempt of an earlier life that may have taken effect.
+// PriorAttempt is an attempt by an earlier process that may have taken effect.
 type PriorAttempt struct {
-	SentAgo time.Duration // since it was sent
-	Zone    string        // its endpoint's
+	SentAgo time.Duration // time since it was sent
+	Zone    string        // zone of its endpoint
 }
 
-// Shutdown says that this courier's life ends soon: from then on no call may be out.
+// Shutdown announces that the process ends: no call may be out after In.
 type Shutdown struct{ In time.Duration }
 
 // Answer reports the end of an attempt.
@@ -263,22 +263,22 @@
 	Outcome      Outcome
 	Latency      time.Duration
 	Settled      bool          // the message has had its final answer
-	RetryAfter   time.Duration // with Full: the wait told, zero if none
-	Limit        *LimitReport  // what the endpoint told of its limit, if anything
-	ReusedConn   bool          // it went on a connection that had carried a call before
-	BodyConsumed bool          // of a long message: its body is gone, and no further attempt can begin
+	RetryAfter   time.Duration // with Refused; zero if none
+	Limit        *LimitReport  // reported by the endpoint; nil if none
+	ReusedConn   bool          // the connection had carried an earlier call
+	BodyConsumed bool          // of a long message: its body can't be sent again, so there is no further attempt
 }
 
-// LimitReport is what an endpoint tells of its limit.
+// LimitReport is an endpoint's report of its rate limit.
 type LimitReport struct {
 	Remaining float64 // share of the limit that is left
 	Rate      float64 // the limit in calls a second; zero is none
 }
 
-// MessageCancelled says that nobody wants a message any more.
+// MessageCancelled says that the client no longer wants a message delivered.
 type MessageCancelled struct{ ID MessageID }
 
-// Timer is a wake-up asked for by SetTimer.
+// Timer reports that a SetTimer has expired.
 type Timer struct{ Cookie uint64 }
 
 // Probed reports the end of a probe.
@@ -289,18 +289,18 @@
 	Limit    *LimitReport
 }
 
-// ListScope says what a Members event holds.
+// ListScope says what an EndpointUpdate holds.
 type ListScope int
 
 // The scopes of a list.
 const (
 	ListChanges ListScope = iota // changed entries only
-	ListWhole                    // everything; what is missing is gone
-	ListSaved                    // the list as last held, perhaps stale
-	ListError                    // asking failed; the list held stands
+	ListWhole                    // all entries; endpoints that are missing are removed
+	ListSaved                    // the list as last stored, perhaps outdated
+	ListError                    // the subscription failed; the present list remains
 )
 
-// EndpointUpdate is what the registry tells of the endpoints.
+// EndpointUpdate brings entries of the list of endpoints, from discovery.
 type EndpointUpdate struct {
 	Scope   ListScope
 	Entries []Entry
@@ -314,15 +314,15 @@
 func (EndpointUpdate) isEvent()   {}
 func (Shutdown) isEvent()         {}
 
-// Action is something the courier is to do: one of the types below.
+// Action is something that the forwarder has to do: one of the types below.
 type Action interface{ isAction() }
 
-// Send calls an endpoint with a message; the attempt is abandoned at CutAt (zero: at the deadline). Where its first byte
-// waits for a connection, Decider.MayBegin is asked just before it; a call that may not begin is Moot.
+// Send calls an endpoint with a message; the attempt ends at CutAt (zero: at the deadline). If the call has to wait for
+// a connection, call Decider.MayBegin just before its first byte; a call that may not begin is NotSent.
 //
-// The Sends of one Handle to the same endpoint are one call, in their order up to what BatchByKind allows for its
-// kind, further ones the next call. A call takes one of Settings.Slots until all its messages are answered, counts once
-// at the destination and has one fate, which an Answer for each message tells.
+// Sends to one endpoint from one Handle share a call, in their order and up to BatchByKind messages of its kind;
+// further ones share the next call. A call takes one of Settings.Slots until all its messages have an answer, counts
+// once at the destination and has one outcome, which an Answer for each message reports.
 type Send struct {
 	ID            MessageID
 	Endpoint      EndpointID
@@ -330,16 +330,16 @@
 	NewConnection bool // on a new connection
 }
 
-// Refuse ends a message; the client may safely try again, after RetryAfter if that is set.
+// Refuse ends a message; the client may safely try again, after RetryAfter if set.
 type Refuse struct {
 	ID         MessageID
 	RetryAfter time.Duration
 }
 
-// Fail ends a message with no promise about its effect.
+// Fail ends a message; it may or may not have taken effect.
 type Fail struct{ ID MessageID }
 
-// Cancel stops waiting for an attempt.
+// Cancel aborts an attempt.
 type Cancel struct {
 	ID      MessageID
 	Attempt int
@@ -348,19 +348,19 @@
 // Probe checks an endpoint; the destination counts it as a call.
 type Probe struct{ Endpoint EndpointID }
 
-// CloseIdle closes this courier's idle connections to an endpoint.
+// CloseIdle closes this forwarder's idle connections to an endpoint.
 type CloseIdle struct{ Endpoint EndpointID }
 
-// Subscribe asks for the list of endpoints and its changes from now on.
+// Subscribe requests the list of endpoints and its changes from now on.
 type Subscribe struct{}
 
-// SetTimer asks for a Timer event after a delay.
+// SetTimer requests a Timer event after a delay.
 type SetTimer struct {
 	After  time.Duration
 	Cookie uint64
 }
 
-// Log is a line for the operators.
+// Log is a log line for operators.
 type Log struct{ Text string }
 
 func (Send) isAction()      {}
--- a/property_test.go
+++ b/property_test.go
@@ -471,8 +471,8 @@
 				}
 			}
 		}
-		if tamper == nil && d.longUsed != c.longOut {
-			c.breach("long slots: %d booked, %d calls out", d.longUsed, c.longOut)
+		if tamper == nil && d.longSlotsUsed != c.longOut {
+			c.breach("long slots: %d booked, %d calls out", d.longSlotsUsed, c.longOut)
 		}
 		if tamper == nil && d.slotsUsed != c.out {
 			c.breach("slots: %d booked, %d calls out", d.slotsUsed, c.out)
@@ -580,7 +580,7 @@
 // Fleets of odd sizes, and costs that are missing, zero or absurd, break no rule either: every message has its answer in its time,
 // nothing is divided by zero, and no wait is longer than a message lives.
 func TestOddFleetsBreakNoRule(t *testing.T) {
-	for _, couriers := range []int{1, manyCouriers, 300, 100_000} {
+	for _, couriers := range []int{1, largeFleetSize, 300, 100_000} {
 		for name, odd := range map[string]func(*Settings){
 			"as usual": func(*Settings) {},
 			"no costs": func(s *Settings) { s.ZoneFee = nil },
--- a/rules_test.go
+++ b/rules_test.go
@@ -30,7 +30,7 @@
 }
 
 // rig drives a decider by hand.
-type rig struct {
+type harness struct {
 	t     *testing.T
 	d     *Decider
 	now   time.Duration
@@ -43,15 +43,15 @@
 }
 
 // rigSeed is counted up by tests that put several rigs side by side.
-var rigSeed uint64 = 42
+var harnessSeed uint64 = 42
 
-func newRig(t *testing.T, s Settings, entries ...Entry) *rig {
+func newHarness(t *testing.T, s Settings, entries ...Entry) *harness {
 	t.Helper()
-	d, err := New(s, rigSeed)
+	d, err := New(s, harnessSeed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, d: d, now: time.Minute, sent: map[MessageID]int{}}
+	r := &harness{t: t, d: d, now: time.Minute, sent: map[MessageID]int{}}
 	if len(entries) == 0 {
 		entries = []Entry{{Endpoint: "a", Destination: 1, Kind: "shared", CapacityHint: 50}}
 	}
@@ -59,7 +59,7 @@
 	return r
 }
 
-func (r *rig) do(in ...Event) []Send {
+func (r *harness) do(in ...Event) []Send {
 	var sends []Send
 	for _, a := range r.d.Handle(r.now, in) {
 		switch a := a.(type) {
@@ -79,7 +79,7 @@
 }
 
 // pass lets time go by, with the heartbeat, and returns what was sent.
-func (r *rig) pass(d time.Duration) []Send {
+func (r *harness) pass(d time.Duration) []Send {
 	var sends []Send
 	for end := r.now + d; r.now < end; {
 		r.now += 5 * ms
@@ -91,10 +91,10 @@
 	return sends
 }
 
-func (r *rig) submit(class string, dest DestinationID, key OrderKey) MessageID {
+func (r *harness) submit(class string, dest DestinationID, key OrderKey) MessageID {
 	r.next++
 	left := time.Second
-	for _, c := range r.d.s.Classes {
+	for _, c := range r.d.cfg.Classes {
 		if c.Name == class {
 			left = c.DeliveryTimeout
 		}
@@ -103,7 +103,7 @@
 	return r.next
 }
 
-func (r *rig) answer(s Send, o Outcome, wait time.Duration) []Send {
+func (r *harness) answer(s Send, o Outcome, wait time.Duration) []Send {
 	return r.do(Answer{
 		ID: s.ID, Attempt: r.sent[s.ID] - 1, Endpoint: s.Endpoint, Outcome: o,
 		Latency: 50 * ms, RetryAfter: wait, Settled: o == OK,
@@ -111,7 +111,7 @@
 }
 
 // settle answers all that is out, first to last, with what outcome says.
-func (r *rig) settle(outcome func() Outcome) (sends []Send) {
+func (r *harness) settle(outcome func() Outcome) (sends []Send) {
 	for len(r.sends) > 0 {
 		s := r.sends[0]
 		r.sends = r.sends[1:]
@@ -123,7 +123,7 @@
 
 func always(o Outcome) func() Outcome { return func() Outcome { return o } }
 
-func (r *rig) last() Send {
+func (r *harness) last() Send {
 	r.t.Helper()
 	if len(r.sends) == 0 {
 		r.t.Fatal("nothing was sent")
@@ -132,7 +132,7 @@
 }
 
 // ended tells how a message was answered: "refuse", "fail" or "".
-func (r *rig) ended(id MessageID) string {
+func (r *harness) ended(id MessageID) string {
 	for _, a := range r.other {
 		if a == (Fail{ID: id}) {
 			return "fail"
@@ -145,7 +145,7 @@
 }
 
 func TestAnswerAtTheDeadline(t *testing.T) {
-	r := newRig(t, testSettings())
+	r := newHarness(t, testSettings())
 	held := r.submit("unsafe", 7, 0) // a destination with no endpoint
 	r.pass(20*time.Second - 100*ms)
 	if got := r.ended(held); got != "" {
@@ -176,7 +176,7 @@
 		{"unsafe", NotSent, true, ""}, {"safe", Failed, true, ""}, {"safe", TimedOut, true, ""},
 		{"keyed", Reset, true, ""}, {"keyed", Failed, true, ""},
 	} {
-		r := newRig(t, testSettings())
+		r := newHarness(t, testSettings())
 		id := r.submit(c.class, 1, 0)
 		r.answer(r.last(), c.o, 0)
 		r.pass(4 * time.Second)
@@ -189,13 +189,13 @@
 // What was decided when a call was sent is looked at again when its connection is there: a keyed repeat begins only inside
 // its window, any call only while an answer can be in time, and none to a destination that has told a wait meanwhile.
 func TestMayBegin(t *testing.T) {
-	begins := func(r *rig, s Send, until time.Duration) {
+	begins := func(r *harness, s Send, until time.Duration) {
 		t.Helper()
 		if !r.d.MayBegin(until-1, s.ID) || r.d.MayBegin(until, s.ID) {
 			t.Errorf("message %d does not begin until %v and no longer", s.ID, until)
 		}
 	}
-	r := newRig(t, testSettings())
+	r := newHarness(t, testSettings())
 	r.submit("keyed", 1, 0)
 	first, at := r.last(), r.now
 	begins(r, first, at+20*time.Second-60*ms)
@@ -207,7 +207,7 @@
 	}
 	begins(r, repeat, at+4500*ms)
 
-	r = newRig(t, testSettings())
+	r = newHarness(t, testSettings())
 	r.submit("safe", 1, 0)
 	told := r.last()
 	r.submit("safe", 1, 0)
@@ -232,7 +232,7 @@
 		{"keyed", 4900 * ms, false, "fail"}, // the key is forgotten before the client is back
 		{"zoned", 4900 * ms, false, "fail"},
 	} {
-		r := newRig(t, testSettings())
+		r := newHarness(t, testSettings())
 		id := r.submit(c.class, 1, 0)
 		s := r.last()
 		r.now += c.away
@@ -242,7 +242,7 @@
 			t.Errorf("%s after %v: resent %v, ended %q; want %v, %q", c.class, c.away, got, r.ended(id), c.resent, c.end)
 		}
 	}
-	r := newRig(t, testSettings(),
+	r := newHarness(t, testSettings(),
 		Entry{Endpoint: "a", Zone: "z1", Destination: 1, CapacityHint: 50},
 		Entry{Endpoint: "b", Zone: "z2", Destination: 1, CapacityHint: 50})
 	id := r.submit("zoned", 1, 0)
@@ -261,7 +261,7 @@
 
 func TestDrainsAreKeptAtOnce(t *testing.T) {
 	for _, state := range []Readiness{Draining, Deleted} {
-		r := newRig(t, testSettings())
+		r := newHarness(t, testSettings())
 		r.do(EndpointUpdate{Scope: ListChanges, Entries: []Entry{{Endpoint: "a", Destination: 1, Readiness: state}}})
 		r.submit("safe", 1, 0)
 		if sends := append(r.sends, r.pass(2*time.Second)...); len(sends) > 0 {
@@ -276,7 +276,7 @@
 }
 
 func TestEndpointVanishesWithACallOut(t *testing.T) {
-	r := newRig(t, testSettings())
+	r := newHarness(t, testSettings())
 	id := r.submit("keyed", 1, 0)
 	s := r.last()
 	r.do(EndpointUpdate{Scope: ListWhole})
@@ -290,10 +290,10 @@
 // A told wait holds in every breaker state, for the destination or for the route where routes are apart.
 func TestToldWaits(t *testing.T) {
 	for state := closed; state <= halfOpen; state++ {
-		r := newRig(t, testSettings())
+		r := newHarness(t, testSettings())
 		r.submit("safe", 1, 0)
 		s := r.last()
-		l := r.d.dests[1].lanes[0]
+		l := r.d.destinations[1].circuits[0]
 		l.state = state
 		r.answer(s, Refused, 1200*ms)
 		for range 5 {
@@ -309,7 +309,7 @@
 			t.Errorf("breaker %s: no send after the wait", stateNames[state])
 		}
 	}
-	r := newRig(t, testSettings(),
+	r := newHarness(t, testSettings(),
 		Entry{Endpoint: "a", Kind: "routes", Destination: 1, CapacityHint: 50},
 		Entry{Endpoint: "b", Kind: "routes", Destination: 1, CapacityHint: 50})
 	r.submit("safe", 1, 0)
@@ -323,7 +323,7 @@
 
 func TestOrderByKey(t *testing.T) {
 	for _, o := range []Outcome{TimedOut, Reset, Cancelled} {
-		r := newRig(t, testSettings())
+		r := newHarness(t, testSettings())
 		first, second := r.submit("ordered", 1, 9), r.submit("ordered", 1, 9)
 		if r.sent[second] > 0 {
 			t.Fatal("second message of the key sent beside the first")
@@ -347,8 +347,8 @@
 }
 
 func TestBreakerWalk(t *testing.T) {
-	r := newRig(t, testSettings())
-	l := r.d.dests[1].lanes[0]
+	r := newHarness(t, testSettings())
+	l := r.d.destinations[1].circuits[0]
 	failures := 0
 	for l.state == closed && failures < 30 {
 		r.submit("safe", 1, 0)
@@ -358,7 +358,7 @@
 	if l.state != open {
 		t.Fatalf("breaker is %s after %d failures", stateNames[l.state], failures)
 	}
-	if n := runLeast + runTrip; failures < n || failures > n+2 { // a call or two may be out when it opens
+	if n := minOutageRun + tripExtraFailures; failures < n || failures > n+2 { // a call or two may be out when it opens
 		t.Errorf("%d failures in a row to open, want about %d", failures, n)
 	}
 	sent := len(r.sends)
@@ -386,7 +386,7 @@
 	if l.state != closed {
 		t.Errorf("breaker is %s after successful trials", stateNames[l.state])
 	}
-	if text := strings.Join(r.logs, "\n"); !strings.Contains(text, "open (failures in a row)") || !strings.Contains(text, "closed") {
+	if text := strings.Join(r.logs, "\n"); !strings.Contains(text, "open (consecutive failures)") || !strings.Contains(text, "closed") {
 		t.Errorf("log lines miss the walk: %s", text)
 	}
 }
@@ -394,8 +394,8 @@
 // After failures the sends of any span stay inside the fail-back budget, and grow back within the warm-up.
 func TestFailBackBudget(t *testing.T) {
 	s := testSettings()
-	r := newRig(t, s)
-	for range runLeast + runTrip {
+	r := newHarness(t, s)
+	for range minOutageRun + tripExtraFailures {
 		r.submit("keyed", 1, 0)
 		r.settle(always(ConnectFailed))
 		r.now += 200 * ms
@@ -429,7 +429,7 @@
 
 // A full table of connections is no outage: single failed connects between successes leave the breaker closed.
 func TestFullConnectionTable(t *testing.T) {
-	r := newRig(t, testSettings())
+	r := newHarness(t, testSettings())
 	for i := range 30 {
 		r.submit("safe", 1, 0)
 		o := OK
@@ -439,7 +439,7 @@
 		r.answer(r.last(), o, 0)
 		r.pass(150 * ms)
 	}
-	if l := r.d.dests[1].lanes[0]; l.state != closed {
+	if l := r.d.destinations[1].circuits[0]; l.state != closed {
 		t.Errorf("breaker is %s", stateNames[l.state])
 	}
 	closes := 0
@@ -455,7 +455,7 @@
 
 // Connections that die while idle are told from a failing endpoint and closed before the next use.
 func TestDeadIdleConnections(t *testing.T) {
-	r := newRig(t, testSettings())
+	r := newHarness(t, testSettings())
 	resets := 0
 	for range 20 {
 		before := len(r.other)
@@ -479,14 +479,14 @@
 	if resets > 5 { // the first comes on a connection that is new
 		t.Errorf("%d resets before idle connections were closed", resets)
 	}
-	if l := r.d.dests[1].lanes[0]; l.state != closed {
+	if l := r.d.destinations[1].circuits[0]; l.state != closed {
 		t.Errorf("breaker is %s", stateNames[l.state])
 	}
 }
 
 // The same where dead connections swallow the call: others, sent later, are answered.
 func TestSilentlyDeadIdleConnections(t *testing.T) {
-	r := newRig(t, testSettings())
+	r := newHarness(t, testSettings())
 	for range 12 {
 		r.submit("keyed", 1, 0)
 		r.settle(always(OK))
@@ -506,8 +506,8 @@
 		r.pass(300 * ms)
 		r.settle(always(OK)) // its repeat
 	}
-	if r.d.idleBound == 0 || r.d.idleBound > 1500*ms {
-		t.Fatalf("bound of idle connections: %v", r.d.idleBound)
+	if r.d.idleLimit == 0 || r.d.idleLimit > 1500*ms {
+		t.Fatalf("bound of idle connections: %v", r.d.idleLimit)
 	}
 }
 
@@ -524,7 +524,7 @@
 				Endpoint: EndpointID(fmt.Sprint("e", i)), Destination: DestinationID(i), CapacityHint: 50,
 			})
 		}
-		r := newRig(t, testSettings(), entries...)
+		r := newHarness(t, testSettings(), entries...)
 		for _, after := range []Outcome{OK, TimedOut} { // first calls, then calls after a pause
 			for i := range 12 {
 				r.submit("unsafe", DestinationID(i), 0)
@@ -536,8 +536,8 @@
 				r.pass(150 * ms)
 			}
 		}
-		if got := r.d.idleBound > 0; got != c.found {
-			t.Errorf("other calls end with outcome %d: bound %v", c.others, r.d.idleBound)
+		if got := r.d.idleLimit > 0; got != c.found {
+			t.Errorf("other calls end with outcome %d: bound %v", c.others, r.d.idleLimit)
 		}
 	}
 }
@@ -546,7 +546,7 @@
 func TestStuckCallsAreCalledOff(t *testing.T) {
 	s := testSettings()
 	s.Slots = 2
-	r := newRig(t, s,
+	r := newHarness(t, s,
 		Entry{Endpoint: "a", Destination: 1, CapacityHint: 50}, Entry{Endpoint: "b", Destination: 2, CapacityHint: 50},
 		Entry{Endpoint: "c", Destination: 3, CapacityHint: 50})
 	r.submit("unsafe", 1, 0)
@@ -562,7 +562,7 @@
 }
 
 func TestRefusalsInABurstLeaveTheBreakerClosed(t *testing.T) {
-	r := newRig(t, testSettings())
+	r := newHarness(t, testSettings())
 	calls := 0
 	for range 200 {
 		r.submit("safe", 1, 0)
@@ -577,13 +577,13 @@
 	if calls < 20 {
 		t.Errorf("only %d calls", calls)
 	}
-	if l := r.d.dests[1].lanes[0]; l.state != closed {
+	if l := r.d.destinations[1].circuits[0]; l.state != closed {
 		t.Errorf("breaker is %s", stateNames[l.state])
 	}
 }
 
 func TestOneBadEndpointDoesNotCondemnTheRest(t *testing.T) {
-	r := newRig(t, testSettings(),
+	r := newHarness(t, testSettings(),
 		Entry{Endpoint: "a", Destination: 1, CapacityHint: 50}, Entry{Endpoint: "b", Destination: 1, CapacityHint: 50})
 	good := 0
 	for range 100 {
@@ -599,7 +599,7 @@
 		}
 		r.sends = nil
 	}
-	if l := r.d.dests[1].lanes[0]; l.state != closed || good < 80 {
+	if l := r.d.destinations[1].circuits[0]; l.state != closed || good < 80 {
 		t.Errorf("breaker is %s, %d delivered", stateNames[l.state], good)
 	}
 }
@@ -612,8 +612,8 @@
 		rounds int     // with both listed
 		clears bool
 	}{"alone to blame": {OK, 0, true}, "the other serves": {OK, 20, true}, "the other fails too": {ConnectFailed, 150, false}} {
-		r := newRig(t, testSettings())
-		l := r.d.dests[1].lanes[0]
+		r := newHarness(t, testSettings())
+		l := r.d.destinations[1].circuits[0]
 		fails := func(rounds int) {
 			for range rounds {
 				r.submit("safe", 1, 0)
@@ -630,14 +630,14 @@
 			}
 		}
 		fails(40)
-		if l.state == closed || !l.guard {
-			t.Fatalf("%s: breaker %s, guard %v with every connect refused", name, stateNames[l.state], l.guard)
+		if l.state == closed || !l.slowStart {
+			t.Fatalf("%s: breaker %s, guard %v with every connect refused", name, stateNames[l.state], l.slowStart)
 		}
 		r.do(EndpointUpdate{Scope: ListChanges, Entries: []Entry{{Endpoint: "b", Destination: 1, CapacityHint: 50}}})
 		fails(c.rounds)
 		r.do(EndpointUpdate{Scope: ListChanges, Entries: []Entry{{Endpoint: "a", Destination: 1, Readiness: Draining}}})
-		if (l.state == closed) != c.clears || l.guard == c.clears {
-			t.Errorf("%s: breaker %s, guard %v", name, stateNames[l.state], l.guard)
+		if (l.state == closed) != c.clears || l.slowStart == c.clears {
+			t.Errorf("%s: breaker %s, guard %v", name, stateNames[l.state], l.slowStart)
 		}
 	}
 }
@@ -645,7 +645,7 @@
 // Calls reset with connections that had carried others speak of no endpoint, and where that is common an unsafe message,
 // which a reset ends, goes on a new connection.
 func TestResetsOfKeptConnections(t *testing.T) {
-	r := newRig(t, testSettings())
+	r := newHarness(t, testSettings())
 	r.submit("unsafe", 1, 0)
 	if r.last().NewConnection {
 		t.Error("a new connection is asked for with nothing seen")
@@ -657,8 +657,8 @@
 		r.do(Answer{ID: s.ID, Attempt: r.sent[s.ID] - 1, Endpoint: s.Endpoint, Outcome: Reset, Latency: 50 * ms, ReusedConn: true})
 		r.do(MessageCancelled{ID: s.ID})
 	}
-	if l := r.d.dests[1].lanes[0]; l.state != closed || l.guard {
-		t.Errorf("breaker %s, guard %v", stateNames[l.state], l.guard)
+	if l := r.d.destinations[1].circuits[0]; l.state != closed || l.slowStart {
+		t.Errorf("breaker %s, guard %v", stateNames[l.state], l.slowStart)
 	}
 	for class, want := range map[string]bool{"safe": false, "keyed": false, "unsafe": true} {
 		r.submit(class, 1, 0)
@@ -678,33 +678,33 @@
 		guard bool
 	}{"soon": {ConnectFailed, 200 * ms, false}, "resets": {Reset, 200 * ms, false}, "late": {ConnectFailed, time.Second, true},
 		"errors": {Failed, 200 * ms, true}} {
-		r := newRig(t, testSettings())
-		l := r.d.dests[1].lanes[0]
+		r := newHarness(t, testSettings())
+		l := r.d.destinations[1].circuits[0]
 		for range 2 {
 			r.submit("keyed", 1, 0)
 			s := r.last()
 			r.answer(s, c.lost, 0)
 			r.do(MessageCancelled{ID: s.ID})
 		}
-		if !l.guard {
+		if !l.slowStart {
 			t.Fatalf("%s: no guard after two", name)
 		}
-		k := &call{ep: l.eps[0], class: r.d.classes["safe"], size: 1, sentAt: r.now}
+		k := &call{endpoint: l.endpoints[0], class: r.d.classes["safe"], size: 1, sentAt: r.now}
 		r.d.now = r.now + c.after
-		if r.d.learnOK(k, 50*ms); l.guard != c.guard {
-			t.Errorf("%s: guard %v", name, l.guard)
+		if r.d.onSuccess(k, 50*ms); l.slowStart != c.guard {
+			t.Errorf("%s: guard %v", name, l.slowStart)
 		}
 	}
 }
 
 func TestCapStaysUnderThreeQuarters(t *testing.T) {
-	r := newRig(t, testSettings())
+	r := newHarness(t, testSettings())
 	most := 0
 	for range 200 {
 		r.submit("safe", 1, 0)
 		r.submit("safe", 1, 0)
 		r.pass(20 * ms)
-		most = max(most, r.d.dests[1].inflight)
+		most = max(most, r.d.destinations[1].inflight)
 		if len(r.sends) > 1 {
 			s := r.sends[0]
 			r.sends = r.sends[1:]
@@ -717,7 +717,7 @@
 }
 
 func TestStrayEvents(t *testing.T) {
-	r := newRig(t, testSettings())
+	r := newHarness(t, testSettings())
 	id := r.submit("no such class", 1, 0)
 	s := r.last()
 	r.answer(s, OK, 0)
@@ -725,15 +725,15 @@
 		Answer{ID: id, Endpoint: "a", Outcome: OK}, Answer{ID: 999, Endpoint: "zz", Outcome: Refused, RetryAfter: time.Second},
 		MessageCancelled{ID: id}, MessageCancelled{ID: 12345}, Timer{Cookie: 77}, Probed{Endpoint: "zz", Outcome: OK}, Probed{Endpoint: "a"},
 	)
-	if len(r.d.msgs) != 0 || r.d.heldCount != 0 || r.d.slotsUsed != 0 {
-		t.Errorf("left over: %d messages, %d held, %d slots", len(r.d.msgs), r.d.heldCount, r.d.slotsUsed)
+	if len(r.d.messages) != 0 || r.d.heldCount != 0 || r.d.slotsUsed != 0 {
+		t.Errorf("left over: %d messages, %d held, %d slots", len(r.d.messages), r.d.heldCount, r.d.slotsUsed)
 	}
 }
 
 func TestAskingAgainBacksOff(t *testing.T) {
 	s := testSettings()
 	s.MustSubscribe, s.SubscribeWithin = true, 10*time.Second
-	r := newRig(t, s)
+	r := newHarness(t, s)
 	asked := func() (n int) {
 		for _, a := range r.other {
 			if _, ok := a.(Subscribe); ok {
@@ -751,7 +751,7 @@
 		for asked() == before && r.now < at+20*time.Second {
 			r.pass(5 * ms)
 		}
-		if asked() != before+1 || r.now-at < askFirst/2 {
+		if asked() != before+1 || r.now-at < subscribeRetryFirst/2 {
 			t.Errorf("asked again %d times after %v", asked()-before, r.now-at)
 		}
 	}
@@ -815,7 +815,7 @@
 
 // Nothing grows with the messages served.
 func TestMemoryIsBounded(t *testing.T) {
-	r := newRig(t, testSettings())
+	r := newHarness(t, testSettings())
 	for range 5000 {
 		r.submit("ordered", 1, OrderKey(r.next+1))
 		for _, s := range r.sends {
@@ -828,7 +828,7 @@
 		r.sends = nil
 	}
 	r.pass(25 * time.Second)
-	if n := len(r.d.msgs) + len(r.d.turns) + len(r.d.dests[1].held); n > 0 {
+	if n := len(r.d.messages) + len(r.d.keyQueues) + len(r.d.destinations[1].held); n > 0 {
 		t.Errorf("%d things remembered after all is served", n)
 	}
 }
@@ -839,7 +839,7 @@
 	for _, couriers := range []int{3, 60} {
 		s := testSettings()
 		s.Forwarders = couriers
-		r := newRig(t, s)
+		r := newHarness(t, s)
 		r.submit("safe", 1, 0)
 		r.answer(r.last(), OK, 0)
 		if len(r.other) > 0 {
@@ -865,13 +865,13 @@
 		const rate, load, outage = 60.0, 0.6, 12 * time.Second
 		s := testSettings()
 		s.Forwarders = n
-		var rigs []*rig
+		var rigs []*harness
 		for i := range n {
-			rigSeed = uint64(1000 + i)
-			rigs = append(rigs, newRig(t, s, Entry{Endpoint: "a", Destination: 1, CapacityHint: rate}))
+			harnessSeed = uint64(1000 + i)
+			rigs = append(rigs, newHarness(t, s, Entry{Endpoint: "a", Destination: 1, CapacityHint: rate}))
 		}
 		var at []time.Duration
-		rigSeed = 42
+		harnessSeed = 42
 		due, turn := 0.0, 0
 		for now := time.Duration(0); now < outage+8*time.Second; now += 20 * ms {
 			down := now > 2*time.Second && now < 2*time.Second+outage
@@ -893,7 +893,7 @@
 			}
 		}
 		slack := 1.1
-		if n < manyCouriers {
+		if n < largeFleetSize {
 			slack = 1.3
 		}
 		if len(at) == 0 {
@@ -919,8 +919,8 @@
 	s.Forwarders = 200
 	at := map[time.Duration]int{}
 	for i := range 200 {
-		rigSeed = uint64(i)
-		r := newRig(t, s)
+		harnessSeed = uint64(i)
+		r := newHarness(t, s)
 		r.submit("keyed", 1, 0)
 		r.answer(r.last(), Refused, 10*time.Second)
 		r.pass(10 * time.Second)
@@ -933,7 +933,7 @@
 		}
 		at[(r.now-before)/(500*ms)]++
 	}
-	rigSeed = 42
+	harnessSeed = 42
 	for span, n := range at {
 		if n > 60 && span < 16 {
 			t.Errorf("%d of 200 couriers called in the half second from %v after the wait", n, span*500*ms)
@@ -945,15 +945,15 @@
 func TestCouriersSpreadOverEndpoints(t *testing.T) {
 	first := 0
 	for i := range 100 {
-		rigSeed = uint64(i)
-		r := newRig(t, testSettings(), Entry{Endpoint: "a", Destination: 1, CapacityHint: 50},
+		harnessSeed = uint64(i)
+		r := newHarness(t, testSettings(), Entry{Endpoint: "a", Destination: 1, CapacityHint: 50},
 			Entry{Endpoint: "b", Destination: 1, CapacityHint: 50})
 		r.submit("safe", 1, 0)
 		if r.last().Endpoint == "a" {
 			first++
 		}
 	}
-	rigSeed = 42
+	harnessSeed = 42
 	if first < 25 || first > 75 {
 		t.Errorf("%d of 100 couriers chose the first endpoint", first)
 	}
--- a/shared_test.go
+++ b/shared_test.go
@@ -12,11 +12,11 @@
 }
 
 // together hands in messages of one class in one round and returns what was sent.
-func (r *rig) together(class string, n int) []Send {
+func (r *harness) together(class string, n int) []Send {
 	var in []Event
 	for range n {
 		r.next++
-		for _, c := range r.d.s.Classes {
+		for _, c := range r.d.cfg.Classes {
 			if c.Name == class {
 				in = append(in, Submit{ID: r.next, Class: class, Destination: 1, TimeLeft: c.DeliveryTimeout})
 			}
@@ -26,7 +26,7 @@
 }
 
 // answerAll answers sends in one round, as a shared call ends.
-func (r *rig) answerAll(sends []Send, o Outcome, wait time.Duration) []Send {
+func (r *harness) answerAll(sends []Send, o Outcome, wait time.Duration) []Send {
 	var in []Event
 	for _, s := range sends {
 		in = append(in, Answer{
@@ -42,16 +42,16 @@
 func TestMoreMessagesThanSlotsShareCalls(t *testing.T) {
 	s := sharedSettings(10)
 	s.Slots = 4
-	r := newRig(t, s)
+	r := newHarness(t, s)
 	if sends := r.together("safe", 10); len(sends) != 10 {
 		t.Fatalf("%d of 10 messages sent in one round with 4 slots", len(sends))
 	}
-	l := r.d.dests[1].lanes[0]
-	if r.d.slotsUsed != 1 || len(l.inflight) != 1 || r.d.dests[1].inflight != 1 {
+	l := r.d.destinations[1].circuits[0]
+	if r.d.slotsUsed != 1 || len(l.inflight) != 1 || r.d.destinations[1].inflight != 1 {
 		t.Errorf("one call of ten counts as %d slots, %d calls", r.d.slotsUsed, len(l.inflight))
 	}
-	if len(l.sends) != 1 || l.sends[0].weight <= 1 || l.sends[0].weight >= 10 {
-		t.Errorf("fail-back budget books %v", l.sends)
+	if len(l.recentCalls) != 1 || l.recentCalls[0].weight <= 1 || l.recentCalls[0].weight >= 10 {
+		t.Errorf("fail-back budget books %v", l.recentCalls)
 	}
 }
 
@@ -59,7 +59,7 @@
 func TestKindsThatShareNoCalls(t *testing.T) {
 	for _, batch := range []int{1, 0, -3} {
 		s := sharedSettings(batch)
-		r := newRig(t, s)
+		r := newHarness(t, s)
 		sends := r.together("safe", 10)
 		if len(sends) != r.d.slotsUsed || len(sends) < 1 || len(sends) > 6 {
 			t.Errorf("limit %d: %d sends in %d slots", batch, len(sends), r.d.slotsUsed)
@@ -69,10 +69,10 @@
 
 // A call has one fate and counts once, and each of its messages is tried again as its own class allows.
 func TestSharedCallHasOneFate(t *testing.T) {
-	r := newRig(t, sharedSettings(20))
+	r := newHarness(t, sharedSettings(20))
 	first := r.together("safe", 6)
 	r.answerAll(first, OK, 0)
-	l := r.d.dests[1].lanes[0]
+	l := r.d.destinations[1].circuits[0]
 	if len(l.window) != 1 {
 		t.Fatalf("%d outcomes booked for one call", len(l.window))
 	}
@@ -85,8 +85,8 @@
 		t.Fatalf("%d sends in %d slots", len(mixed), r.d.slotsUsed)
 	}
 	r.answerAll(mixed, Reset, 0)
-	if l.badRun != 1 || l.state != closed {
-		t.Errorf("one failed call counts as %d, breaker %s", l.badRun, stateNames[l.state])
+	if l.consecFailures != 1 || l.state != closed {
+		t.Errorf("one failed call counts as %d, breaker %s", l.consecFailures, stateNames[l.state])
 	}
 	r.pass(time.Second)
 	if r.sent[100] != 2 || r.sent[101] != 2 || r.sent[102] != 1 || r.ended(102) != "fail" {
@@ -99,7 +99,7 @@
 
 // Answers of a shared call out of order, doubled, or with one missing until later: the slot is free when all are in.
 func TestAnswersOfASharedCallOutOfOrder(t *testing.T) {
-	r := newRig(t, sharedSettings(20))
+	r := newHarness(t, sharedSettings(20))
 	sends := r.together("keyed", 4)
 	r.answer(sends[2], TimedOut, 0)
 	r.answer(sends[2], TimedOut, 0)
@@ -112,18 +112,18 @@
 	r.now += time.Second
 	r.answer(sends[3], OK, 0)
 	r.pass(time.Second)
-	if r.sent[sends[2].ID] != 2 || len(r.d.msgs) != 1 {
-		t.Errorf("the lost message was sent %d times, %d messages known", r.sent[sends[2].ID], len(r.d.msgs))
+	if r.sent[sends[2].ID] != 2 || len(r.d.messages) != 1 {
+		t.Errorf("the lost message was sent %d times, %d messages known", r.sent[sends[2].ID], len(r.d.messages))
 	}
 	r.answer(r.last(), OK, 0)
-	if r.d.slotsUsed != 0 || len(r.d.msgs) != 0 || r.d.heldCount != 0 {
-		t.Errorf("left over: %d slots, %d messages", r.d.slotsUsed, len(r.d.msgs))
+	if r.d.slotsUsed != 0 || len(r.d.messages) != 0 || r.d.heldCount != 0 {
+		t.Errorf("left over: %d slots, %d messages", r.d.slotsUsed, len(r.d.messages))
 	}
 }
 
 // Messages of one call are cut at their own deadlines, and the wait told with any of them holds.
 func TestSharedCallWithDifferentDeadlines(t *testing.T) {
-	r := newRig(t, sharedSettings(20))
+	r := newHarness(t, sharedSettings(20))
 	sends := r.do(Submit{ID: 1, Class: "safe", Destination: 1, TimeLeft: 700 * ms},
 		Submit{ID: 2, Class: "unsafe", Destination: 1, TimeLeft: 20 * time.Second},
 		Submit{ID: 3, Class: "safe", Destination: 1, TimeLeft: 6 * time.Second})
@@ -143,7 +143,7 @@
 
 // At a lane that refused of late, messages wait for others as long as that costs no worth, and no longer.
 func TestMessagesGatherAtALimitedLane(t *testing.T) {
-	r := newRig(t, sharedSettings(4))
+	r := newHarness(t, sharedSettings(4))
 	r.answerAll(r.together("keyed", 1), OK, 0)
 	if len(r.together("keyed", 1)) != 1 {
 		t.Fatal("gathered with no refusal seen")
@@ -168,7 +168,7 @@
 // A message is not sent again to the endpoint that failed it, nor others of its class for a while, where another
 // endpoint serves: the other classes' successes hide that one class fails there.
 func TestClassThatFailsAtOneEndpoint(t *testing.T) {
-	r := newRig(t, testSettings(),
+	r := newHarness(t, testSettings(),
 		Entry{Endpoint: "a", Destination: 1, CapacityHint: 50}, Entry{Endpoint: "b", Destination: 1, CapacityHint: 50})
 	lost := 0
 	for i := range 60 {
@@ -197,35 +197,35 @@
 	for name, c := range map[string]struct {
 		class string
 		left  time.Duration
-		spoil func(r *rig, s Send)
+		spoil func(r *harness, s Send)
 		want  string
 	}{
-		"attempts used up": {"safe", 6 * time.Second, func(r *rig, s Send) {
-			r.d.s.MaxAttempts = 1
+		"attempts used up": {"safe", 6 * time.Second, func(r *harness, s Send) {
+			r.d.cfg.MaxAttempts = 1
 			r.answer(s, Refused, 0)
 		}, "refuse"},
-		"unsafe message that may have run": {"unsafe", 20 * time.Second, func(r *rig, s Send) { r.answer(s, Reset, 0) }, "fail"},
-		"told wait past the deadline": {"safe", 6 * time.Second, func(r *rig, s Send) {
+		"unsafe message that may have run": {"unsafe", 20 * time.Second, func(r *harness, s Send) { r.answer(s, Reset, 0) }, "fail"},
+		"told wait past the deadline": {"safe", 6 * time.Second, func(r *harness, s Send) {
 			r.answer(s, Refused, 7*time.Second)
 		}, "refuse"},
-		"told wait past the key's life": {"keyed", 20 * time.Second, func(r *rig, s Send) {
+		"told wait past the key's life": {"keyed", 20 * time.Second, func(r *harness, s Send) {
 			r.answer(s, Failed, 0)
 			r.pass(time.Second)
 			r.answer(r.last(), Refused, 6*time.Second)
 		}, "refuse"},
-		"key forgotten": {"keyed", 20 * time.Second, func(r *rig, s Send) {
+		"key forgotten": {"keyed", 20 * time.Second, func(r *harness, s Send) {
 			r.now += 5 * time.Second
 			r.answer(s, TimedOut, 0)
 		}, "fail"},
-		"guard's gap past the deadline": {"safe", 6 * time.Second, func(r *rig, s Send) {
-			l := r.d.dests[1].lanes[0]
-			l.guard, l.guardFrom, l.guardSince, l.hint = true, -1, r.now-20*time.Second, 0.1
+		"guard's gap past the deadline": {"safe", 6 * time.Second, func(r *harness, s Send) {
+			l := r.d.destinations[1].circuits[0]
+			l.slowStart, l.recoveredAt, l.outageSince, l.capacityHint = true, -1, r.now-20*time.Second, 0.1
 			r.answer(s, Refused, 0)
 		}, "refuse"},
 	} {
 		s := testSettings()
 		s.SendRetryAfter, s.MaxRetryAfter = true, 2*time.Second
-		r := newRig(t, s)
+		r := newHarness(t, s)
 		r.do(Submit{ID: 77, Class: c.class, Destination: 1, TimeLeft: c.left})
 		c.spoil(r, r.last())
 		if got := r.ended(77); got != c.want {
@@ -247,10 +247,10 @@
 	}{{time.Second, "refuse"}, {3500 * ms, "fail"}} {
 		s := testSettings()
 		s.SendRetryAfter, s.MaxRetryAfter, s.MaxAttempts = true, 2*time.Second, 1
-		r := newRig(t, s)
+		r := newHarness(t, s)
 		id := r.submit("keyed", 1, 0)
 		sent := r.last()
-		r.d.dests[1].lanes[0].waitUntil = r.now + 30*time.Second // so that the return is told as late as may be
+		r.d.destinations[1].circuits[0].waitUntil = r.now + 30*time.Second // so that the return is told as late as may be
 		r.now += c.held
 		r.answer(sent, TimedOut, 0)
 		if got := r.ended(id); got != c.want {
@@ -264,13 +264,13 @@
 func TestUnknownRatesFollowWhatIsServed(t *testing.T) {
 	s := testSettings()
 	s.UseCapacityHints, s.Forwarders = false, 100
-	r := newRig(t, s, Entry{Endpoint: "a", Destination: 1, CapacityHint: 1}, Entry{Endpoint: "b", Destination: 2, CapacityHint: 1})
+	r := newHarness(t, s, Entry{Endpoint: "a", Destination: 1, CapacityHint: 1}, Entry{Endpoint: "b", Destination: 2, CapacityHint: 1})
 	for range 100 {
 		r.submit("safe", 1, 0)
 		r.settle(always(OK))
 		r.pass(200 * ms)
 	}
-	busy, idle := r.d.base(r.d.dests[1].lanes[0]), r.d.base(r.d.dests[2].lanes[0])
+	busy, idle := r.d.capacity(r.d.destinations[1].circuits[0]), r.d.capacity(r.d.destinations[2].circuits[0])
 	if busy < 300 || busy > 510 || idle > busy/10 {
 		t.Errorf("5 a second served of each of 100 couriers: taken for %.0f a second, the idle lane for %.1f", busy, idle)
 	}
@@ -284,7 +284,7 @@
 		for i := range 30 {
 			entries = append(entries, Entry{Endpoint: EndpointID(rune('A' + i)), Destination: DestinationID(i + 1), CapacityHint: 50})
 		}
-		r := newRig(t, testSettings(), entries...)
+		r := newHarness(t, testSettings(), entries...)
 		for i := range 300 {
 			r.submit("unsafe", DestinationID(1+i/10), 0)
 			o := OK
@@ -294,13 +294,13 @@
 			r.answer(r.last(), o, 0)
 			r.pass(200 * ms)
 		}
-		r.d.others, r.d.paused = tally{}, tally{}
+		r.d.others, r.d.afterIdle = lossTally{}, lossTally{}
 		r.submit("unsafe", 1, 0)
 		for range 2 {
 			r.answer(r.last(), TimedOut, 0)
 			r.submit("unsafe", 1, 0)
 		}
-		if r.d.dests[1].lanes[0].guard {
+		if r.d.destinations[1].circuits[0].slowStart {
 			n++
 		}
 		return n
@@ -313,28 +313,31 @@
 // Refusals that the told share of the limit explains raise a weak guard, under which the couriers' parts add up to the
 // rate itself; a failure, a longer run or a tripped breaker make it strong, and no later refusal weakens it again.
 func TestWeakGuards(t *testing.T) {
-	for name, more := range map[string]func(d *Decider, l *lane){
-		"failures":       func(d *Decider, l *lane) { d.learnBad(l, l.eps[0], Reset); d.learnBad(l, l.eps[0], Reset) },
-		"a longer run":   func(d *Decider, l *lane) { d.learnFull(l, 0); d.learnFull(l, 0) },
-		"a long wait":    func(d *Decider, l *lane) { d.learnFull(l, longWait+time.Second) },
-		"a tripped lane": func(d *Decider, l *lane) { d.trip(l, "test") },
+	for name, more := range map[string]func(d *Decider, l *circuit){
+		"failures": func(d *Decider, l *circuit) {
+			d.onFailure(l, l.endpoints[0], Reset)
+			d.onFailure(l, l.endpoints[0], Reset)
+		},
+		"a longer run":   func(d *Decider, l *circuit) { d.onRefusal(l, 0); d.onRefusal(l, 0) },
+		"a long wait":    func(d *Decider, l *circuit) { d.onRefusal(l, outageRetryAfter+time.Second) },
+		"a tripped lane": func(d *Decider, l *circuit) { d.trip(l, "test") },
 	} {
 		s := testSettings()
 		s.Forwarders, s.ColdFrom = 50, 0.1
-		r := newRig(t, s)
-		l := r.d.dests[1].lanes[0]
-		l.left = 0.1
-		r.d.learnFull(l, 0)
-		r.d.now += quietFor + ms
-		r.d.learnFull(l, 0)
-		if !l.guard || !l.weak {
-			t.Fatalf("after two explained refusals: guard %v, weak %v", l.guard, l.weak)
+		r := newHarness(t, s)
+		l := r.d.destinations[1].circuits[0]
+		l.limitRemaining = 0.1
+		r.d.onRefusal(l, 0)
+		r.d.now += quietPeriod + ms
+		r.d.onRefusal(l, 0)
+		if !l.slowStart || !l.weakSlowStart {
+			t.Fatalf("after two explained refusals: guard %v, weak %v", l.slowStart, l.weakSlowStart)
 		}
-		weak := r.d.guardBudget(l)
+		weak := r.d.slowStartBudget(l)
 		more(r.d, l)
-		r.d.learnFull(l, 0)
-		if strong := r.d.guardBudget(l); l.weak || !l.guard || strong > weak*0.21 {
-			t.Errorf("%s: guard %v, weak %v, budget %v after %v", name, l.guard, l.weak, strong, weak)
+		r.d.onRefusal(l, 0)
+		if strong := r.d.slowStartBudget(l); l.weakSlowStart || !l.slowStart || strong > weak*0.21 {
+			t.Errorf("%s: guard %v, weak %v, budget %v after %v", name, l.slowStart, l.weakSlowStart, strong, weak)
 		}
 	}
 }
@@ -345,22 +348,22 @@
 func TestToldSharesWhereRefusalsTellWaits(t *testing.T) {
 	for _, tells := range []bool{false, true} {
 		for _, left := range []float64{0.1, 0.9} {
-			r := newRig(t, testSettings(), Entry{Endpoint: "a", Destination: 1, CapacityHint: 50},
+			r := newHarness(t, testSettings(), Entry{Endpoint: "a", Destination: 1, CapacityHint: 50},
 				Entry{Endpoint: "z", Destination: 2, CapacityHint: 50})
 			if tells {
 				r.submit("safe", 2, 0)
 				r.answer(r.last(), Refused, 100*ms)
 			}
-			l := r.d.dests[1].lanes[0]
-			l.left = left
-			r.d.learnFull(l, 0)
-			if l.guard != (tells && left > 0.5) {
-				t.Errorf("waits told %v, %v left: guard %v after one refusal", tells, left, l.guard)
+			l := r.d.destinations[1].circuits[0]
+			l.limitRemaining = left
+			r.d.onRefusal(l, 0)
+			if l.slowStart != (tells && left > 0.5) {
+				t.Errorf("waits told %v, %v left: guard %v after one refusal", tells, left, l.slowStart)
 			}
 			r.d.now += 300 * ms
-			r.d.learnFull(l, 0)
-			if l.guard != (tells || left > 0.5) || l.weak {
-				t.Errorf("waits told %v, %v left: guard %v, weak %v after two", tells, left, l.guard, l.weak)
+			r.d.onRefusal(l, 0)
+			if l.slowStart != (tells || left > 0.5) || l.weakSlowStart {
+				t.Errorf("waits told %v, %v left: guard %v, weak %v after two", tells, left, l.slowStart, l.weakSlowStart)
 			}
 		}
 	}
@@ -371,15 +374,15 @@
 func TestLaterMessagesJoinTheCallOfTheRound(t *testing.T) {
 	s := sharedSettings(3)
 	s.Slots = 20
-	r := newRig(t, s, Entry{Endpoint: "a", Kind: "shared", Destination: 1, CapacityHint: 50},
+	r := newHarness(t, s, Entry{Endpoint: "a", Kind: "shared", Destination: 1, CapacityHint: 50},
 		Entry{Endpoint: "b", Kind: "shared", Destination: 1, CapacityHint: 50})
-	l := r.d.dests[1].lanes[0]
-	r.d.eps["a"].rank, r.d.eps["b"].rank = 1, 2
-	l.cap = 10
+	l := r.d.destinations[1].circuits[0]
+	r.d.endpoints["a"].rank, r.d.endpoints["b"].rank = 1, 2
+	l.callLimit = 10
 	r.together("safe", 1) // out at a
 	l.waitUntil = r.now + 100*ms
 	r.do(Submit{ID: 50, Class: "safe", Destination: 1, TimeLeft: 6 * time.Second}) // the first among equals
-	r.d.msgs[50].avoid = r.d.eps["b"]
+	r.d.messages[50].avoidEndpoint = r.d.endpoints["b"]
 	r.together("safe", 7)
 	sends := r.pass(150 * ms)
 	calls := map[EndpointID]int{}
@@ -401,25 +404,25 @@
 		every int
 		guard bool
 	}{{1000, true}, {3, false}} {
-		r := newRig(t, testSettings())
-		l := r.d.dests[1].lanes[0]
-		l.left = -1 // nothing told
-		k := &call{ep: l.eps[0], class: r.d.classes["safe"], size: 1}
+		r := newHarness(t, testSettings())
+		l := r.d.destinations[1].circuits[0]
+		l.limitRemaining = -1 // nothing told
+		k := &call{endpoint: l.endpoints[0], class: r.d.classes["safe"], size: 1}
 		for i := range 90 {
 			if r.d.now += 300 * ms; i%c.every == c.every-1 {
-				r.d.learnFull(l, 0)
+				r.d.onRefusal(l, 0)
 			} else {
-				r.d.learnOK(k, 50*ms)
+				r.d.onSuccess(k, 50*ms)
 			}
 		}
-		l.guard = false
-		r.d.learnOK(k, 50*ms)
+		l.slowStart = false
+		r.d.onSuccess(k, 50*ms)
 		for range 2 {
 			r.d.now += 300 * ms
-			r.d.learnFull(l, 0)
+			r.d.onRefusal(l, 0)
 		}
-		if l.guard != c.guard {
-			t.Errorf("one call in %d refused: guard %v after two in a row", c.every, l.guard)
+		if l.slowStart != c.guard {
+			t.Errorf("one call in %d refused: guard %v after two in a row", c.every, l.slowStart)
 		}
 	}
 }
--- a/snapshot.go
+++ b/snapshot.go
@@ -1,7 +1,7 @@
 package mulleinbeam
 
-// What a courier has learned, as plain values that may outlast its life. Nothing here decides: what a value is still worth
-// is for who kept it to say, and what follows from it is in decide.go.
+// The learned state of a forwarder, as plain values that can outlive the process. This file decides nothing: the caller
+// says how far stored values are still trusted, and decide.go what follows from them.
 
 import (
 	"cmp"
@@ -10,90 +10,92 @@
 	"time"
 )
 
-// Breaker is a lane's breaker.
+// Breaker is the state of a circuit breaker.
 type Breaker int
 
 // The states of a breaker.
 const (
 	BreakerClosed Breaker = iota
 	BreakerOpen
-	BreakerHalfOpen // half open
+	BreakerHalfOpen
 )
 
-// LearnedState is what a courier has learned. Times are told as ago, or as left.
+// LearnedState is what a forwarder has learned. Times are durations before or after the moment of the snapshot.
 type LearnedState struct {
 	Circuits []LearnedCircuit
 	Classes  []LearnedClass
 	Losses   LossCounts
 }
 
-// LearnedCircuit is what was learned of a destination, or of one route where routes are apart, or of its endpoints in one zone ("in z")
-// where places are separate.
+// LearnedCircuit is the learned state of a circuit: a destination, a single endpoint with Settings.SeparateRoutes, or
+// the endpoints in one zone with Settings.SeparateZones.
 type LearnedCircuit struct {
 	Destination DestinationID
-	Endpoint    EndpointID    // of a route; "" is the whole destination
-	Endpoints   []EndpointID  // that were listed: it holds only where one of them still is
-	Seen        time.Duration // ago: its latest outcome
+	Endpoint    EndpointID    // of a single endpoint, or "in ZONE"; "" is the whole destination
+	Endpoints   []EndpointID  // those listed; the state applies only while one of them still is
+	Seen        time.Duration // time since the latest outcome
 	Breaker     Breaker
-	OpenFor     time.Duration // the open period, which grows from failed trial to failed trial
-	OpenLeft    time.Duration // of it
-	Wait        time.Duration // left of a told wait
-	Rate        float64       // calls a second to which it is paced; 0 is not
-	Limit       float64       // calls a second, as reported; 0 is none
+	OpenFor     time.Duration // the breaker's open period, which grows with each failed trial
+	OpenLeft    time.Duration // remaining part of it
+	Wait        time.Duration // remaining time of a Retry-After
+	Rate        float64       // rate limit in calls a second; 0 is none
+	Limit       float64       // reported limit in calls a second; 0 is none
 	Pace        float64       // latency relative to the classes' means
-	Cap         float64       // calls out at once
-	Guard       bool          // an outage may not be over
-	Weak        bool          // the guard was raised by what may be a limit
-	GuardSince  time.Duration // ago: its first sign
-	GuardFrom   time.Duration // ago: the first success since; negative is none
-	LastBad     time.Duration // ago: its latest sign; negative is never
-	LastOK      time.Duration // ago; negative is never
-	// Trust is how far Rate, Pace and Cap are believed, from 0 to 1; a snapshot says 1.
+	Cap         float64       // limit on concurrent calls
+	Guard       bool          // slow start is on: an outage may not be over
+	Weak        bool          // slow start was started by what may be a limit
+	GuardSince  time.Duration // time since the first sign of the outage
+	GuardFrom   time.Duration // time since the first success after it; negative is none
+	LastBad     time.Duration // time since the latest sign of an outage; negative is never
+	LastOK      time.Duration // time since the latest success; negative is never
+	// Trust is the weight of Rate, Pace and Cap against their initial values, from 0 to 1; a snapshot has 1.
 	Trust float64
-	// Cold says that the destination may have gone cold unseen: it is met as after an outage.
+	// Cold says that the destination may have gone cold unobserved: slow start applies as after an outage.
 	Cold bool
 }
 
-// LearnedClass is what was learned of a class.
+// LearnedClass is the learned state of a class.
 type LearnedClass struct {
 	Name        string
-	MeanSeconds float64 // seconds that a call takes at a lane of pace 1
+	MeanSeconds float64 // of a call at a circuit with Pace 1
 	Trust       float64
 }
 
-// LossCounts are the tallies that tell a dead connection or a chance failure from one that speaks of an endpoint. Each is
-// calls, and how many of them were lost.
+// LossCounts holds the tallies that tell dead connections and stray failures from a failing endpoint. Each is a number
+// of calls and how many of them were lost.
 type LossCounts struct {
 	AfterIdle, Others, ReusedConnection, NewConnection, StrayFailures, StrayRefusals [2]float64
-	IdleLimit                                                                        time.Duration // connections that idled longer are taken for dead; 0 is none known
-	RetryAfterSeen                                                                   bool          // a refusal has told a wait
+	// IdleLimit is the idle time beyond which connections are taken for dead; 0 is no limit.
+	IdleLimit time.Duration
+	// RetryAfterSeen says that a refusal has carried a Retry-After.
+	RetryAfterSeen bool
 }
 
-// laneName names a lane over lives.
-type laneName struct {
+// circuitKey identifies a circuit across processes.
+type circuitKey struct {
 	destination DestinationID
 	endpoint    EndpointID
 }
 
-func (d *Decider) nameOf(l *lane) laneName {
+func (d *Decider) keyOf(l *circuit) circuitKey {
 	switch {
-	case l.apart:
-		return laneName{l.dest.id, EndpointID(l.name)}
-	case l.place != "":
-		return laneName{l.dest.id, EndpointID("in " + l.place)}
+	case l.separateRoute:
+		return circuitKey{l.dest.id, EndpointID(l.name)}
+	case l.zone != "":
+		return circuitKey{l.dest.id, EndpointID("in " + l.zone)}
 	}
-	return laneName{destination: l.dest.id}
+	return circuitKey{destination: l.dest.id}
 }
 
-// Snapshot gives what was learned up to now.
+// Snapshot returns the state learned up to now.
 func (d *Decider) Snapshot(now time.Duration) LearnedState {
 	var out LearnedState
 	ago := func(at time.Duration) time.Duration { return max(0, now-at) }
-	for _, dest := range d.dests {
-		for _, l := range dest.lanes {
+	for _, dest := range d.destinations {
+		for _, l := range dest.circuits {
 			seen := time.Duration(math.MinInt64)
-			for _, at := range []time.Duration{l.lastBad, l.cutAt, l.fullSince, l.badSince} {
-				if at != 0 { // which is never; what an earlier life has seen lies before this one's clock began
+			for _, at := range []time.Duration{l.outageSeenAt, l.rateCutAt, l.refusedSince, l.failedSince} {
+				if at != 0 { // 0 is never; times of an earlier process are negative
 					seen = max(seen, at)
 				}
 			}
@@ -103,26 +105,26 @@
 			if seen == math.MinInt64 {
 				continue
 			}
-			name := d.nameOf(l)
+			name := d.keyOf(l)
 			f := LearnedCircuit{
 				Destination: name.destination, Endpoint: name.endpoint, Seen: ago(seen), Breaker: Breaker(l.state),
-				OpenFor: l.openFor, OpenLeft: max(0, l.openUntil-now), Wait: max(0, l.waitUntil-now), Rate: l.rate, Limit: l.x1,
-				Pace: l.pace, Cap: l.cap, Guard: l.guard, Weak: l.weak, GuardSince: ago(l.guardSince), GuardFrom: -1,
+				OpenFor: l.openFor, OpenLeft: max(0, l.openUntil-now), Wait: max(0, l.waitUntil-now), Rate: l.rateLimit, Limit: l.reportedLimit,
+				Pace: l.latencyFactor, Cap: l.callLimit, Guard: l.slowStart, Weak: l.weakSlowStart, GuardSince: ago(l.outageSince), GuardFrom: -1,
 				LastBad: -1, LastOK: -1, Trust: 1,
 			}
-			if l.lastBad != 0 {
-				f.LastBad = ago(l.lastBad)
+			if l.outageSeenAt != 0 {
+				f.LastBad = ago(l.outageSeenAt)
 			}
 			if l.lastOK != neverOK {
 				f.LastOK = ago(l.lastOK)
 			}
-			if l.guardFrom >= 0 {
-				f.GuardFrom = ago(l.guardFrom)
+			if l.recoveredAt >= 0 {
+				f.GuardFrom = ago(l.recoveredAt)
 			}
-			if l.heard > 0 && l.x1 == l.heard { // that is others' to tell
+			if l.peerLimit > 0 && l.reportedLimit == l.peerLimit { // reported by others, not by the endpoint
 				f.Limit = 0
 			}
-			for _, ep := range l.eps {
+			for _, ep := range l.endpoints {
 				f.Endpoints = append(f.Endpoints, ep.id)
 			}
 			slices.Sort(f.Endpoints)
@@ -132,122 +134,123 @@
 	slices.SortFunc(out.Circuits, func(a, b LearnedCircuit) int {
 		return cmp.Or(cmp.Compare(a.Destination, b.Destination), cmp.Compare(a.Endpoint, b.Endpoint))
 	})
-	for _, c := range d.s.Classes {
-		out.Classes = append(out.Classes, LearnedClass{Name: c.Name, MeanSeconds: d.classes[c.Name].mean, Trust: 1})
+	for _, c := range d.cfg.Classes {
+		out.Classes = append(out.Classes, LearnedClass{Name: c.Name, MeanSeconds: d.classes[c.Name].meanSec, Trust: 1})
 	}
-	two := func(t tally) [2]float64 { return [2]float64{t.n, t.lost} }
+	two := func(t lossTally) [2]float64 { return [2]float64{t.calls, t.lost} }
 	out.Losses = LossCounts{
-		AfterIdle: two(d.paused), Others: two(d.others), ReusedConnection: two(d.onKept), NewConnection: two(d.onFresh),
-		StrayFailures: two(d.strayBad), StrayRefusals: two(d.strayFull), IdleLimit: d.idleBound, RetryAfterSeen: d.tells,
+		AfterIdle: two(d.afterIdle), Others: two(d.others), ReusedConnection: two(d.reusedConn), NewConnection: two(d.newConn),
+		StrayFailures: two(d.strayFailures), StrayRefusals: two(d.strayRefusals), IdleLimit: d.idleLimit, RetryAfterSeen: d.retryAfterSeen,
 	}
 	return out
 }
 
-// Restore has the courier start from what an earlier life had learned. It comes before the first Members; each lane takes its
-// part up when an endpoint that it had then is listed.
+// Restore sets the learned state of an earlier process. Call it before the first EndpointUpdate; each circuit takes its
+// part when one of its earlier endpoints is listed.
 func (d *Decider) Restore(now time.Duration, l LearnedState) {
 	d.now = now
-	d.recalled = map[laneName]LearnedCircuit{}
+	d.restored = map[circuitKey]LearnedCircuit{}
 	for _, f := range l.Circuits {
-		d.recalled[laneName{f.Destination, f.Endpoint}] = f
+		d.restored[circuitKey{f.Destination, f.Endpoint}] = f
 	}
 	for _, f := range l.Classes {
 		if c := d.classes[f.Name]; c != nil && f.MeanSeconds > 0 {
-			c.mean = toward(c.mean, f.MeanSeconds, f.Trust)
+			c.meanSec = interpolate(c.meanSec, f.MeanSeconds, f.Trust)
 		}
 	}
-	one := func(t [2]float64) tally { return tally{n: t[0], lost: t[1]} }
-	d.paused, d.others, d.onKept, d.onFresh = one(l.Losses.AfterIdle), one(l.Losses.Others), one(l.Losses.ReusedConnection), one(l.Losses.NewConnection)
-	d.strayBad, d.strayFull, d.tells = one(l.Losses.StrayFailures), one(l.Losses.StrayRefusals), l.Losses.RetryAfterSeen
-	if d.idleBound = l.Losses.IdleLimit; d.idleBound > 0 {
-		d.idleHitAt = now
+	one := func(t [2]float64) lossTally { return lossTally{calls: t[0], lost: t[1]} }
+	d.afterIdle, d.others, d.reusedConn, d.newConn = one(l.Losses.AfterIdle), one(l.Losses.Others), one(l.Losses.ReusedConnection), one(l.Losses.NewConnection)
+	d.strayFailures, d.strayRefusals, d.retryAfterSeen = one(l.Losses.StrayFailures), one(l.Losses.StrayRefusals), l.Losses.RetryAfterSeen
+	if d.idleLimit = l.Losses.IdleLimit; d.idleLimit > 0 {
+		d.idleLossAt = now
 	}
 }
 
-// ApplyObservations has the courier heed what others have learned of destinations that it knows, beside what it sees itself: a told wait, a
-// limit where it was told none, believed as far as Trust says and never further than hearFactor off the list, and care as after
-// an outage. It is told all that holds at the moment; a limit that is missing has lapsed.
+// ApplyObservations applies what other forwarders observed of known destinations, beside this one's own: a
+// Retry-After; a limit where the endpoint reported none, weighted by Trust and at most maxPeerLimitFactor off the
+// listed capacity; and slow start after an outage. Each call gives all that applies now: a limit that is missing has
+// expired.
 func (d *Decider) ApplyObservations(now time.Duration, lanes []LearnedCircuit) {
 	d.now = now
-	told := make(map[laneName]LearnedCircuit, len(lanes))
+	told := make(map[circuitKey]LearnedCircuit, len(lanes))
 	for _, f := range lanes {
-		told[laneName{f.Destination, f.Endpoint}] = f
+		told[circuitKey{f.Destination, f.Endpoint}] = f
 	}
-	for _, dest := range d.dests {
-		for _, l := range dest.lanes {
-			f := told[d.nameOf(l)]
+	for _, dest := range d.destinations {
+		for _, l := range dest.circuits {
+			f := told[d.keyOf(l)]
 			l.waitUntil = max(l.waitUntil, now+f.Wait)
-			if l.heard > 0 && l.x1 == l.heard {
-				l.x1 = 0
+			if l.peerLimit > 0 && l.reportedLimit == l.peerLimit {
+				l.reportedLimit = 0
 			}
-			if l.heard = 0; l.x1 <= 0 && f.Limit > 0 && f.Trust > 0 {
-				base := d.base(l)
-				l.heard = math.Min(hearFactor*base, math.Max(base/hearFactor, toward(base, f.Limit, f.Trust)))
-				l.x1 = l.heard
+			if l.peerLimit = 0; l.reportedLimit <= 0 && f.Limit > 0 && f.Trust > 0 {
+				base := d.capacity(l)
+				l.peerLimit = math.Min(maxPeerLimitFactor*base, math.Max(base/maxPeerLimitFactor, interpolate(base, f.Limit, f.Trust)))
+				l.reportedLimit = l.peerLimit
 			}
-			if f.Guard && !l.guard && d.s.OverloadFactor > 0 && d.s.TipAfter > 0 {
-				l.guard, l.weak, l.phase = true, false, d.rng.Float64()
-				l.guardSince, l.guardFrom = max(0, now-f.GuardSince), -1
+			if f.Guard && !l.slowStart && d.cfg.OverloadFactor > 0 && d.cfg.TipAfter > 0 {
+				l.slowStart, l.weakSlowStart, l.gapPhase = true, false, d.rng.Float64()
+				l.outageSince, l.recoveredAt = max(0, now-f.GuardSince), -1
 				if f.GuardFrom >= 0 {
-					l.guardFrom = max(0, now-f.GuardFrom)
+					l.recoveredAt = max(0, now-f.GuardFrom)
 				}
 			}
 		}
 	}
 }
 
-// ApplyRetryAfter has a whole destination wait, whichever of its endpoints told so.
+// ApplyRetryAfter applies a Retry-After of any endpoint to the whole destination.
 func (d *Decider) ApplyRetryAfter(now time.Duration, id DestinationID, wait time.Duration) {
-	if dest := d.dests[id]; dest != nil {
-		for _, l := range dest.lanes {
+	if dest := d.destinations[id]; dest != nil {
+		for _, l := range dest.circuits {
 			l.waitUntil = max(l.waitUntil, now+wait)
 		}
 	}
 }
 
-// hearFactor is how far off the list's capacity a limit that others tell of may be.
-const hearFactor = 4
+// maxPeerLimitFactor bounds how far a limit reported by others may differ from the listed capacity.
+const maxPeerLimitFactor = 4
 
-// toward is what lies a share of the way from one value to another.
-func toward(from, to, share float64) float64 { return from + share*(to-from) }
+// interpolate returns the value at this share of the way from one value to another.
+func interpolate(from, to, share float64) float64 { return from + share*(to-from) }
 
-// recall has a lane take up what is known of it, once one of its endpoints is listed again.
-func (d *Decider) recall(ep *endpoint) {
-	l := ep.lane
-	f, known := d.recalled[d.nameOf(l)]
+// restoreCircuit restores a circuit's learned state when one of its earlier endpoints is listed.
+func (d *Decider) restoreCircuit(ep *endpoint) {
+	l := ep.circuit
+	f, known := d.restored[d.keyOf(l)]
 	if !known || !slices.Contains(f.Endpoints, ep.id) {
 		return
 	}
-	delete(d.recalled, d.nameOf(l))
+	delete(d.restored, d.keyOf(l))
 	at := func(ago time.Duration) time.Duration { return d.now - ago }
 	l.waitUntil = max(l.waitUntil, d.now+f.Wait)
 	if f.Limit > 0 && f.Trust > 0 {
-		l.x1 = f.Limit
+		l.reportedLimit = f.Limit
 	}
-	if base := d.base(l); f.Rate > 0 {
-		l.rate, l.bucketAt, l.bucket = math.Max(paceFloor*base, toward(base, f.Rate, f.Trust)), d.now, 1
+	if base := d.capacity(l); f.Rate > 0 {
+		l.rateLimit, l.tokensAt, l.tokens = math.Max(rateMin*base, interpolate(base, f.Rate, f.Trust)), d.now, 1
 	}
 	if f.Pace > 0 {
-		l.pace = math.Min(paceMost, math.Max(paceLeast, toward(1, f.Pace, f.Trust)))
+		l.latencyFactor = math.Min(maxLatencyFactor, math.Max(minLatencyFactor, interpolate(1, f.Pace, f.Trust)))
 	}
-	l.cap = math.Min(d.capCeil(), math.Max(1, toward(d.capFloor(), f.Cap, f.Trust)))
+	l.callLimit = math.Min(d.callLimitCeil(), math.Max(1, interpolate(d.callLimitFloor(), f.Cap, f.Trust)))
 	if f.LastOK >= 0 {
 		l.lastOK = at(f.LastOK)
 	}
 	if f.LastBad >= 0 {
-		l.lastBad = at(f.LastBad)
+		l.outageSeenAt = at(f.LastBad)
 	}
 	if f.Breaker != BreakerClosed {
-		l.state, l.openFor, l.openUntil = open, min(openMost, max(openFirst, f.OpenFor)), d.now+f.OpenLeft
+		l.state, l.openFor, l.openUntil = open, min(openMax, max(openFirst, f.OpenFor)), d.now+f.OpenLeft
 	}
-	if (f.Guard || f.Cold) && d.s.OverloadFactor > 0 && d.s.TipAfter > 0 {
-		l.guard, l.weak, l.phase = true, f.Weak && !f.Cold, d.rng.Float64()
-		l.guardSince, l.guardFrom = at(f.GuardSince), -1
+	if (f.Guard || f.Cold) && d.cfg.OverloadFactor > 0 && d.cfg.TipAfter > 0 {
+		l.slowStart, l.weakSlowStart, l.gapPhase = true, f.Weak && !f.Cold, d.rng.Float64()
+		l.outageSince, l.recoveredAt = at(f.GuardSince), -1
 		if f.GuardFrom >= 0 {
-			l.guardFrom = max(0, at(f.GuardFrom))
+			l.recoveredAt = max(0, at(f.GuardFrom))
 		}
 		if f.Cold {
-			l.guardSince, l.guardFrom, l.lastBad = d.now, -1, d.now
+			l.outageSince, l.recoveredAt, l.outageSeenAt = d.now, -1, d.now
 		}
 	}
 }
