--- a/state.go
+++ b/state.go
@@ -1,6 +1,6 @@
 package mulleinbeam
 
-// The memory of a courier and its bookkeeping; decisions and figures are in decide.go.
+// The state of a forwarder's decisions and its upkeep; the decisions and their constants are in decide.go.
 
 import (
 	"fmt"
@@ -12,13 +12,13 @@
 	"time"
 )
 
-// recallFor is how long what an earlier life knew of a lane waits for it to be listed.
-const recallFor = 10 * time.Minute
+// restoreWindow is how long the restored state of a circuit is kept until one of its endpoints is listed.
+const restoreWindow = 10 * time.Minute
 
-// shedLogEvery is how often a full hold is logged, at most.
-const shedLogEvery = 10 * time.Second
+// shedLogInterval is the least time between two log lines about shedding.
+const shedLogInterval = 10 * time.Second
 
-// neverOK is a lane's lastOK before its first success.
+// neverOK is a circuit's lastOK before its first success.
 const neverOK = -time.Hour
 
 type breakerState int
@@ -31,429 +31,430 @@
 
 var stateNames = [...]string{"closed", "open", "half-open"}
 
-// message is one that was taken; it stays known until it has ended and no attempt is out.
+// message is an accepted message; it stays known until it has ended and no attempt is out.
 type message struct {
-	id        MessageID
-	class     *classState
-	key       OrderKey
-	dest      *destination
-	deadline  time.Duration
-	worth     float64
-	attempts  int
-	backoff   time.Duration // the last retry wait
-	notBefore time.Duration
-	call      *call         // the attempt that is out
-	avoid     *endpoint     // the endpoint that failed it last
-	mayRun    bool          // an attempt may have taken effect
-	ranAt     time.Duration // when the first such attempt was sent
-	ranZone   string
-	ended     bool
-	long      bool          // its body is passed on as it comes
-	until     time.Duration // of a long one: when its time is up; its deadline is that for the next call to begin
-	spent     bool          // its body is gone
-	owed      bool          // an earlier life took it on, and no call of it has been made
-}
-
-// waits is the moment that the message waits for: one that is owed goes by what was told alone.
-func (m *message) waits(free, told time.Duration) time.Duration {
-	if m.owed {
+	id            MessageID
+	class         *classState
+	key           OrderKey
+	dest          *destination
+	deadline      time.Duration
+	worth         float64
+	attempts      int
+	retryWait     time.Duration // the latest
+	notBefore     time.Duration
+	call          *call         // the attempt that is out
+	avoidEndpoint *endpoint     // failed its latest attempt
+	mayHaveRun    bool          // an attempt may have taken effect
+	ranAt         time.Duration // when the first such attempt was sent
+	ranZone       string
+	ended         bool
+	long          bool          // its body is streamed
+	expiresAt     time.Duration // of a long message; its deadline is that of the next call's start
+	bodyGone      bool          // its body can't be sent again
+	untried       bool          // accepted by an earlier process and in no call yet
+}
+
+// waitsUntil returns when the message can be sent next: an untried one waits for a Retry-After alone.
+func (m *message) waitsUntil(free, told time.Duration) time.Duration {
+	if m.untried {
 		return told
 	}
 	return free
 }
 
-// call is what goes to an endpoint as one: a message, or several that were sent there in one round.
+// call is one call to an endpoint, with one message or several that were sent in one round.
 type call struct {
-	ep        *endpoint
-	class     *classState // the slowest of its messages'
-	msgs      []*message  // those not yet answered for
+	endpoint  *endpoint
+	class     *classState // the slowest of its messages
+	messages  []*message  // those without an answer
 	size      int         // messages sent with it
 	sentAt    time.Duration
-	round     uint64  // the Handle that sent it
-	spread    float64 // how its messages' next wait varies, the same for all
+	round     uint64  // the call of Handle that sent it
+	jitter    float64 // factor of its messages' next retry wait
 	cancelled bool
 	trial     bool
-	heard     bool          // its outcome was learned
-	served    bool          // as a success
-	idle      time.Duration // how long the endpoint's connections had idled; 0 if the connection is known to be new
-	tallied   bool          // it is in a tally
-	dead      bool          // it was lost to an old connection
+	counted   bool          // its outcome has been counted
+	succeeded bool          // counted as a success
+	idleFor   time.Duration // how long the endpoint's connections were idle; 0 if the connection is new
+	tallied   bool          // it is in a loss tally
+	staleConn bool          // lost to a connection that died while idle
 	long      bool          // it carries a long message
 }
 
 type classState struct {
 	Class
-	mean float64 // seconds a call takes at a lane of pace 1
+	meanSec float64 // seconds that a call takes at a circuit with latency factor 1
 }
 
 type endpoint struct {
-	id         EndpointID
-	zone       string
-	lane       *lane
-	tightUntil time.Duration // its connection table was full: idle connections are closed until then
-	state      Readiness
-	goneAt     time.Duration
-	rank       uint64 // its place in this courier's own order
-	inflight   int
-	run        int // failures in a row
-	lastOK     time.Duration
-	failedAt   time.Duration // the latest refusal, failed connect or reset
-	lostConn   bool          // the latest outcome is a failed connect or a reset
-	usedAt     time.Duration // when a call to it last began or ended
-	latest     *call         // the last one sent there
-	bad        map[*classState]mark
-}
-
-// mark counts the failures in a row of one class at an endpoint.
-type mark struct {
-	run int
-	at  time.Duration
-}
-
-// sent is a call by its time and weight.
-type sent struct {
+	id             EndpointID
+	zone           string
+	circuit        *circuit
+	tableFullUntil time.Duration // a connection table was full: close idle connections until then
+	readiness      Readiness
+	removedAt      time.Duration
+	rank           uint64 // random order of this forwarder
+	inflight       int
+	consecFailures int
+	lastOK         time.Duration
+	unavailableAt  time.Duration // the latest refusal, failed connect or reset
+	lostConn       bool          // the latest outcome is a failed connect or a reset
+	usedAt         time.Duration // start or end of the latest call
+	lastCall       *call         // the latest
+	classFailures  map[*classState]classFailures
+}
+
+// classFailures counts consecutive failures of one class at an endpoint.
+type classFailures struct {
+	consecutive int
+	lastAt      time.Duration
+}
+
+// sentCall is the time and weight of a call.
+type sentCall struct {
 	at     time.Duration
 	weight float64
 }
 
-// lane is the scope of breaker, cap, waits and pacing: a destination, or one route where routes are apart.
-type lane struct {
-	name       string
-	dest       *destination
-	eps        []*endpoint // those listed
-	known      int         // those remembered
-	batch      int         // messages that may share a call
-	kind       string
-	hint       float64
-	fee        float64
-	due        bool   // the next call goes here; see Entry
-	apart      bool   // it is one route
-	place      string // whose endpoints it has, where places are separate
-	state      breakerState
-	window     []bool // true is a failure
-	openUntil  time.Duration
-	openFor    time.Duration
-	trialsOut  int
-	trialsOK   int
-	cap        float64
-	inflight   []*call // but for those with long messages,
-	longs      int     // whose number this is
-	waitUntil  time.Duration
-	fullRun    int
-	fullSince  time.Duration // first refusal of the run
-	badSince   time.Duration // first failure of the run
-	badRun     int
-	lastOK     time.Duration
-	rate       float64 // paced calls a second
-	bucket     float64
-	bucketAt   time.Duration
-	cutAt      time.Duration
-	left       float64 // share of the limit told last; negative if none was told with the latest answer
-	heard      float64 // the limit in x1, where others told it; see Hear
-	x1         float64
-	pace       float64 // latency relative to the classes' means
-	guard      bool
-	weak       bool          // raised by refusals that may be a limit's
-	lastBad    time.Duration // latest sign of an outage
-	phase      float64       // of the gap between guarded calls: when the first goes after a told wait
-	runConn    bool          // the failures of the run are lost connections
-	guardConn  bool          // and raised the guard
-	guardSince time.Duration // first failure
-	guardFrom  time.Duration // first success since; negative while there is none
-	served     fading        // calls
-	sends      []sent
-	gaps       float64 // under guard, that are to pass behind the latest call: its weight; as the guard is raised a part, by chance
-	lastSend   time.Duration
+// circuit is what has one breaker, call limit, Retry-After and rate limit: a destination, its endpoints in one zone, or
+// a single endpoint, see Settings.SeparateZones and Settings.SeparateRoutes.
+type circuit struct {
+	name             string
+	dest             *destination
+	endpoints        []*endpoint // those listed
+	knownEndpoints   int         // listed ones and removed ones not yet forgotten
+	batch            int         // messages that may share a call
+	kind             string
+	capacityHint     float64
+	zoneFee          float64
+	tryNext          bool   // the next call goes here; see Entry
+	separateRoute    bool   // it is a single endpoint
+	zone             string // of its endpoints, with SeparateZones
+	state            breakerState
+	window           []bool // true is a failure
+	openUntil        time.Duration
+	openFor          time.Duration
+	trialsOut        int
+	trialsOK         int
+	callLimit        float64
+	inflight         []*call // calls without long messages
+	longCalls        int     // number of calls with long messages
+	waitUntil        time.Duration
+	consecRefusals   int
+	refusedSince     time.Duration // first of the consecutive refusals
+	failedSince      time.Duration // first of the consecutive failures
+	consecFailures   int
+	lastOK           time.Duration
+	rateLimit        float64 // calls a second; 0 is none
+	tokens           float64
+	tokensAt         time.Duration
+	rateCutAt        time.Duration
+	limitRemaining   float64 // reported remaining share of the limit; negative if the latest answer reported none
+	peerLimit        float64 // value of reportedLimit if others reported it; see ApplyObservations
+	reportedLimit    float64
+	latencyFactor    float64 // latency relative to the classes' means
+	slowStart        bool
+	weakSlowStart    bool          // started by refusals that may be due to a limit
+	outageSeenAt     time.Duration // latest sign of an outage
+	gapPhase         float64       // random part of a slow-start gap to wait after a Retry-After
+	onlyLostConns    bool          // the consecutive failures are all lost connections
+	slowStartByConns bool          // only lost connections started slow start
+	outageSince      time.Duration // first failure or refusal
+	recoveredAt      time.Duration // first success since; negative while there is none
+	successes        decayingCount
+	recentCalls      []sentCall
+	gapsDue          float64 // slow-start gaps to wait after the latest call: its weight, or a random part at the start
+	lastSend         time.Duration
 }
 
 type destination struct {
-	id       DestinationID
-	lanes    []*lane
-	held     []*message
-	asked    fading // messages handed in for it
-	inflight int
-	listed   bool     // among the busy ones
-	best     *message // dispatch's choice
-	bestLane *lane
-	score    float64
-}
-
-// pacing is how a paced rate moves: shares of the rate or of the part that it is measured by, and calls in one go.
-type pacing struct {
-	cut   float64 // what a refusal leaves of the rate
-	grow  float64 // what a success adds, of the part
-	top   float64 // of the part: the most
-	depth float64 // calls that may be sent in one go, at least
-	first float64 // the same when a life begins, at most: a release begins the lives of most of a fleet at once
-}
-
-// tally counts calls and how many were lost.
-type tally struct{ n, lost float64 }
-
-// add counts a call; beyond most calls the tally is halved.
-func (t *tally) add(lost bool, most float64) {
-	if t.n++; lost {
+	id          DestinationID
+	circuits    []*circuit
+	held        []*message
+	submitted   decayingCount // messages submitted for it
+	inflight    int
+	busy        bool     // it is in Decider.busy
+	bestMessage *message // selected by chooseBest
+	bestCircuit *circuit
+	bestScore   float64
+}
+
+// rateControl is how a rate limit changes, in shares of the limit or of the rate base.
+type rateControl struct {
+	cut   float64 // share of the limit left by a refusal
+	grow  float64 // share of the base added by a success
+	max   float64 // highest limit as a share of the base
+	burst float64 // least burst, in calls
+	start float64 // most tokens at the start, in calls: a release restarts most of a fleet at once
+}
+
+// lossTally counts calls and how many of them were lost.
+type lossTally struct{ calls, lost float64 }
+
+// add counts a call; beyond that many calls the tally is halved.
+func (t *lossTally) add(lost bool, most float64) {
+	if t.calls++; lost {
 		t.lost++
 	}
-	if t.n > most {
-		t.n, t.lost = t.n/2, t.lost/2
+	if t.calls > most {
+		t.calls, t.lost = t.calls/2, t.lost/2
 	}
 }
 
-// addRun counts a success and the failures in a row before it, a few at most.
-func (t *tally) addRun(run, few int, most float64) {
+// addRun counts a success and the consecutive failures before it, up to few of them.
+func (t *lossTally) addRun(run, few int, most float64) {
 	for range min(run, few) {
 		t.add(true, most)
 	}
 	t.add(false, most)
 }
 
-// fading is a count whose old entries fade.
-type fading struct {
-	n    float64
-	last time.Duration
+// decayingCount is a count that decays exponentially.
+type decayingCount struct {
+	count     float64
+	updatedAt time.Duration
 }
 
-func (f *fading) at(now, over time.Duration) float64 {
-	return f.n * math.Exp(-(now-f.last).Seconds()/over.Seconds())
+func (f *decayingCount) at(now, over time.Duration) float64 {
+	return f.count * math.Exp(-(now-f.updatedAt).Seconds()/over.Seconds())
 }
 
-func (f *fading) add(now, over time.Duration) { f.n, f.last = f.at(now, over)+1, now }
+func (f *decayingCount) add(now, over time.Duration) { f.count, f.updatedAt = f.at(now, over)+1, now }
 
-// seconds is over how long a count that fades over a time has gone on: less soon after the start.
-func (d *Decider) seconds(over time.Duration) float64 {
-	return over.Seconds() * (1 - math.Exp(-(d.now-d.startAt).Seconds()/over.Seconds()))
+// decaySeconds returns the time that a count with this decay time covers: less soon after the start.
+func (d *Decider) decaySeconds(over time.Duration) float64 {
+	return over.Seconds() * (1 - math.Exp(-(d.now-d.startedAt).Seconds()/over.Seconds()))
 }
 
-// rateOf is a fading count's rate a second.
-func (d *Decider) rateOf(f *fading, over time.Duration) float64 {
-	return f.at(d.now, over) / math.Max(1, d.seconds(over))
+// rateOf returns the rate of a decaying count, per second.
+func (d *Decider) rateOf(f *decayingCount, over time.Duration) float64 {
+	return f.at(d.now, over) / math.Max(1, d.decaySeconds(over))
 }
 
-// turn is the queue of one order key.
-type turn struct {
-	queue     []*message
-	restUntil time.Duration
-	restFor   *message
+// keyQueue holds the messages of one order key.
+type keyQueue struct {
+	queue    []*message
+	gapUntil time.Duration
+	gapFor   *message
 }
 
 type tenantState struct {
-	rate, bucket float64
-	at           time.Duration
+	rate, tokens float64
+	tokensAt     time.Duration
 }
 
-// Decider makes the decisions of one courier. It is not safe for concurrent use.
+// Decider makes the decisions of one forwarder. It is not safe for concurrent use.
 type Decider struct {
-	s         Settings
-	rng       *rand.Rand
-	now       time.Duration
-	round     uint64 // counts the calls of Handle
-	out       []Action
-	classes   map[string]*classState
-	meanWorth float64
-	growth    float64       // of a call's time, by each further message
-	longest   time.Duration // deadline of any class
-	msgs      map[MessageID]*message
-	heldCount int
-	slotsUsed int
-	longUsed  int
-	dests     map[DestinationID]*destination
-	busy      []*destination // those with messages held or calls out, longest first
-	forgetAt  time.Duration
-	eps       map[EndpointID]*endpoint
-	turns     map[OrderKey]*turn
-	tenants   map[string]*tenantState
-	wakeAt    time.Duration // when the next look is due; 0 is none asked for
-	idleBound time.Duration // connections that idled longer are taken for dead; 0 is none known
-	paused    tally         // calls after a pause
-	others    tally         // all other calls
-	idleHitAt time.Duration
-	onKept    tally                    // calls on connections that had carried others, and those reset
-	onFresh   tally                    // the same on new ones
-	fullAt    map[string]time.Duration // by kind: the latest refusal
-	startAt   time.Duration
-	served    fading        // calls, anywhere
-	strayBad  tally         // calls served, and failures in runs that a success ended
-	strayFull tally         // the same of refusals
-	tells     bool          // a refusal has told a wait
-	askAt     time.Duration // when to ask for the list next; 0 is never
-	askWait   time.Duration
-	shedLogAt time.Duration
-	closeAt   time.Duration               // when this life ends; 0 is not known
-	recalled  map[laneName]LearnedCircuit // of an earlier life, not taken up yet
-}
-
-// enqueue gives a message of an ordered class its turn.
-func (d *Decider) enqueue(m *message) {
+	cfg              Settings
+	rng              *rand.Rand
+	now              time.Duration
+	round            uint64 // number of calls of Handle
+	actions          []Action
+	classes          map[string]*classState
+	meanWorth        float64
+	batchGrowth      float64       // share of a call's time that each further message adds
+	maxTimeout       time.Duration // longest delivery timeout of any class
+	messages         map[MessageID]*message
+	heldCount        int
+	slotsUsed        int
+	longSlotsUsed    int
+	destinations     map[DestinationID]*destination
+	busy             []*destination // those with messages held or calls out, oldest first
+	cleanupAt        time.Duration
+	endpoints        map[EndpointID]*endpoint
+	keyQueues        map[OrderKey]*keyQueue
+	tenants          map[string]*tenantState
+	timerAt          time.Duration // when the next timer is due; 0 is none
+	idleLimit        time.Duration // connections idle for longer are taken for dead; 0 is no limit
+	afterIdle        lossTally     // calls after an idle pause
+	others           lossTally     // all other calls
+	idleLossAt       time.Duration
+	reusedConn       lossTally                // calls on reused connections, and resets among them
+	newConn          lossTally                // the same on new connections
+	refusedAt        map[string]time.Duration // by kind: the latest refusal
+	startedAt        time.Duration
+	successes        decayingCount // of all circuits
+	strayFailures    lossTally     // successes, and failures in runs that a success ended
+	strayRefusals    lossTally     // the same of refusals
+	retryAfterSeen   bool          // a refusal has carried a Retry-After
+	subscribeAt      time.Duration // when to subscribe next; 0 is never
+	subscribeBackoff time.Duration
+	shedLoggedAt     time.Duration
+	shutdownAt       time.Duration                 // 0 if no shutdown is announced
+	restored         map[circuitKey]LearnedCircuit // state of an earlier process whose circuits are not listed yet
+}
+
+// enqueueByKey appends a message of an ordered class to the queue of its key.
+func (d *Decider) enqueueByKey(m *message) {
 	if !m.class.InOrder || m.key == 0 {
 		return
 	}
-	t := d.turns[m.key]
+	t := d.keyQueues[m.key]
 	if t == nil {
-		t = &turn{}
-		d.turns[m.key] = t
+		t = &keyQueue{}
+		d.keyQueues[m.key] = t
 	}
 	t.queue = append(t.queue, m)
 }
 
-func (d *Decider) do(a Action) { d.out = append(d.out, a) }
+func (d *Decider) emit(a Action) { d.actions = append(d.actions, a) }
 
-func (d *Decider) logf(format string, args ...any) { d.do(Log{Text: fmt.Sprintf(format, args...)}) }
+func (d *Decider) logf(format string, args ...any) { d.emit(Log{Text: fmt.Sprintf(format, args...)}) }
 
-// New starts a courier's decisions with an empty memory.
+// New returns the decider of one forwarder, without learned state.
 func New(s Settings, seed uint64) (*Decider, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
 	}
-	d := blank(s, seed)
-	d.growth = growthFirst
+	d := newDecider(s, seed)
+	d.batchGrowth = batchGrowthStart
 	for _, c := range s.Classes {
-		d.classes[c.Name] = &classState{Class: c, mean: firstGuess * c.Target.Seconds()}
-		d.longest = max(d.longest, c.DeliveryTimeout)
+		d.classes[c.Name] = &classState{Class: c, meanSec: latencyGuessShare * c.Target.Seconds()}
+		d.maxTimeout = max(d.maxTimeout, c.DeliveryTimeout)
 		d.meanWorth += c.Worth / float64(len(s.Classes))
 	}
 	for _, t := range s.Tenants {
 		rate := t.AllowancePerS / float64(s.Forwarders)
-		d.tenants[t.Name] = &tenantState{rate: rate, bucket: math.Max(1, rate*tenantDepth.Seconds())}
+		d.tenants[t.Name] = &tenantState{rate: rate, tokens: math.Max(1, rate*tenantBurst.Seconds())}
 	}
 	return d, nil
 }
 
-// blank is a courier with an empty memory.
-func blank(s Settings, seed uint64) *Decider {
+// newDecider returns a decider without classes and tenants.
+func newDecider(s Settings, seed uint64) *Decider {
 	return &Decider{
-		s: s, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
-		classes: map[string]*classState{}, msgs: map[MessageID]*message{},
-		dests: map[DestinationID]*destination{}, eps: map[EndpointID]*endpoint{},
-		turns: map[OrderKey]*turn{}, tenants: map[string]*tenantState{}, fullAt: map[string]time.Duration{},
+		cfg: s, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
+		classes: map[string]*classState{}, messages: map[MessageID]*message{},
+		destinations: map[DestinationID]*destination{}, endpoints: map[EndpointID]*endpoint{},
+		keyQueues: map[OrderKey]*keyQueue{}, tenants: map[string]*tenantState{}, refusedAt: map[string]time.Duration{},
 	}
 }
 
-// find gives the endpoint of an entry, new ones included; nil is one that is gone without having been known.
-func (d *Decider) find(en Entry) *endpoint {
-	ep := d.eps[en.Endpoint]
-	if ep != nil && ep.lane.dest.id != en.Destination { // moved: what was seen tells nothing there
-		d.setState(ep, Deleted)
-		ep.lane.known--
-		delete(d.eps, en.Endpoint)
+// endpointOf returns the endpoint of an entry and adds it if needed; nil for a removed one that was never known.
+func (d *Decider) endpointOf(en Entry) *endpoint {
+	ep := d.endpoints[en.Endpoint]
+	if ep != nil && ep.circuit.dest.id != en.Destination { // moved: what was learned does not apply there
+		d.setReadiness(ep, Deleted)
+		ep.circuit.knownEndpoints--
+		delete(d.endpoints, en.Endpoint)
 		ep = nil
 	}
 	if ep == nil && en.Readiness != Deleted {
-		ep = d.remember(en)
+		ep = d.addEndpoint(en)
 	}
 	if ep != nil && en.Readiness == Serving {
-		ep.lane.due = en.TryNext
+		ep.circuit.tryNext = en.TryNext
 	}
 	return ep
 }
 
-// dueFirst is how many times its score a call counts that has to find out how a lane stands: more than any other's.
-const dueFirst = 1e6
+// tryNextFactor multiplies the score of calls to a circuit with tryNext: such a call comes before any other.
+const tryNextFactor = 1e6
 
-// score ranks a call of some value that is expected to take so long: worth per slot time.
-func (l *lane) score(value float64, took time.Duration) float64 {
+// callScore ranks a call by its value per slot time.
+func (l *circuit) callScore(value float64, took time.Duration) float64 {
 	score := math.Max(value, 1e-6) / math.Max(0.005, took.Seconds())
-	if l.due {
-		score *= dueFirst
+	if l.tryNext {
+		score *= tryNextFactor
 	}
 	return score
 }
 
-// remember makes room for a listed endpoint, and for its lane where that is new: nothing is known of either.
-func (d *Decider) remember(en Entry) *endpoint {
-	dest := d.dest(en.Destination)
-	var l *lane
+// addEndpoint adds a listed endpoint, and its circuit if that is new, without learned state.
+func (d *Decider) addEndpoint(en Entry) *endpoint {
+	dest := d.destinationOf(en.Destination)
+	var l *circuit
 	place := ""
-	if d.s.SeparateZones {
+	if d.cfg.SeparateZones {
 		place = en.Zone
 	}
-	i := slices.IndexFunc(dest.lanes, func(l *lane) bool { return l.place == place })
-	if apart := d.s.SeparateRoutes[en.Kind]; !apart && i >= 0 {
-		l = dest.lanes[i]
+	i := slices.IndexFunc(dest.circuits, func(l *circuit) bool { return l.zone == place })
+	if apart := d.cfg.SeparateRoutes[en.Kind]; !apart && i >= 0 {
+		l = dest.circuits[i]
 	} else {
-		l = &lane{
-			name: fmt.Sprintf("destination %d", dest.id), dest: dest, kind: en.Kind, pace: 1, cap: d.capFloor(),
-			batch: max(1, d.s.BatchByKind[en.Kind]), guardFrom: -1, lastOK: neverOK, lastSend: -time.Hour, place: place,
+		l = &circuit{
+			name: fmt.Sprintf("destination %d", dest.id), dest: dest, kind: en.Kind, latencyFactor: 1, callLimit: d.callLimitFloor(),
+			batch: max(1, d.cfg.BatchByKind[en.Kind]), recoveredAt: -1, lastOK: neverOK, lastSend: -time.Hour, zone: place,
 		}
 		if place != "" {
 			l.name += " in " + place
 		}
 		if apart {
-			l.name, l.fee, l.apart = string(en.Endpoint), d.s.ZoneFee[en.Zone], true
+			l.name, l.zoneFee, l.separateRoute = string(en.Endpoint), d.cfg.ZoneFee[en.Zone], true
 		}
-		dest.lanes = append(dest.lanes, l)
+		dest.circuits = append(dest.circuits, l)
 	}
 	ep := &endpoint{
-		id: en.Endpoint, zone: en.Zone, lane: l, state: Deleted, rank: d.rng.Uint64(),
-		lastOK: -time.Hour, usedAt: -time.Hour, bad: map[*classState]mark{},
+		id: en.Endpoint, zone: en.Zone, circuit: l, readiness: Deleted, rank: d.rng.Uint64(),
+		lastOK: -time.Hour, usedAt: -time.Hour, classFailures: map[*classState]classFailures{},
 	}
-	d.eps[en.Endpoint] = ep
-	l.known++
+	d.endpoints[en.Endpoint] = ep
+	l.knownEndpoints++
 	return ep
 }
 
-// setState books what the list says of an endpoint; one that is gone leaves its lane.
-func (d *Decider) setState(ep *endpoint, r Readiness) {
-	if ep.state == Deleted && r != Deleted && !slices.Contains(ep.lane.eps, ep) {
-		ep.lane.eps = append(ep.lane.eps, ep)
-		d.recall(ep)
+// setReadiness records an endpoint's state on the list; a removed endpoint leaves its circuit.
+func (d *Decider) setReadiness(ep *endpoint, r Readiness) {
+	if ep.readiness == Deleted && r != Deleted && !slices.Contains(ep.circuit.endpoints, ep) {
+		ep.circuit.endpoints = append(ep.circuit.endpoints, ep)
+		d.restoreCircuit(ep)
 	}
 	if r == Deleted {
-		ep.lane.eps = slices.DeleteFunc(ep.lane.eps, func(o *endpoint) bool { return o == ep })
-		ep.goneAt = d.now
+		ep.circuit.endpoints = slices.DeleteFunc(ep.circuit.endpoints, func(o *endpoint) bool { return o == ep })
+		ep.removedAt = d.now
 	}
-	served := ep.state == Serving
-	if ep.state = r; served && r != Serving {
-		d.departs(ep)
+	served := ep.readiness == Serving
+	if ep.readiness = r; served && r != Serving {
+		d.clearDeparted(ep)
 	}
 }
 
-// unlist books that a whole list leaves an endpoint out.
-func (d *Decider) unlist(entries []Entry) {
+// removeUnlisted removes the endpoints that are missing from a whole list.
+func (d *Decider) removeUnlisted(entries []Entry) {
 	listed := map[EndpointID]bool{}
 	for _, en := range entries {
 		listed[en.Endpoint] = true
 	}
-	for id, ep := range d.eps { // the order makes no difference
-		if !listed[id] && ep.state != Deleted {
-			d.setState(ep, Deleted)
+	for id, ep := range d.endpoints { // any order will do
+		if !listed[id] && ep.readiness != Deleted {
+			d.setReadiness(ep, Deleted)
 		}
 	}
 }
 
-// logHold logs that the hold is full.
-func (d *Decider) logHold() {
-	if d.now >= d.shedLogAt {
-		d.shedLogAt = d.now + shedLogEvery
-		d.logf("hold: %d of %d, giving up the least worth", d.heldCount, d.s.MostHeld)
+// logShedding logs that too many messages are held.
+func (d *Decider) logShedding() {
+	if d.now >= d.shedLoggedAt {
+		d.shedLoggedAt = d.now + shedLogInterval
+		d.logf("held messages: %d of %d, abandoning the least worth", d.heldCount, d.cfg.MostHeld)
 	}
 }
 
-func (d *Decider) dest(id DestinationID) *destination {
-	dest := d.dests[id]
+func (d *Decider) destinationOf(id DestinationID) *destination {
+	dest := d.destinations[id]
 	if dest == nil {
 		dest = &destination{id: id}
-		d.dests[id] = dest
+		d.destinations[id] = dest
 	}
 	return dest
 }
 
 func (dest *destination) inUse() bool { return len(dest.held) > 0 || dest.inflight > 0 }
 
-// hold puts a message into its destination's queue.
-func (d *Decider) hold(m *message) {
+// enqueueHeld appends a message to its destination's queue.
+func (d *Decider) enqueueHeld(m *message) {
 	m.dest.held = append(m.dest.held, m)
-	if !m.dest.listed {
-		m.dest.listed = true
+	if !m.dest.busy {
+		m.dest.busy = true
 		d.busy = append(d.busy, m.dest)
 	}
 }
 
-// calls goes through all calls that are out.
+// calls iterates over all calls that are out, except those with long messages.
 func (d *Decider) calls() iter.Seq[*call] {
 	return func(yield func(*call) bool) {
 		for _, dest := range d.busy {
-			for _, l := range dest.lanes {
+			for _, l := range dest.circuits {
 				for _, c := range l.inflight {
 					if !yield(c) {
 						return
@@ -464,8 +465,8 @@
 	}
 }
 
-// setBreaker books a breaker's state; closing it forgets the outcomes that opened it.
-func (d *Decider) setBreaker(l *lane, s breakerState) {
+// setBreaker changes a breaker's state; closing it clears its window.
+func (d *Decider) setBreaker(l *circuit, s breakerState) {
 	if l.trialsOK = 0; s != open {
 		l.openUntil = 0
 	}
@@ -476,64 +477,64 @@
 	l.state = s
 }
 
-// settle drops the destinations that have nothing left from the busy ones.
-func (d *Decider) settle() {
+// dropIdleDestinations removes destinations without messages and calls from the busy ones.
+func (d *Decider) dropIdleDestinations() {
 	d.busy = slices.DeleteFunc(d.busy, func(dest *destination) bool {
-		dest.listed = dest.inUse()
-		return !dest.listed
+		dest.busy = dest.inUse()
+		return !dest.busy
 	})
 }
 
-// forget drops what nothing needs any more: endpoints gone before a time, lanes without endpoints, destinations
-// without lanes, turns that are over. Memory stays bounded by what is listed and held.
-func (d *Decider) forget(before time.Duration) {
-	if d.idleHitAt < before {
-		d.idleBound = 0
+// removeStale drops endpoints removed before a time, circuits without endpoints, destinations without circuits and
+// finished key queues. This bounds memory by what is listed and held.
+func (d *Decider) removeStale(before time.Duration) {
+	if d.idleLossAt < before {
+		d.idleLimit = 0
 	}
-	maps.DeleteFunc(d.eps, func(_ EndpointID, ep *endpoint) bool {
-		old := ep.state == Deleted && ep.inflight == 0 && ep.goneAt < before && ep.lane.waitUntil < d.now
+	maps.DeleteFunc(d.endpoints, func(_ EndpointID, ep *endpoint) bool {
+		old := ep.readiness == Deleted && ep.inflight == 0 && ep.removedAt < before && ep.circuit.waitUntil < d.now
 		if old {
-			ep.lane.known--
+			ep.circuit.knownEndpoints--
 		}
 		return old
 	})
-	if before > d.startAt+recallFor { // whoever is not listed by now will not be
-		d.recalled = nil
+	if before > d.startedAt+restoreWindow { // no longer expected to be listed
+		d.restored = nil
 	}
-	maps.DeleteFunc(d.turns, func(_ OrderKey, t *turn) bool { return len(t.queue) == 0 && d.now >= t.restUntil })
-	maps.DeleteFunc(d.dests, func(_ DestinationID, dest *destination) bool {
-		dest.lanes = slices.DeleteFunc(dest.lanes, func(l *lane) bool { return l.known == 0 })
-		return len(dest.lanes) == 0 && !dest.inUse()
+	maps.DeleteFunc(d.keyQueues, func(_ OrderKey, t *keyQueue) bool { return len(t.queue) == 0 && d.now >= t.gapUntil })
+	maps.DeleteFunc(d.destinations, func(_ DestinationID, dest *destination) bool {
+		dest.circuits = slices.DeleteFunc(dest.circuits, func(l *circuit) bool { return l.knownEndpoints == 0 })
+		return len(dest.circuits) == 0 && !dest.inUse()
 	})
 }
 
-// end marks a message as answered; it is forgotten once no attempt is out.
-func (d *Decider) end(m *message) {
+// finish marks a message as answered; it is forgotten once no attempt is out.
+func (d *Decider) finish(m *message) {
 	if !m.ended {
 		m.ended = true
-		d.count(m, -1)
+		d.countHeld(m, -1)
 	}
 	if m.call != nil {
 		return
 	}
 	m.dest.held = slices.DeleteFunc(m.dest.held, func(o *message) bool { return o == m })
-	delete(d.msgs, m.id)
-	if t := d.turns[m.key]; t != nil && m.class.InOrder {
+	delete(d.messages, m.id)
+	if t := d.keyQueues[m.key]; t != nil && m.class.InOrder {
 		t.queue = slices.DeleteFunc(t.queue, func(o *message) bool { return o == m })
-		if len(t.queue) == 0 && d.now >= t.restUntil {
-			delete(d.turns, m.key)
+		if len(t.queue) == 0 && d.now >= t.gapUntil {
+			delete(d.keyQueues, m.key)
 		}
 	}
 }
 
-func (d *Decider) record(l *lane, bad bool) {
+func (d *Decider) recordOutcome(l *circuit, bad bool) {
 	if l.window = append(l.window, bad); len(l.window) > windowSize {
 		l.window = l.window[1:]
 	}
 }
 
-// failShare is the share of failures among the outcomes remembered.
-func (l *lane) failShare() float64 {
+// failureShare returns the share of failures in the breaker's window.
+func (l *circuit) failureShare() float64 {
 	fails := 0.0
 	for _, bad := range l.window {
 		if bad {
@@ -543,53 +544,53 @@
 	return fails / float64(max(1, len(l.window)))
 }
 
-// count books a message as one of those held; long ones have a bound of their own.
-func (d *Decider) count(m *message, n int) {
+// countHeld adds n to the number of held messages; long ones have a limit of their own.
+func (d *Decider) countHeld(m *message, n int) {
 	if !m.long {
 		d.heldCount += n
 	}
 }
 
-// note books a call that goes out now, by its weight.
-func (d *Decider) note(l *lane, weight float64) {
-	l.lastSend, l.gaps = d.now, weight
-	old := func(s sent) bool { return s.at <= d.now-d.s.TipAfter }
-	l.sends = slices.DeleteFunc(append(l.sends, sent{d.now, weight}), old)
+// recordCall records the time and weight of a call that is sent now.
+func (d *Decider) recordCall(l *circuit, weight float64) {
+	l.lastSend, l.gapsDue = d.now, weight
+	old := func(s sentCall) bool { return s.at <= d.now-d.cfg.TipAfter }
+	l.recentCalls = slices.DeleteFunc(append(l.recentCalls, sentCall{d.now, weight}), old)
 }
 
-// occupy books a message into a call that is about to go out, or goes out in this round.
-func (d *Decider) occupy(m *message, c *call) {
+// beginAttempt adds a message to a call that is sent in this round.
+func (d *Decider) beginAttempt(m *message, c *call) {
 	switch {
 	case c.long:
-		d.longUsed++
-		c.ep.inflight++
-		c.ep.lane.longs++
-	case len(c.msgs) == 0:
+		d.longSlotsUsed++
+		c.endpoint.inflight++
+		c.endpoint.circuit.longCalls++
+	case len(c.messages) == 0:
 		d.slotsUsed++
-		c.ep.inflight++
+		c.endpoint.inflight++
 		m.dest.inflight++
-		c.ep.lane.inflight = append(c.ep.lane.inflight, c)
+		c.endpoint.circuit.inflight = append(c.endpoint.circuit.inflight, c)
 	}
-	m.call, m.owed = c, false
+	m.call, m.untried = c, false
 	m.attempts++
-	c.msgs = append(c.msgs, m)
-	if c.size++; m.class.mean > c.class.mean {
+	c.messages = append(c.messages, m)
+	if c.size++; m.class.meanSec > c.class.meanSec {
 		c.class = m.class
 	}
 	m.dest.held = slices.DeleteFunc(m.dest.held, func(o *message) bool { return o == m })
 }
 
-// release books the end of a message's attempt; its call holds the slot until all its messages are answered for.
-func (d *Decider) release(m *message) {
-	c, l := m.call, m.call.ep.lane
+// endAttempt ends a message's attempt; the call keeps its slot until all its messages have an answer.
+func (d *Decider) endAttempt(m *message) {
+	c, l := m.call, m.call.endpoint.circuit
 	m.call = nil
-	if c.msgs = slices.DeleteFunc(c.msgs, func(o *message) bool { return o == m }); len(c.msgs) > 0 {
+	if c.messages = slices.DeleteFunc(c.messages, func(o *message) bool { return o == m }); len(c.messages) > 0 {
 		return
 	}
-	c.ep.inflight--
+	c.endpoint.inflight--
 	if c.long {
-		d.longUsed--
-		l.longs--
+		d.longSlotsUsed--
+		l.longCalls--
 		return
 	}
 	d.slotsUsed--
