--- a/bench_test.go
+++ b/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// listOf makes a list of n endpoints, two to a destination.
+// listOf returns a list of n endpoints, two per destination.
 func listOf(n int) []Entry {
 	var entries []Entry
 	for i := range n {
@@ -17,8 +17,8 @@
 	return entries
 }
 
-// BenchmarkHandle sends and answers one message beside ten that are held, by the number of listed endpoints. The cost
-// must not grow with the list.
+// BenchmarkHandle sends and answers one message, with ten others held, by the number of listed endpoints. The cost must
+// not grow with the list.
 func BenchmarkHandle(b *testing.B) {
 	for _, n := range []int{20, 200, 1000} {
 		b.Run(fmt.Sprint("endpoints=", n), func(b *testing.B) {
@@ -46,7 +46,7 @@
 	}
 }
 
-// Destinations that are no longer listed and have nothing held are forgotten; those never listed as well.
+// Destinations without listed endpoints and held messages are forgotten, and so are those that were never listed.
 func TestDestinationsAreForgotten(t *testing.T) {
 	r := newHarness(t, testSettings(), listOf(1000)...)
 	for i := range 300 {
@@ -63,8 +63,9 @@
 	}
 }
 
-// All that came during a frozen spell comes in one Handle: nothing is lost, no destination is blamed that answers.
-func TestBurstAfterAFrozenSpell(t *testing.T) {
+// After a pause of the process, all that arrived meanwhile comes in one Handle: no message is lost and no breaker opens
+// for a destination that answers.
+func TestBurstAfterPause(t *testing.T) {
 	s := testSettings()
 	s.Slots, s.MostHeld, s.Forwarders = 3, 12, 75
 	r := newHarness(t, s, listOf(1000)...)
@@ -73,7 +74,7 @@
 		r.submit("safe", DestinationID(i), 0)
 		out = append(out, r.last())
 	}
-	r.now += 2500 * ms // frozen
+	r.now += 2500 * ms // the pause
 	var in []Event
 	for _, s := range out {
 		in = append(in, Answer{ID: s.ID, Endpoint: s.Endpoint, Outcome: OK, Latency: 2 * time.Second, Settled: true})
@@ -83,7 +84,7 @@
 		in = append(in, Submit{ID: r.next, Class: "safe", Destination: DestinationID(i), TimeLeft: 3 * time.Second})
 	}
 	if n := len(r.do(in...)); n != s.Slots {
-		t.Errorf("%d sends after the spell, want %d", n, s.Slots)
+		t.Errorf("%d sends after the pause, want %d", n, s.Slots)
 	}
 	for range 40 {
 		r.settle(always(OK))
@@ -93,22 +94,23 @@
 		t.Errorf("%d messages left", len(r.d.messages))
 	}
 	for _, text := range r.logs {
-		t.Errorf("blamed: %s", text)
+		t.Errorf("unexpected log line: %s", text)
 	}
 }
 
-// Refusals that come with the limit told as spent are the limit's and raise the guard only after a second; others, as
-// of a hung destination whose queue is full, at the second one. One alone never does: the told share may be old.
-func TestRefusalsThatTheToldShareExplains(t *testing.T) {
+// Refusals that report the limit as spent are due to the limit and start slow start only after a second; others, for
+// example from a stalled destination with a full queue, at the second refusal. A single refusal never does: the
+// reported share may be out of date.
+func TestRefusalsExplainedByReportedLimit(t *testing.T) {
 	for _, left := range []float64{0.05, 0.9} {
 		s := testSettings()
-		s.Forwarders = largeFleetSize - 1 // many wait longer for their next call
+		s.Forwarders = largeFleetSize - 1 // a large fleet waits longer for its next call
 		r := newHarness(t, s)
 		r.submit("safe", 1, 0)
 		sent := r.last()
 		r.do(Answer{ID: sent.ID, Endpoint: "a", Outcome: Refused, Limit: &LimitReport{Remaining: left, Rate: 6}})
 		if r.d.destinations[1].circuits[0].slowStart {
-			t.Errorf("%v of the limit left: guard after one refusal", left)
+			t.Errorf("%v of the limit left: slow start after one refusal", left)
 		}
 		r.now += 700 * ms
 		r.do(Timer{Cookie: checkTimerCookie})
@@ -116,19 +118,19 @@
 			ID: sent.ID, Attempt: r.sent[sent.ID] - 1, Endpoint: "a", Outcome: Refused, Limit: &LimitReport{Remaining: left, Rate: 6},
 		})
 		if got := r.d.destinations[1].circuits[0].slowStart; got != (left > 0.5) || r.sent[sent.ID] != 2 {
-			t.Errorf("%v of the limit left: guard %v after %d refusals", left, got, r.sent[sent.ID])
+			t.Errorf("%v of the limit left: slow start %v after %d refusals", left, got, r.sent[sent.ID])
 		}
 	}
 }
 
-// An answer for another attempt or endpoint than the one that is out is ignored.
+// An answer for another attempt or endpoint than the current one is ignored.
 func TestForeignAnswersAreIgnored(t *testing.T) {
 	r := newHarness(t, testSettings())
 	id := r.submit("safe", 1, 0)
 	r.do(Answer{ID: id, Attempt: 1, Endpoint: "a", Outcome: OK, Settled: true},
 		Answer{ID: id, Attempt: 0, Endpoint: "b", Outcome: OK, Settled: true})
 	if r.d.slotsUsed != 1 || r.d.messages[id] == nil {
-		t.Error("a foreign answer ended the attempt that is out")
+		t.Error("an unrelated answer ended the attempt that is out")
 	}
 	r.answer(r.last(), OK, 0)
 	if r.d.slotsUsed != 0 || len(r.d.messages) != 0 {
--- a/decide.go
+++ b/decide.go
@@ -247,7 +247,7 @@
 	}
 	m := &message{
 		id: e.ID, class: c, key: e.Key, dest: d.destinationOf(e.Destination), deadline: d.now + e.TimeLeft,
-		worth: c.Worth, notBefore: d.now, attempts: e.Attempts, long: e.Long, bodyGone: e.BodyConsumed,
+		worth: c.Worth, notBefore: d.now, attempts: e.Attempts, long: e.Long, bodyConsumed: e.BodyConsumed,
 		untried: e.Resumed && e.Attempts == 0,
 	}
 	if m.expiresAt = m.deadline; m.long {
@@ -358,20 +358,20 @@
 // key's expiry. An untried message of an earlier process ends only if a Retry-After blocks it until then.
 func (d *Decider) expire() {
 	for _, dest := range d.busy {
-		var free, told time.Duration // earliest time a circuit is free, and free of Retry-After
+		var free, retryAt time.Duration // earliest time a circuit is free, and free of Retry-After
 		for i, l := range dest.circuits {
 			at := max(l.waitUntil, l.openUntil)
 			if l.slowStart && l.recoveredAt < 0 && len(l.inflight) == 0 { // otherwise a success may end slow start
 				at = max(at, d.nextSlowStartCall(l))
 			}
 			if i == 0 {
-				free, told = at, l.waitUntil
+				free, retryAt = at, l.waitUntil
 			}
-			free, told = min(free, at), min(told, l.waitUntil)
+			free, retryAt = min(free, at), min(retryAt, l.waitUntil)
 		}
 		for _, m := range slices.Clone(dest.held) {
 			if m.attempts >= d.cfg.MaxAttempts || m.mayHaveRun && m.class.Effect == Unsafe ||
-				m.long && (m.bodyGone || d.shutdownAt > 0) || max(d.now, m.notBefore, m.waitsUntil(free, told)) >=
+				m.long && (m.bodyConsumed || d.shutdownAt > 0) || max(d.now, m.notBefore, m.readyAt(free, retryAt)) >=
 				min(m.deadline-answerMargin, d.repeatUntil(m)) {
 				d.abandon(m)
 			}
@@ -464,7 +464,7 @@
 	}
 	m.retryWait = max(first, min(retryMax, time.Duration(retryGrowth*float64(m.retryWait))))
 	m.notBefore = d.now + time.Duration(c.jitter*float64(m.retryWait))
-	if m.bodyGone = e.BodyConsumed; m.long {
+	if m.bodyConsumed = e.BodyConsumed; m.long {
 		m.deadline = min(m.expiresAt, d.now+m.class.DeliveryTimeout)
 	}
 	d.enqueueHeld(m)
@@ -502,9 +502,9 @@
 // lostToReusedConn reports whether a call was reset with a connection that carried earlier calls, which says
 // nothing of the endpoint: one that is down refuses the next connection. Resets are tallied for both kinds.
 func (d *Decider) lostToReusedConn(e Answer) bool {
-	t := &d.newConn
+	t := &d.newConnection
 	if e.ReusedConn {
-		t = &d.reusedConn
+		t = &d.reusedConnection
 	}
 	if e.Outcome == OK || e.Outcome == Reset {
 		t.add(e.Outcome == Reset, maxResetTallyCalls)
@@ -516,14 +516,14 @@
 // connections are reset more often than new ones by more than a handshake is worth.
 func (d *Decider) wantsNewConn(m *message) bool {
 	share := func(t lossTally) float64 { return t.lost / math.Max(t.calls, minResetSample) }
-	return m.class.Effect == Unsafe && share(d.reusedConn) > share(d.newConn)+minResetReduction
+	return m.class.Effect == Unsafe && share(d.reusedConnection) > share(d.newConnection)+minResetReduction
 }
 
 // capacity returns a circuit's rate for all forwarders: as reported or hinted, otherwise estimated from this
 // one's successes, weighted with the mean circuit's. A circuit never serves more than it can.
 func (d *Decider) capacity(l *circuit) float64 {
-	if told := cmp.Or(l.reportedLimit, l.capacityHint); told > 0 {
-		return told
+	if known := cmp.Or(l.reportedLimit, l.capacityHint); known > 0 {
+		return known
 	}
 	sec := d.decaySeconds(successDecay)
 	mean := d.rateOf(&d.successes, successDecay) / math.Max(1, float64(len(d.destinations)))
@@ -666,8 +666,8 @@
 	d.recordOutcome(l, true)
 	least := d.outageThreshold(&d.strayFailures)
 	// In a large fleet one failure is enough if stray ones are rare and no other endpoint has succeeded since.
-	one := d.largeFleet() && least == minOutageRun && ep.lastOK >= l.lastOK && o == ConnectFailed
-	if l.consecFailures >= least || one {
+	single := d.largeFleet() && least == minOutageRun && ep.lastOK >= l.lastOK && o == ConnectFailed
+	if l.consecFailures >= least || single {
 		d.beginSlowStart(l, l.failedSince, false)
 		l.slowStartByConns = l.onlyLostConns
 	}
@@ -837,7 +837,7 @@
 // pickEndpoint chooses a message's endpoint: with the fewest failures of its class and itself, since others'
 // successes hide these, then with fewest failures, fewest calls out, and by this forwarder's random order.
 func (d *Decider) pickEndpoint(l *circuit, m *message) *endpoint {
-	shy := func(ep *endpoint) (n int) {
+	failures := func(ep *endpoint) (n int) {
 		if k := ep.classFailures[m.class]; d.now < k.lastAt+classFailurePeriod {
 			n = k.consecutive
 		}
@@ -851,7 +851,7 @@
 		if ep.readiness != Serving || !d.maySend(m, ep) {
 			continue
 		}
-		if best == nil || cmp.Or(shy(ep)-shy(best), ep.consecFailures-best.consecFailures,
+		if best == nil || cmp.Or(failures(ep)-failures(best), ep.consecFailures-best.consecFailures,
 			ep.inflight-best.inflight, cmp.Compare(ep.rank, best.rank)) < 0 {
 			best = ep
 		}
--- a/example_test.go
+++ b/example_test.go
@@ -7,7 +7,7 @@
 	"mulleinbeam"
 )
 
-// A courier feeds what it observes and performs what comes back.
+// A forwarder passes in what it observes and performs the actions that are returned.
 func Example() {
 	d, err := mulleinbeam.New(mulleinbeam.Settings{
 		Forwarders: 1, Slots: 8, MostHeld: 50, MaxAttempts: 3,
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-func fleetSettings(couriers int) Settings {
+func fleetSettings(forwarders int) Settings {
 	s := testSettings()
-	s.Forwarders, s.RoughCapacityHints = couriers, true
+	s.Forwarders, s.RoughCapacityHints = forwarders, true
 	return s
 }
 
-// A few couriers pace a lane by its whole rate, as they always did; many pace what each is itself asked for, and never less
-// than a part of an even share.
-func TestPacedByTheSizeOfTheFleet(t *testing.T) {
-	for couriers, want := range map[int]float64{1: 50, 3: 50, largeFleetSize - 1: 50, largeFleetSize: 50 * fleetMin / largeFleetSize, 1000: 50 * fleetMin / 1000} {
-		r := newHarness(t, fleetSettings(couriers))
+// In a small fleet a circuit's rate limit is relative to its capacity; in a large fleet to the rate of messages
+// submitted to this forwarder, and at least to a part of an even share.
+func TestRateBaseByFleetSize(t *testing.T) {
+	for forwarders, want := range map[int]float64{1: 50, 3: 50, largeFleetSize - 1: 50, largeFleetSize: 50 * fleetMin / largeFleetSize, 1000: 50 * fleetMin / 1000} {
+		r := newHarness(t, fleetSettings(forwarders))
 		l := r.d.destinations[1].circuits[0]
 		if part := r.d.rateBase(l); part != want {
-			t.Errorf("%d couriers: paced by %v, want %v", couriers, part, want)
+			t.Errorf("%d forwarders: rate base %v, want %v", forwarders, part, want)
 		}
 		for range 400 { // two a second
 			r.submit("safe", 1, 0)
@@ -29,21 +29,21 @@
 		}
 		p, part := r.d.rateControl(), r.d.rateBase(l)
 		top := p.max
-		if couriers < largeFleetSize && p != (rateControl{cut: rateCut, grow: rateGrow, max: rateMax, burst: 1, start: math.Inf(1)}) {
-			t.Errorf("%d couriers: paced by %+v", couriers, p)
+		if forwarders < largeFleetSize && p != (rateControl{cut: rateCut, grow: rateGrow, max: rateMax, burst: 1, start: math.Inf(1)}) {
+			t.Errorf("%d forwarders: rate control %+v", forwarders, p)
 		}
-		if many := couriers >= largeFleetSize; many && (part < 1.5 || part > 2.5) || !many && part != 50 {
-			t.Errorf("%d couriers: asked for two a second and paced by %v", couriers, part)
+		if large := forwarders >= largeFleetSize; large && (part < 1.5 || part > 2.5) || !large && part != 50 {
+			t.Errorf("%d forwarders: rate base %v with two messages a second", forwarders, part)
 		}
-		if l.rateLimit > 1.1*top*part { // the part fades between two messages
-			t.Errorf("%d couriers: a rate of %v, over %v times %v", couriers, l.rateLimit, top, part)
+		if l.rateLimit > 1.1*top*part { // the rate base decays between two messages
+			t.Errorf("%d forwarders: a rate of %v, over %v times %v", forwarders, l.rateLimit, top, part)
 		}
 	}
 }
 
-// Among many couriers a refusal halves what this one sends, whatever the lane's rate; a further one within the time for which
-// a cut stands takes nothing.
-func TestARefusalCutsTheOwnPart(t *testing.T) {
+// In a large fleet a refusal halves this forwarder's rate, whatever the circuit's capacity; another one within
+// rateCutInterval does not cut it again.
+func TestRefusalCutsRateInLargeFleet(t *testing.T) {
 	r := newHarness(t, fleetSettings(80))
 	l := r.d.destinations[1].circuits[0]
 	for range 100 {
@@ -57,18 +57,18 @@
 		r.d.onRefusal(l, 0)
 	}
 	if want := before * fleetCut; l.rateLimit > want+1e-9 || l.rateLimit < rateMin*part {
-		t.Errorf("after a refusal paced at %v; before %v, asked for %v", l.rateLimit, before, part)
+		t.Errorf("rate limit %v after a refusal; before %v, rate base %v", l.rateLimit, before, part)
 	}
 }
 
-// Where nothing is told of the limit, a refusal or two are the limit's among many couriers, each of which sees few calls; a run
-// of them over a second with no success still raises the guard. A few couriers see it as soon as before.
-func TestRefusalsAmongMany(t *testing.T) {
-	for couriers, want := range map[int]int{3: minOutageRun, 80: fleetRefusals} {
-		r := newHarness(t, fleetSettings(couriers))
+// In a large fleet each forwarder sees few calls, so a refusal or two without a reported limit are due to the limit; a
+// run of refusals over a second without a success still starts slow start. A small fleet detects it earlier.
+func TestRefusalsInLargeFleet(t *testing.T) {
+	for forwarders, want := range map[int]int{3: minOutageRun, 80: fleetRefusals} {
+		r := newHarness(t, fleetSettings(forwarders))
 		l := r.d.destinations[1].circuits[0]
 		r.submit("safe", 1, 0)
-		r.settle(always(OK)) // its answer tells nothing of the limit
+		r.settle(always(OK)) // its answer reports no limit
 		r.pass(time.Second)
 		n := 0
 		for ; !l.slowStart && n < 10; n++ {
@@ -76,16 +76,17 @@
 			r.d.onRefusal(l, 0)
 		}
 		if n != want {
-			t.Errorf("%d couriers: %d refusals raised the guard, want %d", couriers, n, want)
+			t.Errorf("%d forwarders: %d refusals until slow start, want %d", forwarders, n, want)
 		}
 	}
 }
 
-// Of a few couriers all have an even part of the fail-back budget; among many one half goes by what each has served there, up to
-// twice an even part of that half. However uneven their traffic, all together have no more than the budget.
-func TestPartsOfTheFailBackBudget(t *testing.T) {
-	budget := func(couriers int, every time.Duration) float64 {
-		r := newHarness(t, fleetSettings(couriers))
+// In a small fleet all forwarders have an even part of the slow-start budget. In a large one, half of it is divided by
+// each forwarder's successes there, up to twice an even part of that half. However uneven the traffic is, the sum stays
+// within the budget.
+func TestPartsOfSlowStartBudget(t *testing.T) {
+	budget := func(forwarders int, every time.Duration) float64 {
+		r := newHarness(t, fleetSettings(forwarders))
 		l := r.d.destinations[1].circuits[0]
 		for range int(60 * time.Second / every) {
 			r.submit("safe", 1, 0)
@@ -96,13 +97,13 @@
 		return r.d.slowStartBudget(l)
 	}
 	if few, much := budget(3, 2*time.Second), budget(3, 100*ms); few != much {
-		t.Errorf("three couriers: a budget of %v with little traffic, %v with much", few, much)
+		t.Errorf("three forwarders: a budget of %v with little traffic, %v with much", few, much)
 	}
 	little, some, much := budget(80, 30*time.Second), budget(80, 1200*ms), budget(80, 100*ms)
 	if !(little < some && some < much) || much < 2.4*little || much > 3.01*little {
-		t.Errorf("eighty couriers: budgets of %v, %v and %v with little, some and much traffic", little, some, much)
+		t.Errorf("eighty forwarders: budgets of %v, %v and %v with little, some and much traffic", little, some, much)
 	}
-	// Fifty calls a second are the hint. A tenth of eighty couriers has half of 35, the others have the rest.
+	// The hint is 50 calls a second. A tenth of 80 forwarders gets half of 35, the others get the rest.
 	s, all := fleetSettings(80), 0.0
 	for range 8 {
 		all += budget(80, 8*time.Second*10/175)
@@ -111,32 +112,34 @@
 		all += budget(80, 72*time.Second*10/175)
 	}
 	if most := s.OverloadFactor * s.ColdFrom * roughHintMargin * 50 * s.TipAfter.Seconds(); all > most || all < 0.7*most {
-		t.Errorf("eighty couriers: %v calls in a span together, of a budget of %v", all, most)
+		t.Errorf("eighty forwarders: %v calls in an interval together, of a budget of %v", all, most)
 	}
 }
 
-// A release begins the lives of most of a fleet at once, with what the earlier ones held: among many each sends one call to a
-// destination and paces itself from there on. A few send as many as the rate allows in one go.
-func TestANewLifeAmongMany(t *testing.T) {
-	for couriers, want := range map[int]int{3: 2, 80: 1} { // two is the cap of eight slots
-		r := newHarness(t, fleetSettings(couriers))
+// A release restarts most of a fleet at once, with the messages held before. In a large fleet each forwarder sends one
+// call to a destination at first and is rate limited from there on; in a small one a burst up to the rate limit is
+// sent.
+func TestRestartInLargeFleet(t *testing.T) {
+	for forwarders, want := range map[int]int{3: 2, 80: 1} { // 2 is the call limit with 8 slots
+		r := newHarness(t, fleetSettings(forwarders))
 		for range 5 {
 			r.submit("safe", 1, 0)
 		}
 		if len(r.sends) != want {
-			t.Errorf("%d couriers: %d calls at once, want %d", couriers, len(r.sends), want)
+			t.Errorf("%d forwarders: %d calls at once, want %d", forwarders, len(r.sends), want)
 		}
 	}
 }
 
-// A lane whose state has to be found out gets the next call, however much faster another looks, and gets a message whose loss hurts least; once
-// that is known the faster one has the calls again. Without it the slower one would never be tried while the other has room.
-func TestADueLaneGoesFirst(t *testing.T) {
+// A circuit with TryNext gets the next call, however much faster another one is, with the message whose loss costs
+// least; without TryNext the faster one gets the calls again. Otherwise the slower circuit would never be tried while
+// the faster one has room.
+func TestTryNextCircuitGoesFirst(t *testing.T) {
 	s := testSettings()
 	s.SeparateZones = true
 	s.Classes = slices.Clone(s.Classes)
 	unsafe := slices.IndexFunc(s.Classes, func(c Class) bool { return c.Name == "unsafe" })
-	s.Classes[unsafe].Worth = 50 // it would go first
+	s.Classes[unsafe].Worth = 50 // it would be sent first
 	entries := []Entry{
 		{Endpoint: "a", Zone: "z0", Destination: 1, Kind: "shared", CapacityHint: 50},
 		{Endpoint: "b", Zone: "z1", Destination: 1, Kind: "shared", CapacityHint: 50},
@@ -149,30 +152,30 @@
 		r.pass(200 * ms)
 		return to
 	}
-	for _, due := range []bool{false, true} {
+	for _, tryNext := range []bool{false, true} {
 		r := newHarness(t, s, entries...)
-		r.d.destinations[1].circuits[0].latencyFactor = 3 // as its calls were before it went down
+		r.d.destinations[1].circuits[0].latencyFactor = 3 // as slow as before it went down
 		for range 5 {
 			if to := next(r, "safe"); to != "b" {
-				t.Fatalf("due %v: the slower lane is gone to as it is: %s", due, to)
+				t.Fatalf("TryNext %v: a call goes to the slower circuit: %s", tryNext, to)
 			}
 		}
-		tried := entries[0]
-		tried.TryNext = due
-		r.do(EndpointUpdate{Scope: ListChanges, Entries: []Entry{tried}})
-		if to := next(r, "safe"); (to == "a") != due {
-			t.Errorf("due %v: the next call goes to %s", due, to)
+		entry := entries[0]
+		entry.TryNext = tryNext
+		r.do(EndpointUpdate{Scope: ListChanges, Entries: []Entry{entry}})
+		if to := next(r, "safe"); (to == "a") != tryNext {
+			t.Errorf("TryNext %v: the next call goes to %s", tryNext, to)
 		}
 		r.sends = nil
 		r.do(Submit{ID: 1000, Class: "unsafe", Destination: 1, TimeLeft: 20 * time.Second}, Submit{ID: 1001, Class: "safe", Destination: 1, TimeLeft: 6 * time.Second})
-		if first := r.sends[0]; due && (first.Endpoint != "a" || first.ID != 1001) {
-			t.Errorf("an unsafe message is tried where a safe one is at hand: %+v", r.sends)
+		if first := r.sends[0]; tryNext && (first.Endpoint != "a" || first.ID != 1001) {
+			t.Errorf("an unsafe message is tried although a safe one is ready: %+v", r.sends)
 		}
 		r.settle(always(OK))
 		r.pass(200 * ms)
 		r.do(EndpointUpdate{Scope: ListChanges, Entries: entries[:1]})
 		if to := next(r, "safe"); to != "b" {
-			t.Errorf("due %v: no longer due, and gone to %s", due, to)
+			t.Errorf("TryNext %v: no longer TryNext, and the call goes to %s", tryNext, to)
 		}
 	}
 }
--- a/learned_test.go
+++ b/learned_test.go
@@ -13,23 +13,23 @@
 	}
 }
 
-// life is a courier with one partner, "a" of destination 1, on a clock that the test sets.
-type life struct {
-	t    *testing.T
-	d    *Decider
-	now  time.Duration
-	next MessageID
-	out  map[MessageID]Send
-	tell map[MessageID]int
+// testForwarder is a forwarder with destination 1, on a clock set by the test.
+type testForwarder struct {
+	t        *testing.T
+	d        *Decider
+	now      time.Duration
+	next     MessageID
+	out      map[MessageID]Send
+	attempts map[MessageID]int
 }
 
-func newLife(t *testing.T, recall *LearnedState, endpoints ...EndpointID) *life {
+func newTestForwarder(t *testing.T, recall *LearnedState, endpoints ...EndpointID) *testForwarder {
 	t.Helper()
 	d, err := New(learnedSettings(), 3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &life{t: t, d: d, now: 24 * time.Hour, out: map[MessageID]Send{}, tell: map[MessageID]int{}}
+	l := &testForwarder{t: t, d: d, now: 24 * time.Hour, out: map[MessageID]Send{}, attempts: map[MessageID]int{}}
 	if recall != nil {
 		d.Restore(l.now, *recall)
 	}
@@ -41,7 +41,7 @@
 	return l
 }
 
-func (l *life) handle(events ...Event) {
+func (l *testForwarder) handle(events ...Event) {
 	for _, a := range l.d.Handle(l.now, events) {
 		if s, ok := a.(Send); ok {
 			l.out[s.ID] = s
@@ -49,8 +49,8 @@
 	}
 }
 
-// submit hands messages in and gives how many calls are out then.
-func (l *life) submit(n int) int {
+// submit submits messages and returns how many calls are out.
+func (l *testForwarder) submit(n int) int {
 	for range n {
 		l.next++
 		l.handle(Submit{ID: l.next, Class: "c", TimeLeft: 20 * time.Second, Destination: 1})
@@ -59,51 +59,51 @@
 }
 
 // answer ends all calls that are out.
-func (l *life) answer(o Outcome, wait time.Duration) {
+func (l *testForwarder) answer(o Outcome, wait time.Duration) {
 	for id, s := range l.out {
 		delete(l.out, id)
-		l.tell[id]++
-		l.handle(Answer{ID: id, Attempt: l.tell[id] - 1, Endpoint: s.Endpoint, Outcome: o, RetryAfter: wait, Latency: 20 * time.Millisecond, Settled: o == OK})
+		l.attempts[id]++
+		l.handle(Answer{ID: id, Attempt: l.attempts[id] - 1, Endpoint: s.Endpoint, Outcome: o, RetryAfter: wait, Latency: 20 * time.Millisecond, Settled: o == OK})
 	}
 }
 
-// pass lets time go by, with the module's looks in between.
-func (l *life) pass(d time.Duration) {
+// pass advances the clock and fires the timer for checks.
+func (l *testForwarder) pass(d time.Duration) {
 	for end := l.now + d; l.now < end; {
 		l.now += 20 * time.Millisecond
 		l.handle(Timer{Cookie: 1})
 	}
 }
 
-// A told wait that has not ended holds in the next life to its last moment, and not longer.
-func TestRecalledWaitHolds(t *testing.T) {
-	first := newLife(t, nil, "a")
+// A Retry-After that has not expired still holds after a restart, to its end and no longer.
+func TestRestoredRetryAfterHolds(t *testing.T) {
+	first := newTestForwarder(t, nil, "a")
 	if first.submit(1) != 1 {
 		t.Fatal("no call")
 	}
 	first.answer(Refused, 5*time.Second)
 	first.now += time.Second
 	learned := first.d.Snapshot(first.now)
-	if cold := newLife(t, nil, "a"); cold.submit(1) != 1 {
-		t.Error("a cold life holds the call back, so this shows nothing")
+	if cold := newTestForwarder(t, nil, "a"); cold.submit(1) != 1 {
+		t.Error("the call is held without restored state as well")
 	}
-	second := newLife(t, &learned, "a")
+	second := newTestForwarder(t, &learned, "a")
 	if second.submit(3) != 0 {
-		t.Error("called within a told wait")
+		t.Error("called before the Retry-After expired")
 	}
 	second.pass(3900 * time.Millisecond)
 	if len(second.out) != 0 {
-		t.Error("called 0.1 s before a told wait's end")
+		t.Error("called 0.1 s before the Retry-After expired")
 	}
 	second.pass(3 * time.Second)
 	if len(second.out) == 0 {
-		t.Error("not called behind the wait's end")
+		t.Error("not called after the Retry-After expired")
 	}
 }
 
-// A breaker that was open is still careful: one trial, and no burst.
-func TestRecalledBreakerIsCareful(t *testing.T) {
-	first := newLife(t, nil, "a")
+// A breaker that was open before a restart allows one trial at a time, no burst.
+func TestRestoredBreakerAllowsOneTrial(t *testing.T) {
+	first := newTestForwarder(t, nil, "a")
 	for range 12 {
 		first.submit(1)
 		first.answer(ConnectFailed, 0)
@@ -113,8 +113,8 @@
 	if len(learned.Circuits) != 1 || learned.Circuits[0].Breaker == BreakerClosed || !learned.Circuits[0].Guard {
 		t.Fatalf("%+v", learned.Circuits)
 	}
-	cold := newLife(t, nil, "a").submit(6)
-	second := newLife(t, &learned, "a")
+	cold := newTestForwarder(t, nil, "a").submit(6)
+	second := newTestForwarder(t, &learned, "a")
 	second.submit(6)
 	most := len(second.out)
 	for range 100 {
@@ -122,14 +122,14 @@
 		most = max(most, len(second.out))
 	}
 	if most != 1 || cold < 2 {
-		t.Errorf("%d trials at once, %d calls of a life that knows nothing", most, cold)
+		t.Errorf("%d trials at once, %d calls without restored state", most, cold)
 	}
 }
 
-// What was learned belongs to names: a partner of which no endpoint is listed any more is a new one, and one that has an
-// endpoint left is the same.
-func TestRecalledPartnerIsRenamed(t *testing.T) {
-	first := newLife(t, nil, "a", "b")
+// Learned state applies to a destination only while one of the endpoints that it had is still listed; otherwise the
+// destination is taken for a new one.
+func TestRestoredStateNeedsListedEndpoint(t *testing.T) {
+	first := newTestForwarder(t, nil, "a", "b")
 	first.submit(1)
 	first.answer(Refused, 5*time.Second)
 	learned := first.d.Snapshot(first.now)
@@ -137,15 +137,15 @@
 		listed []EndpointID
 		want   int
 	}{{[]EndpointID{"x", "y"}, 1}, {[]EndpointID{"x", "b"}, 0}, {[]EndpointID{"a", "b"}, 0}} {
-		if got := newLife(t, &learned, c.listed...).submit(1); got != c.want {
+		if got := newTestForwarder(t, &learned, c.listed...).submit(1); got != c.want {
 			t.Errorf("listed %v: %d calls", c.listed, got)
 		}
 	}
 }
 
-// A partner that may have gone cold unseen is met as after an outage: within the fail-back budget, until it has answered.
-func TestColdPartnerIsMetAsSuch(t *testing.T) {
-	first := newLife(t, nil, "a")
+// A destination that may have gone cold unobserved gets slow start as after an outage, until it has answered.
+func TestColdDestinationGetsSlowStart(t *testing.T) {
+	first := newTestForwarder(t, nil, "a")
 	for range 20 {
 		first.submit(1)
 		first.answer(OK, 0)
@@ -154,11 +154,11 @@
 	learned := first.d.Snapshot(first.now)
 	calls := func(cold bool) (n int) {
 		learned.Circuits[0].Cold = cold
-		l := newLife(t, &learned, "a")
+		l := newTestForwarder(t, &learned, "a")
 		for range 50 {
 			l.submit(1)
 			n += len(l.out)
-			l.answer(NotSent, 0) // which speaks of nothing
+			l.answer(NotSent, 0) // no evidence about the endpoint
 			l.pass(20 * time.Millisecond)
 		}
 		return n
@@ -170,9 +170,10 @@
 	}
 }
 
-// What others tell is heeded beside what is seen: a wait, a limit until it lapses or one of its own is told, care at an outage.
-func TestHearsOthers(t *testing.T) {
-	r := newLife(t, nil, "a")
+// Observations of other forwarders apply beside this one's own: a Retry-After, a limit until it expires or the endpoint
+// reports one, and slow start after an outage.
+func TestApplyObservations(t *testing.T) {
+	r := newTestForwarder(t, nil, "a")
 	l := r.d.destinations[1].circuits[0]
 	hear := func(f LearnedCircuit) {
 		f.Destination = 1
@@ -204,6 +205,6 @@
 	}
 	hear(LearnedCircuit{Guard: true, GuardSince: 3 * time.Second, GuardFrom: time.Second})
 	if !l.slowStart || l.recoveredAt != max(0, r.now-time.Second) {
-		t.Errorf("guard %v since its return at %v", l.slowStart, l.recoveredAt)
+		t.Errorf("slow start %v, recovered at %v", l.slowStart, l.recoveredAt)
 	}
 }
--- a/long_test.go
+++ b/long_test.go
@@ -12,7 +12,7 @@
 	return newHarness(t, s)
 }
 
-// long hands a long message in and wants it sent at once.
+// long submits a long message that has to be sent at once.
 func (r *harness) long(class string, left time.Duration) Send {
 	r.t.Helper()
 	r.next++
@@ -23,9 +23,9 @@
 	return sends[0]
 }
 
-// A transfer of five minutes is no slow endpoint: it changes no pace, no cap and no class's time, is not taken for
-// silence, and is cut only by its own time.
-func TestLongTransfersTeachNoPace(t *testing.T) {
+// A transfer of five minutes does not mean a slow endpoint: it changes no latency factor, call limit or class mean,
+// does not count as stalled, and is cut only at its own expiry.
+func TestLongCallsDoNotAffectLatency(t *testing.T) {
 	r := longRig(t)
 	for range 5 {
 		r.submit("unsafe", 1, 0)
@@ -40,13 +40,13 @@
 	r.pass(5 * time.Minute)
 	r.do(Answer{ID: s.ID, Endpoint: s.Endpoint, Outcome: OK, Latency: 5 * time.Minute, Settled: true})
 	if l.latencyFactor != pace || l.callLimit != limit || r.d.classes["unsafe"].meanSec != mean || l.state != closed || len(r.logs) > 0 {
-		t.Errorf("pace %v to %v, cap %v to %v, mean %v to %v, %s, %v", pace, l.latencyFactor, limit, l.callLimit, mean,
+		t.Errorf("latency factor %v to %v, call limit %v to %v, mean %v to %v, %s, %v", pace, l.latencyFactor, limit, l.callLimit, mean,
 			r.d.classes["unsafe"].meanSec, stateNames[l.state], r.logs)
 	}
 }
 
-// Long calls take none of the slots, and short calls none of theirs.
-func TestLongCallsGoBesideTheSlots(t *testing.T) {
+// Long calls take none of the slots, and short calls take no long slots.
+func TestLongCallsUseLongSlots(t *testing.T) {
 	r := longRig(t)
 	first := r.long("safe", time.Minute)
 	r.long("safe", time.Minute)
@@ -68,7 +68,8 @@
 	}
 }
 
-// The breaker counts long calls fairly: endpoints' failures as any, what clients did not at all.
+// A breaker counts long calls that their endpoint failed like any others, and ignores those that their client
+// cancelled.
 func TestBreakerAndLongCalls(t *testing.T) {
 	r := longRig(t)
 	l := r.d.destinations[1].circuits[0]
@@ -78,10 +79,10 @@
 		r.pass(500 * ms)
 	}
 	if ep := r.d.endpoints["a"]; len(ep.classFailures) > 0 || ep.consecFailures > 0 {
-		t.Errorf("what clients did is held against their endpoint: %v, run %d", ep.classFailures, ep.consecFailures)
+		t.Errorf("cancelling clients count as failures of their endpoint: %v, run %d", ep.classFailures, ep.consecFailures)
 	}
 	if l.state != closed || len(l.window) != 0 {
-		t.Errorf("%s after clients went away, window %v", stateNames[l.state], l.window)
+		t.Errorf("%s after cancelled calls, window %v", stateNames[l.state], l.window)
 	}
 	for range 10 {
 		if l.state != closed {
@@ -92,12 +93,12 @@
 		r.pass(500 * ms)
 	}
 	if l.state != open {
-		t.Errorf("%s after calls that hung", stateNames[l.state])
+		t.Errorf("%s after timed-out calls", stateNames[l.state])
 	}
 }
 
-// While a lane is in doubt one long message at a time is a trial, short trials go on beside it, and long ones alone can
-// close the breaker.
+// While a breaker is not closed, one long message at a time is a trial; short trials continue beside it, and long ones
+// alone can close the breaker.
 func TestLongTrials(t *testing.T) {
 	r := longRig(t)
 	l := r.d.destinations[1].circuits[0]
@@ -130,9 +131,9 @@
 	}
 }
 
-// A long message whose body is gone ends at once: refused if it can't have run, else as its class demands. One that has
-// not begun waits no longer than its class lets a message live, and not at all once this life is to end.
-func TestSpentLongMessagesEndAtOnce(t *testing.T) {
+// A long message whose body can't be sent again ends at once: refused if it can't have run, otherwise as its class
+// demands. One that has not started waits no longer than its class's delivery timeout, and not at all after a Shutdown.
+func TestConsumedLongMessagesEndAtOnce(t *testing.T) {
 	for name, c := range map[string]struct {
 		class string
 		o     Outcome
@@ -154,25 +155,25 @@
 	r := longRig(t)
 	r.do(Submit{ID: 90, Class: "unsafe", Destination: 1, TimeLeft: time.Minute, Long: true, BodyConsumed: true, Attempts: 1, MayHaveRun: &PriorAttempt{SentAgo: ms}})
 	if got := r.ended(90); got != "fail" {
-		t.Errorf("one that an earlier life had sent: %q", got)
+		t.Errorf("one sent by an earlier process: %q", got)
 	}
 	r.do(EndpointUpdate{Scope: ListWhole})
 	r.do(Submit{ID: 91, Class: "safe", Destination: 1, TimeLeft: time.Hour, Long: true})
 	if r.pass(5 * time.Second); r.ended(91) != "" {
-		t.Error("given up before its class's time")
+		t.Error("abandoned before its class's delivery timeout")
 	}
 	if r.pass(time.Second); r.ended(91) != "refuse" {
-		t.Error("held beyond its class's time")
+		t.Error("held after its class's delivery timeout")
 	}
 	r.do(Submit{ID: 92, Class: "safe", Destination: 1, TimeLeft: time.Hour, Long: true})
 	r.do(Shutdown{In: time.Second})
 	if r.ended(92) != "refuse" {
-		t.Error("held while this life ends")
+		t.Error("held after a Shutdown")
 	}
 }
 
-// A long message that is kept may be sent again within its class's rules.
-func TestKeptLongMessagesAreSentAgain(t *testing.T) {
+// A long message whose body can be sent again is retried within its class's rules.
+func TestLongMessagesAreRetried(t *testing.T) {
 	r := longRig(t)
 	s := r.long("safe", time.Minute)
 	r.do(Answer{ID: s.ID, Endpoint: s.Endpoint, Outcome: Failed, Latency: time.Second})
--- a/mulleinbeam_test.go
+++ b/mulleinbeam_test.go
@@ -15,10 +15,10 @@
 	}
 }
 
-// Each unusable setting is refused, and the error names it.
+// Each unusable setting is rejected with an error that names it.
 func TestUnusableSettingsAreNamed(t *testing.T) {
 	nan, inf := math.NaN(), math.Inf(1)
-	for name, spoil := range map[string]func(s *Settings){
+	for name, mutate := range map[string]func(s *Settings){
 		"Forwarders":      func(s *Settings) { s.Forwarders = 0 },
 		"Slots":           func(s *Settings) { s.Slots = -1 },
 		"MostHeld":        func(s *Settings) { s.MostHeld = 0 },
@@ -49,7 +49,7 @@
 	} {
 		s := testSettings()
 		s.Classes = slices.Clone(s.Classes)
-		spoil(&s)
+		mutate(&s)
 		if _, err := New(s, 1); !errors.Is(err, ErrSettings) || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -59,7 +59,7 @@
 	}
 }
 
-// An auditor reads decide.go: at most 1,010 lines that are not blank, none past 110 characters.
+// decide.go has to stay short enough for a review: at most 1,010 non-blank lines of up to 110 characters.
 func TestDecisionsStayReadable(t *testing.T) {
 	text, err := os.ReadFile("decide.go")
 	if err != nil {
--- a/property_test.go
+++ b/property_test.go
@@ -9,68 +9,69 @@
 	"time"
 )
 
-// The checker sees only what a courier sees: the events it fed in and the
-// actions that came back. It shares no code with the module.
+// The checker sees only what a forwarder sees: the events that it passed in and the actions that were returned. It
+// shares no code with the decisions.
 
 type checkedMessage struct {
-	submit   Submit
-	class    Class
-	deadline time.Duration
-	ended    bool
-	attempts int
-	pending  *Send
-	sentAt   time.Duration
-	in       *sharedCall
-	mayRun   bool
-	ranAt    time.Duration
-	ranZone  string
-	endTold  bool
-	spent    bool // its body is gone
+	submit       Submit
+	class        Class
+	deadline     time.Duration
+	ended        bool
+	attempts     int
+	pending      *Send
+	sentAt       time.Duration
+	call         *sharedCall
+	mayHaveRun   bool
+	ranAt        time.Duration
+	ranZone      string
+	endKnown     bool
+	bodyConsumed bool // its body can't be sent again
 }
 
-// sharedCall is what went to one endpoint in one round, up to what its kind allows: one slot until all are answered.
+// sharedCall is the messages sent to one endpoint in one round, up to the batch limit: one slot until all have an
+// answer.
 type sharedCall struct {
 	round, left, size int
-	outcome           *Outcome // its one fate
+	outcome           *Outcome // the same for all its messages
 }
 
-type keyLine struct {
-	order     []*checkedMessage
-	restUntil time.Duration
-	restFor   *checkedMessage
+type keyOrder struct {
+	order    []*checkedMessage
+	gapUntil time.Duration
+	gapFor   *checkedMessage
 }
 
 type checker struct {
-	s       Settings
-	msgs    map[MessageID]*checkedMessage
-	lines   map[OrderKey]*keyLine
-	entries map[EndpointID]Entry
-	bannedF map[EndpointID]time.Duration // no sends from here on
-	waits   map[string]time.Duration
-	out     int
-	longOut int
-	round   int
-	calls   map[EndpointID]*sharedCall // the latest to each
-	broken  []string
+	settings     Settings
+	msgs         map[MessageID]*checkedMessage
+	keyOrders    map[OrderKey]*keyOrder
+	entries      map[EndpointID]Entry
+	noSendsFrom  map[EndpointID]time.Duration // no sends from here on
+	waitUntil    map[string]time.Duration
+	callsOut     int
+	longCallsOut int
+	round        int
+	calls        map[EndpointID]*sharedCall // the latest to each
+	violations   []string
 
-	frozen, thawed time.Duration // the latest frozen spell
+	pauseStart, pauseEnd time.Duration // the latest pause of the process
 }
 
 func newChecker(s Settings) *checker {
 	return &checker{
-		s: s, msgs: map[MessageID]*checkedMessage{}, lines: map[OrderKey]*keyLine{},
-		entries: map[EndpointID]Entry{}, bannedF: map[EndpointID]time.Duration{}, waits: map[string]time.Duration{},
+		settings: s, msgs: map[MessageID]*checkedMessage{}, keyOrders: map[OrderKey]*keyOrder{},
+		entries: map[EndpointID]Entry{}, noSendsFrom: map[EndpointID]time.Duration{}, waitUntil: map[string]time.Duration{},
 		calls: map[EndpointID]*sharedCall{},
 	}
 }
 
-func (c *checker) breach(format string, args ...any) {
-	c.broken = append(c.broken, fmt.Sprintf(format, args...))
+func (c *checker) violation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// scope is what a told wait halts: a destination, or one endpoint where routes are apart.
+// scope is what a Retry-After applies to: a destination, or one endpoint with SeparateRoutes.
 func (c *checker) scope(e Entry) string {
-	if c.s.SeparateRoutes[e.Kind] {
+	if c.settings.SeparateRoutes[e.Kind] {
 		return string(e.Endpoint)
 	}
 	return fmt.Sprint(e.Destination)
@@ -78,22 +79,22 @@
 
 func neverRan(o Outcome) bool { return o == Refused || o == ConnectFailed || o == NotSent }
 
-// freshWaits are told in the batch at hand: sends in reply to it are let through.
-func (c *checker) event(now time.Duration, e Event, fresh map[string]time.Duration) {
+// event records an event. A Retry-After in newWaits came with the current batch: sends in reply to that are allowed.
+func (c *checker) event(now time.Duration, e Event, newWaits map[string]time.Duration) {
 	switch e := e.(type) {
 	case Submit:
-		m := &checkedMessage{submit: e, deadline: now + e.TimeLeft, class: Class{Effect: Unsafe}, spent: e.BodyConsumed}
-		for _, cl := range c.s.Classes {
+		m := &checkedMessage{submit: e, deadline: now + e.TimeLeft, class: Class{Effect: Unsafe}, bodyConsumed: e.BodyConsumed}
+		for _, cl := range c.settings.Classes {
 			if cl.Name == e.Class {
 				m.class = cl
 			}
 		}
 		c.msgs[e.ID] = m
 		if m.class.InOrder && e.Key != 0 {
-			if c.lines[e.Key] == nil {
-				c.lines[e.Key] = &keyLine{}
+			if c.keyOrders[e.Key] == nil {
+				c.keyOrders[e.Key] = &keyOrder{}
 			}
-			c.lines[e.Key].order = append(c.lines[e.Key].order, m)
+			c.keyOrders[e.Key].order = append(c.keyOrders[e.Key].order, m)
 		}
 	case Answer:
 		m := c.msgs[e.ID]
@@ -101,29 +102,29 @@
 			return
 		}
 		m.pending = nil
-		m.spent = m.spent || e.BodyConsumed
+		m.bodyConsumed = m.bodyConsumed || e.BodyConsumed
 		if m.submit.Long {
-			c.longOut--
-		} else if m.in.left--; m.in.left == 0 {
-			c.out--
+			c.longCallsOut--
+		} else if m.call.left--; m.call.left == 0 {
+			c.callsOut--
 		}
-		if !neverRan(e.Outcome) && e.Outcome != OK && !m.mayRun {
-			m.mayRun, m.ranAt, m.ranZone = true, m.sentAt, c.entries[e.Endpoint].Zone
+		if !neverRan(e.Outcome) && e.Outcome != OK && !m.mayHaveRun {
+			m.mayHaveRun, m.ranAt, m.ranZone = true, m.sentAt, c.entries[e.Endpoint].Zone
 		}
-		if l := c.lines[m.submit.Key]; l != nil && m.class.InOrder &&
+		if l := c.keyOrders[m.submit.Key]; l != nil && m.class.InOrder &&
 			(e.Outcome == TimedOut || e.Outcome == Reset || e.Outcome == Cancelled) {
-			l.restUntil, l.restFor = now+c.s.TurnGap, m
+			l.gapUntil, l.gapFor = now+c.settings.TurnGap, m
 		}
 		if e.Settled {
-			m.ended, m.endTold = true, true
+			m.ended, m.endKnown = true, true
 		}
 		if e.Outcome == Refused && e.RetryAfter > 0 {
 			sc := c.scope(c.entries[e.Endpoint])
-			fresh[sc] = max(fresh[sc], now+e.RetryAfter)
+			newWaits[sc] = max(newWaits[sc], now+e.RetryAfter)
 		}
 	case MessageCancelled:
 		if m := c.msgs[e.ID]; m != nil {
-			m.ended, m.endTold = true, true
+			m.ended, m.endKnown = true, true
 		}
 	case EndpointUpdate:
 		if e.Scope == ListWhole {
@@ -136,7 +137,7 @@
 		for _, en := range e.Entries {
 			c.entries[en.Endpoint] = en
 			if en.Readiness == Serving {
-				delete(c.bannedF, en.Endpoint)
+				delete(c.noSendsFrom, en.Endpoint)
 			} else {
 				c.ban(en.Endpoint, now)
 			}
@@ -145,8 +146,8 @@
 }
 
 func (c *checker) ban(id EndpointID, now time.Duration) {
-	if _, ok := c.bannedF[id]; !ok {
-		c.bannedF[id] = now + c.s.DrainGrace
+	if _, ok := c.noSendsFrom[id]; !ok {
+		c.noSendsFrom[id] = now + c.settings.DrainGrace
 	}
 }
 
@@ -157,114 +158,114 @@
 		en, known := c.entries[a.Endpoint]
 		switch {
 		case m == nil || !known:
-			c.breach("send of unknown message or to unknown endpoint")
+			c.violation("send of unknown message or to unknown endpoint")
 			return
 		case m.ended:
-			c.breach("lost: send of an ended message")
+			c.violation("lost: send of an ended message")
 		case en.Destination != m.submit.Destination:
-			c.breach("send to a foreign destination")
+			c.violation("send to another destination")
 		case m.pending != nil:
-			c.breach("twice: two attempts out")
-		case m.attempts >= c.s.MaxAttempts:
-			c.breach("attempt beyond the limit")
+			c.violation("twice: two attempts out")
+		case m.attempts >= c.settings.MaxAttempts:
+			c.violation("attempt beyond the limit")
 		}
-		if m.spent {
-			c.breach("twice: send of a message whose body is gone")
+		if m.bodyConsumed {
+			c.violation("twice: send of a message whose body can not be sent again")
 		}
 		call := c.calls[a.Endpoint]
 		if m.submit.Long {
-			if c.longOut++; c.longOut > c.s.LongSlots {
-				c.breach("long call beyond its slots")
+			if c.longCallsOut++; c.longCallsOut > c.settings.LongSlots {
+				c.violation("long call beyond its slots")
 			}
 			call = &sharedCall{round: c.round}
-		} else if call == nil || call.round != c.round || call.size >= max(1, c.s.BatchByKind[en.Kind]) {
-			if c.out >= c.s.Slots {
-				c.breach("call beyond the slots")
+		} else if call == nil || call.round != c.round || call.size >= max(1, c.settings.BatchByKind[en.Kind]) {
+			if c.callsOut >= c.settings.Slots {
+				c.violation("call beyond the slots")
 			}
 			call = &sharedCall{round: c.round}
 			c.calls[a.Endpoint] = call
-			c.out++
+			c.callsOut++
 		}
 		call.left++
 		call.size++
-		if m.mayRun && m.class.Effect == Unsafe {
-			c.breach("twice: unsafe message sent again")
+		if m.mayHaveRun && m.class.Effect == Unsafe {
+			c.violation("twice: unsafe message sent again")
 		}
-		if m.mayRun && m.class.Effect == Keyed &&
+		if m.mayHaveRun && m.class.Effect == Keyed &&
 			(now > m.ranAt+m.class.KeyTTL || m.class.SameZoneOnly && en.Zone != m.ranZone) {
-			c.breach("twice: keyed message sent outside window or group")
+			c.violation("twice: keyed message sent outside its window or zone")
 		}
-		if at, ok := c.bannedF[a.Endpoint]; ok && now > at {
-			c.breach("drain: send to a draining or gone endpoint")
+		if at, ok := c.noSendsFrom[a.Endpoint]; ok && now > at {
+			c.violation("drain: send to a draining or gone endpoint")
 		}
-		if now < c.waits[c.scope(en)] {
-			c.breach("wait: send before a told wait ended")
+		if now < c.waitUntil[c.scope(en)] {
+			c.violation("wait: send before a Retry-After expired")
 		}
-		if l := c.lines[m.submit.Key]; l != nil && m.class.InOrder {
+		if l := c.keyOrders[m.submit.Key]; l != nil && m.class.InOrder {
 			for _, o := range l.order {
 				if o == m {
 					break
 				}
 				if !o.ended || o.pending != nil {
-					c.breach("order: send before an earlier message of the key")
+					c.violation("order: send before an earlier message of the key")
 				}
 			}
-			if now < l.restUntil && l.restFor != m {
-				c.breach("order: send inside the turn gap")
+			if now < l.gapUntil && l.gapFor != m {
+				c.violation("order: send inside the turn gap")
 			}
 		}
 		send := a
-		m.pending, m.sentAt, m.in = &send, now, call
+		m.pending, m.sentAt, m.call = &send, now, call
 		m.attempts++
 	case Refuse:
 		m := c.msgs[a.ID]
 		switch {
 		case m == nil:
-			c.breach("refusal of an unknown message")
+			c.violation("refusal of an unknown message")
 			return
-		case m.ended && !m.endTold:
-			c.breach("lost: two final answers")
+		case m.ended && !m.endKnown:
+			c.violation("lost: two final answers")
 		case m.ended:
 			return
-		case m.class.Effect == Unsafe && (m.mayRun || m.pending != nil),
-			m.class.Effect == Keyed && m.class.SameZoneOnly && (m.mayRun || m.pending != nil):
-			c.breach("twice: refusal of a message that may have run")
+		case m.class.Effect == Unsafe && (m.mayHaveRun || m.pending != nil),
+			m.class.Effect == Keyed && m.class.SameZoneOnly && (m.mayHaveRun || m.pending != nil):
+			c.violation("twice: refusal of a message that may have run")
 		}
-		c.final(now, m)
+		c.finalAnswer(now, m)
 	case Fail:
-		if m := c.msgs[a.ID]; m == nil || m.ended && !m.endTold {
-			c.breach("lost: failure of an unknown or ended message")
+		if m := c.msgs[a.ID]; m == nil || m.ended && !m.endKnown {
+			c.violation("lost: failure of an unknown or ended message")
 		} else if !m.ended {
-			c.final(now, m)
+			c.finalAnswer(now, m)
 		}
 	case Cancel:
-		if m := c.msgs[a.ID]; !c.s.MayCancel || m == nil || m.attempts <= a.Attempt {
-			c.breach("cancel where forbidden or never sent")
+		if m := c.msgs[a.ID]; !c.settings.MayCancel || m == nil || m.attempts <= a.Attempt {
+			c.violation("cancel where not allowed or never sent")
 		}
 	case Probe:
-		if !c.s.MayProbe {
-			c.breach("probe where forbidden")
+		if !c.settings.MayProbe {
+			c.violation("probe where not allowed")
 		}
 	}
 }
 
-func (c *checker) final(now time.Duration, m *checkedMessage) {
+func (c *checker) finalAnswer(now time.Duration, m *checkedMessage) {
 	m.ended = true
-	if now > m.deadline+c.s.AnswerSlack && (now != c.thawed || m.deadline < c.frozen) {
-		c.breach("lost: answer after the deadline")
+	if now > m.deadline+c.settings.AnswerSlack && (now != c.pauseEnd || m.deadline < c.pauseStart) {
+		c.violation("lost: answer after the deadline")
 	}
 }
 
 func (c *checker) finish() {
 	for id, m := range c.msgs {
 		if !m.ended {
-			c.breach("lost: message %d never answered", id)
+			c.violation("lost: message %d never answered", id)
 		}
 	}
 }
 
-// varied draws settings: limits of one, no tenants, no hints, asked-for lists, routes apart, ordered classes.
-func varied(r *rand.Rand) Settings {
+// randomSettings draws settings: limits of one, no tenants, no hints, subscriptions, separate routes, ordered classes.
+func randomSettings(r *rand.Rand) Settings {
 	s := Settings{
 		Forwarders: []int{1, 2, 3, 4, 60, 400}[r.IntN(6)], Slots: 1 + r.IntN(12), MostHeld: 1 + r.IntN(60), MaxAttempts: 1 + r.IntN(7),
 		Decay: Decay(r.IntN(2)), OverShareWorth: 0.1, SeparateRoutes: map[string]bool{"k1": r.IntN(2) == 0},
@@ -292,8 +293,8 @@
 	return s
 }
 
-// drive feeds a random legal stream to the decider and checks every action; tamper may spoil the replies.
-func drive(t *testing.T, s Settings, seed uint64, tamper func(now time.Duration, in []Event, out []Action) []Action) []string {
+// runStream passes a random valid stream of events to a decider and checks every action; tamper may alter the actions.
+func runStream(t *testing.T, s Settings, seed uint64, tamper func(now time.Duration, in []Event, out []Action) []Action) []string {
 	t.Helper()
 	r := rand.New(rand.NewPCG(seed, 7))
 	d, err := New(s, seed)
@@ -319,20 +320,20 @@
 	var wakes []wake
 	var due []answerDue
 	var next MessageID = 1
-	mood := map[DestinationID]int{}
+	failureMode := map[DestinationID]int{}
 	probes := []EndpointID{}
 	for now := time.Duration(0); now < 45*time.Second; now += 5 * time.Millisecond {
 		if now > 0 && now < 25*time.Second && r.IntN(3000) == 0 {
-			c.frozen = now - 200*time.Millisecond                 // what was due from here on could not be answered in time
-			now += time.Duration(r.IntN(2000)) * time.Millisecond // all that came meanwhile comes at once
-			c.thawed = now
+			c.pauseStart = now - 200*time.Millisecond             // what was due from here on could not be answered in time
+			now += time.Duration(r.IntN(2000)) * time.Millisecond // all that arrived meanwhile comes at once
+			c.pauseEnd = now
 		}
 		var in []Event
 		if now == 0 {
 			in = append(in, EndpointUpdate{Scope: ListSaved, Entries: slices.Clone(entries)})
 		}
 		if r.IntN(2000) == 0 {
-			mood[DestinationID(r.IntN(4))] = r.IntN(5)
+			failureMode[DestinationID(r.IntN(4))] = r.IntN(5)
 		}
 		if now < 25*time.Second {
 			switch i := r.IntN(len(entries)); r.IntN(600) {
@@ -340,11 +341,11 @@
 				var change []Entry
 				for j := range entries {
 					if r.IntN(4) > 0 {
-						gone, fresh := entries[j], entries[j]
-						gone.Readiness, fresh.Readiness = Readiness(1+r.IntN(2)), Serving
-						fresh.Endpoint = EndpointID(fmt.Sprint("n", now, "-", j))
-						change = append(change, gone, fresh)
-						entries[j] = fresh
+						gone, replacement := entries[j], entries[j]
+						gone.Readiness, replacement.Readiness = Readiness(1+r.IntN(2)), Serving
+						replacement.Endpoint = EndpointID(fmt.Sprint("n", now, "-", j))
+						change = append(change, gone, replacement)
+						entries[j] = replacement
 					}
 				}
 				in = append(in, EndpointUpdate{Scope: ListChanges, Entries: change})
@@ -403,7 +404,7 @@
 			m := c.msgs[p.a.ID]
 			p.a.Settled = p.a.Outcome == OK || m.ended
 			in = append(in, p.a)
-			if tamper == nil && r.IntN(40) == 0 { // doubled; a build that answers each with a send would never end
+			if tamper == nil && r.IntN(40) == 0 { // duplicate; a build that sends after each answer would never end
 				in = append(in, p.a)
 			}
 			return true
@@ -411,9 +412,9 @@
 		if len(in) == 0 {
 			continue
 		}
-		fresh := map[string]time.Duration{}
+		newWaits := map[string]time.Duration{}
 		for _, e := range in {
-			c.event(now, e, fresh)
+			c.event(now, e, newWaits)
 		}
 		out := d.Handle(now, in)
 		if tamper != nil {
@@ -433,15 +434,15 @@
 					continue
 				}
 				o, took := OK, time.Duration(5+r.IntN(400))*time.Millisecond
-				if k := mood[m.submit.Destination]; k > 0 && r.IntN(10) < 8 {
+				if k := failureMode[m.submit.Destination]; k > 0 && r.IntN(10) < 8 {
 					o = []Outcome{OK, Failed, Refused, ConnectFailed, Reset}[k]
 				} else if r.IntN(15) == 0 {
 					o = Outcome(r.IntN(6))
 				}
-				if m.in.outcome == nil {
-					m.in.outcome = &o
+				if m.call.outcome == nil {
+					m.call.outcome = &o
 				}
-				if o = *m.in.outcome; o == TimedOut || r.IntN(40) == 0 {
+				if o = *m.call.outcome; o == TimedOut || r.IntN(40) == 0 {
 					took = time.Hour
 				}
 				ans := Answer{ID: a.ID, Attempt: m.attempts - 1, Endpoint: a.Endpoint, Outcome: o}
@@ -471,41 +472,41 @@
 				}
 			}
 		}
-		if tamper == nil && d.longSlotsUsed != c.longOut {
-			c.breach("long slots: %d booked, %d calls out", d.longSlotsUsed, c.longOut)
+		if tamper == nil && d.longSlotsUsed != c.longCallsOut {
+			c.violation("long slots: %d counted, %d calls out", d.longSlotsUsed, c.longCallsOut)
 		}
-		if tamper == nil && d.slotsUsed != c.out {
-			c.breach("slots: %d booked, %d calls out", d.slotsUsed, c.out)
+		if tamper == nil && d.slotsUsed != c.callsOut {
+			c.violation("slots: %d counted, %d calls out", d.slotsUsed, c.callsOut)
 		}
-		for sc, until := range fresh {
-			c.waits[sc] = max(c.waits[sc], until)
+		for sc, until := range newWaits {
+			c.waitUntil[sc] = max(c.waitUntil[sc], until)
 		}
 	}
 	c.finish()
-	return c.broken
+	return c.violations
 }
 
 func TestRandomStreamsBreakNoRule(t *testing.T) {
 	for seed := range uint64(120) {
-		s := varied(rand.New(rand.NewPCG(seed, 1)))
-		if broken := drive(t, s, seed, nil); len(broken) > 0 {
-			t.Errorf("seed %d: %d breaches, first: %s", seed, len(broken), broken[0])
+		s := randomSettings(rand.New(rand.NewPCG(seed, 1)))
+		if broken := runStream(t, s, seed, nil); len(broken) > 0 {
+			t.Errorf("seed %d: %d violations, first: %s", seed, len(broken), broken[0])
 		}
 	}
 }
 
-// Long messages go beside the others, under the same rules and within slots of their own.
+// Long messages obey the same rules, in slots of their own.
 func TestRandomStreamsWithLongMessages(t *testing.T) {
 	for seed := range uint64(120) {
-		s := varied(rand.New(rand.NewPCG(seed, 2)))
+		s := randomSettings(rand.New(rand.NewPCG(seed, 2)))
 		s.LongSlots = 1 + int(seed%4)
-		if broken := drive(t, s, seed, nil); len(broken) > 0 {
-			t.Errorf("seed %d: %d breaches, first: %s", seed, len(broken), broken[0])
+		if broken := runStream(t, s, seed, nil); len(broken) > 0 {
+			t.Errorf("seed %d: %d violations, first: %s", seed, len(broken), broken[0])
 		}
 	}
 }
 
-// The checker must catch builds that break each rule on purpose.
+// The checker has to catch builds that break each rule on purpose.
 func TestCheckerCatchesBrokenBuilds(t *testing.T) {
 	type spoil = func(now time.Duration, in []Event, out []Action) []Action
 	lastEndpoint := map[MessageID]EndpointID{}
@@ -559,8 +560,8 @@
 	} {
 		found := 0
 		for seed := range uint64(6) {
-			s := varied(rand.New(rand.NewPCG(seed, 1)))
-			found += len(drive(t, s, seed, sp))
+			s := randomSettings(rand.New(rand.NewPCG(seed, 1)))
+			found += len(runStream(t, s, seed, sp))
 		}
 		if found == 0 {
 			t.Errorf("a build that %s passes the checker", name)
@@ -571,16 +572,16 @@
 func FuzzRandomStreams(f *testing.F) {
 	f.Add(uint64(1))
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		if broken := drive(t, varied(rand.New(rand.NewPCG(seed, 1))), seed, nil); len(broken) > 0 {
-			t.Fatalf("%d breaches, first: %s", len(broken), broken[0])
+		if broken := runStream(t, randomSettings(rand.New(rand.NewPCG(seed, 1))), seed, nil); len(broken) > 0 {
+			t.Fatalf("%d violations, first: %s", len(broken), broken[0])
 		}
 	})
 }
 
-// Fleets of odd sizes, and costs that are missing, zero or absurd, break no rule either: every message has its answer in its time,
-// nothing is divided by zero, and no wait is longer than a message lives.
+// Unusual fleet sizes, and costs that are missing, zero or absurd, break no rule: every message is answered in time,
+// nothing is divided by zero, and no wait is longer than a message's lifetime.
 func TestOddFleetsBreakNoRule(t *testing.T) {
-	for _, couriers := range []int{1, largeFleetSize, 300, 100_000} {
+	for _, forwarders := range []int{1, largeFleetSize, 300, 100_000} {
 		for name, odd := range map[string]func(*Settings){
 			"as usual": func(*Settings) {},
 			"no costs": func(s *Settings) { s.ZoneFee = nil },
@@ -597,11 +598,11 @@
 			},
 		} {
 			for seed := range uint64(4) {
-				s := varied(rand.New(rand.NewPCG(seed, 3)))
-				s.Forwarders = couriers
+				s := randomSettings(rand.New(rand.NewPCG(seed, 3)))
+				s.Forwarders = forwarders
 				odd(&s)
-				if broken := drive(t, s, seed, nil); len(broken) > 0 {
-					t.Errorf("%d couriers, %s, seed %d: %d breaches, first: %s", couriers, name, seed, len(broken), broken[0])
+				if broken := runStream(t, s, seed, nil); len(broken) > 0 {
+					t.Errorf("%d forwarders, %s, seed %d: %d violations, first: %s", forwarders, name, seed, len(broken), broken[0])
 				}
 			}
 		}
--- a/lives_test.go
+++ b/restart_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A message of an earlier life keeps its past: an unsafe one that may have run is given up, a keyed one is sent again
-// only inside its window, and attempts count on from those it has had. Guards against a second effect after a restart.
-func TestMessagesOfAnEarlierLife(t *testing.T) {
+// A message keeps its history over a restart: an unsafe one that may have run is abandoned, a keyed one is repeated
+// only within its window, and attempts are counted on. Guards against a second effect after a restart.
+func TestMessagesOfEarlierProcess(t *testing.T) {
 	for name, c := range map[string]struct {
 		class    string
 		attempts int
@@ -48,15 +48,16 @@
 	}
 }
 
-// Before a life ends nothing begins that may be out then, an unsafe message first of all, and no call lasts past it.
-func TestClosingKeepsCallsInsideThisLife(t *testing.T) {
+// After a Shutdown no call is sent that may still be out at the end, least of all an unsafe one, and no call lasts
+// longer.
+func TestShutdownLimitsCalls(t *testing.T) {
 	r := newHarness(t, testSettings())
 	r.do(Shutdown{In: time.Second})
-	r.submit("unsafe", 1, 0) // taken to last 450 ms: four times that is too long
+	r.submit("unsafe", 1, 0) // expected to last 450 ms: four times that is too long
 	if len(r.sends) != 0 {
 		t.Error("an unsafe message was sent that may be out at the end")
 	}
-	r.submit("safe", 1, 0) // taken to last 150 ms
+	r.submit("safe", 1, 0) // expected to last 150 ms
 	if len(r.sends) != 1 || r.last().CutAt > r.now+time.Second {
 		t.Errorf("sends %+v, want one cut off in time", r.sends)
 	}
@@ -67,9 +68,9 @@
 	}
 }
 
-// A client learns when to come back with every refusal. Where it does not follow that, what it is told does not
-// narrow a keyed message's window.
-func TestEveryRefusalTellsWhenToComeBack(t *testing.T) {
+// Every refusal carries a RetryAfter for the client. If clients do not follow it, it does not narrow a keyed message's
+// window.
+func TestRefusalsCarryRetryAfter(t *testing.T) {
 	s := testSettings()
 	s.MaxAttempts, s.MaxRetryAfter = 1, 2*time.Second
 	r := newHarness(t, s)
@@ -80,12 +81,12 @@
 	if got := r.ended(id); got != "refuse" {
 		t.Fatalf("ended %q", got)
 	}
-	if f := r.other[len(r.other)-1].(Refuse); f.RetryAfter != s.MaxRetryAfter {
-		t.Errorf("told to come back after %v", f.RetryAfter)
+	if f := r.otherActions[len(r.otherActions)-1].(Refuse); f.RetryAfter != s.MaxRetryAfter {
+		t.Errorf("RetryAfter is %v", f.RetryAfter)
 	}
 }
 
-// An endpoint that the list moves to another destination serves that one, and the old one no more.
+// An endpoint that moves to another destination on the list gets that one's messages and none of the old one's.
 func TestEndpointMovesToAnotherDestination(t *testing.T) {
 	r := newHarness(t, testSettings())
 	r.submit("safe", 1, 0)
@@ -98,9 +99,9 @@
 	}
 }
 
-// What a restart finds taken on and untried is tried: a full hold gives up what came later, and neither a breaker nor a guard
-// that a fresh life raises ends it before its time. A told wait to the end does, at once.
-func TestWhatARestartFindsUntriedIsTried(t *testing.T) {
+// Messages that a restart finds accepted but untried are tried: shedding abandons later messages instead, and neither a
+// breaker nor slow start after the restart ends them before their deadline. A Retry-After until then ends them at once.
+func TestUntriedMessagesAreTriedAfterRestart(t *testing.T) {
 	resumed := func(r *harness, n int) {
 		for range n {
 			r.next++
@@ -113,13 +114,13 @@
 		return newHarness(t, s)
 	}
 	r := full()
-	resumed(r, 9) // one goes out, eight wait
+	resumed(r, 9) // one is sent, eight are held
 	for range 20 {
 		r.submit("unsafe", 1, 0) // worth more
 	}
 	for id := MessageID(1); id <= 9; id++ {
 		if got := r.ended(id); got != "" {
-			t.Errorf("message %d of an earlier life ended %q behind a full hold, with no call", id, got)
+			t.Errorf("message %d of an earlier process ended %q without a call, by shedding", id, got)
 		}
 	}
 	if got := r.ended(r.next); got != "refuse" {
@@ -137,11 +138,11 @@
 		t.Errorf("one that no call can reach in time ended %q", got)
 	}
 	if a, b := r.ended(2), r.ended(3); a != "" || b != "" {
-		t.Errorf("two of an earlier life ended %q and %q behind a breaker", a, b)
+		t.Errorf("two of an earlier process ended %q and %q at an open breaker", a, b)
 	}
 	l.waitUntil = r.now + 10*time.Second
 	r.pass(50 * ms)
 	if a, b := r.ended(2), r.ended(3); a != "refuse" || b != "refuse" {
-		t.Errorf("two of an earlier life ended %q and %q behind a wait that was told to their end", a, b)
+		t.Errorf("two of an earlier process ended %q and %q at a Retry-After until their deadline", a, b)
 	}
 }
--- a/rules_test.go
+++ b/rules_test.go
@@ -29,20 +29,20 @@
 	}
 }
 
-// rig drives a decider by hand.
+// harness drives a decider by hand.
 type harness struct {
-	t     *testing.T
-	d     *Decider
-	now   time.Duration
-	next  MessageID
-	sends []Send
-	sent  map[MessageID]int
-	other []Action
-	logs  []string
-	wake  time.Duration
-}
-
-// rigSeed is counted up by tests that put several rigs side by side.
+	t            *testing.T
+	d            *Decider
+	now          time.Duration
+	next         MessageID
+	sends        []Send
+	sent         map[MessageID]int
+	otherActions []Action
+	logs         []string
+	timerAt      time.Duration
+}
+
+// harnessSeed is changed by tests that run several harnesses side by side.
 var harnessSeed uint64 = 42
 
 func newHarness(t *testing.T, s Settings, entries ...Entry) *harness {
@@ -67,24 +67,24 @@
 			sends = append(sends, a)
 			r.sent[a.ID]++
 		case SetTimer:
-			r.wake = r.now + a.After
+			r.timerAt = r.now + a.After
 		case Log:
 			r.logs = append(r.logs, a.Text)
 		default:
-			r.other = append(r.other, a)
+			r.otherActions = append(r.otherActions, a)
 		}
 	}
 	r.sends = append(r.sends, sends...)
 	return sends
 }
 
-// pass lets time go by, with the heartbeat, and returns what was sent.
+// pass advances the clock, fires the timer for checks and returns the sends.
 func (r *harness) pass(d time.Duration) []Send {
 	var sends []Send
 	for end := r.now + d; r.now < end; {
 		r.now += 5 * ms
-		if r.wake > 0 && r.now >= r.wake {
-			r.wake = 0
+		if r.timerAt > 0 && r.now >= r.timerAt {
+			r.timerAt = 0
 			sends = append(sends, r.do(Timer{Cookie: 1})...)
 		}
 	}
@@ -110,7 +110,7 @@
 	})
 }
 
-// settle answers all that is out, first to last, with what outcome says.
+// settle answers all calls that are out, in order, with the given outcomes.
 func (r *harness) settle(outcome func() Outcome) (sends []Send) {
 	for len(r.sends) > 0 {
 		s := r.sends[0]
@@ -131,9 +131,9 @@
 	return r.sends[len(r.sends)-1]
 }
 
-// ended tells how a message was answered: "refuse", "fail" or "".
+// ended returns how a message was answered: "refuse", "fail" or "".
 func (r *harness) ended(id MessageID) string {
-	for _, a := range r.other {
+	for _, a := range r.otherActions {
 		if a == (Fail{ID: id}) {
 			return "fail"
 		}
@@ -146,7 +146,7 @@
 
 func TestAnswerAtTheDeadline(t *testing.T) {
 	r := newHarness(t, testSettings())
-	held := r.submit("unsafe", 7, 0) // a destination with no endpoint
+	held := r.submit("unsafe", 7, 0) // a destination without endpoints
 	r.pass(20*time.Second - 100*ms)
 	if got := r.ended(held); got != "" {
 		t.Fatalf("held message answered early: %q", got)
@@ -186,8 +186,9 @@
 	}
 }
 
-// What was decided when a call was sent is looked at again when its connection is there: a keyed repeat begins only inside
-// its window, any call only while an answer can be in time, and none to a destination that has told a wait meanwhile.
+// Conditions at the time of a send are checked again when its connection is up: a keyed repeat begins only within its
+// window, any call only while an answer can be in time, and none to a destination that has sent a Retry-After
+// meanwhile.
 func TestMayBegin(t *testing.T) {
 	begins := func(r *harness, s Send, until time.Duration) {
 		t.Helper()
@@ -209,14 +210,14 @@
 
 	r = newHarness(t, testSettings())
 	r.submit("safe", 1, 0)
-	told := r.last()
+	refused := r.last()
 	r.submit("safe", 1, 0)
 	slow := r.last()
-	r.answer(told, Refused, time.Second)
+	r.answer(refused, Refused, time.Second)
 	if r.d.MayBegin(r.now+time.Second-1, slow.ID) || !r.d.MayBegin(r.now+time.Second, slow.ID) {
-		t.Error("a call did not wait for the end of a wait told while its connection came up")
+		t.Error("a call did not wait for a Retry-After that came before its connection was up")
 	}
-	if r.d.MayBegin(r.now+time.Second, told.ID) || r.d.MayBegin(r.now, 99) {
+	if r.d.MayBegin(r.now+time.Second, refused.ID) || r.d.MayBegin(r.now, 99) {
 		t.Error("a call that is not out may begin")
 	}
 }
@@ -224,12 +225,12 @@
 func TestKeyedWindowAndGroup(t *testing.T) {
 	for _, c := range []struct {
 		class  string
-		away   time.Duration // when the outcome comes
+		away   time.Duration // until the outcome
 		resent bool
 		end    string
 	}{
 		{"keyed", 4 * time.Second, true, ""},
-		{"keyed", 4900 * ms, false, "fail"}, // the key is forgotten before the client is back
+		{"keyed", 4900 * ms, false, "fail"}, // the key expires before the client retries
 		{"zoned", 4900 * ms, false, "fail"},
 	} {
 		r := newHarness(t, testSettings())
@@ -259,7 +260,7 @@
 	}
 }
 
-func TestDrainsAreKeptAtOnce(t *testing.T) {
+func TestDrainsApplyAtOnce(t *testing.T) {
 	for _, state := range []Readiness{Draining, Deleted} {
 		r := newHarness(t, testSettings())
 		r.do(EndpointUpdate{Scope: ListChanges, Entries: []Entry{{Endpoint: "a", Destination: 1, Readiness: state}}})
@@ -287,8 +288,8 @@
 	}
 }
 
-// A told wait holds in every breaker state, for the destination or for the route where routes are apart.
-func TestToldWaits(t *testing.T) {
+// A Retry-After holds in every breaker state, for the destination or for the endpoint with SeparateRoutes.
+func TestRetryAfter(t *testing.T) {
 	for state := closed; state <= halfOpen; state++ {
 		r := newHarness(t, testSettings())
 		r.submit("safe", 1, 0)
@@ -302,11 +303,11 @@
 		before := len(r.sends)
 		r.pass(1190 * ms)
 		if n := len(r.sends) - before; n > 0 {
-			t.Errorf("breaker %s: %d sends inside the wait", stateNames[state], n)
+			t.Errorf("breaker %s: %d sends before the Retry-After expired", stateNames[state], n)
 		}
 		r.pass(4 * time.Second)
 		if len(r.sends) == before {
-			t.Errorf("breaker %s: no send after the wait", stateNames[state])
+			t.Errorf("breaker %s: no send after the Retry-After", stateNames[state])
 		}
 	}
 	r := newHarness(t, testSettings(),
@@ -317,7 +318,7 @@
 	r.answer(s, Refused, 2*time.Second)
 	r.pass(time.Second)
 	if got := r.last(); got.Endpoint == s.Endpoint || len(r.sends) < 2 {
-		t.Errorf("after a wait told by %s the other route was not used: %v", s.Endpoint, r.sends)
+		t.Errorf("after a Retry-After of %s the other endpoint was not used: %v", s.Endpoint, r.sends)
 	}
 }
 
@@ -346,7 +347,7 @@
 	}
 }
 
-func TestBreakerWalk(t *testing.T) {
+func TestBreakerTransitions(t *testing.T) {
 	r := newHarness(t, testSettings())
 	l := r.d.destinations[1].circuits[0]
 	failures := 0
@@ -387,12 +388,13 @@
 		t.Errorf("breaker is %s after successful trials", stateNames[l.state])
 	}
 	if text := strings.Join(r.logs, "\n"); !strings.Contains(text, "open (consecutive failures)") || !strings.Contains(text, "closed") {
-		t.Errorf("log lines miss the walk: %s", text)
+		t.Errorf("log lines lack a transition: %s", text)
 	}
 }
 
-// After failures the sends of any span stay inside the fail-back budget, and grow back within the warm-up.
-func TestFailBackBudget(t *testing.T) {
+// After failures, the sends in any interval of TipAfter stay within the slow-start budget, which grows during the
+// warm-up.
+func TestSlowStartBudget(t *testing.T) {
 	s := testSettings()
 	r := newHarness(t, s)
 	for range minOutageRun + tripExtraFailures {
@@ -427,7 +429,7 @@
 	}
 }
 
-// A full table of connections is no outage: single failed connects between successes leave the breaker closed.
+// A full connection table is no outage: single failed connects between successes leave the breaker closed.
 func TestFullConnectionTable(t *testing.T) {
 	r := newHarness(t, testSettings())
 	for i := range 30 {
@@ -443,7 +445,7 @@
 		t.Errorf("breaker is %s", stateNames[l.state])
 	}
 	closes := 0
-	for _, a := range r.other {
+	for _, a := range r.otherActions {
 		if _, ok := a.(CloseIdle); ok {
 			closes++
 		}
@@ -458,10 +460,10 @@
 	r := newHarness(t, testSettings())
 	resets := 0
 	for range 20 {
-		before := len(r.other)
+		before := len(r.otherActions)
 		r.submit("safe", 1, 0)
 		o := Reset
-		for _, a := range r.other[before:] {
+		for _, a := range r.otherActions[before:] {
 			if _, ok := a.(CloseIdle); ok {
 				o = OK
 			}
@@ -476,7 +478,7 @@
 		}
 		r.pass(1500 * ms)
 	}
-	if resets > 5 { // the first comes on a connection that is new
+	if resets > 5 { // the first is on a new connection
 		t.Errorf("%d resets before idle connections were closed", resets)
 	}
 	if l := r.d.destinations[1].circuits[0]; l.state != closed {
@@ -484,7 +486,7 @@
 	}
 }
 
-// The same where dead connections swallow the call: others, sent later, are answered.
+// The same if calls on dead connections get no answer at all while later calls do.
 func TestSilentlyDeadIdleConnections(t *testing.T) {
 	r := newHarness(t, testSettings())
 	for range 12 {
@@ -511,9 +513,9 @@
 	}
 }
 
-// On a small slice no later call overtakes the lost one: losses after pauses are pooled over destinations and compared
-// with the other calls. Where these are lost as often, destinations are silent and nothing is closed.
-func TestDeadIdleConnectionsOnASmallSlice(t *testing.T) {
+// At low traffic no later call overtakes the lost one: losses after pauses are summed over all destinations and
+// compared with the other calls. If those are lost as often, the destinations are stalled and no connection is closed.
+func TestDeadIdleConnectionsAtLowTraffic(t *testing.T) {
 	for _, c := range []struct {
 		others Outcome
 		found  bool
@@ -542,8 +544,8 @@
 	}
 }
 
-// A silent spell leaves calls that are never answered: with the slots short, they are called off.
-func TestStuckCallsAreCalledOff(t *testing.T) {
+// A stall leaves calls that are never answered: if slots are short, they are cancelled.
+func TestStuckCallsAreCancelled(t *testing.T) {
 	s := testSettings()
 	s.Slots = 2
 	r := newHarness(t, s,
@@ -553,12 +555,12 @@
 	r.submit("unsafe", 2, 0)
 	r.submit("safe", 3, 0)
 	r.pass(5500 * ms)
-	for _, a := range r.other {
+	for _, a := range r.otherActions {
 		if _, ok := a.(Cancel); ok {
 			return
 		}
 	}
-	t.Error("no stuck call was called off while another message waited for a slot")
+	t.Error("no stuck call was cancelled while another message waited for a slot")
 }
 
 func TestRefusalsInABurstLeaveTheBreakerClosed(t *testing.T) {
@@ -582,7 +584,7 @@
 	}
 }
 
-func TestOneBadEndpointDoesNotCondemnTheRest(t *testing.T) {
+func TestOneBadEndpointLeavesBreakerClosed(t *testing.T) {
 	r := newHarness(t, testSettings(),
 		Entry{Endpoint: "a", Destination: 1, CapacityHint: 50}, Entry{Endpoint: "b", Destination: 1, CapacityHint: 50})
 	good := 0
@@ -604,17 +606,17 @@
 	}
 }
 
-// An endpoint that was gone before the list told it is no outage of its destination: when the list tells it, breaker and
-// guard go with it, unless another endpoint failed as well.
-func TestWhatADepartedEndpointCausedGoesWithIt(t *testing.T) {
+// An endpoint that went down before the list removed it is no outage of its destination: its removal closes the breaker
+// and ends slow start, unless another endpoint failed as well.
+func TestRemovedEndpointClearsItsFaults(t *testing.T) {
 	for name, c := range map[string]struct {
-		stays  Outcome // what the endpoint that stays answers
+		stays  Outcome // outcome at the endpoint that stays
 		rounds int     // with both listed
 		clears bool
 	}{"alone to blame": {OK, 0, true}, "the other serves": {OK, 20, true}, "the other fails too": {ConnectFailed, 150, false}} {
 		r := newHarness(t, testSettings())
 		l := r.d.destinations[1].circuits[0]
-		fails := func(rounds int) {
+		fail := func(rounds int) {
 			for range rounds {
 				r.submit("safe", 1, 0)
 				for len(r.sends) > 0 {
@@ -629,22 +631,22 @@
 				r.pass(100 * ms)
 			}
 		}
-		fails(40)
+		fail(40)
 		if l.state == closed || !l.slowStart {
-			t.Fatalf("%s: breaker %s, guard %v with every connect refused", name, stateNames[l.state], l.slowStart)
+			t.Fatalf("%s: breaker %s, slow start %v with every connect refused", name, stateNames[l.state], l.slowStart)
 		}
 		r.do(EndpointUpdate{Scope: ListChanges, Entries: []Entry{{Endpoint: "b", Destination: 1, CapacityHint: 50}}})
-		fails(c.rounds)
+		fail(c.rounds)
 		r.do(EndpointUpdate{Scope: ListChanges, Entries: []Entry{{Endpoint: "a", Destination: 1, Readiness: Draining}}})
 		if (l.state == closed) != c.clears || l.slowStart == c.clears {
-			t.Errorf("%s: breaker %s, guard %v", name, stateNames[l.state], l.slowStart)
+			t.Errorf("%s: breaker %s, slow start %v", name, stateNames[l.state], l.slowStart)
 		}
 	}
 }
 
-// Calls reset with connections that had carried others speak of no endpoint, and where that is common an unsafe message,
-// which a reset ends, goes on a new connection.
-func TestResetsOfKeptConnections(t *testing.T) {
+// Resets of reused connections are no evidence about the endpoint. If they are common, an unsafe message, which a reset
+// ends, gets a new connection.
+func TestResetsOfReusedConnections(t *testing.T) {
 	r := newHarness(t, testSettings())
 	r.submit("unsafe", 1, 0)
 	if r.last().NewConnection {
@@ -658,7 +660,7 @@
 		r.do(MessageCancelled{ID: s.ID})
 	}
 	if l := r.d.destinations[1].circuits[0]; l.state != closed || l.slowStart {
-		t.Errorf("breaker %s, guard %v", stateNames[l.state], l.slowStart)
+		t.Errorf("breaker %s, slow start %v", stateNames[l.state], l.slowStart)
 	}
 	for class, want := range map[string]bool{"safe": false, "keyed": false, "unsafe": true} {
 		r.submit(class, 1, 0)
@@ -669,8 +671,8 @@
 	}
 }
 
-// Two connections lost in a row raise the guard; a success of a call sent after the first takes it back if it comes too
-// soon for an outage. Errors, or a later success, do not.
+// Two lost connections in a row start slow start; a success of a call sent after the first cancels it if it comes too
+// soon for an outage. After errors, or with a later success, slow start stays.
 func TestBriefRunsOfLostConnections(t *testing.T) {
 	for name, c := range map[string]struct {
 		lost  Outcome
@@ -687,17 +689,17 @@
 			r.do(MessageCancelled{ID: s.ID})
 		}
 		if !l.slowStart {
-			t.Fatalf("%s: no guard after two", name)
+			t.Fatalf("%s: no slow start after two", name)
 		}
 		k := &call{endpoint: l.endpoints[0], class: r.d.classes["safe"], size: 1, sentAt: r.now}
 		r.d.now = r.now + c.after
 		if r.d.onSuccess(k, 50*ms); l.slowStart != c.guard {
-			t.Errorf("%s: guard %v", name, l.slowStart)
+			t.Errorf("%s: slow start %v", name, l.slowStart)
 		}
 	}
 }
 
-func TestCapStaysUnderThreeQuarters(t *testing.T) {
+func TestCallLimitStaysUnderThreeQuarters(t *testing.T) {
 	r := newHarness(t, testSettings())
 	most := 0
 	for range 200 {
@@ -730,41 +732,42 @@
 	}
 }
 
-func TestAskingAgainBacksOff(t *testing.T) {
+func TestSubscribeRetriesBackOff(t *testing.T) {
 	s := testSettings()
 	s.MustSubscribe, s.SubscribeWithin = true, 10*time.Second
 	r := newHarness(t, s)
-	asked := func() (n int) {
-		for _, a := range r.other {
+	subscribed := func() (n int) {
+		for _, a := range r.otherActions {
 			if _, ok := a.(Subscribe); ok {
 				n++
 			}
 		}
 		return n
 	}
-	if asked() != 1 {
-		t.Fatalf("asked %d times at the start, want 1", asked())
+	if subscribed() != 1 {
+		t.Fatalf("subscribed %d times at the start, want 1", subscribed())
 	}
 	for range 4 {
 		r.do(EndpointUpdate{Scope: ListError})
-		before, at := asked(), r.now
-		for asked() == before && r.now < at+20*time.Second {
+		before, at := subscribed(), r.now
+		for subscribed() == before && r.now < at+20*time.Second {
 			r.pass(5 * ms)
 		}
-		if asked() != before+1 || r.now-at < subscribeRetryFirst/2 {
-			t.Errorf("asked again %d times after %v", asked()-before, r.now-at)
+		if subscribed() != before+1 || r.now-at < subscribeRetryFirst/2 {
+			t.Errorf("subscribed again %d times after %v", subscribed()-before, r.now-at)
 		}
 	}
 	r.do(EndpointUpdate{Scope: ListWhole, Entries: []Entry{{Endpoint: "a", Destination: 1, CapacityHint: 50}}})
-	before := asked()
+	before := subscribed()
 	r.submit("safe", 9, 0)
 	r.pass(5 * time.Second)
-	if asked() != before {
-		t.Error("asked again while subscribed")
+	if subscribed() != before {
+		t.Error("subscribed again while subscribed")
 	}
 }
 
-// Equal events give equal actions, alone or beside others; a new start has no memory; names mean nothing.
+// Equal events give equal actions, alone or beside another instance; a new decider has no memory; names have no
+// meaning.
 func TestDeterminismAndNames(t *testing.T) {
 	record := func(prefix string, beside bool) []string {
 		s := testSettings()
@@ -813,7 +816,7 @@
 	}
 }
 
-// Nothing grows with the messages served.
+// No state grows with the number of messages served.
 func TestMemoryIsBounded(t *testing.T) {
 	r := newHarness(t, testSettings())
 	for range 5000 {
@@ -829,38 +832,38 @@
 	}
 	r.pass(25 * time.Second)
 	if n := len(r.d.messages) + len(r.d.keyQueues) + len(r.d.destinations[1].held); n > 0 {
-		t.Errorf("%d things remembered after all is served", n)
+		t.Errorf("%d entries left after all messages ended", n)
 	}
 }
 
-// Idle connections are kept whatever the size of the fleet, and closed after use only where a table was found full: a
-// handshake for each message costs more than what is idle.
+// Idle connections stay open whatever the size of the fleet, and close after use only if a connection table was full: a
+// handshake for each message costs more than idle connections.
 func TestIdleConnectionsAreKeptUntilATableIsFull(t *testing.T) {
-	for _, couriers := range []int{3, 60} {
+	for _, forwarders := range []int{3, 60} {
 		s := testSettings()
-		s.Forwarders = couriers
+		s.Forwarders = forwarders
 		r := newHarness(t, s)
 		r.submit("safe", 1, 0)
 		r.answer(r.last(), OK, 0)
-		if len(r.other) > 0 {
-			t.Errorf("%d couriers: %v after use", couriers, r.other)
+		if len(r.otherActions) > 0 {
+			t.Errorf("%d forwarders: %v after use", forwarders, r.otherActions)
 		}
 		r.submit("safe", 1, 0)
-		r.pass(2 * time.Second)              // many couriers are paced
-		r.answer(r.last(), ConnectFailed, 0) // at once, and a call has succeeded of late
+		r.pass(2 * time.Second)              // a large fleet is rate limited
+		r.answer(r.last(), ConnectFailed, 0) // at once, and soon after a success
 		r.pass(2 * time.Second)
-		r.other = nil
+		r.otherActions = nil
 		r.answer(r.last(), OK, 0)
-		if len(r.other) != 1 || r.other[0] != (CloseIdle{Endpoint: "a"}) {
-			t.Errorf("%d couriers: %v after use beside a full table", couriers, r.other)
+		if len(r.otherActions) != 1 || r.otherActions[0] != (CloseIdle{Endpoint: "a"}) {
+			t.Errorf("%d forwarders: %v after use beside a full table", forwarders, r.otherActions)
 		}
 	}
 }
 
-// Scores of couriers that all saw the same outage stay inside the fail-back budget together, however many they are:
-// side by side against one destination that refuses connections for 12 s and then returns cold. A tenth is for chance;
-// the parts of two add up to 1.27 by design, since a busy one of few would starve on half.
-func TestFailBackBudgetOfManyCouriers(t *testing.T) {
+// Forwarders that all saw the same outage stay within the slow-start budget together, however many they are: here
+// against one destination that refuses connections for 12 s and then returns cold. A tenth is allowed for chance. The
+// parts of two forwarders add up to 1.27, since with uneven traffic a busy one would get too little from half.
+func TestSlowStartBudgetOfFleets(t *testing.T) {
 	for _, n := range []int{2, 50, 400} {
 		const rate, load, outage = 60.0, 0.6, 12 * time.Second
 		s := testSettings()
@@ -897,7 +900,7 @@
 			slack = 1.3
 		}
 		if len(at) == 0 {
-			t.Fatalf("%d couriers: nothing sent after the return", n)
+			t.Fatalf("%d forwarders: nothing sent after the recovery", n)
 		}
 		for i, from := range at {
 			calls := 0
@@ -907,14 +910,14 @@
 			back := (from + s.TipAfter - 2*time.Second - outage).Seconds()
 			share := min(1, s.ColdFrom+(1-s.ColdFrom)*back/s.WarmWithin.Seconds())
 			if most := slack * s.OverloadFactor * share * rate * s.TipAfter.Seconds(); share < 1 && float64(calls) > most {
-				t.Fatalf("%d couriers: %d calls in the span from %.2f s after the return, budget %.1f", n, calls, back, most)
+				t.Fatalf("%d forwarders: %d calls in the interval from %.2f s after the recovery, budget %.1f", n, calls, back, most)
 			}
 		}
 	}
 }
 
-// A told wait ends for all couriers at once: those that saw an outage don't all call at that moment.
-func TestManyCouriersDontReturnTogetherAfterAToldWait(t *testing.T) {
+// A Retry-After ends for all forwarders at the same time: those that saw an outage must not all call at that moment.
+func TestLargeFleetSpreadsCallsAfterRetryAfter(t *testing.T) {
 	s := testSettings()
 	s.Forwarders = 200
 	at := map[time.Duration]int{}
@@ -926,7 +929,7 @@
 		r.pass(10 * time.Second)
 		before := r.now
 		if len(r.sends) > 1 {
-			t.Fatal("sent inside the wait")
+			t.Fatal("sent before the Retry-After expired")
 		}
 		for len(r.sends) < 2 && r.now < before+8*time.Second {
 			r.pass(20 * ms)
@@ -936,13 +939,13 @@
 	harnessSeed = 42
 	for span, n := range at {
 		if n > 60 && span < 16 {
-			t.Errorf("%d of 200 couriers called in the half second from %v after the wait", n, span*500*ms)
+			t.Errorf("%d of 200 forwarders called in the half second from %v after the Retry-After", n, span*500*ms)
 		}
 	}
 }
 
-// Couriers with nothing out must not all choose the endpoint that is listed first.
-func TestCouriersSpreadOverEndpoints(t *testing.T) {
+// Forwarders without calls out must not all choose the endpoint that is listed first.
+func TestForwardersSpreadOverEndpoints(t *testing.T) {
 	first := 0
 	for i := range 100 {
 		harnessSeed = uint64(i)
@@ -955,6 +958,6 @@
 	}
 	harnessSeed = 42
 	if first < 25 || first > 75 {
-		t.Errorf("%d of 100 couriers chose the first endpoint", first)
+		t.Errorf("%d of 100 forwarders chose the first endpoint", first)
 	}
 }
--- a/shared_test.go
+++ b/shared_test.go
@@ -11,7 +11,7 @@
 	return s
 }
 
-// together hands in messages of one class in one round and returns what was sent.
+// together submits messages of one class in one round and returns the sends.
 func (r *harness) together(class string, n int) []Send {
 	var in []Event
 	for range n {
@@ -25,7 +25,7 @@
 	return r.do(in...)
 }
 
-// answerAll answers sends in one round, as a shared call ends.
+// answerAll answers sends in one round, as the end of a shared call does.
 func (r *harness) answerAll(sends []Send, o Outcome, wait time.Duration) []Send {
 	var in []Event
 	for _, s := range sends {
@@ -37,8 +37,8 @@
 	return r.do(in...)
 }
 
-// Messages for one endpoint share calls: more of them than there are slots go out in one round, in full calls, and
-// take a slot, a place under the cap and a call of the limit for each call, not for each message.
+// Messages for one endpoint share calls: more of them than there are slots are sent in one round, in full calls. Slots,
+// call limits and rate limits count calls, not messages.
 func TestMoreMessagesThanSlotsShareCalls(t *testing.T) {
 	s := sharedSettings(10)
 	s.Slots = 4
@@ -51,11 +51,11 @@
 		t.Errorf("one call of ten counts as %d slots, %d calls", r.d.slotsUsed, len(l.inflight))
 	}
 	if len(l.recentCalls) != 1 || l.recentCalls[0].weight <= 1 || l.recentCalls[0].weight >= 10 {
-		t.Errorf("fail-back budget books %v", l.recentCalls)
+		t.Errorf("slow-start budget counts %v", l.recentCalls)
 	}
 }
 
-// A kind whose limit is one, missing or unusable sends each message in a call of its own.
+// A kind whose batch limit is one, missing or unusable sends each message in a call of its own.
 func TestKindsThatShareNoCalls(t *testing.T) {
 	for _, batch := range []int{1, 0, -3} {
 		s := sharedSettings(batch)
@@ -67,14 +67,14 @@
 	}
 }
 
-// A call has one fate and counts once, and each of its messages is tried again as its own class allows.
-func TestSharedCallHasOneFate(t *testing.T) {
+// A call has one outcome and counts once, and each of its messages is retried as its own class allows.
+func TestSharedCallHasOneOutcome(t *testing.T) {
 	r := newHarness(t, sharedSettings(20))
 	first := r.together("safe", 6)
 	r.answerAll(first, OK, 0)
 	l := r.d.destinations[1].circuits[0]
 	if len(l.window) != 1 {
-		t.Fatalf("%d outcomes booked for one call", len(l.window))
+		t.Fatalf("%d outcomes counted for one call", len(l.window))
 	}
 	var in []Event
 	for i, class := range []string{"safe", "keyed", "unsafe"} {
@@ -97,7 +97,7 @@
 	}
 }
 
-// Answers of a shared call out of order, doubled, or with one missing until later: the slot is free when all are in.
+// With answers of a shared call out of order, duplicated or delayed, its slot is free once all have arrived.
 func TestAnswersOfASharedCallOutOfOrder(t *testing.T) {
 	r := newHarness(t, sharedSettings(20))
 	sends := r.together("keyed", 4)
@@ -121,7 +121,7 @@
 	}
 }
 
-// Messages of one call are cut at their own deadlines, and the wait told with any of them holds.
+// Messages of one call are cut at their own deadlines, and a Retry-After with any of them applies.
 func TestSharedCallWithDifferentDeadlines(t *testing.T) {
 	r := newHarness(t, sharedSettings(20))
 	sends := r.do(Submit{ID: 1, Class: "safe", Destination: 1, TimeLeft: 700 * ms},
@@ -137,23 +137,23 @@
 	}
 	r.do(Answer{ID: 3, Endpoint: "a", Outcome: Refused, Latency: ms}, Answer{ID: 2, Endpoint: "a", Outcome: Refused, Latency: ms, RetryAfter: 2 * time.Second})
 	if more := r.pass(1990 * ms); len(more) > 0 {
-		t.Errorf("sent inside the wait told with the second answer: %v", more)
+		t.Errorf("sent before the Retry-After of the second answer expired: %v", more)
 	}
 }
 
-// At a lane that refused of late, messages wait for others as long as that costs no worth, and no longer.
-func TestMessagesGatherAtALimitedLane(t *testing.T) {
+// At a circuit with recent refusals, messages wait for others as long as that costs no worth, and no longer.
+func TestMessagesWaitForBatchAtLimitedCircuit(t *testing.T) {
 	r := newHarness(t, sharedSettings(4))
 	r.answerAll(r.together("keyed", 1), OK, 0)
 	if len(r.together("keyed", 1)) != 1 {
-		t.Fatal("gathered with no refusal seen")
+		t.Fatal("waited for a batch without a refusal")
 	}
 	r.answer(r.last(), Refused, 0)
 	r.settle(always(OK))
 	r.pass(1500 * ms) // its repeat
 	r.settle(always(OK))
 	if n := len(r.together("keyed", 1)); n != 0 {
-		t.Fatal("sent alone at a limited lane")
+		t.Fatal("sent alone at a limited circuit")
 	}
 	if n := len(r.together("keyed", 3)); n != 4 {
 		t.Errorf("a full call did not go at once: %d sent", n)
@@ -161,12 +161,12 @@
 	r.settle(always(OK))
 	r.together("keyed", 1)
 	if n := len(r.pass(2 * time.Second)); n != 1 {
-		t.Errorf("%d sent within the aim", n)
+		t.Errorf("%d sent within the target", n)
 	}
 }
 
-// A message is not sent again to the endpoint that failed it, nor others of its class for a while, where another
-// endpoint serves: the other classes' successes hide that one class fails there.
+// While another endpoint serves, a message is not retried at the endpoint that failed it, nor are others of its class
+// sent there for some time: successes of other classes hide that one class fails there.
 func TestClassThatFailsAtOneEndpoint(t *testing.T) {
 	r := newHarness(t, testSettings(),
 		Entry{Endpoint: "a", Destination: 1, CapacityHint: 50}, Entry{Endpoint: "b", Destination: 1, CapacityHint: 50})
@@ -191,9 +191,9 @@
 	}
 }
 
-// What no allowed attempt can deliver any more is answered in the same round, never held till near its deadline: each
-// way of giving up. A refusal tells when to come back, within the client's bound.
-func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
+// A message that no allowed attempt can deliver any more is answered in the same round, not held until its deadline:
+// one case for each reason. A refusal carries a RetryAfter within the client's bound.
+func TestAbandonedMessagesAreAnsweredAtOnce(t *testing.T) {
 	for name, c := range map[string]struct {
 		class string
 		left  time.Duration
@@ -205,10 +205,10 @@
 			r.answer(s, Refused, 0)
 		}, "refuse"},
 		"unsafe message that may have run": {"unsafe", 20 * time.Second, func(r *harness, s Send) { r.answer(s, Reset, 0) }, "fail"},
-		"told wait past the deadline": {"safe", 6 * time.Second, func(r *harness, s Send) {
+		"Retry-After past the deadline": {"safe", 6 * time.Second, func(r *harness, s Send) {
 			r.answer(s, Refused, 7*time.Second)
 		}, "refuse"},
-		"told wait past the key's life": {"keyed", 20 * time.Second, func(r *harness, s Send) {
+		"Retry-After past the key's TTL": {"keyed", 20 * time.Second, func(r *harness, s Send) {
 			r.answer(s, Failed, 0)
 			r.pass(time.Second)
 			r.answer(r.last(), Refused, 6*time.Second)
@@ -217,7 +217,7 @@
 			r.now += 5 * time.Second
 			r.answer(s, TimedOut, 0)
 		}, "fail"},
-		"guard's gap past the deadline": {"safe", 6 * time.Second, func(r *harness, s Send) {
+		"slow-start gap past the deadline": {"safe", 6 * time.Second, func(r *harness, s Send) {
 			l := r.d.destinations[1].circuits[0]
 			l.slowStart, l.recoveredAt, l.outageSince, l.capacityHint = true, -1, r.now-20*time.Second, 0.1
 			r.answer(s, Refused, 0)
@@ -231,15 +231,15 @@
 		if got := r.ended(77); got != c.want {
 			t.Errorf("%s: %q at once, want %q", name, got, c.want)
 		}
-		for _, a := range r.other {
+		for _, a := range r.otherActions {
 			if f, ok := a.(Refuse); ok && (f.RetryAfter <= 0 || f.RetryAfter > s.MaxRetryAfter) {
-				t.Errorf("%s: told to come back after %v", name, f.RetryAfter)
+				t.Errorf("%s: RetryAfter is %v", name, f.RetryAfter)
 			}
 		}
 	}
 }
 
-// A keyed message that may have run is refused only where the told return still falls inside its window.
+// A keyed message that may have run is refused only if its RetryAfter ends within its window.
 func TestRefusalsOfKeyedMessagesKeepToTheWindow(t *testing.T) {
 	for _, c := range []struct {
 		held time.Duration
@@ -250,18 +250,18 @@
 		r := newHarness(t, s)
 		id := r.submit("keyed", 1, 0)
 		sent := r.last()
-		r.d.destinations[1].circuits[0].waitUntil = r.now + 30*time.Second // so that the return is told as late as may be
+		r.d.destinations[1].circuits[0].waitUntil = r.now + 30*time.Second // for the longest possible RetryAfter
 		r.now += c.held
 		r.answer(sent, TimedOut, 0)
 		if got := r.ended(id); got != c.want {
-			t.Errorf("given up %v after its first attempt: %q, want %q", c.held, got, c.want)
+			t.Errorf("abandoned %v after its first attempt: %q, want %q", c.held, got, c.want)
 		}
 	}
 }
 
-// Where neither hint nor report tells a rate, it follows what is served: a busy lane is taken for faster than an idle
-// one, over all couriers, and no fixed figure stands for both.
-func TestUnknownRatesFollowWhatIsServed(t *testing.T) {
+// Without hint and report, a circuit's capacity follows its successes: a busy circuit is estimated higher than an idle
+// one, over all forwarders, and not by a fixed number.
+func TestUnknownCapacityFollowsSuccesses(t *testing.T) {
 	s := testSettings()
 	s.UseCapacityHints, s.Forwarders = false, 100
 	r := newHarness(t, s, Entry{Endpoint: "a", Destination: 1, CapacityHint: 1}, Entry{Endpoint: "b", Destination: 2, CapacityHint: 1})
@@ -272,14 +272,14 @@
 	}
 	busy, idle := r.d.capacity(r.d.destinations[1].circuits[0]), r.d.capacity(r.d.destinations[2].circuits[0])
 	if busy < 300 || busy > 510 || idle > busy/10 {
-		t.Errorf("5 a second served of each of 100 couriers: taken for %.0f a second, the idle lane for %.1f", busy, idle)
+		t.Errorf("5 successes a second of each of 100 forwarders: capacity %.0f a second, of the idle circuit %.1f", busy, idle)
 	}
 }
 
-// Where a third of the calls is lost at lanes that serve the rest, a run of two is common and no outage: the guard needs
-// a longer one than where losses are rare.
-func TestLostAnswersRaiseNoGuard(t *testing.T) {
-	guards := func(loseEvery int) (n int) {
+// If a third of the calls is lost at circuits that serve the rest, two failures in a row are common and no outage: slow
+// start takes a longer run than with rare losses.
+func TestStrayFailuresStartNoSlowStart(t *testing.T) {
+	slowStarts := func(loseEvery int) (n int) {
 		var entries []Entry
 		for i := range 30 {
 			entries = append(entries, Entry{Endpoint: EndpointID(rune('A' + i)), Destination: DestinationID(i + 1), CapacityHint: 50})
@@ -305,22 +305,23 @@
 		}
 		return n
 	}
-	if guards(1000) != 1 || guards(3) != 0 {
-		t.Errorf("two lost in a row raise the guard: %d where losses are rare, %d where a third is lost", guards(1000), guards(3))
+	if slowStarts(1000) != 1 || slowStarts(3) != 0 {
+		t.Errorf("two lost in a row start slow start: %d where losses are rare, %d where a third is lost", slowStarts(1000), slowStarts(3))
 	}
 }
 
-// Refusals that the told share of the limit explains raise a weak guard, under which the couriers' parts add up to the
-// rate itself; a failure, a longer run or a tripped breaker make it strong, and no later refusal weakens it again.
-func TestWeakGuards(t *testing.T) {
-	for name, more := range map[string]func(d *Decider, l *circuit){
+// Refusals that the reported limit explains start a weak slow start, under which the forwarders' parts add up to the
+// capacity itself; a failure, a longer run or an open breaker makes it strong, and later refusals do not weaken it
+// again.
+func TestWeakSlowStart(t *testing.T) {
+	for name, escalate := range map[string]func(d *Decider, l *circuit){
 		"failures": func(d *Decider, l *circuit) {
 			d.onFailure(l, l.endpoints[0], Reset)
 			d.onFailure(l, l.endpoints[0], Reset)
 		},
-		"a longer run":   func(d *Decider, l *circuit) { d.onRefusal(l, 0); d.onRefusal(l, 0) },
-		"a long wait":    func(d *Decider, l *circuit) { d.onRefusal(l, outageRetryAfter+time.Second) },
-		"a tripped lane": func(d *Decider, l *circuit) { d.trip(l, "test") },
+		"a longer run":    func(d *Decider, l *circuit) { d.onRefusal(l, 0); d.onRefusal(l, 0) },
+		"a long wait":     func(d *Decider, l *circuit) { d.onRefusal(l, outageRetryAfter+time.Second) },
+		"an open breaker": func(d *Decider, l *circuit) { d.trip(l, "test") },
 	} {
 		s := testSettings()
 		s.Forwarders, s.ColdFrom = 50, 0.1
@@ -331,21 +332,21 @@
 		r.d.now += quietPeriod + ms
 		r.d.onRefusal(l, 0)
 		if !l.slowStart || !l.weakSlowStart {
-			t.Fatalf("after two explained refusals: guard %v, weak %v", l.slowStart, l.weakSlowStart)
+			t.Fatalf("after two explained refusals: slow start %v, weak %v", l.slowStart, l.weakSlowStart)
 		}
 		weak := r.d.slowStartBudget(l)
-		more(r.d, l)
+		escalate(r.d, l)
 		r.d.onRefusal(l, 0)
 		if strong := r.d.slowStartBudget(l); l.weakSlowStart || !l.slowStart || strong > weak*0.21 {
-			t.Errorf("%s: guard %v, weak %v, budget %v after %v", name, l.slowStart, l.weakSlowStart, strong, weak)
+			t.Errorf("%s: slow start %v, weak %v, budget %v after %v", name, l.slowStart, l.weakSlowStart, strong, weak)
 		}
 	}
 }
 
-// Where refusals tell waits, the told wait bears witness to a limit and the told share excuses nothing: one refusal with
-// the limit told as unspent raises the guard, and refusals with it told as spent do so as fast as others. Where none has
-// told a wait, the told share is all there is, and half a second old.
-func TestToldSharesWhereRefusalsTellWaits(t *testing.T) {
+// If refusals carry a Retry-After, that is the sign of a limit and the reported share excuses nothing: one refusal with
+// the limit reported as unspent starts slow start, and refusals with it reported as spent do so as fast as others. If
+// no refusal has carried one, there is only the reported share, which can be half a second old.
+func TestReportedLimitsWithRetryAfter(t *testing.T) {
 	for _, tells := range []bool{false, true} {
 		for _, left := range []float64{0.1, 0.9} {
 			r := newHarness(t, testSettings(), Entry{Endpoint: "a", Destination: 1, CapacityHint: 50},
@@ -358,19 +359,19 @@
 			l.limitRemaining = left
 			r.d.onRefusal(l, 0)
 			if l.slowStart != (tells && left > 0.5) {
-				t.Errorf("waits told %v, %v left: guard %v after one refusal", tells, left, l.slowStart)
+				t.Errorf("Retry-After %v, %v left: slow start %v after one refusal", tells, left, l.slowStart)
 			}
 			r.d.now += 300 * ms
 			r.d.onRefusal(l, 0)
 			if l.slowStart != (tells || left > 0.5) || l.weakSlowStart {
-				t.Errorf("waits told %v, %v left: guard %v, weak %v after two", tells, left, l.slowStart, l.weakSlowStart)
+				t.Errorf("Retry-After %v, %v left: slow start %v, weak %v after two", tells, left, l.slowStart, l.weakSlowStart)
 			}
 		}
 	}
 }
 
-// A later message of the round that goes to an endpoint whose call has room joins that call: one slot, as the contract
-// of Send says. Here one message keeps off b; the others fill b first and come to a only then.
+// A later message of a round joins the round's call to its endpoint if that has room, in one slot, as documented at
+// Send. Here one message avoids b; the others fill calls to b first and are sent to a after that.
 func TestLaterMessagesJoinTheCallOfTheRound(t *testing.T) {
 	s := sharedSettings(3)
 	s.Slots = 20
@@ -379,7 +380,7 @@
 	l := r.d.destinations[1].circuits[0]
 	r.d.endpoints["a"].rank, r.d.endpoints["b"].rank = 1, 2
 	l.callLimit = 10
-	r.together("safe", 1) // out at a
+	r.together("safe", 1) // sent to a
 	l.waitUntil = r.now + 100*ms
 	r.do(Submit{ID: 50, Class: "safe", Destination: 1, TimeLeft: 6 * time.Second}) // the first among equals
 	r.d.messages[50].avoidEndpoint = r.d.endpoints["b"]
@@ -393,20 +394,20 @@
 		t.Fatalf("%d sends, to a and b: %v", len(sends), calls)
 	}
 	if r.d.slotsUsed != 4 || len(l.inflight) != 4 {
-		t.Errorf("%d slots and %d calls booked, want the one out, one more at a and two at b", r.d.slotsUsed, len(l.inflight))
+		t.Errorf("%d slots and %d calls counted, want the one out, one more at a and two at b", r.d.slotsUsed, len(l.inflight))
 	}
 }
 
-// Where limits refuse a third of the calls and serve the rest, two refusals in a row are common: the guard needs a longer
-// run than where refusals are rare.
-func TestStrayRefusalsRaiseNoGuard(t *testing.T) {
+// If limits refuse a third of the calls and the rest is served, two refusals in a row are common: slow start takes a
+// longer run than with rare refusals.
+func TestStrayRefusalsStartNoSlowStart(t *testing.T) {
 	for _, c := range []struct {
 		every int
 		guard bool
 	}{{1000, true}, {3, false}} {
 		r := newHarness(t, testSettings())
 		l := r.d.destinations[1].circuits[0]
-		l.limitRemaining = -1 // nothing told
+		l.limitRemaining = -1 // nothing reported
 		k := &call{endpoint: l.endpoints[0], class: r.d.classes["safe"], size: 1}
 		for i := range 90 {
 			if r.d.now += 300 * ms; i%c.every == c.every-1 {
@@ -422,7 +423,7 @@
 			r.d.onRefusal(l, 0)
 		}
 		if l.slowStart != c.guard {
-			t.Errorf("one call in %d refused: guard %v after two in a row", c.every, l.slowStart)
+			t.Errorf("one call in %d refused: slow start %v after two in a row", c.every, l.slowStart)
 		}
 	}
 }
--- a/snapshot.go
+++ b/snapshot.go
@@ -137,10 +137,10 @@
 	for _, c := range d.cfg.Classes {
 		out.Classes = append(out.Classes, LearnedClass{Name: c.Name, MeanSeconds: d.classes[c.Name].meanSec, Trust: 1})
 	}
-	two := func(t lossTally) [2]float64 { return [2]float64{t.calls, t.lost} }
+	pair := func(t lossTally) [2]float64 { return [2]float64{t.calls, t.lost} }
 	out.Losses = LossCounts{
-		AfterIdle: two(d.afterIdle), Others: two(d.others), ReusedConnection: two(d.reusedConn), NewConnection: two(d.newConn),
-		StrayFailures: two(d.strayFailures), StrayRefusals: two(d.strayRefusals), IdleLimit: d.idleLimit, RetryAfterSeen: d.retryAfterSeen,
+		AfterIdle: pair(d.afterIdle), Others: pair(d.others), ReusedConnection: pair(d.reusedConnection), NewConnection: pair(d.newConnection),
+		StrayFailures: pair(d.strayFailures), StrayRefusals: pair(d.strayRefusals), IdleLimit: d.idleLimit, RetryAfterSeen: d.retryAfterSeen,
 	}
 	return out
 }
@@ -158,9 +158,9 @@
 			c.meanSec = interpolate(c.meanSec, f.MeanSeconds, f.Trust)
 		}
 	}
-	one := func(t [2]float64) lossTally { return lossTally{calls: t[0], lost: t[1]} }
-	d.afterIdle, d.others, d.reusedConn, d.newConn = one(l.Losses.AfterIdle), one(l.Losses.Others), one(l.Losses.ReusedConnection), one(l.Losses.NewConnection)
-	d.strayFailures, d.strayRefusals, d.retryAfterSeen = one(l.Losses.StrayFailures), one(l.Losses.StrayRefusals), l.Losses.RetryAfterSeen
+	tallyOf := func(t [2]float64) lossTally { return lossTally{calls: t[0], lost: t[1]} }
+	d.afterIdle, d.others, d.reusedConnection, d.newConnection = tallyOf(l.Losses.AfterIdle), tallyOf(l.Losses.Others), tallyOf(l.Losses.ReusedConnection), tallyOf(l.Losses.NewConnection)
+	d.strayFailures, d.strayRefusals, d.retryAfterSeen = tallyOf(l.Losses.StrayFailures), tallyOf(l.Losses.StrayRefusals), l.Losses.RetryAfterSeen
 	if d.idleLimit = l.Losses.IdleLimit; d.idleLimit > 0 {
 		d.idleLossAt = now
 	}
@@ -170,15 +170,15 @@
 // Retry-After; a limit where the endpoint reported none, weighted by Trust and at most maxPeerLimitFactor off the
 // listed capacity; and slow start after an outage. Each call gives all that applies now: a limit that is missing has
 // expired.
-func (d *Decider) ApplyObservations(now time.Duration, lanes []LearnedCircuit) {
+func (d *Decider) ApplyObservations(now time.Duration, circuits []LearnedCircuit) {
 	d.now = now
-	told := make(map[circuitKey]LearnedCircuit, len(lanes))
-	for _, f := range lanes {
-		told[circuitKey{f.Destination, f.Endpoint}] = f
+	observed := make(map[circuitKey]LearnedCircuit, len(circuits))
+	for _, f := range circuits {
+		observed[circuitKey{f.Destination, f.Endpoint}] = f
 	}
 	for _, dest := range d.destinations {
 		for _, l := range dest.circuits {
-			f := told[d.keyOf(l)]
+			f := observed[d.keyOf(l)]
 			l.waitUntil = max(l.waitUntil, now+f.Wait)
 			if l.peerLimit > 0 && l.reportedLimit == l.peerLimit {
 				l.reportedLimit = 0
--- a/state.go
+++ b/state.go
@@ -50,14 +50,14 @@
 	ended         bool
 	long          bool          // its body is streamed
 	expiresAt     time.Duration // of a long message; its deadline is that of the next call's start
-	bodyGone      bool          // its body can't be sent again
+	bodyConsumed  bool          // its body can't be sent again
 	untried       bool          // accepted by an earlier process and in no call yet
 }
 
-// waitsUntil returns when the message can be sent next: an untried one waits for a Retry-After alone.
-func (m *message) waitsUntil(free, told time.Duration) time.Duration {
+// readyAt returns when the message can be sent next: an untried one waits for a Retry-After alone.
+func (m *message) readyAt(free, retryAt time.Duration) time.Duration {
 	if m.untried {
-		return told
+		return retryAt
 	}
 	return free
 }
@@ -269,8 +269,8 @@
 	afterIdle        lossTally     // calls after an idle pause
 	others           lossTally     // all other calls
 	idleLossAt       time.Duration
-	reusedConn       lossTally                // calls on reused connections, and resets among them
-	newConn          lossTally                // the same on new connections
+	reusedConnection lossTally                // calls on reused connections, and resets among them
+	newConnection    lossTally                // the same on new connections
 	refusedAt        map[string]time.Duration // by kind: the latest refusal
 	startedAt        time.Duration
 	successes        decayingCount // of all circuits
