--- a/decide.go
+++ b/decide.go
@@ -215,21 +215,21 @@
 // outage of the destination. Breaker and slow start stay if a listed endpoint failed too or this one has
 // succeeded since. Drawback: an outage that starts at that moment is seen some calls later.
 func (d *Decider) clearDeparted(ep *endpoint) {
-	l := ep.circuit
-	if !l.slowStart || ep.unavailableAt < l.outageSince || ep.lastOK > l.outageSince {
+	c := ep.circuit
+	if !c.slowStart || ep.unavailableAt < c.outageSince || ep.lastOK > c.outageSince {
 		return
 	}
-	for _, o := range l.endpoints {
-		if o.readiness == Serving && o.unavailableAt >= l.outageSince {
+	for _, o := range c.endpoints {
+		if o.readiness == Serving && o.unavailableAt >= c.outageSince {
 			return
 		}
 	}
-	l.slowStart, l.recoveredAt, l.consecFailures, l.consecRefusals, l.window = false, -1, 0, 0, nil
-	if l.rateLimit > 0 {
-		l.rateLimit = max(l.rateLimit, d.capacity(l))
+	c.slowStart, c.recoveredAt, c.consecFailures, c.consecRefusals, c.window = false, -1, 0, 0, nil
+	if c.rateLimit > 0 {
+		c.rateLimit = max(c.rateLimit, d.capacity(c))
 	}
-	if l.state != closed {
-		d.setBreaker(l, closed)
+	if c.state != closed {
+		d.setBreaker(c, closed)
 	}
 }
 
@@ -239,19 +239,19 @@
 	if d.messages[e.ID] != nil {
 		return
 	}
-	c := d.classes[e.Class]
-	if c == nil { // unknown classes get the strictest rules
+	cs := d.classes[e.Class]
+	if cs == nil { // unknown classes get the strictest rules
 		left := max(e.TimeLeft, time.Millisecond)
-		c = &classState{Class: Class{Target: left, DeliveryTimeout: left, Worth: 1, Effect: Unsafe}}
-		c.meanSec = latencyGuessShare * left.Seconds()
+		cs = &classState{Class: Class{Target: left, DeliveryTimeout: left, Worth: 1, Effect: Unsafe}}
+		cs.meanSec = latencyGuessShare * left.Seconds()
 	}
 	m := &message{
-		id: e.ID, class: c, key: e.Key, dest: d.destinationOf(e.Destination), deadline: d.now + e.TimeLeft,
-		worth: c.Worth, notBefore: d.now, attempts: e.Attempts, long: e.Long, bodyConsumed: e.BodyConsumed,
+		id: e.ID, class: cs, key: e.Key, dest: d.destinationOf(e.Destination), deadline: d.now + e.TimeLeft,
+		worth: cs.Worth, notBefore: d.now, attempts: e.Attempts, long: e.Long, bodyConsumed: e.BodyConsumed,
 		untried: e.Resumed && e.Attempts == 0,
 	}
 	if m.expiresAt = m.deadline; m.long {
-		m.deadline = min(m.expiresAt, d.now+c.DeliveryTimeout)
+		m.deadline = min(m.expiresAt, d.now+cs.DeliveryTimeout)
 	}
 	if e.MayHaveRun != nil {
 		m.mayHaveRun, m.ranAt, m.ranZone = true, d.now-e.MayHaveRun.SentAgo, e.MayHaveRun.Zone
@@ -275,11 +275,11 @@
 // and would still be recognized as one at that time, otherwise with a failure.
 func (d *Decider) abandon(m *message) {
 	r := Refuse{ID: m.id, RetryAfter: min(max(retryRefused, d.expectedWait(m.dest)), d.cfg.MaxRetryAfter)}
-	comes := d.now
+	returnsAt := d.now
 	if d.cfg.SendRetryAfter { // otherwise clients may come back at any time
-		comes += r.RetryAfter
+		returnsAt += r.RetryAfter
 	}
-	keyed := m.class.Effect == Keyed && !m.class.SameZoneOnly && comes < d.repeatUntil(m)
+	keyed := m.class.Effect == Keyed && !m.class.SameZoneOnly && returnsAt < d.repeatUntil(m)
 	if m.class.Effect == Safe || !m.mayHaveRun || keyed {
 		d.emit(r)
 	} else {
@@ -298,26 +298,26 @@
 
 // worthAt returns a message's worth if it is delivered at t.
 func (d *Decider) worthAt(m *message, t time.Duration) float64 {
-	c := m.class
-	age := t - (m.deadline - c.DeliveryTimeout)
+	cs := m.class
+	age := t - (m.deadline - cs.DeliveryTimeout)
 	switch {
 	case t >= m.deadline:
 		return 0
-	case age <= c.Target:
+	case age <= cs.Target:
 		return m.worth
 	case d.cfg.Decay == DecayExponential:
-		late := (age - c.Target).Seconds() / c.Target.Seconds()
-		return m.worth * math.Max(c.LateWorth, math.Exp2(-late))
+		late := (age - cs.Target).Seconds() / cs.Target.Seconds()
+		return m.worth * math.Max(cs.LateWorth, math.Exp2(-late))
 	}
-	late := (age - c.Target).Seconds() / max(c.DeliveryTimeout-c.Target, 1).Seconds()
-	return m.worth * (1 - (1-c.LateWorth)*math.Min(1, late))
+	late := (age - cs.Target).Seconds() / max(cs.DeliveryTimeout-cs.Target, 1).Seconds()
+	return m.worth * (1 - (1-cs.LateWorth)*math.Min(1, late))
 }
 
 // expectedLatency estimates a call's latency from its class, its circuit and the age of calls still out.
-func (d *Decider) expectedLatency(c *classState, l *circuit) time.Duration {
-	sec := c.meanSec * l.latencyFactor
-	if len(l.inflight) > 0 {
-		sec = math.Max(sec, (d.now-l.inflight[0].sentAt).Seconds()/2)
+func (d *Decider) expectedLatency(cs *classState, c *circuit) time.Duration {
+	sec := cs.meanSec * c.latencyFactor
+	if len(c.inflight) > 0 {
+		sec = math.Max(sec, (d.now-c.inflight[0].sentAt).Seconds()/2)
 	}
 	return time.Duration(sec * float64(time.Second))
 }
@@ -325,14 +325,14 @@
 // expectedWait estimates how long until the destination takes a new message.
 func (d *Decider) expectedWait(dest *destination) time.Duration {
 	least := unavailableDelay
-	for _, l := range dest.circuits {
-		w := max(0, l.waitUntil-d.now)
-		if l.state != closed {
-			w = max(w, l.openUntil-d.now, unavailableDelay)
+	for _, c := range dest.circuits {
+		w := max(0, c.waitUntil-d.now)
+		if c.state != closed {
+			w = max(w, c.openUntil-d.now, unavailableDelay)
 		}
-		gap := 1 / math.Max(0.1, cmp.Or(l.rateLimit, d.capacity(l)))
-		if l.slowStart {
-			gap = max(gap, d.cfg.TipAfter.Seconds()/d.slowStartBudget(l))
+		gap := 1 / math.Max(0.1, cmp.Or(c.rateLimit, d.capacity(c)))
+		if c.slowStart {
+			gap = max(gap, d.cfg.TipAfter.Seconds()/d.slowStartBudget(c))
 		}
 		w += time.Duration(float64(len(dest.held)) * gap * float64(time.Second) / 2)
 		least = min(least, w)
@@ -359,15 +359,15 @@
 func (d *Decider) expire() {
 	for _, dest := range d.busy {
 		var free, retryAt time.Duration // earliest time a circuit is free, and free of Retry-After
-		for i, l := range dest.circuits {
-			at := max(l.waitUntil, l.openUntil)
-			if l.slowStart && l.recoveredAt < 0 && len(l.inflight) == 0 { // otherwise a success may end slow start
-				at = max(at, d.nextSlowStartCall(l))
+		for i, c := range dest.circuits {
+			at := max(c.waitUntil, c.openUntil)
+			if c.slowStart && c.recoveredAt < 0 && len(c.inflight) == 0 { // otherwise a success may end slow start
+				at = max(at, d.nextSlowStartCall(c))
 			}
 			if i == 0 {
-				free, retryAt = at, l.waitUntil
+				free, retryAt = at, c.waitUntil
 			}
-			free, retryAt = min(free, at), min(retryAt, l.waitUntil)
+			free, retryAt = min(free, at), min(retryAt, c.waitUntil)
 		}
 		for _, m := range slices.Clone(dest.held) {
 			if m.attempts >= d.cfg.MaxAttempts || m.mayHaveRun && m.class.Effect == Unsafe ||
@@ -408,16 +408,16 @@
 	if m == nil || m.call == nil || m.call.endpoint.id != e.Endpoint || e.Attempt != m.attempts-1 {
 		return // not for the current attempt
 	}
-	c := m.call
-	ep, l := c.endpoint, c.endpoint.circuit
+	k := m.call
+	ep, c := k.endpoint, k.endpoint.circuit
 	d.endAttempt(m)
 	switch e.Outcome {
 	case Failed, TimedOut, Reset, Cancelled:
 		if !m.mayHaveRun {
-			m.mayHaveRun, m.ranAt, m.ranZone = true, c.sentAt, ep.zone
+			m.mayHaveRun, m.ranAt, m.ranZone = true, k.sentAt, ep.zone
 		}
-		if t := d.keyQueues[m.key]; t != nil && m.class.InOrder && e.Outcome != Failed {
-			t.gapUntil, t.gapFor = d.now+d.cfg.TurnGap, m
+		if q := d.keyQueues[m.key]; q != nil && m.class.InOrder && e.Outcome != Failed {
+			q.gapUntil, q.gapFor = d.now+d.cfg.TurnGap, m
 		}
 		if m.avoidEndpoint = ep; m.class.Name != "" && !(m.long && e.Outcome == Cancelled) {
 			ep.classFailures[m.class] = classFailures{ep.classFailures[m.class].consecutive + 1, d.now}
@@ -425,33 +425,33 @@
 	case ConnectFailed:
 		m.avoidEndpoint = ep
 	case Refused:
-		l.waitUntil = max(l.waitUntil, d.now+e.RetryAfter)
+		c.waitUntil = max(c.waitUntil, d.now+e.RetryAfter)
 	case OK:
 		delete(ep.classFailures, m.class)
 	}
-	if l.limitRemaining = -1; e.Limit != nil && e.Limit.Rate > 0 && !math.IsInf(e.Limit.Rate, 1) {
-		if l.reportedLimit, l.limitRemaining = e.Limit.Rate, e.Limit.Remaining; l.limitRemaining < spentShare {
-			l.tokens = math.Min(l.tokens, 0)
+	if c.limitRemaining = -1; e.Limit != nil && e.Limit.Rate > 0 && !math.IsInf(e.Limit.Rate, 1) {
+		if c.reportedLimit, c.limitRemaining = e.Limit.Rate, e.Limit.Remaining; c.limitRemaining < spentShare {
+			c.tokens = math.Min(c.tokens, 0)
 		}
 	}
 	ep.lostConn = e.Outcome == ConnectFailed || e.Outcome == Reset
 	if ep.usedAt = d.now; ep.lostConn || e.Outcome == Refused {
 		ep.unavailableAt = d.now
 	}
-	if d.now < ep.tableFullUntil && len(m.dest.held) == 0 && len(c.messages) == 0 {
+	if d.now < ep.tableFullUntil && len(m.dest.held) == 0 && len(k.messages) == 0 {
 		d.emit(CloseIdle{Endpoint: ep.id})
 	}
-	if !c.counted || e.Outcome == OK && !c.succeeded { // a call counts once; a success corrects a timeout
-		c.counted, c.succeeded = e.Outcome != NotSent, e.Outcome == OK
-		switch dead := d.lostToIdleConn(c, e.Outcome, e.Latency) || d.lostToReusedConn(e); {
+	if !k.counted || e.Outcome == OK && !k.succeeded { // a call counts once; a success corrects a timeout
+		k.counted, k.succeeded = e.Outcome != NotSent, e.Outcome == OK
+		switch dead := d.lostToIdleConn(k, e.Outcome, e.Latency) || d.lostToReusedConn(e); {
 		case dead || e.Outcome == NotSent || e.Outcome == Cancelled: // no evidence about the endpoint
 		case e.Outcome == OK:
-			d.onSuccess(c, e.Latency)
+			d.onSuccess(k, e.Latency)
 		case e.Outcome == Refused:
-			d.onRefusal(l, e.RetryAfter)
+			d.onRefusal(c, e.RetryAfter)
 		case e.Outcome == ConnectFailed && d.connTableFull(ep, e.Latency): // none here either
 		default:
-			d.onFailure(l, ep, e.Outcome)
+			d.onFailure(c, ep, e.Outcome)
 		}
 	}
 	if e.Settled || m.ended {
@@ -463,7 +463,7 @@
 		first = retryRefused
 	}
 	m.retryWait = max(first, min(retryMax, time.Duration(retryGrowth*float64(m.retryWait))))
-	m.notBefore = d.now + time.Duration(c.jitter*float64(m.retryWait))
+	m.notBefore = d.now + time.Duration(k.jitter*float64(m.retryWait))
 	if m.bodyConsumed = e.BodyConsumed; m.long {
 		m.deadline = min(m.expiresAt, d.now+m.class.DeliveryTimeout)
 	}
@@ -474,15 +474,15 @@
 // (within KeepAlive) are tallied apart; lost are those reset at once or without answer. If far more of these
 // are lost, connections idle longer than the shortest such pause are closed before the next call, and no
 // breaker counts the losses. Works across restarts and at low traffic. Drawback: handshakes after a stall.
-func (d *Decider) lostToIdleConn(c *call, o Outcome, latency time.Duration) bool {
-	quick := latency < quickLoss+time.Duration(c.class.meanSec*float64(time.Second))
+func (d *Decider) lostToIdleConn(k *call, o Outcome, latency time.Duration) bool {
+	quick := latency < quickLoss+time.Duration(k.class.meanSec*float64(time.Second))
 	lost := o == TimedOut || o == Cancelled || o == Reset && quick
-	if c.tallied || !lost && o != OK {
-		return c.staleConn && o != OK
+	if k.tallied || !lost && o != OK {
+		return k.staleConn && o != OK
 	}
-	c.tallied = true
+	k.tallied = true
 	t := &d.others
-	if c.idleFor >= minIdlePause && c.idleFor < d.cfg.KeepAlive {
+	if k.idleFor >= minIdlePause && k.idleFor < d.cfg.KeepAlive {
 		t = &d.afterIdle
 	}
 	if t.add(lost, maxTallyCalls); !lost || t != &d.afterIdle || t.lost < minIdleLosses {
@@ -491,8 +491,8 @@
 	if t.lost/t.calls < idleLossRatio*(d.others.lost+1)/(d.others.calls+1) {
 		return false
 	}
-	c.staleConn, d.idleLossAt = true, d.now
-	if bound := time.Duration(idleLimitMargin * float64(c.idleFor)); d.idleLimit == 0 || bound < d.idleLimit {
+	k.staleConn, d.idleLossAt = true, d.now
+	if bound := time.Duration(idleLimitMargin * float64(k.idleFor)); d.idleLimit == 0 || bound < d.idleLimit {
 		d.idleLimit = bound
 		d.logf("connections: those idle for over %v are closed before use", bound.Round(time.Millisecond))
 	}
@@ -521,23 +521,23 @@
 
 // capacity returns a circuit's rate for all forwarders: as reported or hinted, otherwise estimated from this
 // one's successes, weighted with the mean circuit's. A circuit never serves more than it can.
-func (d *Decider) capacity(l *circuit) float64 {
-	if known := cmp.Or(l.reportedLimit, l.capacityHint); known > 0 {
+func (d *Decider) capacity(c *circuit) float64 {
+	if known := cmp.Or(c.reportedLimit, c.capacityHint); known > 0 {
 		return known
 	}
 	sec := d.decaySeconds(successDecay)
 	mean := d.rateOf(&d.successes, successDecay) / math.Max(1, float64(len(d.destinations)))
-	own := (l.successes.at(d.now, successDecay) + successPrior) / (sec + successPrior/math.Max(mean, 1e-6))
+	own := (c.successes.at(d.now, successDecay) + successPrior) / (sec + successPrior/math.Max(mean, 1e-6))
 	return math.Max(float64(d.cfg.Forwarders)*own, minCapacityPerS)
 }
 
 // rateBase returns what a rate limit is relative to: the circuit's capacity, or in a large fleet, where that
 // limits no single forwarder, the rate of messages submitted, which the sum follows. Drawback: bursts wait.
-func (d *Decider) rateBase(l *circuit) float64 {
+func (d *Decider) rateBase(c *circuit) float64 {
 	if !d.largeFleet() {
-		return d.capacity(l)
+		return d.capacity(c)
 	}
-	return math.Max(fleetMin*d.capacity(l)/float64(d.cfg.Forwarders), d.rateOf(&l.dest.submitted, submitDecay))
+	return math.Max(fleetMin*d.capacity(c)/float64(d.cfg.Forwarders), d.rateOf(&c.dest.submitted, submitDecay))
 }
 
 // rateControl returns how a rate limit changes. If refused calls use up the limit of a destination, a large
@@ -565,119 +565,119 @@
 }
 
 func (d *Decider) onSuccess(k *call, latency time.Duration) {
-	l, ep := k.endpoint.circuit, k.endpoint
+	c, ep := k.endpoint.circuit, k.endpoint
 	ep.consecFailures, ep.lastOK = 0, d.now
-	d.strayFailures.addRun(l.consecFailures, d.outageThreshold(&d.strayFailures), maxTallyCalls)
-	d.strayRefusals.addRun(l.consecRefusals, d.outageThreshold(&d.strayRefusals), maxTallyCalls)
-	l.consecFailures, l.consecRefusals, l.lastOK = 0, 0, d.now
+	d.strayFailures.addRun(c.consecFailures, d.outageThreshold(&d.strayFailures), maxTallyCalls)
+	d.strayRefusals.addRun(c.consecRefusals, d.outageThreshold(&d.strayRefusals), maxTallyCalls)
+	c.consecFailures, c.consecRefusals, c.lastOK = 0, 0, d.now
 	if !k.long {
 		d.onLatency(k, latency)
 	}
-	l.successes.add(d.now, successDecay)
+	c.successes.add(d.now, successDecay)
 	d.successes.add(d.now, successDecay)
-	if p, part := d.rateControl(), d.rateBase(l); l.rateLimit > 0 {
-		l.rateLimit = math.Min(l.rateLimit+p.grow*part, p.max*part)
-	}
-	d.recordOutcome(l, false)
-	if brief := d.now < l.outageSince+minOutage && k.sentAt >= l.outageSince; l.slowStart && l.recoveredAt < 0 {
-		l.slowStart = !l.slowStartByConns || !brief
-		if l.recoveredAt = d.now; d.largeFleet() { // it recovered earlier: each forwarder calls rarely
-			l.recoveredAt -= (d.now - l.outageSeenAt) / 4
+	if p, base := d.rateControl(), d.rateBase(c); c.rateLimit > 0 {
+		c.rateLimit = math.Min(c.rateLimit+p.grow*base, p.max*base)
+	}
+	d.recordOutcome(c, false)
+	if brief := d.now < c.outageSince+minOutage && k.sentAt >= c.outageSince; c.slowStart && c.recoveredAt < 0 {
+		c.slowStart = !c.slowStartByConns || !brief
+		if c.recoveredAt = d.now; d.largeFleet() { // it recovered earlier: each forwarder calls rarely
+			c.recoveredAt -= (d.now - c.outageSeenAt) / 4
 		}
 	}
-	switch l.state {
+	switch c.state {
 	case open: // an answer from a stalled circuit: it is slow or back
-		d.setBreaker(l, halfOpen)
+		d.setBreaker(c, halfOpen)
 	case halfOpen:
-		if l.trialsOK++; l.trialsOK >= trialsToClose {
-			d.setBreaker(l, closed)
+		if c.trialsOK++; c.trialsOK >= trialsToClose {
+			d.setBreaker(c, closed)
 		}
 	}
 }
 
 // onLatency updates latency factor, class mean and call limit with a successful call's latency.
 func (d *Decider) onLatency(k *call, latency time.Duration) {
-	l, c := k.endpoint.circuit, k.class
+	c, cs := k.endpoint.circuit, k.class
 	if k.size > 1 {
-		more := (latency.Seconds()/(c.meanSec*l.latencyFactor) - 1) / float64(k.size-1)
+		more := (latency.Seconds()/(cs.meanSec*c.latencyFactor) - 1) / float64(k.size-1)
 		d.batchGrowth = math.Max(0, d.batchGrowth+classGain*(math.Min(more, 1)-d.batchGrowth))
 	}
 	sec := latency.Seconds() / d.callWeight(k.size)
-	l.latencyFactor += latencyFactorGain * (sec/c.meanSec - l.latencyFactor)
-	l.latencyFactor = math.Min(maxLatencyFactor, math.Max(minLatencyFactor, l.latencyFactor))
-	c.meanSec = math.Max(1e-4, c.meanSec+classGain*(math.Min(sec/l.latencyFactor, 3*c.meanSec)-c.meanSec))
-	if latency <= c.Target {
-		l.callLimit = math.Min(d.callLimitCeil(), l.callLimit+callLimitStep)
+	c.latencyFactor += latencyFactorGain * (sec/cs.meanSec - c.latencyFactor)
+	c.latencyFactor = math.Min(maxLatencyFactor, math.Max(minLatencyFactor, c.latencyFactor))
+	cs.meanSec = math.Max(1e-4, cs.meanSec+classGain*(math.Min(sec/c.latencyFactor, 3*cs.meanSec)-cs.meanSec))
+	if latency <= cs.Target {
+		c.callLimit = math.Min(d.callLimitCeil(), c.callLimit+callLimitStep)
 	} else {
-		l.callLimit = math.Max(1, l.callLimit-callLimitStep)
+		c.callLimit = math.Max(1, c.callLimit-callLimitStep)
 	}
 }
 
 // onRefusal tells a rate limit, which lowers the allowed rate, from an outage. Refusals without a success, or
 // a long Retry-After, are an outage. If no refusal has carried a Retry-After, a spent limit explains them and
 // an outage takes longer to detect; otherwise a refusal with the limit reported as unspent is an outage's.
-func (d *Decider) onRefusal(l *circuit, wait time.Duration) {
-	d.refusedAt[l.kind] = d.now
-	if l.consecRefusals++; l.consecRefusals == 1 {
-		l.refusedSince = d.now
-	}
-	if d.now >= l.rateCutAt+rateCutInterval {
-		l.rateCutAt = d.now
-		if l.rateLimit == 0 { // no limit known: start from the recent rate
-			l.tokensAt = d.now
-			l.rateLimit = float64(len(l.recentCalls)) / max(d.cfg.TipAfter, time.Second).Seconds()
+func (d *Decider) onRefusal(c *circuit, wait time.Duration) {
+	d.refusedAt[c.kind] = d.now
+	if c.consecRefusals++; c.consecRefusals == 1 {
+		c.refusedSince = d.now
+	}
+	if d.now >= c.rateCutAt+rateCutInterval {
+		c.rateCutAt = d.now
+		if c.rateLimit == 0 { // no limit known: start from the recent rate
+			c.tokensAt = d.now
+			c.rateLimit = float64(len(c.recentCalls)) / max(d.cfg.TipAfter, time.Second).Seconds()
 		}
-		p, part := d.rateControl(), d.rateBase(l)
-		l.rateLimit = math.Max(rateMin*part, math.Min(l.rateLimit, p.max*part)*p.cut)
+		p, base := d.rateControl(), d.rateBase(c)
+		c.rateLimit = math.Max(rateMin*base, math.Min(c.rateLimit, p.max*base)*p.cut)
 	}
-	l.tokens = math.Min(l.tokens, 0)
+	c.tokens = math.Min(c.tokens, 0)
 	if wait == 0 && !d.largeFleet() {
-		l.tokens = math.Min(l.tokens, -float64(min(l.consecRefusals, maxTokenDebt)))
+		c.tokens = math.Min(c.tokens, -float64(min(c.consecRefusals, maxTokenDebt)))
 	}
 	least, span := d.outageThreshold(&d.strayRefusals), retryRefused/2
-	if d.largeFleet() && l.limitRemaining < 0 { // each sees few calls, and the limit refuses all
+	if d.largeFleet() && c.limitRemaining < 0 { // each sees few calls, and the limit refuses all
 		least, span = max(least, fleetRefusals), quietPeriod
 	}
 	d.retryAfterSeen = d.retryAfterSeen || wait > 0
-	explained := !d.retryAfterSeen && l.limitRemaining >= 0 && l.limitRemaining < unspentShare
+	explained := !d.retryAfterSeen && c.limitRemaining >= 0 && c.limitRemaining < unspentShare
 	if explained { // by the limit
 		span = quietPeriod
 	}
-	unspent := d.retryAfterSeen && l.limitRemaining >= unspentShare && d.now-l.lastOK > quietPeriod
-	quiet := d.now - max(l.lastOK, l.refusedSince)
-	if unspent || l.consecRefusals >= least && quiet > span || wait > outageRetryAfter {
-		d.beginSlowStart(l, l.refusedSince, explained && wait <= outageRetryAfter && l.consecRefusals <= least+1)
+	unspent := d.retryAfterSeen && c.limitRemaining >= unspentShare && d.now-c.lastOK > quietPeriod
+	quiet := d.now - max(c.lastOK, c.refusedSince)
+	if unspent || c.consecRefusals >= least && quiet > span || wait > outageRetryAfter {
+		d.beginSlowStart(c, c.refusedSince, explained && wait <= outageRetryAfter && c.consecRefusals <= least+1)
 	}
-	if l.state != closed {
-		d.recordOutcome(l, true)
-		d.trip(l, "trial refused")
-	} else if quiet > quietPeriod && l.consecRefusals >= least+tripExtraFailures+1 {
-		d.trip(l, "refusals only")
+	if c.state != closed {
+		d.recordOutcome(c, true)
+		d.trip(c, "trial refused")
+	} else if quiet > quietPeriod && c.consecRefusals >= least+tripExtraFailures+1 {
+		d.trip(c, "refusals only")
 	}
 }
 
-func (d *Decider) onFailure(l *circuit, ep *endpoint, o Outcome) {
-	if l.consecFailures++; l.consecFailures == 1 {
-		l.failedSince = d.now
+func (d *Decider) onFailure(c *circuit, ep *endpoint, o Outcome) {
+	if c.consecFailures++; c.consecFailures == 1 {
+		c.failedSince = d.now
 	}
-	l.onlyLostConns = ep.lostConn && (l.onlyLostConns || l.consecFailures == 1)
+	c.onlyLostConns = ep.lostConn && (c.onlyLostConns || c.consecFailures == 1)
 	ep.consecFailures++
-	l.callLimit = d.callLimitFloor()
-	d.recordOutcome(l, true)
+	c.callLimit = d.callLimitFloor()
+	d.recordOutcome(c, true)
 	least := d.outageThreshold(&d.strayFailures)
 	// In a large fleet one failure is enough if stray ones are rare and no other endpoint has succeeded since.
-	single := d.largeFleet() && least == minOutageRun && ep.lastOK >= l.lastOK && o == ConnectFailed
-	if l.consecFailures >= least || single {
-		d.beginSlowStart(l, l.failedSince, false)
-		l.slowStartByConns = l.onlyLostConns
+	single := d.largeFleet() && least == minOutageRun && ep.lastOK >= c.lastOK && o == ConnectFailed
+	if c.consecFailures >= least || single {
+		d.beginSlowStart(c, c.failedSince, false)
+		c.slowStartByConns = c.onlyLostConns
 	}
 	switch {
-	case l.state != closed:
-		d.trip(l, "trial failed")
-	case len(l.window) >= minWindow && l.failureShare() >= tripFailureShare:
-		d.trip(l, "failure rate")
-	case l.consecFailures >= least+tripExtraFailures:
-		d.trip(l, "consecutive failures")
+	case c.state != closed:
+		d.trip(c, "trial failed")
+	case len(c.window) >= minWindow && c.failureShare() >= tripFailureShare:
+		d.trip(c, "failure rate")
+	case c.consecFailures >= least+tripExtraFailures:
+		d.trip(c, "consecutive failures")
 	}
 }
 
@@ -691,35 +691,35 @@
 // beginSlowStart limits calls to the slow-start budget after signs of an outage, until successes end it. If
 // only connections were lost, a success too soon after the first loss for an outage cancels it. Refusals that
 // the reported limit explains start a weak one, which holds the fleet's sum at the capacity itself.
-func (d *Decider) beginSlowStart(l *circuit, since time.Duration, weak bool) {
+func (d *Decider) beginSlowStart(c *circuit, since time.Duration, weak bool) {
 	if d.cfg.OverloadFactor <= 0 || d.cfg.TipAfter <= 0 {
 		return // slow start is not configured
 	}
-	if l.weakSlowStart = weak && (l.weakSlowStart || !l.slowStart); !l.slowStart {
-		l.slowStart, l.outageSince, l.gapPhase = true, since, d.rng.Float64()
-		l.gapsDue = l.gapPhase
+	if c.weakSlowStart = weak && (c.weakSlowStart || !c.slowStart); !c.slowStart {
+		c.slowStart, c.outageSince, c.gapPhase = true, since, d.rng.Float64()
+		c.gapsDue = c.gapPhase
 	}
-	l.recoveredAt, l.outageSeenAt, l.slowStartByConns = -1, d.now, false
+	c.recoveredAt, c.outageSeenAt, c.slowStartByConns = -1, d.now, false
 }
 
-func (d *Decider) trip(l *circuit, why string) {
-	if l.state == open {
+func (d *Decider) trip(c *circuit, why string) {
+	if c.state == open {
 		return
 	}
-	if l.state == closed {
-		l.openFor = openFirst
-		d.logf("breaker %s: open (%s)", l.name, why)
+	if c.state == closed {
+		c.openFor = openFirst
+		d.logf("breaker %s: open (%s)", c.name, why)
 	} else {
-		l.openFor = min(openMax, time.Duration(openGrowth*float64(l.openFor)))
+		c.openFor = min(openMax, time.Duration(openGrowth*float64(c.openFor)))
 	}
-	d.beginSlowStart(l, d.now, false)
-	l.openUntil = d.now + time.Duration(d.jitter()*float64(l.openFor))
-	d.setBreaker(l, open)
+	d.beginSlowStart(c, d.now, false)
+	c.openUntil = d.now + time.Duration(d.jitter()*float64(c.openFor))
+	d.setBreaker(c, open)
 }
 
 // stuckAfter returns the age at which a call counts as stuck.
-func (d *Decider) stuckAfter(c *call) time.Duration {
-	usual := c.class.meanSec * c.endpoint.circuit.latencyFactor * d.callWeight(c.size)
+func (d *Decider) stuckAfter(k *call) time.Duration {
+	usual := k.class.meanSec * k.endpoint.circuit.latencyFactor * d.callWeight(k.size)
 	return max(minStall, time.Duration(stallFactor*usual*float64(time.Second)))
 }
 
@@ -729,20 +729,20 @@
 // detectStalls opens a breaker if calls are out far too long with no success since the oldest was sent.
 func (d *Decider) detectStalls() {
 	for _, dest := range d.busy {
-		for _, l := range dest.circuits {
+		for _, c := range dest.circuits {
 			late := 0
-			for _, c := range l.inflight {
-				limit, age := d.stuckAfter(c), d.now-c.sentAt
-				if age > limit && !d.lostToIdleConn(c, TimedOut, age) && l.lastOK < c.sentAt {
+			for _, k := range c.inflight {
+				limit, age := d.stuckAfter(k), d.now-k.sentAt
+				if age > limit && !d.lostToIdleConn(k, TimedOut, age) && c.lastOK < k.sentAt {
 					late++
 					if age > 2*limit {
 						late++
 					}
 				}
 			}
-			if late >= stalledCallsToTrip && l.state == closed {
-				l.callLimit = d.callLimitFloor()
-				d.trip(l, "stalled calls")
+			if late >= stalledCallsToTrip && c.state == closed {
+				c.callLimit = d.callLimitFloor()
+				d.trip(c, "stalled calls")
 			}
 		}
 	}
@@ -763,24 +763,24 @@
 // the forwarders likely to have seen the outage. The warm-up starts at the first success, in a large fleet a
 // quarter of the way back to the last failure. If an interval has less than one call, the first gap and that
 // after a Retry-After are random. Drawback: with an underestimated capacity a backlog drains slowly.
-func (d *Decider) nextSlowStartCall(l *circuit) time.Duration {
-	if !l.slowStart {
+func (d *Decider) nextSlowStartCall(c *circuit) time.Duration {
+	if !c.slowStart {
 		return 0
 	}
-	budget := d.slowStartBudget(l)
+	budget := d.slowStartBudget(c)
 	switch {
-	case !l.slowStart || budget >= 1 && d.slowStartRoom(l, budget) >= 1:
+	case !c.slowStart || budget >= 1 && d.slowStartRoom(c, budget) >= 1:
 		return 0
 	case budget >= 1:
 		return d.now + 1
 	}
 	gap := float64(d.cfg.TipAfter) / budget // a heavier call is followed by a longer gap
-	return max(l.lastSend+time.Duration(gap*l.gapsDue), l.waitUntil+time.Duration(gap*l.gapPhase))
+	return max(c.lastSend+time.Duration(gap*c.gapsDue), c.waitUntil+time.Duration(gap*c.gapPhase))
 }
 
 // slowStartRoom returns the budget left after the calls of the last interval, by weight.
-func (d *Decider) slowStartRoom(l *circuit, budget float64) float64 {
-	for _, s := range l.recentCalls {
+func (d *Decider) slowStartRoom(c *circuit, budget float64) float64 {
+	for _, s := range c.recentCalls {
 		if s.at > d.now-d.cfg.TipAfter {
 			budget -= s.weight
 		}
@@ -789,54 +789,54 @@
 }
 
 // slowStartBudget returns the calls this forwarder may send per interval; a warm circuit ends slow start.
-func (d *Decider) slowStartBudget(l *circuit) float64 {
+func (d *Decider) slowStartBudget(c *circuit) float64 {
 	share, until := d.cfg.ColdFrom, d.now
-	if l.weakSlowStart {
+	if c.weakSlowStart {
 		share = max(share, min(1, 1/d.cfg.OverloadFactor))
 	}
-	if l.recoveredAt >= 0 {
-		until = l.recoveredAt
+	if c.recoveredAt >= 0 {
+		until = c.recoveredAt
 		share += (1 - share) * (d.now - until).Seconds() / math.Max(0.1, d.cfg.WarmWithin.Seconds())
 	}
-	l.slowStart = l.slowStart && share < 1
-	est := d.capacity(l)
-	if l.reportedLimit <= 0 && d.cfg.RoughCapacityHints {
+	c.slowStart = c.slowStart && share < 1
+	est := d.capacity(c)
+	if c.reportedLimit <= 0 && d.cfg.RoughCapacityHints {
 		est *= roughHintMargin
 	}
 	n, span := float64(d.cfg.Forwarders), d.cfg.TipAfter.Seconds()
-	seen := 1 + (n-1)*(1-math.Exp(-meanLoad*d.capacity(l)*min(until-l.outageSince, d.maxTimeout).Seconds()/n))
+	seen := 1 + (n-1)*(1-math.Exp(-meanLoad*d.capacity(c)*min(until-c.outageSince, d.maxTimeout).Seconds()/n))
 	part := math.Min(1/math.Sqrt(seen), (1+unevenness/math.Sqrt(seen))/seen)
 	if d.largeFleet() { // half even, half by successes, so that the sum keeps to the budget
-		own := d.rateOf(&l.successes, successDecay) / (meanLoad * d.capacity(l))
+		own := d.rateOf(&c.successes, successDecay) / (meanLoad * d.capacity(c))
 		part = (1/seen + math.Min(maxEvenShares/seen, own)) / 2
 	}
 	return math.Max(minSlowStartCalls, slowStartMargin*d.cfg.OverloadFactor*share*est*span*part)
 }
 
 // admits reports whether the circuit takes one more call now.
-func (d *Decider) admits(l *circuit) bool {
-	if d.now < l.waitUntil || float64(len(l.inflight)) >= l.callLimit {
+func (d *Decider) admits(c *circuit) bool {
+	if d.now < c.waitUntil || float64(len(c.inflight)) >= c.callLimit {
 		return false
 	}
-	if l.state == open && d.now < l.openUntil || l.state != closed && l.trialsOut > l.trialsOK {
+	if c.state == open && d.now < c.openUntil || c.state != closed && c.trialsOut > c.trialsOK {
 		return false
 	}
 	p := d.rateControl()
-	if l.rateLimit == 0 {
-		if cmp.Or(l.reportedLimit, l.capacityHint) <= 0 { // unknown until a refusal shows it
-			return d.now >= d.nextSlowStartCall(l)
+	if c.rateLimit == 0 {
+		if cmp.Or(c.reportedLimit, c.capacityHint) <= 0 { // unknown until a refusal shows it
+			return d.now >= d.nextSlowStartCall(c)
 		}
-		l.rateLimit, l.tokensAt, l.tokens = math.Min(d.capacity(l), p.max*d.rateBase(l)), d.now, p.start
+		c.rateLimit, c.tokensAt, c.tokens = math.Min(d.capacity(c), p.max*d.rateBase(c)), d.now, p.start
 	}
-	depth := math.Max(p.burst, l.rateLimit*rateBurst.Seconds())
-	l.tokens = math.Min(l.tokens+l.rateLimit*(d.now-l.tokensAt).Seconds(), depth)
-	l.tokensAt = d.now
-	return l.tokens >= 1 && d.now >= d.nextSlowStartCall(l)
+	depth := math.Max(p.burst, c.rateLimit*rateBurst.Seconds())
+	c.tokens = math.Min(c.tokens+c.rateLimit*(d.now-c.tokensAt).Seconds(), depth)
+	c.tokensAt = d.now
+	return c.tokens >= 1 && d.now >= d.nextSlowStartCall(c)
 }
 
 // pickEndpoint chooses a message's endpoint: with the fewest failures of its class and itself, since others'
 // successes hide these, then with fewest failures, fewest calls out, and by this forwarder's random order.
-func (d *Decider) pickEndpoint(l *circuit, m *message) *endpoint {
+func (d *Decider) pickEndpoint(c *circuit, m *message) *endpoint {
 	failures := func(ep *endpoint) (n int) {
 		if k := ep.classFailures[m.class]; d.now < k.lastAt+classFailurePeriod {
 			n = k.consecutive
@@ -847,7 +847,7 @@
 		return n
 	}
 	var best *endpoint
-	for _, ep := range l.endpoints {
+	for _, ep := range c.endpoints {
 		if ep.readiness != Serving || !d.maySend(m, ep) {
 			continue
 		}
@@ -861,11 +861,11 @@
 
 // inTurn reports whether the order of its key allows the message to be sent.
 func (d *Decider) inTurn(m *message) bool {
-	t := d.keyQueues[m.key]
-	if t == nil || !m.class.InOrder {
+	q := d.keyQueues[m.key]
+	if q == nil || !m.class.InOrder {
 		return true
 	}
-	return t.queue[0] == m && (d.now >= t.gapUntil || t.gapFor == m)
+	return q.queue[0] == m && (d.now >= q.gapUntil || q.gapFor == m)
 }
 
 // ready reports whether the message's retry wait is over and its turn has come.
@@ -874,16 +874,16 @@
 // batchReady reports whether a call should be sent now. At a kind with recent refusals, messages that can
 // share a call wait for others until one has used part of its target, which costs no worth. This saves calls
 // under any limit. Drawback: less time for a retry.
-func (d *Decider) batchReady(l *circuit) bool {
-	if at, ok := d.refusedAt[l.kind]; l.batch <= 1 || !ok || d.now > at+limitedPeriod {
+func (d *Decider) batchReady(c *circuit) bool {
+	if at, ok := d.refusedAt[c.kind]; c.batch <= 1 || !ok || d.now > at+limitedPeriod {
 		return true
 	}
 	n := 0
-	for _, m := range l.dest.held {
+	for _, m := range c.dest.held {
 		if d.ready(m) {
 			n++
 			due := m.deadline - m.class.DeliveryTimeout + time.Duration(batchWaitShare*float64(m.class.Target))
-			if n >= l.batch || d.now >= due {
+			if n >= c.batch || d.now >= due {
 				return true
 			}
 		}
@@ -897,29 +897,29 @@
 	if len(dest.held) == 0 || dest.inflight >= int(d.callLimitCeil()) {
 		return
 	}
-	for _, l := range dest.circuits {
-		if !d.admits(l) || !d.batchReady(l) {
+	for _, c := range dest.circuits {
+		if !d.admits(c) || !d.batchReady(c) {
 			continue
 		}
 		for _, m := range dest.held {
-			if m.long || !d.ready(m) || d.pickEndpoint(l, m) == nil {
+			if m.long || !d.ready(m) || d.pickEndpoint(c, m) == nil {
 				continue
 			}
-			took := d.expectedLatency(m.class, l)
+			took := d.expectedLatency(m.class, c)
 			v := d.worthAt(m, d.now+took)
 			if v <= 0 || !d.fitsBeforeShutdown(m, took) {
 				continue
 			}
-			v -= urgencyShare*d.worthAt(m, d.now+took+lookAhead) + l.zoneFee*d.meanWorth
-			score := l.callScore(v, took)
-			if l.state != closed || l.tryNext { // trials: least loss, not always the same message
+			v -= urgencyShare*d.worthAt(m, d.now+took+lookAhead) + c.zoneFee*d.meanWorth
+			score := c.callScore(v, took)
+			if c.state != closed || c.tryNext { // trials: least loss, not always the same message
 				score /= float64(1 + m.attempts)
 				if m.class.Effect == Unsafe {
 					score *= unsafeTrialWeight
 				}
 			}
 			if dest.bestMessage == nil || score > dest.bestScore {
-				dest.bestMessage, dest.bestCircuit, dest.bestScore = m, l, score
+				dest.bestMessage, dest.bestCircuit, dest.bestScore = m, c, score
 			}
 		}
 	}
@@ -965,10 +965,10 @@
 	for _, dest := range d.busy {
 		for i := len(dest.held) - 1; i >= 0 && d.longSlotsUsed < d.cfg.LongSlots; i-- {
 			m := dest.held[len(dest.held)-1-i] // oldest first; a sent message leaves the list
-			for _, l := range dest.circuits {
-				if m.long && d.ready(m) && d.pickEndpoint(l, m) != nil &&
-					(l.state == closed || l.longCalls == 0) && d.admits(l) {
-					d.sendLong(m, l)
+			for _, c := range dest.circuits {
+				if m.long && d.ready(m) && d.pickEndpoint(c, m) != nil &&
+					(c.state == closed || c.longCalls == 0) && d.admits(c) {
+					d.sendLong(m, c)
 					break
 				}
 			}
@@ -977,59 +977,59 @@
 }
 
 // sendLong sends a long message; only its expiry cuts the call.
-func (d *Decider) sendLong(m *message, l *circuit) {
-	ep := d.pickEndpoint(l, m)
-	if l.state == open {
-		d.setBreaker(l, halfOpen)
-	}
-	c := &call{endpoint: ep, class: m.class, sentAt: d.now, round: d.round, jitter: d.jitter(), tallied: true}
-	c.long = true
-	d.beginAttempt(m, c)
-	l.tokens--
+func (d *Decider) sendLong(m *message, c *circuit) {
+	ep := d.pickEndpoint(c, m)
+	if c.state == open {
+		d.setBreaker(c, halfOpen)
+	}
+	k := &call{endpoint: ep, class: m.class, sentAt: d.now, round: d.round, jitter: d.jitter(), tallied: true}
+	k.long = true
+	d.beginAttempt(m, k)
+	c.tokens--
 	ep.usedAt = d.now
-	d.recordCall(l, 1)
+	d.recordCall(c, 1)
 	d.emit(Send{ID: m.id, Endpoint: ep.id, CutAt: m.expiresAt, NewConnection: d.wantsNewConn(m)})
 }
 
 // send sends the message in one call with all others ready for the endpoint, up to the batch limit of its
 // kind and the slow-start budget. They share one outcome, so an unsafe message never joins a trial.
-func (d *Decider) send(m *message, l *circuit) {
-	ep := d.pickEndpoint(l, m)
-	if l.state == open {
-		d.setBreaker(l, halfOpen)
-	}
-	c := ep.lastCall
-	if c == nil || c.round != d.round || c.size >= l.batch { // otherwise it joins the call of this round
-		c = &call{endpoint: ep, class: m.class, sentAt: d.now, round: d.round, jitter: d.jitter()}
-		c.trial = l.state == halfOpen
-		if ep.lastCall = c; c.trial {
-			l.trialsOut++
+func (d *Decider) send(m *message, c *circuit) {
+	ep := d.pickEndpoint(c, m)
+	if c.state == open {
+		d.setBreaker(c, halfOpen)
+	}
+	k := ep.lastCall
+	if k == nil || k.round != d.round || k.size >= c.batch { // otherwise it joins the call of this round
+		k = &call{endpoint: ep, class: m.class, sentAt: d.now, round: d.round, jitter: d.jitter()}
+		k.trial = c.state == halfOpen
+		if ep.lastCall = k; k.trial {
+			c.trialsOut++
 		}
-		if c.idleFor = d.now - ep.usedAt; d.idleLimit > 0 && c.idleFor > d.idleLimit {
-			c.idleFor = 0
+		if k.idleFor = d.now - ep.usedAt; d.idleLimit > 0 && k.idleFor > d.idleLimit {
+			k.idleFor = 0
 			d.emit(CloseIdle{Endpoint: ep.id})
 		}
-		l.tokens--
+		c.tokens--
 	}
 	ep.usedAt = d.now
-	with, most := []*message{m}, l.batch-c.size
-	if l.slowStart {
-		if room := d.slowStartRoom(l, d.slowStartBudget(l)); room >= 1 {
+	with, most := []*message{m}, c.batch-k.size
+	if c.slowStart {
+		if room := d.slowStartRoom(c, d.slowStartBudget(c)); room >= 1 {
 			most = min(most, 1+int((room-1)/math.Max(0.01, d.batchGrowth)))
 		}
 	}
 	for _, o := range m.dest.held {
-		if len(with) < most && o != m && !o.long && d.ready(o) && d.pickEndpoint(l, o) == ep &&
-			(!c.trial || o.class.Effect != Unsafe) {
+		if len(with) < most && o != m && !o.long && d.ready(o) && d.pickEndpoint(c, o) == ep &&
+			(!k.trial || o.class.Effect != Unsafe) {
 			with = append(with, o)
 		}
 	}
 	for _, o := range with {
-		d.beginAttempt(o, c)
+		d.beginAttempt(o, k)
 	}
-	weight := d.callWeight(c.size)
-	d.recordCall(l, weight)
-	usual := c.class.meanSec * l.latencyFactor * weight
+	weight := d.callWeight(k.size)
+	d.recordCall(c, weight)
+	usual := k.class.meanSec * c.latencyFactor * weight
 	limit := max(minCallTimeout, time.Duration(timeoutFactor*usual*float64(time.Second)))
 	for _, o := range with {
 		cut := min(o.deadline, cmp.Or(d.shutdownAt, o.deadline))
@@ -1048,18 +1048,18 @@
 	}
 	var worst *call
 	low := 0.0
-	for c := range d.calls() {
-		age, least, worth := d.now-c.sentAt, minCallTimeout, 0.0
-		for _, m := range c.messages {
+	for k := range d.calls() {
+		age, least, worth := d.now-k.sentAt, minCallTimeout, 0.0
+		for _, m := range k.messages {
 			if worth += m.worth; m.class.Effect == Unsafe {
 				least = unsafeStuckAfter
 			}
 		}
-		if c.cancelled || age < max(least, d.stuckAfter(c)) {
+		if k.cancelled || age < max(least, d.stuckAfter(k)) {
 			continue
 		}
-		if worst == nil || worth < low || worth == low && c.sentAt < worst.sentAt {
-			worst, low = c, worth
+		if worst == nil || worth < low || worth == low && k.sentAt < worst.sentAt {
+			worst, low = k, worth
 		}
 	}
 	if worst != nil {
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -18,25 +18,25 @@
 func TestRateBaseByFleetSize(t *testing.T) {
 	for forwarders, want := range map[int]float64{1: 50, 3: 50, largeFleetSize - 1: 50, largeFleetSize: 50 * fleetMin / largeFleetSize, 1000: 50 * fleetMin / 1000} {
 		r := newHarness(t, fleetSettings(forwarders))
-		l := r.d.destinations[1].circuits[0]
-		if part := r.d.rateBase(l); part != want {
-			t.Errorf("%d forwarders: rate base %v, want %v", forwarders, part, want)
+		circ := r.d.destinations[1].circuits[0]
+		if base := r.d.rateBase(circ); base != want {
+			t.Errorf("%d forwarders: rate base %v, want %v", forwarders, base, want)
 		}
 		for range 400 { // two a second
 			r.submit("safe", 1, 0)
 			r.settle(always(OK))
 			r.pass(500 * ms)
 		}
-		p, part := r.d.rateControl(), r.d.rateBase(l)
+		p, base := r.d.rateControl(), r.d.rateBase(circ)
 		top := p.max
 		if forwarders < largeFleetSize && p != (rateControl{cut: rateCut, grow: rateGrow, max: rateMax, burst: 1, start: math.Inf(1)}) {
 			t.Errorf("%d forwarders: rate control %+v", forwarders, p)
 		}
-		if large := forwarders >= largeFleetSize; large && (part < 1.5 || part > 2.5) || !large && part != 50 {
-			t.Errorf("%d forwarders: rate base %v with two messages a second", forwarders, part)
+		if large := forwarders >= largeFleetSize; large && (base < 1.5 || base > 2.5) || !large && base != 50 {
+			t.Errorf("%d forwarders: rate base %v with two messages a second", forwarders, base)
 		}
-		if l.rateLimit > 1.1*top*part { // the rate base decays between two messages
-			t.Errorf("%d forwarders: a rate of %v, over %v times %v", forwarders, l.rateLimit, top, part)
+		if circ.rateLimit > 1.1*top*base { // the rate base decays between two messages
+			t.Errorf("%d forwarders: a rate of %v, over %v times %v", forwarders, circ.rateLimit, top, base)
 		}
 	}
 }
@@ -45,19 +45,19 @@
 // rateCutInterval does not cut it again.
 func TestRefusalCutsRateInLargeFleet(t *testing.T) {
 	r := newHarness(t, fleetSettings(80))
-	l := r.d.destinations[1].circuits[0]
+	circ := r.d.destinations[1].circuits[0]
 	for range 100 {
 		r.submit("safe", 1, 0)
 		r.settle(always(OK))
 		r.pass(500 * ms)
 	}
-	before, part := l.rateLimit, 0.0
+	before, base := circ.rateLimit, 0.0
 	for range 2 {
-		part = r.d.rateBase(l)
-		r.d.onRefusal(l, 0)
+		base = r.d.rateBase(circ)
+		r.d.onRefusal(circ, 0)
 	}
-	if want := before * fleetCut; l.rateLimit > want+1e-9 || l.rateLimit < rateMin*part {
-		t.Errorf("rate limit %v after a refusal; before %v, rate base %v", l.rateLimit, before, part)
+	if want := before * fleetCut; circ.rateLimit > want+1e-9 || circ.rateLimit < rateMin*base {
+		t.Errorf("rate limit %v after a refusal; before %v, rate base %v", circ.rateLimit, before, base)
 	}
 }
 
@@ -66,14 +66,14 @@
 func TestRefusalsInLargeFleet(t *testing.T) {
 	for forwarders, want := range map[int]int{3: minOutageRun, 80: fleetRefusals} {
 		r := newHarness(t, fleetSettings(forwarders))
-		l := r.d.destinations[1].circuits[0]
+		circ := r.d.destinations[1].circuits[0]
 		r.submit("safe", 1, 0)
 		r.settle(always(OK)) // its answer reports no limit
 		r.pass(time.Second)
 		n := 0
-		for ; !l.slowStart && n < 10; n++ {
+		for ; !circ.slowStart && n < 10; n++ {
 			r.d.now += 600 * ms
-			r.d.onRefusal(l, 0)
+			r.d.onRefusal(circ, 0)
 		}
 		if n != want {
 			t.Errorf("%d forwarders: %d refusals until slow start, want %d", forwarders, n, want)
@@ -87,14 +87,14 @@
 func TestPartsOfSlowStartBudget(t *testing.T) {
 	budget := func(forwarders int, every time.Duration) float64 {
 		r := newHarness(t, fleetSettings(forwarders))
-		l := r.d.destinations[1].circuits[0]
+		circ := r.d.destinations[1].circuits[0]
 		for range int(60 * time.Second / every) {
 			r.submit("safe", 1, 0)
 			r.settle(always(OK))
 			r.pass(every)
 		}
-		r.d.beginSlowStart(l, r.d.now-10*time.Second, false)
-		return r.d.slowStartBudget(l)
+		r.d.beginSlowStart(circ, r.d.now-10*time.Second, false)
+		return r.d.slowStartBudget(circ)
 	}
 	if few, much := budget(3, 2*time.Second), budget(3, 100*ms); few != much {
 		t.Errorf("three forwarders: a budget of %v with little traffic, %v with much", few, much)
--- a/learned_test.go
+++ b/learned_test.go
@@ -23,55 +23,55 @@
 	attempts map[MessageID]int
 }
 
-func newTestForwarder(t *testing.T, recall *LearnedState, endpoints ...EndpointID) *testForwarder {
+func newTestForwarder(t *testing.T, restore *LearnedState, endpoints ...EndpointID) *testForwarder {
 	t.Helper()
 	d, err := New(learnedSettings(), 3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &testForwarder{t: t, d: d, now: 24 * time.Hour, out: map[MessageID]Send{}, attempts: map[MessageID]int{}}
-	if recall != nil {
-		d.Restore(l.now, *recall)
+	f := &testForwarder{t: t, d: d, now: 24 * time.Hour, out: map[MessageID]Send{}, attempts: map[MessageID]int{}}
+	if restore != nil {
+		d.Restore(f.now, *restore)
 	}
 	var entries []Entry
 	for _, id := range endpoints {
 		entries = append(entries, Entry{Endpoint: id, Destination: 1, Readiness: Serving, CapacityHint: 100})
 	}
-	l.handle(EndpointUpdate{Scope: ListWhole, Entries: entries})
-	return l
+	f.handle(EndpointUpdate{Scope: ListWhole, Entries: entries})
+	return f
 }
 
-func (l *testForwarder) handle(events ...Event) {
-	for _, a := range l.d.Handle(l.now, events) {
+func (f *testForwarder) handle(events ...Event) {
+	for _, a := range f.d.Handle(f.now, events) {
 		if s, ok := a.(Send); ok {
-			l.out[s.ID] = s
+			f.out[s.ID] = s
 		}
 	}
 }
 
 // submit submits messages and returns how many calls are out.
-func (l *testForwarder) submit(n int) int {
+func (f *testForwarder) submit(n int) int {
 	for range n {
-		l.next++
-		l.handle(Submit{ID: l.next, Class: "c", TimeLeft: 20 * time.Second, Destination: 1})
+		f.next++
+		f.handle(Submit{ID: f.next, Class: "c", TimeLeft: 20 * time.Second, Destination: 1})
 	}
-	return len(l.out)
+	return len(f.out)
 }
 
 // answer ends all calls that are out.
-func (l *testForwarder) answer(o Outcome, wait time.Duration) {
-	for id, s := range l.out {
-		delete(l.out, id)
-		l.attempts[id]++
-		l.handle(Answer{ID: id, Attempt: l.attempts[id] - 1, Endpoint: s.Endpoint, Outcome: o, RetryAfter: wait, Latency: 20 * time.Millisecond, Settled: o == OK})
+func (f *testForwarder) answer(o Outcome, wait time.Duration) {
+	for id, s := range f.out {
+		delete(f.out, id)
+		f.attempts[id]++
+		f.handle(Answer{ID: id, Attempt: f.attempts[id] - 1, Endpoint: s.Endpoint, Outcome: o, RetryAfter: wait, Latency: 20 * time.Millisecond, Settled: o == OK})
 	}
 }
 
 // pass advances the clock and fires the timer for checks.
-func (l *testForwarder) pass(d time.Duration) {
-	for end := l.now + d; l.now < end; {
-		l.now += 20 * time.Millisecond
-		l.handle(Timer{Cookie: 1})
+func (f *testForwarder) pass(d time.Duration) {
+	for end := f.now + d; f.now < end; {
+		f.now += 20 * time.Millisecond
+		f.handle(Timer{Cookie: 1})
 	}
 }
 
@@ -84,7 +84,7 @@
 	first.answer(Refused, 5*time.Second)
 	first.now += time.Second
 	learned := first.d.Snapshot(first.now)
-	if cold := newTestForwarder(t, nil, "a"); cold.submit(1) != 1 {
+	if unrestored := newTestForwarder(t, nil, "a"); unrestored.submit(1) != 1 {
 		t.Error("the call is held without restored state as well")
 	}
 	second := newTestForwarder(t, &learned, "a")
@@ -113,7 +113,7 @@
 	if len(learned.Circuits) != 1 || learned.Circuits[0].Breaker == BreakerClosed || !learned.Circuits[0].Guard {
 		t.Fatalf("%+v", learned.Circuits)
 	}
-	cold := newTestForwarder(t, nil, "a").submit(6)
+	unrestored := newTestForwarder(t, nil, "a").submit(6)
 	second := newTestForwarder(t, &learned, "a")
 	second.submit(6)
 	most := len(second.out)
@@ -121,8 +121,8 @@
 		second.pass(20 * time.Millisecond)
 		most = max(most, len(second.out))
 	}
-	if most != 1 || cold < 2 {
-		t.Errorf("%d trials at once, %d calls without restored state", most, cold)
+	if most != 1 || unrestored < 2 {
+		t.Errorf("%d trials at once, %d calls without restored state", most, unrestored)
 	}
 }
 
@@ -154,12 +154,12 @@
 	learned := first.d.Snapshot(first.now)
 	calls := func(cold bool) (n int) {
 		learned.Circuits[0].Cold = cold
-		l := newTestForwarder(t, &learned, "a")
+		f := newTestForwarder(t, &learned, "a")
 		for range 50 {
-			l.submit(1)
-			n += len(l.out)
-			l.answer(NotSent, 0) // no evidence about the endpoint
-			l.pass(20 * time.Millisecond)
+			f.submit(1)
+			n += len(f.out)
+			f.answer(NotSent, 0) // no evidence about the endpoint
+			f.pass(20 * time.Millisecond)
 		}
 		return n
 	}
@@ -173,38 +173,38 @@
 // Observations of other forwarders apply beside this one's own: a Retry-After, a limit until it expires or the endpoint
 // reports one, and slow start after an outage.
 func TestApplyObservations(t *testing.T) {
-	r := newTestForwarder(t, nil, "a")
-	l := r.d.destinations[1].circuits[0]
-	hear := func(f LearnedCircuit) {
-		f.Destination = 1
-		r.d.ApplyObservations(r.now, []LearnedCircuit{f})
-	}
-	hear(LearnedCircuit{Wait: 5 * time.Second, GuardFrom: -1})
-	if l.waitUntil != r.now+5*time.Second {
-		t.Errorf("waits until %v", l.waitUntil)
-	}
-	hear(LearnedCircuit{Wait: time.Second, GuardFrom: -1})
-	if l.waitUntil != r.now+5*time.Second {
-		t.Errorf("a shorter wait took it back: %v", l.waitUntil)
-	}
-	base := r.d.capacity(l)
-	hear(LearnedCircuit{Limit: 2 * base, Trust: 0.5, GuardFrom: -1})
-	if want := 1.5 * base; l.reportedLimit != want {
-		t.Errorf("limit %v, want %v", l.reportedLimit, want)
-	}
-	hear(LearnedCircuit{Limit: 1e6, Trust: 1, GuardFrom: -1})
-	if l.reportedLimit != maxPeerLimitFactor*base {
-		t.Errorf("limit %v of %v", l.reportedLimit, base)
-	}
-	if hear(LearnedCircuit{GuardFrom: -1}); l.reportedLimit != 0 {
-		t.Errorf("limit %v when it has lapsed", l.reportedLimit)
-	}
-	l.reportedLimit = 33
-	if hear(LearnedCircuit{Limit: 99, Trust: 1, GuardFrom: -1}); l.reportedLimit != 33 {
-		t.Errorf("its own limit became %v", l.reportedLimit)
-	}
-	hear(LearnedCircuit{Guard: true, GuardSince: 3 * time.Second, GuardFrom: time.Second})
-	if !l.slowStart || l.recoveredAt != max(0, r.now-time.Second) {
-		t.Errorf("slow start %v, recovered at %v", l.slowStart, l.recoveredAt)
+	f := newTestForwarder(t, nil, "a")
+	circ := f.d.destinations[1].circuits[0]
+	apply := func(lc LearnedCircuit) {
+		lc.Destination = 1
+		f.d.ApplyObservations(f.now, []LearnedCircuit{lc})
+	}
+	apply(LearnedCircuit{Wait: 5 * time.Second, GuardFrom: -1})
+	if circ.waitUntil != f.now+5*time.Second {
+		t.Errorf("waits until %v", circ.waitUntil)
+	}
+	apply(LearnedCircuit{Wait: time.Second, GuardFrom: -1})
+	if circ.waitUntil != f.now+5*time.Second {
+		t.Errorf("a shorter wait took it back: %v", circ.waitUntil)
+	}
+	base := f.d.capacity(circ)
+	apply(LearnedCircuit{Limit: 2 * base, Trust: 0.5, GuardFrom: -1})
+	if want := 1.5 * base; circ.reportedLimit != want {
+		t.Errorf("limit %v, want %v", circ.reportedLimit, want)
+	}
+	apply(LearnedCircuit{Limit: 1e6, Trust: 1, GuardFrom: -1})
+	if circ.reportedLimit != maxPeerLimitFactor*base {
+		t.Errorf("limit %v of %v", circ.reportedLimit, base)
+	}
+	if apply(LearnedCircuit{GuardFrom: -1}); circ.reportedLimit != 0 {
+		t.Errorf("limit %v when it has lapsed", circ.reportedLimit)
+	}
+	circ.reportedLimit = 33
+	if apply(LearnedCircuit{Limit: 99, Trust: 1, GuardFrom: -1}); circ.reportedLimit != 33 {
+		t.Errorf("its own limit became %v", circ.reportedLimit)
+	}
+	apply(LearnedCircuit{Guard: true, GuardSince: 3 * time.Second, GuardFrom: time.Second})
+	if !circ.slowStart || circ.recoveredAt != max(0, f.now-time.Second) {
+		t.Errorf("slow start %v, recovered at %v", circ.slowStart, circ.recoveredAt)
 	}
 }
--- a/long_test.go
+++ b/long_test.go
@@ -31,17 +31,17 @@
 		r.submit("unsafe", 1, 0)
 		r.settle(always(OK))
 	}
-	l := r.d.destinations[1].circuits[0]
-	pace, limit, mean := l.latencyFactor, l.callLimit, r.d.classes["unsafe"].meanSec
+	circ := r.d.destinations[1].circuits[0]
+	pace, limit, mean := circ.latencyFactor, circ.callLimit, r.d.classes["unsafe"].meanSec
 	s := r.long("unsafe", 30*time.Minute)
 	if got := s.CutAt - r.now; got != 30*time.Minute {
 		t.Errorf("cut after %v", got)
 	}
 	r.pass(5 * time.Minute)
 	r.do(Answer{ID: s.ID, Endpoint: s.Endpoint, Outcome: OK, Latency: 5 * time.Minute, Settled: true})
-	if l.latencyFactor != pace || l.callLimit != limit || r.d.classes["unsafe"].meanSec != mean || l.state != closed || len(r.logs) > 0 {
-		t.Errorf("latency factor %v to %v, call limit %v to %v, mean %v to %v, %s, %v", pace, l.latencyFactor, limit, l.callLimit, mean,
-			r.d.classes["unsafe"].meanSec, stateNames[l.state], r.logs)
+	if circ.latencyFactor != pace || circ.callLimit != limit || r.d.classes["unsafe"].meanSec != mean || circ.state != closed || len(r.logs) > 0 {
+		t.Errorf("latency factor %v to %v, call limit %v to %v, mean %v to %v, %s, %v", pace, circ.latencyFactor, limit, circ.callLimit, mean,
+			r.d.classes["unsafe"].meanSec, stateNames[circ.state], r.logs)
 	}
 }
 
@@ -72,7 +72,7 @@
 // cancelled.
 func TestBreakerAndLongCalls(t *testing.T) {
 	r := longRig(t)
-	l := r.d.destinations[1].circuits[0]
+	circ := r.d.destinations[1].circuits[0]
 	for range 30 {
 		s := r.long("safe", time.Minute)
 		r.do(Answer{ID: s.ID, Endpoint: s.Endpoint, Outcome: Cancelled, Latency: time.Second, BodyConsumed: true})
@@ -81,19 +81,19 @@
 	if ep := r.d.endpoints["a"]; len(ep.classFailures) > 0 || ep.consecFailures > 0 {
 		t.Errorf("cancelling clients count as failures of their endpoint: %v, run %d", ep.classFailures, ep.consecFailures)
 	}
-	if l.state != closed || len(l.window) != 0 {
-		t.Errorf("%s after cancelled calls, window %v", stateNames[l.state], l.window)
+	if circ.state != closed || len(circ.window) != 0 {
+		t.Errorf("%s after cancelled calls, window %v", stateNames[circ.state], circ.window)
 	}
 	for range 10 {
-		if l.state != closed {
+		if circ.state != closed {
 			break
 		}
 		s := r.long("safe", time.Minute)
 		r.do(Answer{ID: s.ID, Endpoint: s.Endpoint, Outcome: TimedOut, Latency: 20 * time.Second, BodyConsumed: true})
 		r.pass(500 * ms)
 	}
-	if l.state != open {
-		t.Errorf("%s after timed-out calls", stateNames[l.state])
+	if circ.state != open {
+		t.Errorf("%s after timed-out calls", stateNames[circ.state])
 	}
 }
 
@@ -101,9 +101,9 @@
 // alone can close the breaker.
 func TestLongTrials(t *testing.T) {
 	r := longRig(t)
-	l := r.d.destinations[1].circuits[0]
-	r.d.trip(l, "test")
-	l.slowStart = false
+	circ := r.d.destinations[1].circuits[0]
+	r.d.trip(circ, "test")
+	circ.slowStart = false
 	a, b := r.next+1, r.next+2
 	r.next = b
 	r.do(Submit{ID: a, Class: "safe", Destination: 1, TimeLeft: time.Minute, Long: true},
@@ -112,8 +112,8 @@
 		r.pass(100 * ms)
 	}
 	r.pass(time.Second)
-	if len(r.sends) != 1 || l.state != halfOpen {
-		t.Fatalf("%d trials, %s", len(r.sends), stateNames[l.state])
+	if len(r.sends) != 1 || circ.state != halfOpen {
+		t.Fatalf("%d trials, %s", len(r.sends), stateNames[circ.state])
 	}
 	r.submit("safe", 1, 0)
 	r.pass(time.Second)
@@ -121,13 +121,13 @@
 		t.Errorf("%d sends: a short trial waits for a long one", len(r.sends))
 	}
 	for range trialsToClose {
-		l.slowStart = false
+		circ.slowStart = false
 		r.answer(r.last(), OK, 0)
 		r.submit("safe", 1, 0)
 		r.pass(time.Second)
 	}
-	if l.state != closed {
-		t.Errorf("%s after trials", stateNames[l.state])
+	if circ.state != closed {
+		t.Errorf("%s after trials", stateNames[circ.state])
 	}
 }
 
--- a/mulleinbeam.go
+++ b/mulleinbeam.go
@@ -83,24 +83,24 @@
 	// BatchByKind is how many messages may share a call, by kind; see Send. Kinds that are missing or below one
 	// send each message in a call of its own.
 	BatchByKind        map[string]int
-	ZoneFee            map[string]float64
-	UseCapacityHints   bool // the capacity hints of the list can be used
-	RoughCapacityHints bool // the hints may be up to half too high or too low
+	ZoneFee            map[string]float64 // by zone: cost of a call to a separate route there, in shares of the mean worth
+	UseCapacityHints   bool               // the capacity hints of the list can be used
+	RoughCapacityHints bool               // the hints may be up to half too high or too low
 	MayProbe           bool
 	MayCancel          bool
-	SendRetryAfter     bool
-	MaxRetryAfter      time.Duration
-	MustSubscribe      bool // the list of endpoints has to be subscribed to
+	SendRetryAfter     bool          // clients that are refused follow Refuse.RetryAfter
+	MaxRetryAfter      time.Duration // longest Refuse.RetryAfter
+	MustSubscribe      bool          // the list of endpoints has to be subscribed to
 	SubscribeWithin    time.Duration
 	KeepAlive          time.Duration // idle connections close after this
 	ConnectTimeout     time.Duration // a connect that takes longer fails
-	AnswerSlack        time.Duration
-	DrainGrace         time.Duration
-	TurnGap            time.Duration
-	OverloadFactor     float64
-	TipAfter           time.Duration
-	ColdFrom           float64
-	WarmWithin         time.Duration
+	AnswerSlack        time.Duration // how long after its deadline a message may still be answered
+	DrainGrace         time.Duration // how long calls may still go to an endpoint that is draining or deleted
+	TurnGap            time.Duration // gap between messages of an order key after an attempt that may still run
+	OverloadFactor     float64       // slow start: load that its budget allows, relative to the present capacity
+	TipAfter           time.Duration // slow start: the interval of its budget
+	ColdFrom           float64       // slow start: share of the capacity right after an outage
+	WarmWithin         time.Duration // slow start: time from there to the full capacity
 }
 
 // ErrSettings is wrapped by all errors about settings.
@@ -159,17 +159,17 @@
 			return bad(fmt.Sprintf("ZoneFee of %q must be finite and not negative", zone))
 		}
 	}
-	for _, d := range []struct {
-		name string
-		d    time.Duration
+	for _, duration := range []struct {
+		name  string
+		value time.Duration
 	}{
 		{"MaxRetryAfter", s.MaxRetryAfter}, {"SubscribeWithin", s.SubscribeWithin}, {"KeepAlive", s.KeepAlive},
 		{"ConnectTimeout", s.ConnectTimeout},
 		{"AnswerSlack", s.AnswerSlack}, {"DrainGrace", s.DrainGrace}, {"TurnGap", s.TurnGap},
 		{"TipAfter", s.TipAfter}, {"WarmWithin", s.WarmWithin},
 	} {
-		if d.d < 0 {
-			return bad(d.name + " is negative")
+		if duration.value < 0 {
+			return bad(duration.name + " is negative")
 		}
 	}
 	switch {
--- a/property_test.go
+++ b/property_test.go
@@ -111,9 +111,9 @@
 		if !neverRan(e.Outcome) && e.Outcome != OK && !m.mayHaveRun {
 			m.mayHaveRun, m.ranAt, m.ranZone = true, m.sentAt, c.entries[e.Endpoint].Zone
 		}
-		if l := c.keyOrders[m.submit.Key]; l != nil && m.class.InOrder &&
+		if order := c.keyOrders[m.submit.Key]; order != nil && m.class.InOrder &&
 			(e.Outcome == TimedOut || e.Outcome == Reset || e.Outcome == Cancelled) {
-			l.gapUntil, l.gapFor = now+c.settings.TurnGap, m
+			order.gapUntil, order.gapFor = now+c.settings.TurnGap, m
 		}
 		if e.Settled {
 			m.ended, m.endKnown = true, true
@@ -170,7 +170,7 @@
 			c.violation("attempt beyond the limit")
 		}
 		if m.bodyConsumed {
-			c.violation("twice: send of a message whose body can not be sent again")
+			c.violation("twice: send of a message whose body cannot be sent again")
 		}
 		call := c.calls[a.Endpoint]
 		if m.submit.Long {
@@ -201,8 +201,8 @@
 		if now < c.waitUntil[c.scope(en)] {
 			c.violation("wait: send before a Retry-After expired")
 		}
-		if l := c.keyOrders[m.submit.Key]; l != nil && m.class.InOrder {
-			for _, o := range l.order {
+		if order := c.keyOrders[m.submit.Key]; order != nil && m.class.InOrder {
+			for _, o := range order.order {
 				if o == m {
 					break
 				}
@@ -210,7 +210,7 @@
 					c.violation("order: send before an earlier message of the key")
 				}
 			}
-			if now < l.gapUntil && l.gapFor != m {
+			if now < order.gapUntil && order.gapFor != m {
 				c.violation("order: send inside the turn gap")
 			}
 		}
--- a/restart_test.go
+++ b/restart_test.go
@@ -129,9 +129,9 @@
 
 	r = full()
 	resumed(r, 3)
-	l := r.d.destinations[1].circuits[0]
-	l.slowStart, l.recoveredAt, l.outageSince, l.lastSend = true, -1, r.now-10*time.Second, r.now
-	l.state, l.openUntil, l.capacityHint = open, r.now+10*time.Second, 0.01
+	circ := r.d.destinations[1].circuits[0]
+	circ.slowStart, circ.recoveredAt, circ.outageSince, circ.lastSend = true, -1, r.now-10*time.Second, r.now
+	circ.state, circ.openUntil, circ.capacityHint = open, r.now+10*time.Second, 0.01
 	r.answer(r.last(), Failed, 0)
 	fresh := r.submit("safe", 1, 0)
 	if got := r.ended(fresh); got != "refuse" {
@@ -140,7 +140,7 @@
 	if a, b := r.ended(2), r.ended(3); a != "" || b != "" {
 		t.Errorf("two of an earlier process ended %q and %q at an open breaker", a, b)
 	}
-	l.waitUntil = r.now + 10*time.Second
+	circ.waitUntil = r.now + 10*time.Second
 	r.pass(50 * ms)
 	if a, b := r.ended(2), r.ended(3); a != "refuse" || b != "refuse" {
 		t.Errorf("two of an earlier process ended %q and %q at a Retry-After until their deadline", a, b)
--- a/rules_test.go
+++ b/rules_test.go
@@ -294,8 +294,8 @@
 		r := newHarness(t, testSettings())
 		r.submit("safe", 1, 0)
 		s := r.last()
-		l := r.d.destinations[1].circuits[0]
-		l.state = state
+		circ := r.d.destinations[1].circuits[0]
+		circ.state = state
 		r.answer(s, Refused, 1200*ms)
 		for range 5 {
 			r.submit("safe", 1, 0)
@@ -349,15 +349,15 @@
 
 func TestBreakerTransitions(t *testing.T) {
 	r := newHarness(t, testSettings())
-	l := r.d.destinations[1].circuits[0]
+	circ := r.d.destinations[1].circuits[0]
 	failures := 0
-	for l.state == closed && failures < 30 {
+	for circ.state == closed && failures < 30 {
 		r.submit("safe", 1, 0)
 		failures += len(r.settle(always(Failed)))
 		r.now += 200 * ms
 	}
-	if l.state != open {
-		t.Fatalf("breaker is %s after %d failures", stateNames[l.state], failures)
+	if circ.state != open {
+		t.Fatalf("breaker is %s after %d failures", stateNames[circ.state], failures)
 	}
 	if n := minOutageRun + tripExtraFailures; failures < n || failures > n+2 { // a call or two may be out when it opens
 		t.Errorf("%d failures in a row to open, want about %d", failures, n)
@@ -372,20 +372,20 @@
 		}
 		r.pass(10 * ms)
 	}
-	if l.state != halfOpen {
-		t.Fatalf("breaker is %s after the open period", stateNames[l.state])
+	if circ.state != halfOpen {
+		t.Fatalf("breaker is %s after the open period", stateNames[circ.state])
 	}
 	r.settle(always(Failed))
-	if l.state != open {
-		t.Fatalf("breaker is %s after a failed trial", stateNames[l.state])
+	if circ.state != open {
+		t.Fatalf("breaker is %s after a failed trial", stateNames[circ.state])
 	}
 	for range 2000 {
 		r.submit("safe", 1, 0)
 		r.pass(10 * ms)
 		r.settle(always(OK))
 	}
-	if l.state != closed {
-		t.Errorf("breaker is %s after successful trials", stateNames[l.state])
+	if circ.state != closed {
+		t.Errorf("breaker is %s after successful trials", stateNames[circ.state])
 	}
 	if text := strings.Join(r.logs, "\n"); !strings.Contains(text, "open (consecutive failures)") || !strings.Contains(text, "closed") {
 		t.Errorf("log lines lack a transition: %s", text)
@@ -441,8 +441,8 @@
 		r.answer(r.last(), o, 0)
 		r.pass(150 * ms)
 	}
-	if l := r.d.destinations[1].circuits[0]; l.state != closed {
-		t.Errorf("breaker is %s", stateNames[l.state])
+	if circ := r.d.destinations[1].circuits[0]; circ.state != closed {
+		t.Errorf("breaker is %s", stateNames[circ.state])
 	}
 	closes := 0
 	for _, a := range r.otherActions {
@@ -481,8 +481,8 @@
 	if resets > 5 { // the first is on a new connection
 		t.Errorf("%d resets before idle connections were closed", resets)
 	}
-	if l := r.d.destinations[1].circuits[0]; l.state != closed {
-		t.Errorf("breaker is %s", stateNames[l.state])
+	if circ := r.d.destinations[1].circuits[0]; circ.state != closed {
+		t.Errorf("breaker is %s", stateNames[circ.state])
 	}
 }
 
@@ -579,8 +579,8 @@
 	if calls < 20 {
 		t.Errorf("only %d calls", calls)
 	}
-	if l := r.d.destinations[1].circuits[0]; l.state != closed {
-		t.Errorf("breaker is %s", stateNames[l.state])
+	if circ := r.d.destinations[1].circuits[0]; circ.state != closed {
+		t.Errorf("breaker is %s", stateNames[circ.state])
 	}
 }
 
@@ -601,8 +601,8 @@
 		}
 		r.sends = nil
 	}
-	if l := r.d.destinations[1].circuits[0]; l.state != closed || good < 80 {
-		t.Errorf("breaker is %s, %d delivered", stateNames[l.state], good)
+	if circ := r.d.destinations[1].circuits[0]; circ.state != closed || good < 80 {
+		t.Errorf("breaker is %s, %d delivered", stateNames[circ.state], good)
 	}
 }
 
@@ -615,7 +615,7 @@
 		clears bool
 	}{"alone to blame": {OK, 0, true}, "the other serves": {OK, 20, true}, "the other fails too": {ConnectFailed, 150, false}} {
 		r := newHarness(t, testSettings())
-		l := r.d.destinations[1].circuits[0]
+		circ := r.d.destinations[1].circuits[0]
 		fail := func(rounds int) {
 			for range rounds {
 				r.submit("safe", 1, 0)
@@ -632,14 +632,14 @@
 			}
 		}
 		fail(40)
-		if l.state == closed || !l.slowStart {
-			t.Fatalf("%s: breaker %s, slow start %v with every connect refused", name, stateNames[l.state], l.slowStart)
+		if circ.state == closed || !circ.slowStart {
+			t.Fatalf("%s: breaker %s, slow start %v with every connect refused", name, stateNames[circ.state], circ.slowStart)
 		}
 		r.do(EndpointUpdate{Scope: ListChanges, Entries: []Entry{{Endpoint: "b", Destination: 1, CapacityHint: 50}}})
 		fail(c.rounds)
 		r.do(EndpointUpdate{Scope: ListChanges, Entries: []Entry{{Endpoint: "a", Destination: 1, Readiness: Draining}}})
-		if (l.state == closed) != c.clears || l.slowStart == c.clears {
-			t.Errorf("%s: breaker %s, slow start %v", name, stateNames[l.state], l.slowStart)
+		if (circ.state == closed) != c.clears || circ.slowStart == c.clears {
+			t.Errorf("%s: breaker %s, slow start %v", name, stateNames[circ.state], circ.slowStart)
 		}
 	}
 }
@@ -659,8 +659,8 @@
 		r.do(Answer{ID: s.ID, Attempt: r.sent[s.ID] - 1, Endpoint: s.Endpoint, Outcome: Reset, Latency: 50 * ms, ReusedConn: true})
 		r.do(MessageCancelled{ID: s.ID})
 	}
-	if l := r.d.destinations[1].circuits[0]; l.state != closed || l.slowStart {
-		t.Errorf("breaker %s, slow start %v", stateNames[l.state], l.slowStart)
+	if circ := r.d.destinations[1].circuits[0]; circ.state != closed || circ.slowStart {
+		t.Errorf("breaker %s, slow start %v", stateNames[circ.state], circ.slowStart)
 	}
 	for class, want := range map[string]bool{"safe": false, "keyed": false, "unsafe": true} {
 		r.submit(class, 1, 0)
@@ -675,26 +675,26 @@
 // soon for an outage. After errors, or with a later success, slow start stays.
 func TestBriefRunsOfLostConnections(t *testing.T) {
 	for name, c := range map[string]struct {
-		lost  Outcome
-		after time.Duration
-		guard bool
+		lost      Outcome
+		after     time.Duration
+		slowStart bool
 	}{"soon": {ConnectFailed, 200 * ms, false}, "resets": {Reset, 200 * ms, false}, "late": {ConnectFailed, time.Second, true},
 		"errors": {Failed, 200 * ms, true}} {
 		r := newHarness(t, testSettings())
-		l := r.d.destinations[1].circuits[0]
+		circ := r.d.destinations[1].circuits[0]
 		for range 2 {
 			r.submit("keyed", 1, 0)
 			s := r.last()
 			r.answer(s, c.lost, 0)
 			r.do(MessageCancelled{ID: s.ID})
 		}
-		if !l.slowStart {
+		if !circ.slowStart {
 			t.Fatalf("%s: no slow start after two", name)
 		}
-		k := &call{endpoint: l.endpoints[0], class: r.d.classes["safe"], size: 1, sentAt: r.now}
+		k := &call{endpoint: circ.endpoints[0], class: r.d.classes["safe"], size: 1, sentAt: r.now}
 		r.d.now = r.now + c.after
-		if r.d.onSuccess(k, 50*ms); l.slowStart != c.guard {
-			t.Errorf("%s: slow start %v", name, l.slowStart)
+		if r.d.onSuccess(k, 50*ms); circ.slowStart != c.slowStart {
+			t.Errorf("%s: slow start %v", name, circ.slowStart)
 		}
 	}
 }
@@ -868,10 +868,10 @@
 		const rate, load, outage = 60.0, 0.6, 12 * time.Second
 		s := testSettings()
 		s.Forwarders = n
-		var rigs []*harness
+		var harnesses []*harness
 		for i := range n {
 			harnessSeed = uint64(1000 + i)
-			rigs = append(rigs, newHarness(t, s, Entry{Endpoint: "a", Destination: 1, CapacityHint: rate}))
+			harnesses = append(harnesses, newHarness(t, s, Entry{Endpoint: "a", Destination: 1, CapacityHint: rate}))
 		}
 		var at []time.Duration
 		harnessSeed = 42
@@ -880,9 +880,9 @@
 			down := now > 2*time.Second && now < 2*time.Second+outage
 			for due += load * rate * 0.02; due >= 1; due-- {
 				turn++
-				rigs[turn*7919%n].submit("keyed", 1, 0)
+				harnesses[turn*7919%n].submit("keyed", 1, 0)
 			}
-			for _, r := range rigs {
+			for _, r := range harnesses {
 				o := OK
 				if down {
 					o = ConnectFailed
--- a/shared_test.go
+++ b/shared_test.go
@@ -46,12 +46,12 @@
 	if sends := r.together("safe", 10); len(sends) != 10 {
 		t.Fatalf("%d of 10 messages sent in one round with 4 slots", len(sends))
 	}
-	l := r.d.destinations[1].circuits[0]
-	if r.d.slotsUsed != 1 || len(l.inflight) != 1 || r.d.destinations[1].inflight != 1 {
-		t.Errorf("one call of ten counts as %d slots, %d calls", r.d.slotsUsed, len(l.inflight))
+	circ := r.d.destinations[1].circuits[0]
+	if r.d.slotsUsed != 1 || len(circ.inflight) != 1 || r.d.destinations[1].inflight != 1 {
+		t.Errorf("one call of ten counts as %d slots, %d calls", r.d.slotsUsed, len(circ.inflight))
 	}
-	if len(l.recentCalls) != 1 || l.recentCalls[0].weight <= 1 || l.recentCalls[0].weight >= 10 {
-		t.Errorf("slow-start budget counts %v", l.recentCalls)
+	if len(circ.recentCalls) != 1 || circ.recentCalls[0].weight <= 1 || circ.recentCalls[0].weight >= 10 {
+		t.Errorf("slow-start budget counts %v", circ.recentCalls)
 	}
 }
 
@@ -72,9 +72,9 @@
 	r := newHarness(t, sharedSettings(20))
 	first := r.together("safe", 6)
 	r.answerAll(first, OK, 0)
-	l := r.d.destinations[1].circuits[0]
-	if len(l.window) != 1 {
-		t.Fatalf("%d outcomes counted for one call", len(l.window))
+	circ := r.d.destinations[1].circuits[0]
+	if len(circ.window) != 1 {
+		t.Fatalf("%d outcomes counted for one call", len(circ.window))
 	}
 	var in []Event
 	for i, class := range []string{"safe", "keyed", "unsafe"} {
@@ -85,8 +85,8 @@
 		t.Fatalf("%d sends in %d slots", len(mixed), r.d.slotsUsed)
 	}
 	r.answerAll(mixed, Reset, 0)
-	if l.consecFailures != 1 || l.state != closed {
-		t.Errorf("one failed call counts as %d, breaker %s", l.consecFailures, stateNames[l.state])
+	if circ.consecFailures != 1 || circ.state != closed {
+		t.Errorf("one failed call counts as %d, breaker %s", circ.consecFailures, stateNames[circ.state])
 	}
 	r.pass(time.Second)
 	if r.sent[100] != 2 || r.sent[101] != 2 || r.sent[102] != 1 || r.ended(102) != "fail" {
@@ -218,8 +218,8 @@
 			r.answer(s, TimedOut, 0)
 		}, "fail"},
 		"slow-start gap past the deadline": {"safe", 6 * time.Second, func(r *harness, s Send) {
-			l := r.d.destinations[1].circuits[0]
-			l.slowStart, l.recoveredAt, l.outageSince, l.capacityHint = true, -1, r.now-20*time.Second, 0.1
+			circ := r.d.destinations[1].circuits[0]
+			circ.slowStart, circ.recoveredAt, circ.outageSince, circ.capacityHint = true, -1, r.now-20*time.Second, 0.1
 			r.answer(s, Refused, 0)
 		}, "refuse"},
 	} {
@@ -314,31 +314,31 @@
 // capacity itself; a failure, a longer run or an open breaker makes it strong, and later refusals do not weaken it
 // again.
 func TestWeakSlowStart(t *testing.T) {
-	for name, escalate := range map[string]func(d *Decider, l *circuit){
-		"failures": func(d *Decider, l *circuit) {
-			d.onFailure(l, l.endpoints[0], Reset)
-			d.onFailure(l, l.endpoints[0], Reset)
+	for name, escalate := range map[string]func(d *Decider, circ *circuit){
+		"failures": func(d *Decider, circ *circuit) {
+			d.onFailure(circ, circ.endpoints[0], Reset)
+			d.onFailure(circ, circ.endpoints[0], Reset)
 		},
-		"a longer run":    func(d *Decider, l *circuit) { d.onRefusal(l, 0); d.onRefusal(l, 0) },
-		"a long wait":     func(d *Decider, l *circuit) { d.onRefusal(l, outageRetryAfter+time.Second) },
-		"an open breaker": func(d *Decider, l *circuit) { d.trip(l, "test") },
+		"a longer run":    func(d *Decider, circ *circuit) { d.onRefusal(circ, 0); d.onRefusal(circ, 0) },
+		"a long wait":     func(d *Decider, circ *circuit) { d.onRefusal(circ, outageRetryAfter+time.Second) },
+		"an open breaker": func(d *Decider, circ *circuit) { d.trip(circ, "test") },
 	} {
 		s := testSettings()
 		s.Forwarders, s.ColdFrom = 50, 0.1
 		r := newHarness(t, s)
-		l := r.d.destinations[1].circuits[0]
-		l.limitRemaining = 0.1
-		r.d.onRefusal(l, 0)
+		circ := r.d.destinations[1].circuits[0]
+		circ.limitRemaining = 0.1
+		r.d.onRefusal(circ, 0)
 		r.d.now += quietPeriod + ms
-		r.d.onRefusal(l, 0)
-		if !l.slowStart || !l.weakSlowStart {
-			t.Fatalf("after two explained refusals: slow start %v, weak %v", l.slowStart, l.weakSlowStart)
+		r.d.onRefusal(circ, 0)
+		if !circ.slowStart || !circ.weakSlowStart {
+			t.Fatalf("after two explained refusals: slow start %v, weak %v", circ.slowStart, circ.weakSlowStart)
 		}
-		weak := r.d.slowStartBudget(l)
-		escalate(r.d, l)
-		r.d.onRefusal(l, 0)
-		if strong := r.d.slowStartBudget(l); l.weakSlowStart || !l.slowStart || strong > weak*0.21 {
-			t.Errorf("%s: slow start %v, weak %v, budget %v after %v", name, l.slowStart, l.weakSlowStart, strong, weak)
+		weak := r.d.slowStartBudget(circ)
+		escalate(r.d, circ)
+		r.d.onRefusal(circ, 0)
+		if strong := r.d.slowStartBudget(circ); circ.weakSlowStart || !circ.slowStart || strong > weak*0.21 {
+			t.Errorf("%s: slow start %v, weak %v, budget %v after %v", name, circ.slowStart, circ.weakSlowStart, strong, weak)
 		}
 	}
 }
@@ -355,16 +355,16 @@
 				r.submit("safe", 2, 0)
 				r.answer(r.last(), Refused, 100*ms)
 			}
-			l := r.d.destinations[1].circuits[0]
-			l.limitRemaining = left
-			r.d.onRefusal(l, 0)
-			if l.slowStart != (tells && left > 0.5) {
-				t.Errorf("Retry-After %v, %v left: slow start %v after one refusal", tells, left, l.slowStart)
+			circ := r.d.destinations[1].circuits[0]
+			circ.limitRemaining = left
+			r.d.onRefusal(circ, 0)
+			if circ.slowStart != (tells && left > 0.5) {
+				t.Errorf("Retry-After %v, %v left: slow start %v after one refusal", tells, left, circ.slowStart)
 			}
 			r.d.now += 300 * ms
-			r.d.onRefusal(l, 0)
-			if l.slowStart != (tells || left > 0.5) || l.weakSlowStart {
-				t.Errorf("Retry-After %v, %v left: slow start %v, weak %v after two", tells, left, l.slowStart, l.weakSlowStart)
+			r.d.onRefusal(circ, 0)
+			if circ.slowStart != (tells || left > 0.5) || circ.weakSlowStart {
+				t.Errorf("Retry-After %v, %v left: slow start %v, weak %v after two", tells, left, circ.slowStart, circ.weakSlowStart)
 			}
 		}
 	}
@@ -377,11 +377,11 @@
 	s.Slots = 20
 	r := newHarness(t, s, Entry{Endpoint: "a", Kind: "shared", Destination: 1, CapacityHint: 50},
 		Entry{Endpoint: "b", Kind: "shared", Destination: 1, CapacityHint: 50})
-	l := r.d.destinations[1].circuits[0]
+	circ := r.d.destinations[1].circuits[0]
 	r.d.endpoints["a"].rank, r.d.endpoints["b"].rank = 1, 2
-	l.callLimit = 10
+	circ.callLimit = 10
 	r.together("safe", 1) // sent to a
-	l.waitUntil = r.now + 100*ms
+	circ.waitUntil = r.now + 100*ms
 	r.do(Submit{ID: 50, Class: "safe", Destination: 1, TimeLeft: 6 * time.Second}) // the first among equals
 	r.d.messages[50].avoidEndpoint = r.d.endpoints["b"]
 	r.together("safe", 7)
@@ -393,8 +393,8 @@
 	if len(sends) != 8 || calls["a"] != 2 || calls["b"] != 6 {
 		t.Fatalf("%d sends, to a and b: %v", len(sends), calls)
 	}
-	if r.d.slotsUsed != 4 || len(l.inflight) != 4 {
-		t.Errorf("%d slots and %d calls counted, want the one out, one more at a and two at b", r.d.slotsUsed, len(l.inflight))
+	if r.d.slotsUsed != 4 || len(circ.inflight) != 4 {
+		t.Errorf("%d slots and %d calls counted, want the one out, one more at a and two at b", r.d.slotsUsed, len(circ.inflight))
 	}
 }
 
@@ -402,28 +402,28 @@
 // longer run than with rare refusals.
 func TestStrayRefusalsStartNoSlowStart(t *testing.T) {
 	for _, c := range []struct {
-		every int
-		guard bool
+		every     int
+		slowStart bool
 	}{{1000, true}, {3, false}} {
 		r := newHarness(t, testSettings())
-		l := r.d.destinations[1].circuits[0]
-		l.limitRemaining = -1 // nothing reported
-		k := &call{endpoint: l.endpoints[0], class: r.d.classes["safe"], size: 1}
+		circ := r.d.destinations[1].circuits[0]
+		circ.limitRemaining = -1 // nothing reported
+		k := &call{endpoint: circ.endpoints[0], class: r.d.classes["safe"], size: 1}
 		for i := range 90 {
 			if r.d.now += 300 * ms; i%c.every == c.every-1 {
-				r.d.onRefusal(l, 0)
+				r.d.onRefusal(circ, 0)
 			} else {
 				r.d.onSuccess(k, 50*ms)
 			}
 		}
-		l.slowStart = false
+		circ.slowStart = false
 		r.d.onSuccess(k, 50*ms)
 		for range 2 {
 			r.d.now += 300 * ms
-			r.d.onRefusal(l, 0)
+			r.d.onRefusal(circ, 0)
 		}
-		if l.slowStart != c.guard {
-			t.Errorf("one call in %d refused: slow start %v after two in a row", c.every, l.slowStart)
+		if circ.slowStart != c.slowStart {
+			t.Errorf("one call in %d refused: slow start %v after two in a row", c.every, circ.slowStart)
 		}
 	}
 }
--- a/snapshot.go
+++ b/snapshot.go
@@ -77,14 +77,14 @@
 	endpoint    EndpointID
 }
 
-func (d *Decider) keyOf(l *circuit) circuitKey {
+func (d *Decider) keyOf(c *circuit) circuitKey {
 	switch {
-	case l.separateRoute:
-		return circuitKey{l.dest.id, EndpointID(l.name)}
-	case l.zone != "":
-		return circuitKey{l.dest.id, EndpointID("in " + l.zone)}
+	case c.separateRoute:
+		return circuitKey{c.dest.id, EndpointID(c.name)}
+	case c.zone != "":
+		return circuitKey{c.dest.id, EndpointID("in " + c.zone)}
 	}
-	return circuitKey{destination: l.dest.id}
+	return circuitKey{destination: c.dest.id}
 }
 
 // Snapshot returns the state learned up to now.
@@ -92,50 +92,50 @@
 	var out LearnedState
 	ago := func(at time.Duration) time.Duration { return max(0, now-at) }
 	for _, dest := range d.destinations {
-		for _, l := range dest.circuits {
+		for _, c := range dest.circuits {
 			seen := time.Duration(math.MinInt64)
-			for _, at := range []time.Duration{l.outageSeenAt, l.rateCutAt, l.refusedSince, l.failedSince} {
+			for _, at := range []time.Duration{c.outageSeenAt, c.rateCutAt, c.refusedSince, c.failedSince} {
 				if at != 0 { // 0 is never; times of an earlier process are negative
 					seen = max(seen, at)
 				}
 			}
-			if l.lastOK != neverOK {
-				seen = max(seen, l.lastOK)
+			if c.lastOK != neverOK {
+				seen = max(seen, c.lastOK)
 			}
 			if seen == math.MinInt64 {
 				continue
 			}
-			name := d.keyOf(l)
-			f := LearnedCircuit{
-				Destination: name.destination, Endpoint: name.endpoint, Seen: ago(seen), Breaker: Breaker(l.state),
-				OpenFor: l.openFor, OpenLeft: max(0, l.openUntil-now), Wait: max(0, l.waitUntil-now), Rate: l.rateLimit, Limit: l.reportedLimit,
-				Pace: l.latencyFactor, Cap: l.callLimit, Guard: l.slowStart, Weak: l.weakSlowStart, GuardSince: ago(l.outageSince), GuardFrom: -1,
+			name := d.keyOf(c)
+			lc := LearnedCircuit{
+				Destination: name.destination, Endpoint: name.endpoint, Seen: ago(seen), Breaker: Breaker(c.state),
+				OpenFor: c.openFor, OpenLeft: max(0, c.openUntil-now), Wait: max(0, c.waitUntil-now), Rate: c.rateLimit, Limit: c.reportedLimit,
+				Pace: c.latencyFactor, Cap: c.callLimit, Guard: c.slowStart, Weak: c.weakSlowStart, GuardSince: ago(c.outageSince), GuardFrom: -1,
 				LastBad: -1, LastOK: -1, Trust: 1,
 			}
-			if l.outageSeenAt != 0 {
-				f.LastBad = ago(l.outageSeenAt)
+			if c.outageSeenAt != 0 {
+				lc.LastBad = ago(c.outageSeenAt)
 			}
-			if l.lastOK != neverOK {
-				f.LastOK = ago(l.lastOK)
+			if c.lastOK != neverOK {
+				lc.LastOK = ago(c.lastOK)
 			}
-			if l.recoveredAt >= 0 {
-				f.GuardFrom = ago(l.recoveredAt)
+			if c.recoveredAt >= 0 {
+				lc.GuardFrom = ago(c.recoveredAt)
 			}
-			if l.peerLimit > 0 && l.reportedLimit == l.peerLimit { // reported by others, not by the endpoint
-				f.Limit = 0
+			if c.peerLimit > 0 && c.reportedLimit == c.peerLimit { // reported by others, not by the endpoint
+				lc.Limit = 0
 			}
-			for _, ep := range l.endpoints {
-				f.Endpoints = append(f.Endpoints, ep.id)
+			for _, ep := range c.endpoints {
+				lc.Endpoints = append(lc.Endpoints, ep.id)
 			}
-			slices.Sort(f.Endpoints)
-			out.Circuits = append(out.Circuits, f)
+			slices.Sort(lc.Endpoints)
+			out.Circuits = append(out.Circuits, lc)
 		}
 	}
 	slices.SortFunc(out.Circuits, func(a, b LearnedCircuit) int {
 		return cmp.Or(cmp.Compare(a.Destination, b.Destination), cmp.Compare(a.Endpoint, b.Endpoint))
 	})
-	for _, c := range d.cfg.Classes {
-		out.Classes = append(out.Classes, LearnedClass{Name: c.Name, MeanSeconds: d.classes[c.Name].meanSec, Trust: 1})
+	for _, class := range d.cfg.Classes {
+		out.Classes = append(out.Classes, LearnedClass{Name: class.Name, MeanSeconds: d.classes[class.Name].meanSec, Trust: 1})
 	}
 	pair := func(t lossTally) [2]float64 { return [2]float64{t.calls, t.lost} }
 	out.Losses = LossCounts{
@@ -147,21 +147,21 @@
 
 // Restore sets the learned state of an earlier process. Call it before the first EndpointUpdate; each circuit takes its
 // part when one of its earlier endpoints is listed.
-func (d *Decider) Restore(now time.Duration, l LearnedState) {
+func (d *Decider) Restore(now time.Duration, learned LearnedState) {
 	d.now = now
 	d.restored = map[circuitKey]LearnedCircuit{}
-	for _, f := range l.Circuits {
-		d.restored[circuitKey{f.Destination, f.Endpoint}] = f
+	for _, lc := range learned.Circuits {
+		d.restored[circuitKey{lc.Destination, lc.Endpoint}] = lc
 	}
-	for _, f := range l.Classes {
-		if c := d.classes[f.Name]; c != nil && f.MeanSeconds > 0 {
-			c.meanSec = interpolate(c.meanSec, f.MeanSeconds, f.Trust)
+	for _, lc := range learned.Classes {
+		if cs := d.classes[lc.Name]; cs != nil && lc.MeanSeconds > 0 {
+			cs.meanSec = interpolate(cs.meanSec, lc.MeanSeconds, lc.Trust)
 		}
 	}
 	tallyOf := func(t [2]float64) lossTally { return lossTally{calls: t[0], lost: t[1]} }
-	d.afterIdle, d.others, d.reusedConnection, d.newConnection = tallyOf(l.Losses.AfterIdle), tallyOf(l.Losses.Others), tallyOf(l.Losses.ReusedConnection), tallyOf(l.Losses.NewConnection)
-	d.strayFailures, d.strayRefusals, d.retryAfterSeen = tallyOf(l.Losses.StrayFailures), tallyOf(l.Losses.StrayRefusals), l.Losses.RetryAfterSeen
-	if d.idleLimit = l.Losses.IdleLimit; d.idleLimit > 0 {
+	d.afterIdle, d.others, d.reusedConnection, d.newConnection = tallyOf(learned.Losses.AfterIdle), tallyOf(learned.Losses.Others), tallyOf(learned.Losses.ReusedConnection), tallyOf(learned.Losses.NewConnection)
+	d.strayFailures, d.strayRefusals, d.retryAfterSeen = tallyOf(learned.Losses.StrayFailures), tallyOf(learned.Losses.StrayRefusals), learned.Losses.RetryAfterSeen
+	if d.idleLimit = learned.Losses.IdleLimit; d.idleLimit > 0 {
 		d.idleLossAt = now
 	}
 }
@@ -173,26 +173,26 @@
 func (d *Decider) ApplyObservations(now time.Duration, circuits []LearnedCircuit) {
 	d.now = now
 	observed := make(map[circuitKey]LearnedCircuit, len(circuits))
-	for _, f := range circuits {
-		observed[circuitKey{f.Destination, f.Endpoint}] = f
+	for _, lc := range circuits {
+		observed[circuitKey{lc.Destination, lc.Endpoint}] = lc
 	}
 	for _, dest := range d.destinations {
-		for _, l := range dest.circuits {
-			f := observed[d.keyOf(l)]
-			l.waitUntil = max(l.waitUntil, now+f.Wait)
-			if l.peerLimit > 0 && l.reportedLimit == l.peerLimit {
-				l.reportedLimit = 0
+		for _, c := range dest.circuits {
+			lc := observed[d.keyOf(c)]
+			c.waitUntil = max(c.waitUntil, now+lc.Wait)
+			if c.peerLimit > 0 && c.reportedLimit == c.peerLimit {
+				c.reportedLimit = 0
 			}
-			if l.peerLimit = 0; l.reportedLimit <= 0 && f.Limit > 0 && f.Trust > 0 {
-				base := d.capacity(l)
-				l.peerLimit = math.Min(maxPeerLimitFactor*base, math.Max(base/maxPeerLimitFactor, interpolate(base, f.Limit, f.Trust)))
-				l.reportedLimit = l.peerLimit
+			if c.peerLimit = 0; c.reportedLimit <= 0 && lc.Limit > 0 && lc.Trust > 0 {
+				base := d.capacity(c)
+				c.peerLimit = math.Min(maxPeerLimitFactor*base, math.Max(base/maxPeerLimitFactor, interpolate(base, lc.Limit, lc.Trust)))
+				c.reportedLimit = c.peerLimit
 			}
-			if f.Guard && !l.slowStart && d.cfg.OverloadFactor > 0 && d.cfg.TipAfter > 0 {
-				l.slowStart, l.weakSlowStart, l.gapPhase = true, false, d.rng.Float64()
-				l.outageSince, l.recoveredAt = max(0, now-f.GuardSince), -1
-				if f.GuardFrom >= 0 {
-					l.recoveredAt = max(0, now-f.GuardFrom)
+			if lc.Guard && !c.slowStart && d.cfg.OverloadFactor > 0 && d.cfg.TipAfter > 0 {
+				c.slowStart, c.weakSlowStart, c.gapPhase = true, false, d.rng.Float64()
+				c.outageSince, c.recoveredAt = max(0, now-lc.GuardSince), -1
+				if lc.GuardFrom >= 0 {
+					c.recoveredAt = max(0, now-lc.GuardFrom)
 				}
 			}
 		}
@@ -202,8 +202,8 @@
 // ApplyRetryAfter applies a Retry-After of any endpoint to the whole destination.
 func (d *Decider) ApplyRetryAfter(now time.Duration, id DestinationID, wait time.Duration) {
 	if dest := d.destinations[id]; dest != nil {
-		for _, l := range dest.circuits {
-			l.waitUntil = max(l.waitUntil, now+wait)
+		for _, c := range dest.circuits {
+			c.waitUntil = max(c.waitUntil, now+wait)
 		}
 	}
 }
@@ -216,41 +216,41 @@
 
 // restoreCircuit restores a circuit's learned state when one of its earlier endpoints is listed.
 func (d *Decider) restoreCircuit(ep *endpoint) {
-	l := ep.circuit
-	f, known := d.restored[d.keyOf(l)]
-	if !known || !slices.Contains(f.Endpoints, ep.id) {
+	c := ep.circuit
+	lc, known := d.restored[d.keyOf(c)]
+	if !known || !slices.Contains(lc.Endpoints, ep.id) {
 		return
 	}
-	delete(d.restored, d.keyOf(l))
+	delete(d.restored, d.keyOf(c))
 	at := func(ago time.Duration) time.Duration { return d.now - ago }
-	l.waitUntil = max(l.waitUntil, d.now+f.Wait)
-	if f.Limit > 0 && f.Trust > 0 {
-		l.reportedLimit = f.Limit
+	c.waitUntil = max(c.waitUntil, d.now+lc.Wait)
+	if lc.Limit > 0 && lc.Trust > 0 {
+		c.reportedLimit = lc.Limit
 	}
-	if base := d.capacity(l); f.Rate > 0 {
-		l.rateLimit, l.tokensAt, l.tokens = math.Max(rateMin*base, interpolate(base, f.Rate, f.Trust)), d.now, 1
+	if base := d.capacity(c); lc.Rate > 0 {
+		c.rateLimit, c.tokensAt, c.tokens = math.Max(rateMin*base, interpolate(base, lc.Rate, lc.Trust)), d.now, 1
 	}
-	if f.Pace > 0 {
-		l.latencyFactor = math.Min(maxLatencyFactor, math.Max(minLatencyFactor, interpolate(1, f.Pace, f.Trust)))
+	if lc.Pace > 0 {
+		c.latencyFactor = math.Min(maxLatencyFactor, math.Max(minLatencyFactor, interpolate(1, lc.Pace, lc.Trust)))
 	}
-	l.callLimit = math.Min(d.callLimitCeil(), math.Max(1, interpolate(d.callLimitFloor(), f.Cap, f.Trust)))
-	if f.LastOK >= 0 {
-		l.lastOK = at(f.LastOK)
+	c.callLimit = math.Min(d.callLimitCeil(), math.Max(1, interpolate(d.callLimitFloor(), lc.Cap, lc.Trust)))
+	if lc.LastOK >= 0 {
+		c.lastOK = at(lc.LastOK)
 	}
-	if f.LastBad >= 0 {
-		l.outageSeenAt = at(f.LastBad)
+	if lc.LastBad >= 0 {
+		c.outageSeenAt = at(lc.LastBad)
 	}
-	if f.Breaker != BreakerClosed {
-		l.state, l.openFor, l.openUntil = open, min(openMax, max(openFirst, f.OpenFor)), d.now+f.OpenLeft
+	if lc.Breaker != BreakerClosed {
+		c.state, c.openFor, c.openUntil = open, min(openMax, max(openFirst, lc.OpenFor)), d.now+lc.OpenLeft
 	}
-	if (f.Guard || f.Cold) && d.cfg.OverloadFactor > 0 && d.cfg.TipAfter > 0 {
-		l.slowStart, l.weakSlowStart, l.gapPhase = true, f.Weak && !f.Cold, d.rng.Float64()
-		l.outageSince, l.recoveredAt = at(f.GuardSince), -1
-		if f.GuardFrom >= 0 {
-			l.recoveredAt = max(0, at(f.GuardFrom))
+	if (lc.Guard || lc.Cold) && d.cfg.OverloadFactor > 0 && d.cfg.TipAfter > 0 {
+		c.slowStart, c.weakSlowStart, c.gapPhase = true, lc.Weak && !lc.Cold, d.rng.Float64()
+		c.outageSince, c.recoveredAt = at(lc.GuardSince), -1
+		if lc.GuardFrom >= 0 {
+			c.recoveredAt = max(0, at(lc.GuardFrom))
 		}
-		if f.Cold {
-			l.outageSince, l.recoveredAt, l.outageSeenAt = d.now, -1, d.now
+		if lc.Cold {
+			c.outageSince, c.recoveredAt, c.outageSeenAt = d.now, -1, d.now
 		}
 	}
 }
--- a/state.go
+++ b/state.go
@@ -215,11 +215,11 @@
 	updatedAt time.Duration
 }
 
-func (f *decayingCount) at(now, over time.Duration) float64 {
-	return f.count * math.Exp(-(now-f.updatedAt).Seconds()/over.Seconds())
+func (c *decayingCount) at(now, over time.Duration) float64 {
+	return c.count * math.Exp(-(now-c.updatedAt).Seconds()/over.Seconds())
 }
 
-func (f *decayingCount) add(now, over time.Duration) { f.count, f.updatedAt = f.at(now, over)+1, now }
+func (c *decayingCount) add(now, over time.Duration) { c.count, c.updatedAt = c.at(now, over)+1, now }
 
 // decaySeconds returns the time that a count with this decay time covers: less soon after the start.
 func (d *Decider) decaySeconds(over time.Duration) float64 {
@@ -227,8 +227,8 @@
 }
 
 // rateOf returns the rate of a decaying count, per second.
-func (d *Decider) rateOf(f *decayingCount, over time.Duration) float64 {
-	return f.at(d.now, over) / math.Max(1, d.decaySeconds(over))
+func (d *Decider) rateOf(c *decayingCount, over time.Duration) float64 {
+	return c.at(d.now, over) / math.Max(1, d.decaySeconds(over))
 }
 
 // keyQueue holds the messages of one order key.
@@ -289,12 +289,12 @@
 	if !m.class.InOrder || m.key == 0 {
 		return
 	}
-	t := d.keyQueues[m.key]
-	if t == nil {
-		t = &keyQueue{}
-		d.keyQueues[m.key] = t
+	q := d.keyQueues[m.key]
+	if q == nil {
+		q = &keyQueue{}
+		d.keyQueues[m.key] = q
 	}
-	t.queue = append(t.queue, m)
+	q.queue = append(q.queue, m)
 }
 
 func (d *Decider) emit(a Action) { d.actions = append(d.actions, a) }
@@ -308,10 +308,10 @@
 	}
 	d := newDecider(s, seed)
 	d.batchGrowth = batchGrowthStart
-	for _, c := range s.Classes {
-		d.classes[c.Name] = &classState{Class: c, meanSec: latencyGuessShare * c.Target.Seconds()}
-		d.maxTimeout = max(d.maxTimeout, c.DeliveryTimeout)
-		d.meanWorth += c.Worth / float64(len(s.Classes))
+	for _, class := range s.Classes {
+		d.classes[class.Name] = &classState{Class: class, meanSec: latencyGuessShare * class.Target.Seconds()}
+		d.maxTimeout = max(d.maxTimeout, class.DeliveryTimeout)
+		d.meanWorth += class.Worth / float64(len(s.Classes))
 	}
 	for _, t := range s.Tenants {
 		rate := t.AllowancePerS / float64(s.Forwarders)
@@ -352,9 +352,9 @@
 const tryNextFactor = 1e6
 
 // callScore ranks a call by its value per slot time.
-func (l *circuit) callScore(value float64, took time.Duration) float64 {
+func (c *circuit) callScore(value float64, took time.Duration) float64 {
 	score := math.Max(value, 1e-6) / math.Max(0.005, took.Seconds())
-	if l.tryNext {
+	if c.tryNext {
 		score *= tryNextFactor
 	}
 	return score
@@ -363,33 +363,33 @@
 // addEndpoint adds a listed endpoint, and its circuit if that is new, without learned state.
 func (d *Decider) addEndpoint(en Entry) *endpoint {
 	dest := d.destinationOf(en.Destination)
-	var l *circuit
-	place := ""
+	var c *circuit
+	zone := ""
 	if d.cfg.SeparateZones {
-		place = en.Zone
+		zone = en.Zone
 	}
-	i := slices.IndexFunc(dest.circuits, func(l *circuit) bool { return l.zone == place })
-	if apart := d.cfg.SeparateRoutes[en.Kind]; !apart && i >= 0 {
-		l = dest.circuits[i]
+	i := slices.IndexFunc(dest.circuits, func(c *circuit) bool { return c.zone == zone })
+	if separate := d.cfg.SeparateRoutes[en.Kind]; !separate && i >= 0 {
+		c = dest.circuits[i]
 	} else {
-		l = &circuit{
+		c = &circuit{
 			name: fmt.Sprintf("destination %d", dest.id), dest: dest, kind: en.Kind, latencyFactor: 1, callLimit: d.callLimitFloor(),
-			batch: max(1, d.cfg.BatchByKind[en.Kind]), recoveredAt: -1, lastOK: neverOK, lastSend: -time.Hour, zone: place,
+			batch: max(1, d.cfg.BatchByKind[en.Kind]), recoveredAt: -1, lastOK: neverOK, lastSend: -time.Hour, zone: zone,
 		}
-		if place != "" {
-			l.name += " in " + place
+		if zone != "" {
+			c.name += " in " + zone
 		}
-		if apart {
-			l.name, l.zoneFee, l.separateRoute = string(en.Endpoint), d.cfg.ZoneFee[en.Zone], true
+		if separate {
+			c.name, c.zoneFee, c.separateRoute = string(en.Endpoint), d.cfg.ZoneFee[en.Zone], true
 		}
-		dest.circuits = append(dest.circuits, l)
+		dest.circuits = append(dest.circuits, c)
 	}
 	ep := &endpoint{
-		id: en.Endpoint, zone: en.Zone, circuit: l, readiness: Deleted, rank: d.rng.Uint64(),
+		id: en.Endpoint, zone: en.Zone, circuit: c, readiness: Deleted, rank: d.rng.Uint64(),
 		lastOK: -time.Hour, usedAt: -time.Hour, classFailures: map[*classState]classFailures{},
 	}
 	d.endpoints[en.Endpoint] = ep
-	l.knownEndpoints++
+	c.knownEndpoints++
 	return ep
 }
 
@@ -454,9 +454,9 @@
 func (d *Decider) calls() iter.Seq[*call] {
 	return func(yield func(*call) bool) {
 		for _, dest := range d.busy {
-			for _, l := range dest.circuits {
-				for _, c := range l.inflight {
-					if !yield(c) {
+			for _, c := range dest.circuits {
+				for _, k := range c.inflight {
+					if !yield(k) {
 						return
 					}
 				}
@@ -466,15 +466,15 @@
 }
 
 // setBreaker changes a breaker's state; closing it clears its window.
-func (d *Decider) setBreaker(l *circuit, s breakerState) {
-	if l.trialsOK = 0; s != open {
-		l.openUntil = 0
+func (d *Decider) setBreaker(c *circuit, s breakerState) {
+	if c.trialsOK = 0; s != open {
+		c.openUntil = 0
 	}
 	if s == closed {
-		l.window = nil
-		d.logf("breaker %s: %s", l.name, stateNames[s])
+		c.window = nil
+		d.logf("breaker %s: %s", c.name, stateNames[s])
 	}
-	l.state = s
+	c.state = s
 }
 
 // dropIdleDestinations removes destinations without messages and calls from the busy ones.
@@ -501,9 +501,9 @@
 	if before > d.startedAt+restoreWindow { // no longer expected to be listed
 		d.restored = nil
 	}
-	maps.DeleteFunc(d.keyQueues, func(_ OrderKey, t *keyQueue) bool { return len(t.queue) == 0 && d.now >= t.gapUntil })
+	maps.DeleteFunc(d.keyQueues, func(_ OrderKey, q *keyQueue) bool { return len(q.queue) == 0 && d.now >= q.gapUntil })
 	maps.DeleteFunc(d.destinations, func(_ DestinationID, dest *destination) bool {
-		dest.circuits = slices.DeleteFunc(dest.circuits, func(l *circuit) bool { return l.knownEndpoints == 0 })
+		dest.circuits = slices.DeleteFunc(dest.circuits, func(c *circuit) bool { return c.knownEndpoints == 0 })
 		return len(dest.circuits) == 0 && !dest.inUse()
 	})
 }
@@ -519,29 +519,29 @@
 	}
 	m.dest.held = slices.DeleteFunc(m.dest.held, func(o *message) bool { return o == m })
 	delete(d.messages, m.id)
-	if t := d.keyQueues[m.key]; t != nil && m.class.InOrder {
-		t.queue = slices.DeleteFunc(t.queue, func(o *message) bool { return o == m })
-		if len(t.queue) == 0 && d.now >= t.gapUntil {
+	if q := d.keyQueues[m.key]; q != nil && m.class.InOrder {
+		q.queue = slices.DeleteFunc(q.queue, func(o *message) bool { return o == m })
+		if len(q.queue) == 0 && d.now >= q.gapUntil {
 			delete(d.keyQueues, m.key)
 		}
 	}
 }
 
-func (d *Decider) recordOutcome(l *circuit, bad bool) {
-	if l.window = append(l.window, bad); len(l.window) > windowSize {
-		l.window = l.window[1:]
+func (d *Decider) recordOutcome(c *circuit, bad bool) {
+	if c.window = append(c.window, bad); len(c.window) > windowSize {
+		c.window = c.window[1:]
 	}
 }
 
 // failureShare returns the share of failures in the breaker's window.
-func (l *circuit) failureShare() float64 {
+func (c *circuit) failureShare() float64 {
 	fails := 0.0
-	for _, bad := range l.window {
+	for _, bad := range c.window {
 		if bad {
 			fails++
 		}
 	}
-	return fails / float64(max(1, len(l.window)))
+	return fails / float64(max(1, len(c.window)))
 }
 
 // countHeld adds n to the number of held messages; long ones have a limit of their own.
@@ -552,51 +552,51 @@
 }
 
 // recordCall records the time and weight of a call that is sent now.
-func (d *Decider) recordCall(l *circuit, weight float64) {
-	l.lastSend, l.gapsDue = d.now, weight
+func (d *Decider) recordCall(c *circuit, weight float64) {
+	c.lastSend, c.gapsDue = d.now, weight
 	old := func(s sentCall) bool { return s.at <= d.now-d.cfg.TipAfter }
-	l.recentCalls = slices.DeleteFunc(append(l.recentCalls, sentCall{d.now, weight}), old)
+	c.recentCalls = slices.DeleteFunc(append(c.recentCalls, sentCall{d.now, weight}), old)
 }
 
 // beginAttempt adds a message to a call that is sent in this round.
-func (d *Decider) beginAttempt(m *message, c *call) {
+func (d *Decider) beginAttempt(m *message, k *call) {
 	switch {
-	case c.long:
+	case k.long:
 		d.longSlotsUsed++
-		c.endpoint.inflight++
-		c.endpoint.circuit.longCalls++
-	case len(c.messages) == 0:
+		k.endpoint.inflight++
+		k.endpoint.circuit.longCalls++
+	case len(k.messages) == 0:
 		d.slotsUsed++
-		c.endpoint.inflight++
+		k.endpoint.inflight++
 		m.dest.inflight++
-		c.endpoint.circuit.inflight = append(c.endpoint.circuit.inflight, c)
+		k.endpoint.circuit.inflight = append(k.endpoint.circuit.inflight, k)
 	}
-	m.call, m.untried = c, false
+	m.call, m.untried = k, false
 	m.attempts++
-	c.messages = append(c.messages, m)
-	if c.size++; m.class.meanSec > c.class.meanSec {
-		c.class = m.class
+	k.messages = append(k.messages, m)
+	if k.size++; m.class.meanSec > k.class.meanSec {
+		k.class = m.class
 	}
 	m.dest.held = slices.DeleteFunc(m.dest.held, func(o *message) bool { return o == m })
 }
 
 // endAttempt ends a message's attempt; the call keeps its slot until all its messages have an answer.
 func (d *Decider) endAttempt(m *message) {
-	c, l := m.call, m.call.endpoint.circuit
+	k, c := m.call, m.call.endpoint.circuit
 	m.call = nil
-	if c.messages = slices.DeleteFunc(c.messages, func(o *message) bool { return o == m }); len(c.messages) > 0 {
+	if k.messages = slices.DeleteFunc(k.messages, func(o *message) bool { return o == m }); len(k.messages) > 0 {
 		return
 	}
-	c.endpoint.inflight--
-	if c.long {
+	k.endpoint.inflight--
+	if k.long {
 		d.longSlotsUsed--
-		l.longCalls--
+		c.longCalls--
 		return
 	}
 	d.slotsUsed--
 	m.dest.inflight--
-	l.inflight = slices.DeleteFunc(l.inflight, func(o *call) bool { return o == c })
-	if c.trial {
-		l.trialsOut--
+	c.inflight = slices.DeleteFunc(c.inflight, func(o *call) bool { return o == k })
+	if k.trial {
+		c.trialsOut--
 	}
 }
