--- a/decide.go
+++ b/decide.go
@@ -78,7 +78,7 @@
 	retryFirst          = 100 * time.Millisecond  // first retry wait
 	retryRefused        = 400 * time.Millisecond  // first retry wait after a refusal: limits count per interval
 	retryMax            = 3 * time.Second         // longest retry wait
-	minCallTimeout      = 2 * time.Second         // shortest timeout, longer than a stall; 1.2 s, 3 s: worse
+	minCallTimeout      = 2 * time.Second         // shortest timeout: short stalls pass; 1.2 s, 3 s are worse
 	minStall            = 1500 * time.Millisecond // shortest stall; 1 s makes no difference
 	unsafeStuckAfter    = 4 * time.Second         // age at which an unsafe call may be cancelled for its slot
 	minOutage           = 800 * time.Millisecond  // shortest outage, from its first sign
@@ -346,7 +346,7 @@
 		d.now < d.repeatUntil(m) && (!m.class.SameZoneOnly || ep.zone == m.ranZone)
 }
 
-// MayBegin reports whether a call may still start now that its connection is up: windows may have closed.
+// MayBegin reports whether a call may start now that its connection is up: a window or wait may forbid it.
 func (d *Decider) MayBegin(now time.Duration, id MessageID) bool {
 	m := d.messages[id]
 	return m != nil && m.call != nil && now >= m.call.endpoint.circuit.waitUntil &&
@@ -354,8 +354,8 @@
 }
 
 // expire abandons what no allowed attempt can deliver: attempts used up, an unsafe message that may have run,
-// a long one whose body is gone or is lost at shutdown, or no time left for a call before the deadline or the
-// key's expiry. An untried message of an earlier process ends only if a Retry-After blocks it until then.
+// a long one whose body is consumed or lost at shutdown, or no time left for a call before the deadline or
+// the key's expiry. An untried message of an earlier process ends only if a Retry-After blocks it until then.
 func (d *Decider) expire() {
 	for _, dest := range d.busy {
 		var free, retryAt time.Duration // earliest time a circuit is free, and free of Retry-After
@@ -473,7 +473,7 @@
 // lostToIdleConn reports whether a call was lost because its connection died while idle. Calls after a pause
 // (within KeepAlive) are tallied apart; lost are those reset at once or without answer. If far more of these
 // are lost, connections idle longer than the shortest such pause are closed before the next call, and no
-// breaker counts the losses. Works across restarts and at low traffic. Drawback: handshakes after a stall.
+// breaker counts the losses. Covers restarts and low traffic. Drawback: handshakes after a stall.
 func (d *Decider) lostToIdleConn(k *call, o Outcome, latency time.Duration) bool {
 	quick := latency < quickLoss+time.Duration(k.class.meanSec*float64(time.Second))
 	lost := o == TimedOut || o == Cancelled || o == Reset && quick
