--- a/bench_test.go
+++ b/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// listOf makes a list of n endpoints, two to a destination.
+// listOf returns a list of n endpoints, two per destination.
 func listOf(n int) []Entry {
 	var entries []Entry
 	for i := range n {
@@ -17,8 +17,8 @@
 	return entries
 }
 
-// BenchmarkHandle sends and answers one message beside ten that are held, by the number of listed endpoints. The cost
-// must not grow with the list.
+// BenchmarkHandle sends and answers one message, with ten others held, by the number of listed endpoints. The cost must
+// not grow with the list.
 func BenchmarkHandle(b *testing.B) {
 	for _, n := range []int{20, 200, 1000} {
 		b.Run(fmt.Sprint("endpoints=", n), func(b *testing.B) {
@@ -46,9 +46,9 @@
 	}
 }
 
-// Destinations that are no longer listed and have nothing held are forgotten; those never listed as well.
+// Destinations without listed endpoints and held messages are forgotten, and so are those that were never listed.
 func TestDestinationsAreForgotten(t *testing.T) {
-	r := newRig(t, testSettings(), listOf(1000)...)
+	r := newHarness(t, testSettings(), listOf(1000)...)
 	for i := range 300 {
 		r.submit("safe", DestinationID(i), 0)
 		r.submit("safe", DestinationID(5000+i), 0) // never listed
@@ -56,24 +56,25 @@
 	}
 	r.do(EndpointUpdate{Scope: ListWhole, Entries: listOf(10)})
 	r.pass(10 * time.Second)
-	r.now += forgetAfter + forgetEvery
-	r.do(Timer{Cookie: heartbeatMark})
-	if len(r.d.dests) != 5 || len(r.d.eps) != 10 || len(r.d.busy) != 0 {
-		t.Errorf("remembered: %d destinations, %d endpoints, %d busy; want 5, 10, 0", len(r.d.dests), len(r.d.eps), len(r.d.busy))
+	r.now += staleAfter + cleanupInterval
+	r.do(Timer{Cookie: checkTimerCookie})
+	if len(r.d.destinations) != 5 || len(r.d.endpoints) != 10 || len(r.d.busy) != 0 {
+		t.Errorf("remembered: %d destinations, %d endpoints, %d busy; want 5, 10, 0", len(r.d.destinations), len(r.d.endpoints), len(r.d.busy))
 	}
 }
 
-// All that came during a frozen spell comes in one Handle: nothing is lost, no destination is blamed that answers.
-func TestBurstAfterAFrozenSpell(t *testing.T) {
+// After a pause of the process, all that arrived meanwhile comes in one Handle: no message is lost and no breaker opens
+// for a destination that answers.
+func TestBurstAfterPause(t *testing.T) {
 	s := testSettings()
 	s.Slots, s.MostHeld, s.Forwarders = 3, 12, 75
-	r := newRig(t, s, listOf(1000)...)
+	r := newHarness(t, s, listOf(1000)...)
 	var out []Send
 	for i := range 3 {
 		r.submit("safe", DestinationID(i), 0)
 		out = append(out, r.last())
 	}
-	r.now += 2500 * ms // frozen
+	r.now += 2500 * ms // the pause
 	var in []Event
 	for _, s := range out {
 		in = append(in, Answer{ID: s.ID, Endpoint: s.Endpoint, Outcome: OK, Latency: 2 * time.Second, Settled: true})
@@ -83,55 +84,56 @@
 		in = append(in, Submit{ID: r.next, Class: "safe", Destination: DestinationID(i), TimeLeft: 3 * time.Second})
 	}
 	if n := len(r.do(in...)); n != s.Slots {
-		t.Errorf("%d sends after the spell, want %d", n, s.Slots)
+		t.Errorf("%d sends after the pause, want %d", n, s.Slots)
 	}
 	for range 40 {
 		r.settle(always(OK))
 		r.pass(50 * ms)
 	}
-	if len(r.d.msgs) != 0 {
-		t.Errorf("%d messages left", len(r.d.msgs))
+	if len(r.d.messages) != 0 {
+		t.Errorf("%d messages left", len(r.d.messages))
 	}
 	for _, text := range r.logs {
-		t.Errorf("blamed: %s", text)
+		t.Errorf("unexpected log line: %s", text)
 	}
 }
 
-// Refusals that come with the limit told as spent are the limit's and raise the guard only after a second; others, as
-// of a hung destination whose queue is full, at the second one. One alone never does: the told share may be old.
-func TestRefusalsThatTheToldShareExplains(t *testing.T) {
+// Refusals that report the limit as spent are due to the limit and start slow start only after a second; others, for
+// example from a stalled destination with a full queue, at the second refusal. A single refusal never does: the
+// reported share may be out of date.
+func TestRefusalsExplainedByReportedLimit(t *testing.T) {
 	for _, left := range []float64{0.05, 0.9} {
 		s := testSettings()
-		s.Forwarders = manyCouriers - 1 // many wait longer for their next call
-		r := newRig(t, s)
+		s.Forwarders = largeFleetSize - 1 // a large fleet waits longer for its next call
+		r := newHarness(t, s)
 		r.submit("safe", 1, 0)
 		sent := r.last()
 		r.do(Answer{ID: sent.ID, Endpoint: "a", Outcome: Refused, Limit: &LimitReport{Remaining: left, Rate: 6}})
-		if r.d.dests[1].lanes[0].guard {
-			t.Errorf("%v of the limit left: guard after one refusal", left)
+		if r.d.destinations[1].circuits[0].slowStart {
+			t.Errorf("%v of the limit left: slow start after one refusal", left)
 		}
 		r.now += 700 * ms
-		r.do(Timer{Cookie: heartbeatMark})
+		r.do(Timer{Cookie: checkTimerCookie})
 		r.do(Answer{
 			ID: sent.ID, Attempt: r.sent[sent.ID] - 1, Endpoint: "a", Outcome: Refused, Limit: &LimitReport{Remaining: left, Rate: 6},
 		})
-		if got := r.d.dests[1].lanes[0].guard; got != (left > 0.5) || r.sent[sent.ID] != 2 {
-			t.Errorf("%v of the limit left: guard %v after %d refusals", left, got, r.sent[sent.ID])
+		if got := r.d.destinations[1].circuits[0].slowStart; got != (left > 0.5) || r.sent[sent.ID] != 2 {
+			t.Errorf("%v of the limit left: slow start %v after %d refusals", left, got, r.sent[sent.ID])
 		}
 	}
 }
 
-// An answer for another attempt or endpoint than the one that is out is ignored.
+// An answer for another attempt or endpoint than the current one is ignored.
 func TestForeignAnswersAreIgnored(t *testing.T) {
-	r := newRig(t, testSettings())
+	r := newHarness(t, testSettings())
 	id := r.submit("safe", 1, 0)
 	r.do(Answer{ID: id, Attempt: 1, Endpoint: "a", Outcome: OK, Settled: true},
 		Answer{ID: id, Attempt: 0, Endpoint: "b", Outcome: OK, Settled: true})
-	if r.d.slotsUsed != 1 || r.d.msgs[id] == nil {
-		t.Error("a foreign answer ended the attempt that is out")
+	if r.d.slotsUsed != 1 || r.d.messages[id] == nil {
+		t.Error("an unrelated answer ended the attempt that is out")
 	}
 	r.answer(r.last(), OK, 0)
-	if r.d.slotsUsed != 0 || len(r.d.msgs) != 0 {
+	if r.d.slotsUsed != 0 || len(r.d.messages) != 0 {
 		t.Error("its own answer was not taken")
 	}
 }
--- a/learned_test.go
+++ b/learned_test.go
@@ -13,97 +13,97 @@
 	}
 }
 
-// life is a courier with one partner, "a" of destination 1, on a clock that the test sets.
-type life struct {
-	t    *testing.T
-	d    *Decider
-	now  time.Duration
-	next MessageID
-	out  map[MessageID]Send
-	tell map[MessageID]int
+// testForwarder is a forwarder with destination 1, on a clock set by the test.
+type testForwarder struct {
+	t        *testing.T
+	d        *Decider
+	now      time.Duration
+	next     MessageID
+	out      map[MessageID]Send
+	attempts map[MessageID]int
 }
 
-func newLife(t *testing.T, recall *LearnedState, endpoints ...EndpointID) *life {
+func newTestForwarder(t *testing.T, restore *LearnedState, endpoints ...EndpointID) *testForwarder {
 	t.Helper()
 	d, err := New(learnedSettings(), 3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &life{t: t, d: d, now: 24 * time.Hour, out: map[MessageID]Send{}, tell: map[MessageID]int{}}
-	if recall != nil {
-		d.Restore(l.now, *recall)
+	f := &testForwarder{t: t, d: d, now: 24 * time.Hour, out: map[MessageID]Send{}, attempts: map[MessageID]int{}}
+	if restore != nil {
+		d.Restore(f.now, *restore)
 	}
 	var entries []Entry
 	for _, id := range endpoints {
 		entries = append(entries, Entry{Endpoint: id, Destination: 1, Readiness: Serving, CapacityHint: 100})
 	}
-	l.handle(EndpointUpdate{Scope: ListWhole, Entries: entries})
-	return l
+	f.handle(EndpointUpdate{Scope: ListWhole, Entries: entries})
+	return f
 }
 
-func (l *life) handle(events ...Event) {
-	for _, a := range l.d.Handle(l.now, events) {
+func (f *testForwarder) handle(events ...Event) {
+	for _, a := range f.d.Handle(f.now, events) {
 		if s, ok := a.(Send); ok {
-			l.out[s.ID] = s
+			f.out[s.ID] = s
 		}
 	}
 }
 
-// submit hands messages in and gives how many calls are out then.
-func (l *life) submit(n int) int {
+// submit submits messages and returns how many calls are out.
+func (f *testForwarder) submit(n int) int {
 	for range n {
-		l.next++
-		l.handle(Submit{ID: l.next, Class: "c", TimeLeft: 20 * time.Second, Destination: 1})
+		f.next++
+		f.handle(Submit{ID: f.next, Class: "c", TimeLeft: 20 * time.Second, Destination: 1})
 	}
-	return len(l.out)
+	return len(f.out)
 }
 
 // answer ends all calls that are out.
-func (l *life) answer(o Outcome, wait time.Duration) {
-	for id, s := range l.out {
-		delete(l.out, id)
-		l.tell[id]++
-		l.handle(Answer{ID: id, Attempt: l.tell[id] - 1, Endpoint: s.Endpoint, Outcome: o, RetryAfter: wait, Latency: 20 * time.Millisecond, Settled: o == OK})
+func (f *testForwarder) answer(o Outcome, wait time.Duration) {
+	for id, s := range f.out {
+		delete(f.out, id)
+		f.attempts[id]++
+		f.handle(Answer{ID: id, Attempt: f.attempts[id] - 1, Endpoint: s.Endpoint, Outcome: o, RetryAfter: wait, Latency: 20 * time.Millisecond, Settled: o == OK})
 	}
 }
 
-// pass lets time go by, with the module's looks in between.
-func (l *life) pass(d time.Duration) {
-	for end := l.now + d; l.now < end; {
-		l.now += 20 * time.Millisecond
-		l.handle(Timer{Cookie: 1})
+// pass advances the clock and fires the timer for checks.
+func (f *testForwarder) pass(d time.Duration) {
+	for end := f.now + d; f.now < end; {
+		f.now += 20 * time.Millisecond
+		f.handle(Timer{Cookie: 1})
 	}
 }
 
-// A told wait that has not ended holds in the next life to its last moment, and not longer.
-func TestRecalledWaitHolds(t *testing.T) {
-	first := newLife(t, nil, "a")
+// A Retry-After that has not expired still holds after a restart, to its end and no longer.
+func TestRestoredRetryAfterHolds(t *testing.T) {
+	first := newTestForwarder(t, nil, "a")
 	if first.submit(1) != 1 {
 		t.Fatal("no call")
 	}
 	first.answer(Refused, 5*time.Second)
 	first.now += time.Second
 	learned := first.d.Snapshot(first.now)
-	if cold := newLife(t, nil, "a"); cold.submit(1) != 1 {
-		t.Error("a cold life holds the call back, so this shows nothing")
+	if unrestored := newTestForwarder(t, nil, "a"); unrestored.submit(1) != 1 {
+		t.Error("the call is held without restored state as well")
 	}
-	second := newLife(t, &learned, "a")
+	second := newTestForwarder(t, &learned, "a")
 	if second.submit(3) != 0 {
-		t.Error("called within a told wait")
+		t.Error("called before the Retry-After expired")
 	}
 	second.pass(3900 * time.Millisecond)
 	if len(second.out) != 0 {
-		t.Error("called 0.1 s before a told wait's end")
+		t.Error("called 0.1 s before the Retry-After expired")
 	}
 	second.pass(3 * time.Second)
 	if len(second.out) == 0 {
-		t.Error("not called behind the wait's end")
+		t.Error("not called after the Retry-After expired")
 	}
 }
 
-// A breaker that was open is still careful: one trial, and no burst.
-func TestRecalledBreakerIsCareful(t *testing.T) {
-	first := newLife(t, nil, "a")
+// A breaker that was open before a restart allows one trial at a time, no burst.
+func TestRestoredBreakerAllowsOneTrial(t *testing.T) {
+	first := newTestForwarder(t, nil, "a")
 	for range 12 {
 		first.submit(1)
 		first.answer(ConnectFailed, 0)
@@ -113,23 +113,23 @@
 	if len(learned.Circuits) != 1 || learned.Circuits[0].Breaker == BreakerClosed || !learned.Circuits[0].Guard {
 		t.Fatalf("%+v", learned.Circuits)
 	}
-	cold := newLife(t, nil, "a").submit(6)
-	second := newLife(t, &learned, "a")
+	unrestored := newTestForwarder(t, nil, "a").submit(6)
+	second := newTestForwarder(t, &learned, "a")
 	second.submit(6)
 	most := len(second.out)
 	for range 100 {
 		second.pass(20 * time.Millisecond)
 		most = max(most, len(second.out))
 	}
-	if most != 1 || cold < 2 {
-		t.Errorf("%d trials at once, %d calls of a life that knows nothing", most, cold)
+	if most != 1 || unrestored < 2 {
+		t.Errorf("%d trials at once, %d calls without restored state", most, unrestored)
 	}
 }
 
-// What was learned belongs to names: a partner of which no endpoint is listed any more is a new one, and one that has an
-// endpoint left is the same.
-func TestRecalledPartnerIsRenamed(t *testing.T) {
-	first := newLife(t, nil, "a", "b")
+// Learned state applies to a destination only while one of the endpoints that it had is still listed; otherwise the
+// destination is taken for a new one.
+func TestRestoredStateNeedsListedEndpoint(t *testing.T) {
+	first := newTestForwarder(t, nil, "a", "b")
 	first.submit(1)
 	first.answer(Refused, 5*time.Second)
 	learned := first.d.Snapshot(first.now)
@@ -137,15 +137,15 @@
 		listed []EndpointID
 		want   int
 	}{{[]EndpointID{"x", "y"}, 1}, {[]EndpointID{"x", "b"}, 0}, {[]EndpointID{"a", "b"}, 0}} {
-		if got := newLife(t, &learned, c.listed...).submit(1); got != c.want {
+		if got := newTestForwarder(t, &learned, c.listed...).submit(1); got != c.want {
 			t.Errorf("listed %v: %d calls", c.listed, got)
 		}
 	}
 }
 
-// A partner that may have gone cold unseen is met as after an outage: within the fail-back budget, until it has answered.
-func TestColdPartnerIsMetAsSuch(t *testing.T) {
-	first := newLife(t, nil, "a")
+// A destination that may have gone cold unobserved gets slow start as after an outage, until it has answered.
+func TestColdDestinationGetsSlowStart(t *testing.T) {
+	first := newTestForwarder(t, nil, "a")
 	for range 20 {
 		first.submit(1)
 		first.answer(OK, 0)
@@ -154,12 +154,12 @@
 	learned := first.d.Snapshot(first.now)
 	calls := func(cold bool) (n int) {
 		learned.Circuits[0].Cold = cold
-		l := newLife(t, &learned, "a")
+		f := newTestForwarder(t, &learned, "a")
 		for range 50 {
-			l.submit(1)
-			n += len(l.out)
-			l.answer(NotSent, 0) // which speaks of nothing
-			l.pass(20 * time.Millisecond)
+			f.submit(1)
+			n += len(f.out)
+			f.answer(NotSent, 0) // no evidence about the endpoint
+			f.pass(20 * time.Millisecond)
 		}
 		return n
 	}
@@ -170,40 +170,41 @@
 	}
 }
 
-// What others tell is heeded beside what is seen: a wait, a limit until it lapses or one of its own is told, care at an outage.
-func TestHearsOthers(t *testing.T) {
-	r := newLife(t, nil, "a")
-	l := r.d.dests[1].lanes[0]
-	hear := func(f LearnedCircuit) {
-		f.Destination = 1
-		r.d.ApplyObservations(r.now, []LearnedCircuit{f})
-	}
-	hear(LearnedCircuit{Wait: 5 * time.Second, GuardFrom: -1})
-	if l.waitUntil != r.now+5*time.Second {
-		t.Errorf("waits until %v", l.waitUntil)
-	}
-	hear(LearnedCircuit{Wait: time.Second, GuardFrom: -1})
-	if l.waitUntil != r.now+5*time.Second {
-		t.Errorf("a shorter wait took it back: %v", l.waitUntil)
-	}
-	base := r.d.base(l)
-	hear(LearnedCircuit{Limit: 2 * base, Trust: 0.5, GuardFrom: -1})
-	if want := 1.5 * base; l.x1 != want {
-		t.Errorf("limit %v, want %v", l.x1, want)
-	}
-	hear(LearnedCircuit{Limit: 1e6, Trust: 1, GuardFrom: -1})
-	if l.x1 != hearFactor*base {
-		t.Errorf("limit %v of %v", l.x1, base)
-	}
-	if hear(LearnedCircuit{GuardFrom: -1}); l.x1 != 0 {
-		t.Errorf("limit %v when it has lapsed", l.x1)
-	}
-	l.x1 = 33
-	if hear(LearnedCircuit{Limit: 99, Trust: 1, GuardFrom: -1}); l.x1 != 33 {
-		t.Errorf("its own limit became %v", l.x1)
-	}
-	hear(LearnedCircuit{Guard: true, GuardSince: 3 * time.Second, GuardFrom: time.Second})
-	if !l.guard || l.guardFrom != max(0, r.now-time.Second) {
-		t.Errorf("guard %v since its return at %v", l.guard, l.guardFrom)
+// Observations of other forwarders apply beside this one's own: a Retry-After, a limit until it expires or the endpoint
+// reports one, and slow start after an outage.
+func TestApplyObservations(t *testing.T) {
+	f := newTestForwarder(t, nil, "a")
+	circ := f.d.destinations[1].circuits[0]
+	apply := func(lc LearnedCircuit) {
+		lc.Destination = 1
+		f.d.ApplyObservations(f.now, []LearnedCircuit{lc})
+	}
+	apply(LearnedCircuit{Wait: 5 * time.Second, GuardFrom: -1})
+	if circ.waitUntil != f.now+5*time.Second {
+		t.Errorf("waits until %v", circ.waitUntil)
+	}
+	apply(LearnedCircuit{Wait: time.Second, GuardFrom: -1})
+	if circ.waitUntil != f.now+5*time.Second {
+		t.Errorf("a shorter wait took it back: %v", circ.waitUntil)
+	}
+	base := f.d.capacity(circ)
+	apply(LearnedCircuit{Limit: 2 * base, Trust: 0.5, GuardFrom: -1})
+	if want := 1.5 * base; circ.reportedLimit != want {
+		t.Errorf("limit %v, want %v", circ.reportedLimit, want)
+	}
+	apply(LearnedCircuit{Limit: 1e6, Trust: 1, GuardFrom: -1})
+	if circ.reportedLimit != maxPeerLimitFactor*base {
+		t.Errorf("limit %v of %v", circ.reportedLimit, base)
+	}
+	if apply(LearnedCircuit{GuardFrom: -1}); circ.reportedLimit != 0 {
+		t.Errorf("limit %v when it has lapsed", circ.reportedLimit)
+	}
+	circ.reportedLimit = 33
+	if apply(LearnedCircuit{Limit: 99, Trust: 1, GuardFrom: -1}); circ.reportedLimit != 33 {
+		t.Errorf("its own limit became %v", circ.reportedLimit)
+	}
+	apply(LearnedCircuit{Guard: true, GuardSince: 3 * time.Second, GuardFrom: time.Second})
+	if !circ.slowStart || circ.recoveredAt != max(0, f.now-time.Second) {
+		t.Errorf("slow start %v, recovered at %v", circ.slowStart, circ.recoveredAt)
 	}
 }
--- a/rules_test.go
+++ b/rules_test.go
@@ -29,29 +29,29 @@
 	}
 }
 
-// rig drives a decider by hand.
-type rig struct {
-	t     *testing.T
-	d     *Decider
-	now   time.Duration
-	next  MessageID
-	sends []Send
-	sent  map[MessageID]int
-	other []Action
-	logs  []string
-	wake  time.Duration
-}
-
-// rigSeed is counted up by tests that put several rigs side by side.
-var rigSeed uint64 = 42
-
-func newRig(t *testing.T, s Settings, entries ...Entry) *rig {
+// harness drives a decider by hand.
+type harness struct {
+	t            *testing.T
+	d            *Decider
+	now          time.Duration
+	next         MessageID
+	sends        []Send
+	sent         map[MessageID]int
+	otherActions []Action
+	logs         []string
+	timerAt      time.Duration
+}
+
+// harnessSeed is changed by tests that run several harnesses side by side.
+var harnessSeed uint64 = 42
+
+func newHarness(t *testing.T, s Settings, entries ...Entry) *harness {
 	t.Helper()
-	d, err := New(s, rigSeed)
+	d, err := New(s, harnessSeed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, d: d, now: time.Minute, sent: map[MessageID]int{}}
+	r := &harness{t: t, d: d, now: time.Minute, sent: map[MessageID]int{}}
 	if len(entries) == 0 {
 		entries = []Entry{{Endpoint: "a", Destination: 1, Kind: "shared", CapacityHint: 50}}
 	}
@@ -59,7 +59,7 @@
 	return r
 }
 
-func (r *rig) do(in ...Event) []Send {
+func (r *harness) do(in ...Event) []Send {
 	var sends []Send
 	for _, a := range r.d.Handle(r.now, in) {
 		switch a := a.(type) {
@@ -67,34 +67,34 @@
 			sends = append(sends, a)
 			r.sent[a.ID]++
 		case SetTimer:
-			r.wake = r.now + a.After
+			r.timerAt = r.now + a.After
 		case Log:
 			r.logs = append(r.logs, a.Text)
 		default:
-			r.other = append(r.other, a)
+			r.otherActions = append(r.otherActions, a)
 		}
 	}
 	r.sends = append(r.sends, sends...)
 	return sends
 }
 
-// pass lets time go by, with the heartbeat, and returns what was sent.
-func (r *rig) pass(d time.Duration) []Send {
+// pass advances the clock, fires the timer for checks and returns the sends.
+func (r *harness) pass(d time.Duration) []Send {
 	var sends []Send
 	for end := r.now + d; r.now < end; {
 		r.now += 5 * ms
-		if r.wake > 0 && r.now >= r.wake {
-			r.wake = 0
+		if r.timerAt > 0 && r.now >= r.timerAt {
+			r.timerAt = 0
 			sends = append(sends, r.do(Timer{Cookie: 1})...)
 		}
 	}
 	return sends
 }
 
-func (r *rig) submit(class string, dest DestinationID, key OrderKey) MessageID {
+func (r *harness) submit(class string, dest DestinationID, key OrderKey) MessageID {
 	r.next++
 	left := time.Second
-	for _, c := range r.d.s.Classes {
+	for _, c := range r.d.cfg.Classes {
 		if c.Name == class {
 			left = c.DeliveryTimeout
 		}
@@ -103,15 +103,15 @@
 	return r.next
 }
 
-func (r *rig) answer(s Send, o Outcome, wait time.Duration) []Send {
+func (r *harness) answer(s Send, o Outcome, wait time.Duration) []Send {
 	return r.do(Answer{
 		ID: s.ID, Attempt: r.sent[s.ID] - 1, Endpoint: s.Endpoint, Outcome: o,
 		Latency: 50 * ms, RetryAfter: wait, Settled: o == OK,
 	})
 }
 
-// settle answers all that is out, first to last, with what outcome says.
-func (r *rig) settle(outcome func() Outcome) (sends []Send) {
+// settle answers all calls that are out, in order, with the given outcomes.
+func (r *harness) settle(outcome func() Outcome) (sends []Send) {
 	for len(r.sends) > 0 {
 		s := r.sends[0]
 		r.sends = r.sends[1:]
@@ -123,7 +123,7 @@
 
 func always(o Outcome) func() Outcome { return func() Outcome { return o } }
 
-func (r *rig) last() Send {
+func (r *harness) last() Send {
 	r.t.Helper()
 	if len(r.sends) == 0 {
 		r.t.Fatal("nothing was sent")
@@ -131,9 +131,9 @@
 	return r.sends[len(r.sends)-1]
 }
 
-// ended tells how a message was answered: "refuse", "fail" or "".
-func (r *rig) ended(id MessageID) string {
-	for _, a := range r.other {
+// ended returns how a message was answered: "refuse", "fail" or "".
+func (r *harness) ended(id MessageID) string {
+	for _, a := range r.otherActions {
 		if a == (Fail{ID: id}) {
 			return "fail"
 		}
@@ -145,8 +145,8 @@
 }
 
 func TestAnswerAtTheDeadline(t *testing.T) {
-	r := newRig(t, testSettings())
-	held := r.submit("unsafe", 7, 0) // a destination with no endpoint
+	r := newHarness(t, testSettings())
+	held := r.submit("unsafe", 7, 0) // a destination without endpoints
 	r.pass(20*time.Second - 100*ms)
 	if got := r.ended(held); got != "" {
 		t.Fatalf("held message answered early: %q", got)
@@ -176,7 +176,7 @@
 		{"unsafe", NotSent, true, ""}, {"safe", Failed, true, ""}, {"safe", TimedOut, true, ""},
 		{"keyed", Reset, true, ""}, {"keyed", Failed, true, ""},
 	} {
-		r := newRig(t, testSettings())
+		r := newHarness(t, testSettings())
 		id := r.submit(c.class, 1, 0)
 		r.answer(r.last(), c.o, 0)
 		r.pass(4 * time.Second)
@@ -186,16 +186,17 @@
 	}
 }
 
-// What was decided when a call was sent is looked at again when its connection is there: a keyed repeat begins only inside
-// its window, any call only while an answer can be in time, and none to a destination that has told a wait meanwhile.
+// Conditions at the time of a send are checked again when its connection is up: a keyed repeat begins only within its
+// window, any call only while an answer can be in time, and none to a destination that has sent a Retry-After
+// meanwhile.
 func TestMayBegin(t *testing.T) {
-	begins := func(r *rig, s Send, until time.Duration) {
+	begins := func(r *harness, s Send, until time.Duration) {
 		t.Helper()
 		if !r.d.MayBegin(until-1, s.ID) || r.d.MayBegin(until, s.ID) {
 			t.Errorf("message %d does not begin until %v and no longer", s.ID, until)
 		}
 	}
-	r := newRig(t, testSettings())
+	r := newHarness(t, testSettings())
 	r.submit("keyed", 1, 0)
 	first, at := r.last(), r.now
 	begins(r, first, at+20*time.Second-60*ms)
@@ -207,16 +208,16 @@
 	}
 	begins(r, repeat, at+4500*ms)
 
-	r = newRig(t, testSettings())
+	r = newHarness(t, testSettings())
 	r.submit("safe", 1, 0)
-	told := r.last()
+	refused := r.last()
 	r.submit("safe", 1, 0)
 	slow := r.last()
-	r.answer(told, Refused, time.Second)
+	r.answer(refused, Refused, time.Second)
 	if r.d.MayBegin(r.now+time.Second-1, slow.ID) || !r.d.MayBegin(r.now+time.Second, slow.ID) {
-		t.Error("a call did not wait for the end of a wait told while its connection came up")
+		t.Error("a call did not wait for a Retry-After that came before its connection was up")
 	}
-	if r.d.MayBegin(r.now+time.Second, told.ID) || r.d.MayBegin(r.now, 99) {
+	if r.d.MayBegin(r.now+time.Second, refused.ID) || r.d.MayBegin(r.now, 99) {
 		t.Error("a call that is not out may begin")
 	}
 }
@@ -224,15 +225,15 @@
 func TestKeyedWindowAndGroup(t *testing.T) {
 	for _, c := range []struct {
 		class  string
-		away   time.Duration // when the outcome comes
+		away   time.Duration // until the outcome
 		resent bool
 		end    string
 	}{
 		{"keyed", 4 * time.Second, true, ""},
-		{"keyed", 4900 * ms, false, "fail"}, // the key is forgotten before the client is back
+		{"keyed", 4900 * ms, false, "fail"}, // the key expires before the client retries
 		{"zoned", 4900 * ms, false, "fail"},
 	} {
-		r := newRig(t, testSettings())
+		r := newHarness(t, testSettings())
 		id := r.submit(c.class, 1, 0)
 		s := r.last()
 		r.now += c.away
@@ -242,7 +243,7 @@
 			t.Errorf("%s after %v: resent %v, ended %q; want %v, %q", c.class, c.away, got, r.ended(id), c.resent, c.end)
 		}
 	}
-	r := newRig(t, testSettings(),
+	r := newHarness(t, testSettings(),
 		Entry{Endpoint: "a", Zone: "z1", Destination: 1, CapacityHint: 50},
 		Entry{Endpoint: "b", Zone: "z2", Destination: 1, CapacityHint: 50})
 	id := r.submit("zoned", 1, 0)
@@ -259,9 +260,9 @@
 	}
 }
 
-func TestDrainsAreKeptAtOnce(t *testing.T) {
+func TestDrainsApplyAtOnce(t *testing.T) {
 	for _, state := range []Readiness{Draining, Deleted} {
-		r := newRig(t, testSettings())
+		r := newHarness(t, testSettings())
 		r.do(EndpointUpdate{Scope: ListChanges, Entries: []Entry{{Endpoint: "a", Destination: 1, Readiness: state}}})
 		r.submit("safe", 1, 0)
 		if sends := append(r.sends, r.pass(2*time.Second)...); len(sends) > 0 {
@@ -276,7 +277,7 @@
 }
 
 func TestEndpointVanishesWithACallOut(t *testing.T) {
-	r := newRig(t, testSettings())
+	r := newHarness(t, testSettings())
 	id := r.submit("keyed", 1, 0)
 	s := r.last()
 	r.do(EndpointUpdate{Scope: ListWhole})
@@ -287,14 +288,14 @@
 	}
 }
 
-// A told wait holds in every breaker state, for the destination or for the route where routes are apart.
-func TestToldWaits(t *testing.T) {
+// A Retry-After holds in every breaker state, for the destination or for the endpoint with SeparateRoutes.
+func TestRetryAfter(t *testing.T) {
 	for state := closed; state <= halfOpen; state++ {
-		r := newRig(t, testSettings())
+		r := newHarness(t, testSettings())
 		r.submit("safe", 1, 0)
 		s := r.last()
-		l := r.d.dests[1].lanes[0]
-		l.state = state
+		circ := r.d.destinations[1].circuits[0]
+		circ.state = state
 		r.answer(s, Refused, 1200*ms)
 		for range 5 {
 			r.submit("safe", 1, 0)
@@ -302,14 +303,14 @@
 		before := len(r.sends)
 		r.pass(1190 * ms)
 		if n := len(r.sends) - before; n > 0 {
-			t.Errorf("breaker %s: %d sends inside the wait", stateNames[state], n)
+			t.Errorf("breaker %s: %d sends before the Retry-After expired", stateNames[state], n)
 		}
 		r.pass(4 * time.Second)
 		if len(r.sends) == before {
-			t.Errorf("breaker %s: no send after the wait", stateNames[state])
+			t.Errorf("breaker %s: no send after the Retry-After", stateNames[state])
 		}
 	}
-	r := newRig(t, testSettings(),
+	r := newHarness(t, testSettings(),
 		Entry{Endpoint: "a", Kind: "routes", Destination: 1, CapacityHint: 50},
 		Entry{Endpoint: "b", Kind: "routes", Destination: 1, CapacityHint: 50})
 	r.submit("safe", 1, 0)
@@ -317,13 +318,13 @@
 	r.answer(s, Refused, 2*time.Second)
 	r.pass(time.Second)
 	if got := r.last(); got.Endpoint == s.Endpoint || len(r.sends) < 2 {
-		t.Errorf("after a wait told by %s the other route was not used: %v", s.Endpoint, r.sends)
+		t.Errorf("after a Retry-After of %s the other endpoint was not used: %v", s.Endpoint, r.sends)
 	}
 }
 
 func TestOrderByKey(t *testing.T) {
 	for _, o := range []Outcome{TimedOut, Reset, Cancelled} {
-		r := newRig(t, testSettings())
+		r := newHarness(t, testSettings())
 		first, second := r.submit("ordered", 1, 9), r.submit("ordered", 1, 9)
 		if r.sent[second] > 0 {
 			t.Fatal("second message of the key sent beside the first")
@@ -346,19 +347,19 @@
 	}
 }
 
-func TestBreakerWalk(t *testing.T) {
-	r := newRig(t, testSettings())
-	l := r.d.dests[1].lanes[0]
+func TestBreakerTransitions(t *testing.T) {
+	r := newHarness(t, testSettings())
+	circ := r.d.destinations[1].circuits[0]
 	failures := 0
-	for l.state == closed && failures < 30 {
+	for circ.state == closed && failures < 30 {
 		r.submit("safe", 1, 0)
 		failures += len(r.settle(always(Failed)))
 		r.now += 200 * ms
 	}
-	if l.state != open {
-		t.Fatalf("breaker is %s after %d failures", stateNames[l.state], failures)
+	if circ.state != open {
+		t.Fatalf("breaker is %s after %d failures", stateNames[circ.state], failures)
 	}
-	if n := runLeast + runTrip; failures < n || failures > n+2 { // a call or two may be out when it opens
+	if n := minOutageRun + tripExtraFailures; failures < n || failures > n+2 { // a call or two may be out when it opens
 		t.Errorf("%d failures in a row to open, want about %d", failures, n)
 	}
 	sent := len(r.sends)
@@ -371,31 +372,32 @@
 		}
 		r.pass(10 * ms)
 	}
-	if l.state != halfOpen {
-		t.Fatalf("breaker is %s after the open period", stateNames[l.state])
+	if circ.state != halfOpen {
+		t.Fatalf("breaker is %s after the open period", stateNames[circ.state])
 	}
 	r.settle(always(Failed))
-	if l.state != open {
-		t.Fatalf("breaker is %s after a failed trial", stateNames[l.state])
+	if circ.state != open {
+		t.Fatalf("breaker is %s after a failed trial", stateNames[circ.state])
 	}
 	for range 2000 {
 		r.submit("safe", 1, 0)
 		r.pass(10 * ms)
 		r.settle(always(OK))
 	}
-	if l.state != closed {
-		t.Errorf("breaker is %s after successful trials", stateNames[l.state])
+	if circ.state != closed {
+		t.Errorf("breaker is %s after successful trials", stateNames[circ.state])
 	}
-	if text := strings.Join(r.logs, "\n"); !strings.Contains(text, "open (failures in a row)") || !strings.Contains(text, "closed") {
-		t.Errorf("log lines miss the walk: %s", text)
+	if text := strings.Join(r.logs, "\n"); !strings.Contains(text, "open (consecutive failures)") || !strings.Contains(text, "closed") {
+		t.Errorf("log lines lack a transition: %s", text)
 	}
 }
 
-// After failures the sends of any span stay inside the fail-back budget, and grow back within the warm-up.
-func TestFailBackBudget(t *testing.T) {
+// After failures, the sends in any interval of TipAfter stay within the slow-start budget, which grows during the
+// warm-up.
+func TestSlowStartBudget(t *testing.T) {
 	s := testSettings()
-	r := newRig(t, s)
-	for range runLeast + runTrip {
+	r := newHarness(t, s)
+	for range minOutageRun + tripExtraFailures {
 		r.submit("keyed", 1, 0)
 		r.settle(always(ConnectFailed))
 		r.now += 200 * ms
@@ -427,9 +429,9 @@
 	}
 }
 
-// A full table of connections is no outage: single failed connects between successes leave the breaker closed.
+// A full connection table is no outage: single failed connects between successes leave the breaker closed.
 func TestFullConnectionTable(t *testing.T) {
-	r := newRig(t, testSettings())
+	r := newHarness(t, testSettings())
 	for i := range 30 {
 		r.submit("safe", 1, 0)
 		o := OK
@@ -439,11 +441,11 @@
 		r.answer(r.last(), o, 0)
 		r.pass(150 * ms)
 	}
-	if l := r.d.dests[1].lanes[0]; l.state != closed {
-		t.Errorf("breaker is %s", stateNames[l.state])
+	if circ := r.d.destinations[1].circuits[0]; circ.state != closed {
+		t.Errorf("breaker is %s", stateNames[circ.state])
 	}
 	closes := 0
-	for _, a := range r.other {
+	for _, a := range r.otherActions {
 		if _, ok := a.(CloseIdle); ok {
 			closes++
 		}
@@ -455,13 +457,13 @@
 
 // Connections that die while idle are told from a failing endpoint and closed before the next use.
 func TestDeadIdleConnections(t *testing.T) {
-	r := newRig(t, testSettings())
+	r := newHarness(t, testSettings())
 	resets := 0
 	for range 20 {
-		before := len(r.other)
+		before := len(r.otherActions)
 		r.submit("safe", 1, 0)
 		o := Reset
-		for _, a := range r.other[before:] {
+		for _, a := range r.otherActions[before:] {
 			if _, ok := a.(CloseIdle); ok {
 				o = OK
 			}
@@ -476,17 +478,17 @@
 		}
 		r.pass(1500 * ms)
 	}
-	if resets > 5 { // the first comes on a connection that is new
+	if resets > 5 { // the first is on a new connection
 		t.Errorf("%d resets before idle connections were closed", resets)
 	}
-	if l := r.d.dests[1].lanes[0]; l.state != closed {
-		t.Errorf("breaker is %s", stateNames[l.state])
+	if circ := r.d.destinations[1].circuits[0]; circ.state != closed {
+		t.Errorf("breaker is %s", stateNames[circ.state])
 	}
 }
 
-// The same where dead connections swallow the call: others, sent later, are answered.
+// The same if calls on dead connections get no answer at all while later calls do.
 func TestSilentlyDeadIdleConnections(t *testing.T) {
-	r := newRig(t, testSettings())
+	r := newHarness(t, testSettings())
 	for range 12 {
 		r.submit("keyed", 1, 0)
 		r.settle(always(OK))
@@ -506,14 +508,14 @@
 		r.pass(300 * ms)
 		r.settle(always(OK)) // its repeat
 	}
-	if r.d.idleBound == 0 || r.d.idleBound > 1500*ms {
-		t.Fatalf("bound of idle connections: %v", r.d.idleBound)
+	if r.d.idleLimit == 0 || r.d.idleLimit > 1500*ms {
+		t.Fatalf("bound of idle connections: %v", r.d.idleLimit)
 	}
 }
 
-// On a small slice no later call overtakes the lost one: losses after pauses are pooled over destinations and compared
-// with the other calls. Where these are lost as often, destinations are silent and nothing is closed.
-func TestDeadIdleConnectionsOnASmallSlice(t *testing.T) {
+// At low traffic no later call overtakes the lost one: losses after pauses are summed over all destinations and
+// compared with the other calls. If those are lost as often, the destinations are stalled and no connection is closed.
+func TestDeadIdleConnectionsAtLowTraffic(t *testing.T) {
 	for _, c := range []struct {
 		others Outcome
 		found  bool
@@ -524,7 +526,7 @@
 				Endpoint: EndpointID(fmt.Sprint("e", i)), Destination: DestinationID(i), CapacityHint: 50,
 			})
 		}
-		r := newRig(t, testSettings(), entries...)
+		r := newHarness(t, testSettings(), entries...)
 		for _, after := range []Outcome{OK, TimedOut} { // first calls, then calls after a pause
 			for i := range 12 {
 				r.submit("unsafe", DestinationID(i), 0)
@@ -536,33 +538,33 @@
 				r.pass(150 * ms)
 			}
 		}
-		if got := r.d.idleBound > 0; got != c.found {
-			t.Errorf("other calls end with outcome %d: bound %v", c.others, r.d.idleBound)
+		if got := r.d.idleLimit > 0; got != c.found {
+			t.Errorf("other calls end with outcome %d: bound %v", c.others, r.d.idleLimit)
 		}
 	}
 }
 
-// A silent spell leaves calls that are never answered: with the slots short, they are called off.
-func TestStuckCallsAreCalledOff(t *testing.T) {
+// A stall leaves calls that are never answered: if slots are short, they are cancelled.
+func TestStuckCallsAreCancelled(t *testing.T) {
 	s := testSettings()
 	s.Slots = 2
-	r := newRig(t, s,
+	r := newHarness(t, s,
 		Entry{Endpoint: "a", Destination: 1, CapacityHint: 50}, Entry{Endpoint: "b", Destination: 2, CapacityHint: 50},
 		Entry{Endpoint: "c", Destination: 3, CapacityHint: 50})
 	r.submit("unsafe", 1, 0)
 	r.submit("unsafe", 2, 0)
 	r.submit("safe", 3, 0)
 	r.pass(5500 * ms)
-	for _, a := range r.other {
+	for _, a := range r.otherActions {
 		if _, ok := a.(Cancel); ok {
 			return
 		}
 	}
-	t.Error("no stuck call was called off while another message waited for a slot")
+	t.Error("no stuck call was cancelled while another message waited for a slot")
 }
 
 func TestRefusalsInABurstLeaveTheBreakerClosed(t *testing.T) {
-	r := newRig(t, testSettings())
+	r := newHarness(t, testSettings())
 	calls := 0
 	for range 200 {
 		r.submit("safe", 1, 0)
@@ -577,13 +579,13 @@
 	if calls < 20 {
 		t.Errorf("only %d calls", calls)
 	}
-	if l := r.d.dests[1].lanes[0]; l.state != closed {
-		t.Errorf("breaker is %s", stateNames[l.state])
+	if circ := r.d.destinations[1].circuits[0]; circ.state != closed {
+		t.Errorf("breaker is %s", stateNames[circ.state])
 	}
 }
 
-func TestOneBadEndpointDoesNotCondemnTheRest(t *testing.T) {
-	r := newRig(t, testSettings(),
+func TestOneBadEndpointLeavesBreakerClosed(t *testing.T) {
+	r := newHarness(t, testSettings(),
 		Entry{Endpoint: "a", Destination: 1, CapacityHint: 50}, Entry{Endpoint: "b", Destination: 1, CapacityHint: 50})
 	good := 0
 	for range 100 {
@@ -599,22 +601,22 @@
 		}
 		r.sends = nil
 	}
-	if l := r.d.dests[1].lanes[0]; l.state != closed || good < 80 {
-		t.Errorf("breaker is %s, %d delivered", stateNames[l.state], good)
+	if circ := r.d.destinations[1].circuits[0]; circ.state != closed || good < 80 {
+		t.Errorf("breaker is %s, %d delivered", stateNames[circ.state], good)
 	}
 }
 
-// An endpoint that was gone before the list told it is no outage of its destination: when the list tells it, breaker and
-// guard go with it, unless another endpoint failed as well.
-func TestWhatADepartedEndpointCausedGoesWithIt(t *testing.T) {
+// An endpoint that went down before the list removed it is no outage of its destination: its removal closes the breaker
+// and ends slow start, unless another endpoint failed as well.
+func TestRemovedEndpointClearsItsFaults(t *testing.T) {
 	for name, c := range map[string]struct {
-		stays  Outcome // what the endpoint that stays answers
+		stays  Outcome // outcome at the endpoint that stays
 		rounds int     // with both listed
 		clears bool
 	}{"alone to blame": {OK, 0, true}, "the other serves": {OK, 20, true}, "the other fails too": {ConnectFailed, 150, false}} {
-		r := newRig(t, testSettings())
-		l := r.d.dests[1].lanes[0]
-		fails := func(rounds int) {
+		r := newHarness(t, testSettings())
+		circ := r.d.destinations[1].circuits[0]
+		fail := func(rounds int) {
 			for range rounds {
 				r.submit("safe", 1, 0)
 				for len(r.sends) > 0 {
@@ -629,23 +631,23 @@
 				r.pass(100 * ms)
 			}
 		}
-		fails(40)
-		if l.state == closed || !l.guard {
-			t.Fatalf("%s: breaker %s, guard %v with every connect refused", name, stateNames[l.state], l.guard)
+		fail(40)
+		if circ.state == closed || !circ.slowStart {
+			t.Fatalf("%s: breaker %s, slow start %v with every connect refused", name, stateNames[circ.state], circ.slowStart)
 		}
 		r.do(EndpointUpdate{Scope: ListChanges, Entries: []Entry{{Endpoint: "b", Destination: 1, CapacityHint: 50}}})
-		fails(c.rounds)
+		fail(c.rounds)
 		r.do(EndpointUpdate{Scope: ListChanges, Entries: []Entry{{Endpoint: "a", Destination: 1, Readiness: Draining}}})
-		if (l.state == closed) != c.clears || l.guard == c.clears {
-			t.Errorf("%s: breaker %s, guard %v", name, stateNames[l.state], l.guard)
+		if (circ.state == closed) != c.clears || circ.slowStart == c.clears {
+			t.Errorf("%s: breaker %s, slow start %v", name, stateNames[circ.state], circ.slowStart)
 		}
 	}
 }
 
-// Calls reset with connections that had carried others speak of no endpoint, and where that is common an unsafe message,
-// which a reset ends, goes on a new connection.
-func TestResetsOfKeptConnections(t *testing.T) {
-	r := newRig(t, testSettings())
+// Resets of reused connections are no evidence about the endpoint. If they are common, an unsafe message, which a reset
+// ends, gets a new connection.
+func TestResetsOfReusedConnections(t *testing.T) {
+	r := newHarness(t, testSettings())
 	r.submit("unsafe", 1, 0)
 	if r.last().NewConnection {
 		t.Error("a new connection is asked for with nothing seen")
@@ -657,8 +659,8 @@
 		r.do(Answer{ID: s.ID, Attempt: r.sent[s.ID] - 1, Endpoint: s.Endpoint, Outcome: Reset, Latency: 50 * ms, ReusedConn: true})
 		r.do(MessageCancelled{ID: s.ID})
 	}
-	if l := r.d.dests[1].lanes[0]; l.state != closed || l.guard {
-		t.Errorf("breaker %s, guard %v", stateNames[l.state], l.guard)
+	if circ := r.d.destinations[1].circuits[0]; circ.state != closed || circ.slowStart {
+		t.Errorf("breaker %s, slow start %v", stateNames[circ.state], circ.slowStart)
 	}
 	for class, want := range map[string]bool{"safe": false, "keyed": false, "unsafe": true} {
 		r.submit(class, 1, 0)
@@ -669,42 +671,42 @@
 	}
 }
 
-// Two connections lost in a row raise the guard; a success of a call sent after the first takes it back if it comes too
-// soon for an outage. Errors, or a later success, do not.
+// Two lost connections in a row start slow start; a success of a call sent after the first cancels it if it comes too
+// soon for an outage. After errors, or with a later success, slow start stays.
 func TestBriefRunsOfLostConnections(t *testing.T) {
 	for name, c := range map[string]struct {
-		lost  Outcome
-		after time.Duration
-		guard bool
+		lost      Outcome
+		after     time.Duration
+		slowStart bool
 	}{"soon": {ConnectFailed, 200 * ms, false}, "resets": {Reset, 200 * ms, false}, "late": {ConnectFailed, time.Second, true},
 		"errors": {Failed, 200 * ms, true}} {
-		r := newRig(t, testSettings())
-		l := r.d.dests[1].lanes[0]
+		r := newHarness(t, testSettings())
+		circ := r.d.destinations[1].circuits[0]
 		for range 2 {
 			r.submit("keyed", 1, 0)
 			s := r.last()
 			r.answer(s, c.lost, 0)
 			r.do(MessageCancelled{ID: s.ID})
 		}
-		if !l.guard {
-			t.Fatalf("%s: no guard after two", name)
+		if !circ.slowStart {
+			t.Fatalf("%s: no slow start after two", name)
 		}
-		k := &call{ep: l.eps[0], class: r.d.classes["safe"], size: 1, sentAt: r.now}
+		k := &call{endpoint: circ.endpoints[0], class: r.d.classes["safe"], size: 1, sentAt: r.now}
 		r.d.now = r.now + c.after
-		if r.d.learnOK(k, 50*ms); l.guard != c.guard {
-			t.Errorf("%s: guard %v", name, l.guard)
+		if r.d.onSuccess(k, 50*ms); circ.slowStart != c.slowStart {
+			t.Errorf("%s: slow start %v", name, circ.slowStart)
 		}
 	}
 }
 
-func TestCapStaysUnderThreeQuarters(t *testing.T) {
-	r := newRig(t, testSettings())
+func TestCallLimitStaysUnderThreeQuarters(t *testing.T) {
+	r := newHarness(t, testSettings())
 	most := 0
 	for range 200 {
 		r.submit("safe", 1, 0)
 		r.submit("safe", 1, 0)
 		r.pass(20 * ms)
-		most = max(most, r.d.dests[1].inflight)
+		most = max(most, r.d.destinations[1].inflight)
 		if len(r.sends) > 1 {
 			s := r.sends[0]
 			r.sends = r.sends[1:]
@@ -717,7 +719,7 @@
 }
 
 func TestStrayEvents(t *testing.T) {
-	r := newRig(t, testSettings())
+	r := newHarness(t, testSettings())
 	id := r.submit("no such class", 1, 0)
 	s := r.last()
 	r.answer(s, OK, 0)
@@ -725,46 +727,47 @@
 		Answer{ID: id, Endpoint: "a", Outcome: OK}, Answer{ID: 999, Endpoint: "zz", Outcome: Refused, RetryAfter: time.Second},
 		MessageCancelled{ID: id}, MessageCancelled{ID: 12345}, Timer{Cookie: 77}, Probed{Endpoint: "zz", Outcome: OK}, Probed{Endpoint: "a"},
 	)
-	if len(r.d.msgs) != 0 || r.d.heldCount != 0 || r.d.slotsUsed != 0 {
-		t.Errorf("left over: %d messages, %d held, %d slots", len(r.d.msgs), r.d.heldCount, r.d.slotsUsed)
+	if len(r.d.messages) != 0 || r.d.heldCount != 0 || r.d.slotsUsed != 0 {
+		t.Errorf("left over: %d messages, %d held, %d slots", len(r.d.messages), r.d.heldCount, r.d.slotsUsed)
 	}
 }
 
-func TestAskingAgainBacksOff(t *testing.T) {
+func TestSubscribeRetriesBackOff(t *testing.T) {
 	s := testSettings()
 	s.MustSubscribe, s.SubscribeWithin = true, 10*time.Second
-	r := newRig(t, s)
-	asked := func() (n int) {
-		for _, a := range r.other {
+	r := newHarness(t, s)
+	subscribed := func() (n int) {
+		for _, a := range r.otherActions {
 			if _, ok := a.(Subscribe); ok {
 				n++
 			}
 		}
 		return n
 	}
-	if asked() != 1 {
-		t.Fatalf("asked %d times at the start, want 1", asked())
+	if subscribed() != 1 {
+		t.Fatalf("subscribed %d times at the start, want 1", subscribed())
 	}
 	for range 4 {
 		r.do(EndpointUpdate{Scope: ListError})
-		before, at := asked(), r.now
-		for asked() == before && r.now < at+20*time.Second {
+		before, at := subscribed(), r.now
+		for subscribed() == before && r.now < at+20*time.Second {
 			r.pass(5 * ms)
 		}
-		if asked() != before+1 || r.now-at < askFirst/2 {
-			t.Errorf("asked again %d times after %v", asked()-before, r.now-at)
+		if subscribed() != before+1 || r.now-at < subscribeRetryFirst/2 {
+			t.Errorf("subscribed again %d times after %v", subscribed()-before, r.now-at)
 		}
 	}
 	r.do(EndpointUpdate{Scope: ListWhole, Entries: []Entry{{Endpoint: "a", Destination: 1, CapacityHint: 50}}})
-	before := asked()
+	before := subscribed()
 	r.submit("safe", 9, 0)
 	r.pass(5 * time.Second)
-	if asked() != before {
-		t.Error("asked again while subscribed")
+	if subscribed() != before {
+		t.Error("subscribed again while subscribed")
 	}
 }
 
-// Equal events give equal actions, alone or beside others; a new start has no memory; names mean nothing.
+// Equal events give equal actions, alone or beside another instance; a new decider has no memory; names have no
+// meaning.
 func TestDeterminismAndNames(t *testing.T) {
 	record := func(prefix string, beside bool) []string {
 		s := testSettings()
@@ -813,9 +816,9 @@
 	}
 }
 
-// Nothing grows with the messages served.
+// No state grows with the number of messages served.
 func TestMemoryIsBounded(t *testing.T) {
-	r := newRig(t, testSettings())
+	r := newHarness(t, testSettings())
 	for range 5000 {
 		r.submit("ordered", 1, OrderKey(r.next+1))
 		for _, s := range r.sends {
@@ -828,58 +831,58 @@
 		r.sends = nil
 	}
 	r.pass(25 * time.Second)
-	if n := len(r.d.msgs) + len(r.d.turns) + len(r.d.dests[1].held); n > 0 {
-		t.Errorf("%d things remembered after all is served", n)
+	if n := len(r.d.messages) + len(r.d.keyQueues) + len(r.d.destinations[1].held); n > 0 {
+		t.Errorf("%d entries left after all messages ended", n)
 	}
 }
 
-// Idle connections are kept whatever the size of the fleet, and closed after use only where a table was found full: a
-// handshake for each message costs more than what is idle.
+// Idle connections stay open whatever the size of the fleet, and close after use only if a connection table was full: a
+// handshake for each message costs more than idle connections.
 func TestIdleConnectionsAreKeptUntilATableIsFull(t *testing.T) {
-	for _, couriers := range []int{3, 60} {
+	for _, forwarders := range []int{3, 60} {
 		s := testSettings()
-		s.Forwarders = couriers
-		r := newRig(t, s)
+		s.Forwarders = forwarders
+		r := newHarness(t, s)
 		r.submit("safe", 1, 0)
 		r.answer(r.last(), OK, 0)
-		if len(r.other) > 0 {
-			t.Errorf("%d couriers: %v after use", couriers, r.other)
+		if len(r.otherActions) > 0 {
+			t.Errorf("%d forwarders: %v after use", forwarders, r.otherActions)
 		}
 		r.submit("safe", 1, 0)
-		r.pass(2 * time.Second)              // many couriers are paced
-		r.answer(r.last(), ConnectFailed, 0) // at once, and a call has succeeded of late
+		r.pass(2 * time.Second)              // a large fleet is rate limited
+		r.answer(r.last(), ConnectFailed, 0) // at once, and soon after a success
 		r.pass(2 * time.Second)
-		r.other = nil
+		r.otherActions = nil
 		r.answer(r.last(), OK, 0)
-		if len(r.other) != 1 || r.other[0] != (CloseIdle{Endpoint: "a"}) {
-			t.Errorf("%d couriers: %v after use beside a full table", couriers, r.other)
+		if len(r.otherActions) != 1 || r.otherActions[0] != (CloseIdle{Endpoint: "a"}) {
+			t.Errorf("%d forwarders: %v after use beside a full table", forwarders, r.otherActions)
 		}
 	}
 }
 
-// Scores of couriers that all saw the same outage stay inside the fail-back budget together, however many they are:
-// side by side against one destination that refuses connections for 12 s and then returns cold. A tenth is for chance;
-// the parts of two add up to 1.27 by design, since a busy one of few would starve on half.
-func TestFailBackBudgetOfManyCouriers(t *testing.T) {
+// Forwarders that all saw the same outage stay within the slow-start budget together, however many they are: here
+// against one destination that refuses connections for 12 s and then returns cold. A tenth is allowed for chance. The
+// parts of two forwarders add up to 1.27, since with uneven traffic a busy one would get too little from half.
+func TestSlowStartBudgetOfFleets(t *testing.T) {
 	for _, n := range []int{2, 50, 400} {
 		const rate, load, outage = 60.0, 0.6, 12 * time.Second
 		s := testSettings()
 		s.Forwarders = n
-		var rigs []*rig
+		var harnesses []*harness
 		for i := range n {
-			rigSeed = uint64(1000 + i)
-			rigs = append(rigs, newRig(t, s, Entry{Endpoint: "a", Destination: 1, CapacityHint: rate}))
+			harnessSeed = uint64(1000 + i)
+			harnesses = append(harnesses, newHarness(t, s, Entry{Endpoint: "a", Destination: 1, CapacityHint: rate}))
 		}
 		var at []time.Duration
-		rigSeed = 42
+		harnessSeed = 42
 		due, turn := 0.0, 0
 		for now := time.Duration(0); now < outage+8*time.Second; now += 20 * ms {
 			down := now > 2*time.Second && now < 2*time.Second+outage
 			for due += load * rate * 0.02; due >= 1; due-- {
 				turn++
-				rigs[turn*7919%n].submit("keyed", 1, 0)
+				harnesses[turn*7919%n].submit("keyed", 1, 0)
 			}
-			for _, r := range rigs {
+			for _, r := range harnesses {
 				o := OK
 				if down {
 					o = ConnectFailed
@@ -893,11 +896,11 @@
 			}
 		}
 		slack := 1.1
-		if n < manyCouriers {
+		if n < largeFleetSize {
 			slack = 1.3
 		}
 		if len(at) == 0 {
-			t.Fatalf("%d couriers: nothing sent after the return", n)
+			t.Fatalf("%d forwarders: nothing sent after the recovery", n)
 		}
 		for i, from := range at {
 			calls := 0
@@ -907,54 +910,54 @@
 			back := (from + s.TipAfter - 2*time.Second - outage).Seconds()
 			share := min(1, s.ColdFrom+(1-s.ColdFrom)*back/s.WarmWithin.Seconds())
 			if most := slack * s.OverloadFactor * share * rate * s.TipAfter.Seconds(); share < 1 && float64(calls) > most {
-				t.Fatalf("%d couriers: %d calls in the span from %.2f s after the return, budget %.1f", n, calls, back, most)
+				t.Fatalf("%d forwarders: %d calls in the interval from %.2f s after the recovery, budget %.1f", n, calls, back, most)
 			}
 		}
 	}
 }
 
-// A told wait ends for all couriers at once: those that saw an outage don't all call at that moment.
-func TestManyCouriersDontReturnTogetherAfterAToldWait(t *testing.T) {
+// A Retry-After ends for all forwarders at the same time: those that saw an outage must not all call at that moment.
+func TestLargeFleetSpreadsCallsAfterRetryAfter(t *testing.T) {
 	s := testSettings()
 	s.Forwarders = 200
 	at := map[time.Duration]int{}
 	for i := range 200 {
-		rigSeed = uint64(i)
-		r := newRig(t, s)
+		harnessSeed = uint64(i)
+		r := newHarness(t, s)
 		r.submit("keyed", 1, 0)
 		r.answer(r.last(), Refused, 10*time.Second)
 		r.pass(10 * time.Second)
 		before := r.now
 		if len(r.sends) > 1 {
-			t.Fatal("sent inside the wait")
+			t.Fatal("sent before the Retry-After expired")
 		}
 		for len(r.sends) < 2 && r.now < before+8*time.Second {
 			r.pass(20 * ms)
 		}
 		at[(r.now-before)/(500*ms)]++
 	}
-	rigSeed = 42
+	harnessSeed = 42
 	for span, n := range at {
 		if n > 60 && span < 16 {
-			t.Errorf("%d of 200 couriers called in the half second from %v after the wait", n, span*500*ms)
+			t.Errorf("%d of 200 forwarders called in the half second from %v after the Retry-After", n, span*500*ms)
 		}
 	}
 }
 
-// Couriers with nothing out must not all choose the endpoint that is listed first.
-func TestCouriersSpreadOverEndpoints(t *testing.T) {
+// Forwarders without calls out must not all choose the endpoint that is listed first.
+func TestForwardersSpreadOverEndpoints(t *testing.T) {
 	first := 0
 	for i := range 100 {
-		rigSeed = uint64(i)
-		r := newRig(t, testSettings(), Entry{Endpoint: "a", Destination: 1, CapacityHint: 50},
+		harnessSeed = uint64(i)
+		r := newHarness(t, testSettings(), Entry{Endpoint: "a", Destination: 1, CapacityHint: 50},
 			Entry{Endpoint: "b", Destination: 1, CapacityHint: 50})
 		r.submit("safe", 1, 0)
 		if r.last().Endpoint == "a" {
 			first++
 		}
 	}
-	rigSeed = 42
+	harnessSeed = 42
 	if first < 25 || first > 75 {
-		t.Errorf("%d of 100 couriers chose the first endpoint", first)
+		t.Errorf("%d of 100 forwarders chose the first endpoint", first)
 	}
 }
