--- a/internal/cluster/controlplane/client.go
+++ b/internal/cluster/controlplane/client.go
@@ -14,54 +14,58 @@
 	"mulleinbeam/internal/cluster/links"
 )
 
-// Client asks the council, whoever leads it. Its methods may be called from any goroutine.
+// Client sends requests to the leader of the control plane, through relays or the voters. Its methods may be called
+// from any goroutine.
 type Client struct {
-	at     func(address string) *links.Peer
-	local  string // this very process
-	server *Server
-
-	began    time.Time
-	mu       sync.Mutex
-	first    []Voter // of the settings
-	founders []Voter
-	route    *Route // nil: the voters are asked
-	target   string // the voter that answered last
-	leader   string // as the latest answer says
+	dial      func(address string) *links.Peer
+	localName string // this process's voter name, if it is one
+	server    *Server
+
+	started    time.Time
+	mu         sync.Mutex
+	configured []Voter // from the settings
+	voters     []Voter
+	route      *Route // nil: voters are asked directly
+	lastVoter  string // the voter that answered last
+	leader     string // as reported by the latest response
 }
 
-// NewClient asks founders, by ways that at gives; local and server are this process's own part.
-func NewClient(founders []Voter, at func(address string) *links.Peer, local string, server *Server) *Client {
-	return &Client{first: founders, founders: founders, at: at, local: local, server: server, began: time.Now()}
+// NewClient returns a client that asks voters over the peers that at returns. local and server are the name and the
+// Server of this process, if it is a voter itself.
+func NewClient(voters []Voter, at func(address string) *links.Peer, local string, server *Server) *Client {
+	return &Client{configured: voters, voters: voters, dial: at, localName: local, server: server, started: time.Now()}
 }
 
-// UseRelays has requests go through relays, the preferred first; voters are asked only while none of them answers. It is called before Do.
+// UseRelays sends requests through relays, the preferred one first; voters are asked only while no relay answers. It
+// has to be called before Do.
 func (c *Client) UseRelays(relays []Relay) {
 	if len(relays) > 0 {
 		c.route = NewRoute(relays)
 	}
 }
 
-// UpdateVoters takes who the founders are by now; none is those of the settings. Those are asked behind them.
+// UpdateVoters sets the current voters. Those from the settings are kept behind them as a fallback; an empty list means
+// that only these are known.
 func (c *Client) UpdateVoters(list []Voter) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.founders = slices.Clone(list)
-	for _, f := range c.first {
-		if !slices.ContainsFunc(list, func(x Voter) bool { return x.Name == f.Name }) {
-			c.founders = append(c.founders, f)
+	c.voters = slices.Clone(list)
+	for _, v := range c.configured {
+		if !slices.ContainsFunc(list, func(x Voter) bool { return x.Name == v.Name }) {
+			c.voters = append(c.voters, v)
 		}
 	}
 }
 
 const (
-	tryFor      = 800 * time.Millisecond // of one voter, before the next is tried
-	between     = 50 * time.Millisecond  // the mean pause behind the first round in which nobody did what was asked for
-	betweenMost = 250 * time.Millisecond // the mean pause, however many there were
+	voterTimeout  = 800 * time.Millisecond // timeout for one voter, before the next one is tried
+	retryDelay    = 50 * time.Millisecond  // mean pause after the first round in which nobody handled the request
+	maxRetryDelay = 250 * time.Millisecond // upper bound of the mean pause
 )
 
-// Do asks until somebody has done what is asked for, or ctx ends.
+// Do retries a request until it has been handled or ctx ends.
 func (c *Client) Do(ctx context.Context, req Request) (Response, error) {
-	pauses := &backoff.ExponentialBackOff{InitialInterval: between, MaxInterval: betweenMost, Multiplier: 1.5, RandomizationFactor: 0.5}
+	pauses := &backoff.ExponentialBackOff{InitialInterval: retryDelay, MaxInterval: maxRetryDelay, Multiplier: 1.5, RandomizationFactor: 0.5}
 	for ctx.Err() == nil {
 		r, done, again := c.round(ctx, req)
 		if done {
@@ -78,10 +82,10 @@
 	return Response{}, errors.Join(ErrNoLeader, ctx.Err())
 }
 
-// ErrNoRollout is given where who leads is of a version that knows no configuration.
-var ErrNoRollout = errors.New("council: the leader tells no rollout")
+// ErrNoRollout is returned if the leader runs a version without configuration entries.
+var ErrNoRollout = errors.New("controlplane: the leader does not report a rollout")
 
-// Rollout asks whoever leads how far the configuration is in force.
+// Rollout asks the leader at how many members the configuration is in force.
 func (c *Client) Rollout(ctx context.Context) (Rollout, error) {
 	r, err := c.Do(ctx, Request{Rollout: true})
 	if err != nil {
@@ -93,12 +97,12 @@
 	return *r.Rollout, nil
 }
 
-// round asks a relay, or all voters. Again says that another relay is to be asked at once.
+// round asks one relay, or all voters in turn. again is true if another relay should be asked at once.
 func (c *Client) round(ctx context.Context, req Request) (r Response, done, again bool) {
-	step, relay, patience := c.next()
+	step, relay, timeout := c.nextTarget()
 	switch step {
 	case AskRelay:
-		return c.viaRelay(ctx, relay, patience, req)
+		return c.viaRelay(ctx, relay, timeout, req)
 	case Wait:
 		return r, false, false
 	default:
@@ -107,37 +111,37 @@
 	}
 }
 
-// next is whom to ask.
-func (c *Client) next() (RouteStep, Relay, time.Duration) {
+// nextTarget returns whom to ask, and for how long to wait.
+func (c *Client) nextTarget() (RouteStep, Relay, time.Duration) {
 	if c.route == nil {
 		return AskVoters, Relay{}, 0
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.route.Next(time.Since(c.began), rand.Float64())
+	return c.route.Next(time.Since(c.started), rand.Float64())
 }
 
 // viaRelay asks one relay.
-func (c *Client) viaRelay(ctx context.Context, relay Relay, patience time.Duration, req Request) (r Response, done, again bool) {
-	if req.Command != nil { // it has to be decided first
-		patience = max(patience, tryFor)
+func (c *Client) viaRelay(ctx context.Context, relay Relay, timeout time.Duration, req Request) (r Response, done, again bool) {
+	if req.Command != nil { // commands have to be committed first
+		timeout = max(timeout, voterTimeout)
 	}
-	call, cancel := context.WithTimeout(ctx, patience)
-	err := c.at(relay.Address).Call(call, "Council.Ask", req, &r)
+	call, cancel := context.WithTimeout(ctx, timeout)
+	err := c.dial(relay.Address).Call(call, "Council.Ask", req, &r)
 	cancel()
 	if ctx.Err() != nil {
-		return r, err == nil && !r.elsewhere(), false // the caller had no time left: that says nothing of the relay
+		return r, err == nil && !r.refusedElsewhere(), false // the caller's own time ran out, which says nothing about the relay
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	switch now := time.Since(c.began); {
+	switch now := time.Since(c.started); {
 	case errors.Is(err, context.DeadlineExceeded):
 		c.route.TimedOut(relay, now, rand.Float64())
 		return r, false, true
 	case err != nil:
 		c.route.Unreachable(relay, now, rand.Float64())
 		return r, false, true
-	case r.elsewhere():
+	case r.refusedElsewhere():
 		c.route.NoLeader(relay, now)
 		return r, false, false
 	}
@@ -146,36 +150,36 @@
 	return r, true, false
 }
 
-// elsewhere says that whoever answered could not do what was asked for, and another may.
-func (r Response) elsewhere() bool {
+// refusedElsewhere reports whether another process may be able to handle the request that this one refused.
+func (r Response) refusedElsewhere() bool {
 	return r.Refused == ErrNotLeader.Error() || r.Refused == ErrNoLeader.Error()
 }
 
-// viaVoters asks one voter after the other, and whom they name.
+// viaVoters asks one voter after the other, following the leaders that they name.
 func (c *Client) viaVoters(ctx context.Context, req Request) (r Response, done bool) {
 	c.mu.Lock()
-	names, address := []string{c.target}, map[string]string{}
-	for _, f := range c.founders {
-		names = append(names, f.Name)
-		address[f.Name] = f.Address
+	names, address := []string{c.lastVoter}, map[string]string{}
+	for _, v := range c.voters {
+		names = append(names, v.Name)
+		address[v.Name] = v.Address
 	}
 	c.mu.Unlock()
 	tried := map[string]bool{}
 	for _, name := range names {
 		for name != "" && !tried[name] && ctx.Err() == nil {
 			tried[name] = true
-			r, err := c.one(ctx, name, address[name], req)
+			r, err := c.askVoter(ctx, name, address[name], req)
 			if err != nil {
 				break
 			}
-			if !r.elsewhere() {
+			if !r.refusedElsewhere() {
 				c.mu.Lock()
-				c.target, c.leader = name, cmp.Or(r.Leader, name)
+				c.lastVoter, c.leader = name, cmp.Or(r.Leader, name)
 				c.mu.Unlock()
 				return r, true
 			}
-			for _, f := range r.Voters { // founders may have changed since this member last heard
-				address[f.Name] = f.Address
+			for _, v := range r.Voters { // the voters may have changed since this member was last updated
+				address[v.Name] = v.Address
 			}
 			name = r.Leader
 		}
@@ -183,21 +187,21 @@
 	return r, false
 }
 
-// Leader is the voter that led when somebody was last asked; "" is none known.
+// Leader returns the leader that the latest response named, or "".
 func (c *Client) Leader() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.leader
 }
 
-func (c *Client) one(ctx context.Context, name, address string, req Request) (r Response, err error) {
-	if name == c.local && c.server != nil {
+func (c *Client) askVoter(ctx context.Context, name, address string, req Request) (r Response, err error) {
+	if name == c.localName && c.server != nil {
 		return c.server.Handle(req), nil
 	}
 	if address == "" {
 		return r, ErrUnknown
 	}
-	ctx, cancel := context.WithTimeout(ctx, tryFor)
+	ctx, cancel := context.WithTimeout(ctx, voterTimeout)
 	defer cancel()
-	return r, c.at(address).Call(ctx, "Council.Ask", req, &r)
+	return r, c.dial(address).Call(ctx, "Council.Ask", req, &r)
 }
--- a/internal/cluster/controlplane/configuration.go
+++ b/internal/cluster/controlplane/configuration.go
@@ -8,20 +8,20 @@
 	configentry "mulleinbeam/internal/cluster/entry"
 )
 
-// Configuration entries: values under keys that operators commit and every forwarder puts into force. What is in an entry is package entry's; here
-// it is opaque, so that processes of different versions pass on what they do not know.
+// Configuration entries are values under keys that operators commit and every forwarder puts into force. Package entry
+// defines their content; here it is opaque, so that processes pass on entries of versions that they do not know.
 
-// EntryChange sets the entry of a key, or deletes it.
+// EntryChange sets or deletes the entry of a key.
 type EntryChange struct {
 	Key     string `cbor:"1,keyasint"`
 	Content []byte `cbor:"2,keyasint,omitempty"`
 	Deleted bool   `cbor:"3,keyasint,omitempty"`
 }
 
-// ConfigEntry is a committed entry. It is never changed in place.
+// ConfigEntry is a committed entry. It is immutable.
 type ConfigEntry struct {
 	Content  []byte `cbor:"1,keyasint,omitempty"`
-	Revision uint64 `cbor:"2,keyasint,omitempty"` // at which it was set
+	Revision uint64 `cbor:"2,keyasint,omitempty"` // version at which it was set
 }
 
 // ConfigRevision is the version at which any entry last changed.
@@ -29,24 +29,24 @@
 	Revision uint64 `cbor:"1,keyasint,omitempty"`
 }
 
-// Bounds of the configuration.
+// Limits of the configuration.
 const (
 	maxEntryBytes   = configentry.MaxBytes
 	maxEntryKey     = 256
 	maxEntryChanges = 1024      // in one command
-	maxChangeBytes  = 512 << 10 // of one command
+	maxChangeBytes  = 512 << 10 // in one command
 	maxEntries      = 65_536
 	maxConfigBytes  = 16 << 20 // of all entries
 )
 
-// The reasons for which a change of the configuration is refused, besides ErrLater.
+// The reasons for which a configuration change is refused, besides ErrConflict.
 var (
-	ErrNoEntry      = errors.New("council: no such configuration entry")
-	ErrConfigTooBig = errors.New("council: the configuration, an entry or a change of it would be too large")
-	ErrNoChange     = errors.New("council: the change names no entry, or one twice")
+	ErrNoEntry      = errors.New("controlplane: no such configuration entry")
+	ErrConfigTooBig = errors.New("controlplane: the configuration, an entry or a change exceeds its size limit")
+	ErrNoChange     = errors.New("controlplane: the change contains no entry, an empty key or a duplicate key")
 )
 
-// configure applies a change of the configuration, all of it or nothing.
+// configure applies a configuration change, either whole or not at all.
 func (s *State) configure(c Command) error {
 	if c.From != s.Configured {
 		return ErrConflict
@@ -63,19 +63,19 @@
 		}
 		if change.Deleted {
 			delete(s.Entries, change.Key)
-			s.drop(configPrefix + change.Key)
+			s.markDeleted(configPrefix + change.Key)
 			continue
 		}
 		s.EntryBytes += len(change.Key) + len(change.Content)
 		s.Entries[change.Key] = &ConfigEntry{Content: change.Content, Revision: s.Version}
-		s.touch(configPrefix + change.Key)
+		s.markChanged(configPrefix + change.Key)
 	}
 	s.Configured = s.Version
-	s.touch(configRevisionKey)
+	s.markChanged(configRevisionKey)
 	return nil
 }
 
-// checkChanges says why changes can't be applied.
+// checkChanges returns why changes cannot be applied, or nil.
 func (s *State) checkChanges(changes []EntryChange) error {
 	if err := checkChangeSizes(changes); err != nil {
 		return err
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// checkChangeSizes says whether changes are too large by themselves. A leader asks before it proposes them, so that nothing large gets into
-// the log.
+// checkChangeSizes returns an error if the changes themselves exceed a limit. A leader checks this before it proposes
+// them, so that nothing oversized gets into the Raft log.
 func checkChangeSizes(changes []EntryChange) error {
 	if len(changes) == 0 {
 		return ErrNoChange
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// EntryContents goes through the committed entries' contents by key, in no order.
+// EntryContents iterates over the contents of the committed entries by key, in no particular order.
 func (s *State) EntryContents() iter.Seq2[string, []byte] {
 	return func(yield func(string, []byte) bool) {
 		for key, e := range s.Entries {
@@ -139,16 +139,16 @@
 	}
 }
 
-// proposeConfiguration has a change of the configuration committed if every entry in it passes the check of this program.
-func (s *Server) proposeConfiguration(cmd Command, tell func(Response)) {
+// proposeConfiguration proposes a configuration change if CheckEntry accepts every entry in it.
+func (s *Server) proposeConfiguration(cmd Command, reply func(Response)) {
 	if err := s.checkEntries(cmd.Entries); err != nil {
-		tell(Response{Refused: err.Error(), Version: s.core.State().Version})
+		reply(Response{Refused: err.Error(), Version: s.core.State().Version})
 		return
 	}
-	s.propose(cmd, tell)
+	s.propose(cmd, reply)
 }
 
-// checkEntries says why changes may not be proposed.
+// checkEntries returns why changes may not be proposed, or nil.
 func (s *Server) checkEntries(changes []EntryChange) error {
 	if err := checkChangeSizes(changes); err != nil {
 		return err
--- a/internal/cluster/controlplane/configuration_test.go
+++ b/internal/cluster/controlplane/configuration_test.go
@@ -16,8 +16,8 @@
 
 func set(key, content string) EntryChange { return EntryChange{Key: key, Content: []byte(content)} }
 
-// Of two operators who change the configuration as of one revision, one wins and the other is told; a change is applied whole or not at all, and
-// what is too large changes nothing.
+// Of two operators who change the configuration based on the same revision, one succeeds and the other gets
+// ErrConflict. A change is applied whole or not at all, and one that exceeds a limit changes nothing.
 func TestConfiguration(t *testing.T) {
 	s := NewState()
 	s.Version = 10
@@ -29,9 +29,9 @@
 	for i := range maxChangeBytes/maxEntryBytes + 1 {
 		many = append(many, set(fmt.Sprint("k", i), large))
 	}
-	decide(t, s, nil, configure(0, set("a", "1"), set("b", "2")))
+	checkApply(t, s, nil, configure(0, set("a", "1"), set("b", "2")))
 	first := s.Configured
-	decide(t, s, ErrConflict, configure(0, set("a", "3")))
+	checkApply(t, s, ErrConflict, configure(0, set("a", "3")))
 	for name, c := range map[string]struct {
 		want    error
 		changes []EntryChange
@@ -51,23 +51,23 @@
 			}
 		}
 		before := s.Configured
-		decide(t, s, c.want, configure(s.Configured, c.changes...))
+		checkApply(t, s, c.want, configure(s.Configured, c.changes...))
 		if s.Configured != before || string(s.Entries["a"].Content) != "1" || len(s.Entries) != 2 {
 			t.Errorf("%s: %v at revision %d", name, s.Entries, s.Configured)
 		}
 	}
-	decide(t, s, nil, configure(first, EntryChange{Key: "a", Deleted: true}, set("b", "22")))
+	checkApply(t, s, nil, configure(first, EntryChange{Key: "a", Deleted: true}, set("b", "22")))
 	if s.EntryBytes != len("b")+len("22") || s.Configured <= first || len(s.Entries) != 1 || s.Entries["b"].Revision != s.Configured {
 		t.Errorf("%d bytes, revision %d, %v", s.EntryBytes, s.Configured, s.Entries)
 	}
 	full := s.Clone()
 	full.EntryBytes = maxConfigBytes
-	decide(t, full, ErrConfigTooBig, configure(full.Configured, set("c", "1")))
-	decide(t, full, nil, configure(full.Configured, set("b", "2"))) // it gets smaller
+	checkApply(t, full, ErrConfigTooBig, configure(full.Configured, set("c", "1")))
+	checkApply(t, full, nil, configure(full.Configured, set("b", "2"))) // it shrinks
 }
 
-// A state that was kept before there was a configuration has none, and can get one.
-func TestAnEarlierStateHasNoConfiguration(t *testing.T) {
+// A state stored by a version without configuration entries has none, and entries can be added to it.
+func TestStateWithoutConfiguration(t *testing.T) {
 	kept := NewState()
 	kept.Version, kept.Entries = 20, nil
 	data, err := encode(kept)
@@ -78,18 +78,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	decide(t, s, nil, Command{Kind: Configure, Entries: []EntryChange{set("a", "1")}})
+	checkApply(t, s, nil, Command{Kind: Configure, Entries: []EntryChange{set("a", "1")}})
 	if got := maps.Collect(s.EntryContents()); len(got) != 1 || string(got["a"]) != "1" {
 		t.Errorf("%v", got)
 	}
 }
 
-// Ten thousand changes at once: who watched meanwhile gets each key once, in bounded pieces, and nothing was queued for it.
+// A watcher that reads after ten thousand changes gets each key once, in pieces of bounded size.
 func TestTenThousandChanges(t *testing.T) {
 	const keys, changes = 100, 10_000
 	s := NewState()
 	s.Version = firstIndex
-	log, err := s.log()
+	log, err := s.changeLog()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,7 +104,7 @@
 	for more := true; more; {
 		c := ChangesFor(log, *view.Watch())
 		if c == nil {
-			t.Fatal("nothing more is told")
+			t.Fatal("no more changes")
 		}
 		size := 0
 		for _, r := range c.Records {
@@ -118,7 +118,7 @@
 			t.Fatal(err)
 		}
 	}
-	if records != keys+1 { // and the revision
+	if records != keys+1 { // one more for the revision
 		t.Errorf("%d records for %d keys", records, keys)
 	}
 	if got := view.State(); got.Configured != s.Configured || !cmp.Equal(maps.Collect(got.EntryContents()), maps.Collect(s.EntryContents())) {
@@ -126,7 +126,7 @@
 	}
 }
 
-// A view's state is never changed, also where a later one shares its entries.
+// The state of a view is never modified, even if a later one shares its entries.
 func TestEntriesAreShared(t *testing.T) {
 	view := NewView()
 	learn := func(version uint64, records ...Change) *State {
@@ -166,7 +166,8 @@
 	return out
 }
 
-// Members that lag and members that refuse are counted, whoever tells of them; sources that fall silent count no longer, and lists are bounded.
+// Members that lag or refuse entries are counted whichever source reports them, sources that stop reporting are
+// dropped, and the lists are bounded.
 func TestRollout(t *testing.T) {
 	var r rollouts
 	r.report(0, "relay 1", Summarize(reports(0, 900, 7)))
@@ -187,7 +188,7 @@
 		t.Errorf("refused: %+v", first)
 	}
 	r.report(2*time.Second, "relay 1", Summarize(reports(0, 900, 8)))
-	if sum = r.sum(rolloutKeep + time.Second); sum.Members() != 900 || sum.Current(8) != 900 {
+	if sum = r.sum(reportTTL + time.Second); sum.Members() != 900 || sum.Current(8) != 900 {
 		t.Errorf("%+v", sum)
 	}
 	for name, c := range map[string]struct {
@@ -211,16 +212,16 @@
 	if len(wide.Revisions) != maxRevisions || wide.Members() != 100 || wide.Current(99) != 1 || !descending {
 		t.Errorf("%+v", wide.Revisions)
 	}
-	wideText := ConfigReport{Refused: []RefusedEntry{{"class/safe", strings.Repeat("ž", maxWhy) + "\xff"}}}.Bounded()
-	for _, why := range []string{wideText.Refused[0].Why, (ConfigReport{Refused: []RefusedEntry{{Why: "x" + strings.Repeat("ž", maxWhy)}}}).Bounded().Refused[0].Why} {
+	wideText := ConfigReport{Refused: []RefusedEntry{{"class/safe", strings.Repeat("ž", maxReasonBytes) + "\xff"}}}.Bounded()
+	for _, why := range []string{wideText.Refused[0].Why, (ConfigReport{Refused: []RefusedEntry{{Why: "x" + strings.Repeat("ž", maxReasonBytes)}}}).Bounded().Refused[0].Why} {
 		raw, err := Request{Report: &ConfigReport{Refused: []RefusedEntry{{Why: why}}}}.GobEncode()
-		if err := errors.Join(err, new(Request).GobDecode(raw)); err != nil || len(why) > maxWhy {
-			t.Errorf("a reason that was cut: %d bytes, %v", len(why), err)
+		if err := errors.Join(err, new(Request).GobDecode(raw)); err != nil || len(why) > maxReasonBytes {
+			t.Errorf("a truncated reason: %d bytes, %v", len(why), err)
 		}
 	}
 	long := ConfigReport{Refused: make([]RefusedEntry, 100)}
 	long.Refused[0] = RefusedEntry{strings.Repeat("k", 1000), strings.Repeat("w", 1000)}
-	if got := long.Bounded(); len(got.Refused) != maxReported || len(got.Refused[0].Key) != maxEntryKey || len(got.Refused[0].Why) != maxWhy {
+	if got := long.Bounded(); len(got.Refused) != maxReported || len(got.Refused[0].Key) != maxEntryKey || len(got.Refused[0].Why) != maxReasonBytes {
 		t.Errorf("%d entries, %d and %d bytes", len(got.Refused), len(got.Refused[0].Key), len(got.Refused[0].Why))
 	}
 }
--- a/internal/cluster/controlplane/council_test.go
+++ b/internal/cluster/controlplane/controlplane_test.go
@@ -14,139 +14,140 @@
 	"mulleinbeam/internal/routing/wal/fsys"
 )
 
-// A leader ends a life only when whatever it, or a leader before it, has answered is over.
+// A leader may fence an incarnation only after every lease that it or an earlier leader has granted is over.
 func TestLeases(t *testing.T) {
 	l := Leases{Lease: time.Second, Margin: 200 * time.Millisecond}
 	a := Incarnation{"a", 1}
 	if l.MayFence(time.Hour, a) || l.Renew(0, a) {
-		t.Error("something is given or ended without leading")
+		t.Error("a lease was granted or fencing allowed without leadership")
 	}
 	l.Elected(10 * time.Second)
 	if l.MayFence(11*time.Second, a) {
-		t.Error("ended while the leader before may have given a lease")
+		t.Error("fencing allowed while a lease of the previous leader may be valid")
 	}
 	l.Renew(11*time.Second, a)
 	for at, want := range map[time.Duration]bool{12*time.Second + 199*time.Millisecond: false, 12*time.Second + 200*time.Millisecond: true} {
 		m := l
-		m.ending = maps.Clone(l.ending)
+		m.fencing = maps.Clone(l.fencing)
 		if got := m.MayFence(at, a); got != want {
 			t.Errorf("at %v: %v", at, got)
 		}
 	}
 	l.MayFence(13*time.Second, a)
 	if l.Renew(13*time.Second, a) {
-		t.Error("a lease is given to a life whose end is asked for")
+		t.Error("a lease was granted to an incarnation whose fencing is proposed")
 	}
 }
 
-func decide(t *testing.T, s *State, want error, c Command) {
+func checkApply(t *testing.T, s *State, want error, c Command) {
 	t.Helper()
 	if err := s.Apply(s.Version+1, c); !errors.Is(err, want) {
 		t.Errorf("%+v: %v, want %v", c, err, want)
 	}
 }
 
-// Lives only grow, over a lost folder too; what an ended one owed is one life's at a time, whoever dies or returns.
-func TestLives(t *testing.T) {
+// Epochs only grow, even if the folder is lost, and the messages of a fenced incarnation have one owner at a time,
+// whichever members are fenced or come back.
+func TestIncarnations(t *testing.T) {
 	s := NewState()
 	join := func(name string, had uint64, token string, fenced bool) Command {
 		return Command{Kind: Join, Life: Incarnation{name, had}, Whole: had > 0, Token: token, Fenced: fenced}
 	}
 	for _, name := range []string{"a", "b", "c"} {
-		decide(t, s, nil, join(name, 0, name+"1", false))
+		checkApply(t, s, nil, join(name, 0, name+"1", false))
 	}
 	a1, b1, c1 := Incarnation{"a", 1}, Incarnation{"b", 1}, Incarnation{"c", 1}
-	decide(t, s, nil, Command{Kind: SetReplicas, Life: a1, From: s.Members["a"].Changed, Set: []string{"b", "c"}})
-	decide(t, s, ErrConflict, Command{Kind: SetReplicas, Life: a1, From: 1, Set: []string{"b"}})
-	decide(t, s, ErrNameInUse, join("a", 0, "other", false))
-	decide(t, s, nil, Command{Kind: Fence, Life: a1})
-	decide(t, s, nil, Command{Kind: AssignTakeover, Life: a1, Taker: b1})
-	decide(t, s, ErrConflict, Command{Kind: AssignTakeover, Life: a1, Taker: c1})
-	decide(t, s, nil, Command{Kind: Fence, Life: b1}) // before it was done
-	decide(t, s, ErrConflict, Command{Kind: CompleteTakeover, Life: a1, Taker: b1})
-	decide(t, s, nil, Command{Kind: AssignTakeover, Life: a1, Taker: c1})
-	decide(t, s, nil, Command{Kind: CompleteTakeover, Life: a1, Taker: c1})
+	checkApply(t, s, nil, Command{Kind: SetReplicas, Life: a1, From: s.Members["a"].Changed, Set: []string{"b", "c"}})
+	checkApply(t, s, ErrConflict, Command{Kind: SetReplicas, Life: a1, From: 1, Set: []string{"b"}})
+	checkApply(t, s, ErrNameInUse, join("a", 0, "other", false))
+	checkApply(t, s, nil, Command{Kind: Fence, Life: a1})
+	checkApply(t, s, nil, Command{Kind: AssignTakeover, Life: a1, Taker: b1})
+	checkApply(t, s, ErrConflict, Command{Kind: AssignTakeover, Life: a1, Taker: c1})
+	checkApply(t, s, nil, Command{Kind: Fence, Life: b1}) // before the takeover is completed
+	checkApply(t, s, ErrConflict, Command{Kind: CompleteTakeover, Life: a1, Taker: b1})
+	checkApply(t, s, nil, Command{Kind: AssignTakeover, Life: a1, Taker: c1})
+	checkApply(t, s, nil, Command{Kind: CompleteTakeover, Life: a1, Taker: c1})
 	if s.CurrentOwner(a1) != c1 || s.CurrentOwner(b1) != (Incarnation{}) {
-		t.Errorf("held by %v, %v", s.CurrentOwner(a1), s.CurrentOwner(b1))
+		t.Errorf("owners %v, %v", s.CurrentOwner(a1), s.CurrentOwner(b1))
 	}
-	decide(t, s, nil, join("b", 1, "b2", false)) // with its folder: what its first life owed is its second's
-	decide(t, s, nil, Command{Kind: CompleteTakeover, Life: b1, Taker: Incarnation{"b", 2}})
-	decide(t, s, nil, join("a", 0, "a2", false)) // without
+	checkApply(t, s, nil, join("b", 1, "b2", false)) // with its folder: its second incarnation takes over from its first
+	checkApply(t, s, nil, Command{Kind: CompleteTakeover, Life: b1, Taker: Incarnation{"b", 2}})
+	checkApply(t, s, nil, join("a", 0, "a2", false)) // without its folder
 	if m := s.Members["a"]; m.Life != 2 || !m.Lost || s.CurrentOwner(b1) != (Incarnation{"b", 2}) {
-		t.Errorf("a is %+v, b's first life is held by %v", m, s.CurrentOwner(b1))
+		t.Errorf("a is %+v, b's first incarnation is owned by %v", m, s.CurrentOwner(b1))
 	}
-	decide(t, s, ErrConflict, Command{Kind: Remove, Life: c1})
-	decide(t, s, nil, join("gone", 0, "g", false))
+	checkApply(t, s, ErrConflict, Command{Kind: Remove, Life: c1})
+	checkApply(t, s, nil, join("gone", 0, "g", false))
 	gone := Incarnation{"gone", 1}
-	decide(t, s, nil, Command{Kind: Fence, Life: gone})
-	decide(t, s, nil, Command{Kind: AssignTakeover, Life: gone, Taker: c1})
-	decide(t, s, nil, Command{Kind: CompleteTakeover, Life: gone, Taker: c1})
-	decide(t, s, nil, Command{Kind: Remove, Life: gone})
-	decide(t, s, nil, join("gone", 1, "g2", false)) // with its folder, of which somebody has taken over what was owed
+	checkApply(t, s, nil, Command{Kind: Fence, Life: gone})
+	checkApply(t, s, nil, Command{Kind: AssignTakeover, Life: gone, Taker: c1})
+	checkApply(t, s, nil, Command{Kind: CompleteTakeover, Life: gone, Taker: c1})
+	checkApply(t, s, nil, Command{Kind: Remove, Life: gone})
+	checkApply(t, s, nil, join("gone", 1, "g2", false)) // with its folder, whose messages another member has taken over
 	if s.CurrentOwner(gone) != c1 || slices.ContainsFunc(s.Jobs, func(j *TakeoverTask) bool { return j.Life == gone && !j.Done }) {
-		t.Errorf("held by %v, takeovers %v", s.CurrentOwner(gone), s.Jobs)
+		t.Errorf("owner %v, tasks %v", s.CurrentOwner(gone), s.Jobs)
 	}
-	decide(t, s, nil, Command{Kind: Fence, Life: Incarnation{"gone", 2}})
-	s.Jobs[len(s.Jobs)-1].Done = true // nobody had a copy
-	decide(t, s, nil, Command{Kind: Remove, Life: Incarnation{"gone", 2}})
-	decide(t, s, nil, join("gone", 0, "g3", false)) // another machine under its name
+	checkApply(t, s, nil, Command{Kind: Fence, Life: Incarnation{"gone", 2}})
+	s.Jobs[len(s.Jobs)-1].Done = true // no member had a copy
+	checkApply(t, s, nil, Command{Kind: Remove, Life: Incarnation{"gone", 2}})
+	checkApply(t, s, nil, join("gone", 0, "g3", false)) // another machine under the same name
 	if m := s.Members["gone"]; m.Life != 3 {
-		t.Errorf("life %d begins behind two others", m.Life)
+		t.Errorf("epoch %d after two others", m.Life)
 	}
-	decide(t, s, nil, Command{Kind: Fence, Life: Incarnation{"gone", 3}})
-	decide(t, s, nil, Command{Kind: AssignTakeover, Life: Incarnation{"gone", 3}, Taker: c1})
-	decide(t, s, nil, Command{Kind: CompleteTakeover, Life: Incarnation{"gone", 3}, Taker: c1})
-	decide(t, s, nil, Command{Kind: Remove, Life: Incarnation{"gone", 3}})
+	checkApply(t, s, nil, Command{Kind: Fence, Life: Incarnation{"gone", 3}})
+	checkApply(t, s, nil, Command{Kind: AssignTakeover, Life: Incarnation{"gone", 3}, Taker: c1})
+	checkApply(t, s, nil, Command{Kind: CompleteTakeover, Life: Incarnation{"gone", 3}, Taker: c1})
+	checkApply(t, s, nil, Command{Kind: Remove, Life: Incarnation{"gone", 3}})
 	if rank := s.RankReplicas("a", nil); !slices.Equal(rank, s.RankReplicas("a", func(string) bool { return true })) || len(rank) != 2 {
 		t.Errorf("ranking %v", rank)
 	}
 }
 
-// group is founders whose messages a test carries.
+// group is a set of voters whose messages the test delivers.
 type group struct {
-	t     *testing.T
-	names []string
-	cores map[string]*Core
-	disks map[string]*fsys.Mem
-	keeps map[string]*RaftStore
-	queue []raftpb.Message
-	down  map[string]bool
-	loses func() bool       // a message on its way; nil is never
-	first []string          // that the settings name; nil is names
-	saw   map[uint64]string // what was decided at each version, by whoever applied it first
+	t          *testing.T
+	names      []string
+	cores      map[string]*Core
+	disks      map[string]*fsys.Mem
+	stores     map[string]*RaftStore
+	queue      []raftpb.Message
+	down       map[string]bool
+	drops      func() bool       // drops a message in transit; nil drops none
+	configured []string          // names in the settings; nil means names
+	appliedAt  map[uint64]string // the command applied at each version, by the first voter that applied it
 }
 
 func newGroup(t *testing.T, names ...string) *group {
-	g := &group{t: t, names: names, saw: map[uint64]string{}, cores: map[string]*Core{}, disks: map[string]*fsys.Mem{}, keeps: map[string]*RaftStore{}, down: map[string]bool{}}
+	g := &group{t: t, names: names, appliedAt: map[uint64]string{}, cores: map[string]*Core{}, disks: map[string]*fsys.Mem{}, stores: map[string]*RaftStore{}, down: map[string]bool{}}
 	for _, name := range g.names {
 		g.disks[name] = fsys.NewMem()
 		g.open(name)
 	}
-	g.meet()
+	g.rejoin()
 	return g
 }
 
 func (g *group) open(name string) {
-	if g.first == nil {
-		g.first = g.names
+	if g.configured == nil {
+		g.configured = g.names
 	}
 	k, d, err := OpenRaftStore(g.disks[name], func(s string) { g.t.Error(s) })
 	if err != nil {
 		g.t.Fatal(err)
 	}
-	var founders []Voter
-	for _, n := range g.first {
-		founders = append(founders, Voter{Name: n})
+	var voters []Voter
+	for _, n := range g.configured {
+		voters = append(voters, Voter{Name: n})
 	}
-	c, err := NewCore(name, founders, d)
+	c, err := NewCore(name, voters, d)
 	if err != nil {
 		g.t.Fatal(err)
 	}
-	g.cores[name], g.keeps[name] = c, k
+	g.cores[name], g.stores[name] = c, k
 }
 
-// meet has blank founders ask the others, as a server does; all hear with their lease who the founders are.
-func (g *group) meet() {
+// rejoin runs the rejoin protocol of blank voters like a server does, and tells all members who the voters are.
+func (g *group) rejoin() {
 	for _, name := range g.names {
 		c := g.cores[name]
 		for _, other := range g.names {
@@ -167,7 +168,7 @@
 	}
 }
 
-// run lets so many ticks pass and carries what is said.
+// run advances a number of ticks and delivers the messages.
 func (g *group) run(ticks int) {
 	for range ticks {
 		for _, name := range g.names {
@@ -185,24 +186,24 @@
 					if err != nil {
 						g.t.Fatal(err)
 					}
-					if err := g.keeps[name].Save(step.Persist); err != nil {
+					if err := g.stores[name].Save(step.Persist); err != nil {
 						g.t.Fatal(err)
 					}
 					g.queue = append(g.queue, step.Send...)
 					done()
 					for _, a := range step.Applied {
-						said := fmt.Sprintf("%d %+v", a.Ticket, a.Command)
-						if was, seen := g.saw[a.Version]; seen && was != said {
-							g.t.Fatalf("%s applied %s at %d, another %s", name, said, a.Version, was)
+						command := fmt.Sprintf("%d %+v", a.Ticket, a.Command)
+						if was, seen := g.appliedAt[a.Version]; seen && was != command {
+							g.t.Fatalf("%s applied %s at %d, another %s", name, command, a.Version, was)
 						}
-						g.saw[a.Version] = said
+						g.appliedAt[a.Version] = command
 					}
 				}
 			}
 			queue := g.queue
 			g.queue = nil
 			for _, m := range queue {
-				lost := g.loses != nil && g.loses()
+				lost := g.drops != nil && g.drops()
 				for _, name := range g.names {
 					if m.Type == raftpb.MsgSnap && ID(name) == m.From {
 						g.cores[name].SnapshotSent(m.To, !lost)
@@ -229,15 +230,15 @@
 			}
 		}
 		g.run(5)
-		g.meet()
+		g.rejoin()
 	}
-	g.t.Fatal("nobody leads")
+	g.t.Fatal("no leader was elected")
 	return nil
 }
 
 func (g *group) join(name string) {
 	var err error
-	for range 20 { // a leader that is about to hand over takes nothing
+	for range 20 { // a leader that is transferring leadership accepts no proposals
 		if err = g.leader().Propose(rand.Uint64(), Command{Kind: Join, Life: Incarnation{Name: name}, Token: name}); err == nil {
 			g.run(3)
 			return
@@ -247,30 +248,30 @@
 	g.t.Fatal(err)
 }
 
-// What was decided outlasts every founder's restart, a snapshot, and one founder's folder, which says nothing until it has met all
-// others and has what they know.
-func TestCouncilOutlastsItsFolders(t *testing.T) {
+// The committed state survives a restart of each voter, a snapshot, and the loss of one voter's folder. The voter
+// without its folder must not vote until it has reached all others and has what they know.
+func TestStateSurvivesRestartsAndLostFolder(t *testing.T) {
 	g := newGroup(t, "a", "b", "c")
-	for i := range snapshotEvery + 50 { // the log is shortened on the way
+	for i := range entriesPerSnapshot + 50 { // the log is compacted meanwhile
 		g.join(fmt.Sprint("m", i%9))
 	}
 	for round, name := range []string{"b", "a", "c"} {
 		g.down[name] = true
 		g.join(fmt.Sprint("x", round))
 		if round == 1 {
-			g.disks[name] = fsys.NewMem() // its folder is lost
+			g.disks[name] = fsys.NewMem() // the folder is lost
 		}
 		g.open(name)
 		if round == 1 && !g.cores[name].VotingSuspended() {
-			t.Error("a founder with an empty folder may vote")
+			t.Error("a voter with an empty folder may vote")
 		}
 		g.down[name] = false
 		for range 12 {
 			g.run(5)
-			g.meet()
+			g.rejoin()
 		}
 		if g.cores[name].VotingSuspended() {
-			t.Errorf("%s: still silent", name)
+			t.Errorf("%s: still may not vote", name)
 		}
 	}
 	want := g.leader().State()
@@ -281,7 +282,7 @@
 	}
 }
 
-// change has the leader change the founders, and waits until that is so.
+// change makes the leader change the voters, and waits until the change is committed.
 func (g *group) change(name string, on bool) {
 	g.t.Helper()
 	for range 60 {
@@ -296,16 +297,16 @@
 			}
 		}
 		g.run(3)
-		g.meet()
+		g.rejoin()
 	}
 	g.t.Fatalf("%s: never %v", name, on)
 }
 
-// A council grows from one founder to three, each of them is replaced by another, and one of the new ones loses its folder: what was
-// decided before is known to all, and who was let go decides nothing any more.
-func TestFoundersChange(t *testing.T) {
+// A group grows from one voter to three, each of them is replaced by another, and one of the new ones loses its folder.
+// All voters have to know what was committed before, and removed voters must not elect a leader any more.
+func TestVoterChanges(t *testing.T) {
 	g := newGroup(t)
-	g.names, g.first = []string{"a", "b", "c", "d", "e", "f"}, []string{"a"}
+	g.names, g.configured = []string{"a", "b", "c", "d", "e", "f"}, []string{"a"}
 	for _, name := range g.names {
 		g.disks[name] = fsys.NewMem()
 		g.open(name)
@@ -316,7 +317,7 @@
 	}
 	for i, name := range []string{"a", "b", "c"} {
 		g.join("before " + name)
-		g.down[name] = i > 0 // one that leads hands that on; the others are dead
+		g.down[name] = i > 0 // a leader transfers leadership first; the others are dead
 		g.change(string(rune('d'+i)), true)
 		g.change(name, false)
 	}
@@ -325,46 +326,46 @@
 	g.disks["e"] = fsys.NewMem()
 	g.open("e")
 	g.down["e"] = false
-	g.meet()
+	g.rejoin()
 	if !g.cores["e"].VotingSuspended() {
-		t.Error("a founder that lost its folder may vote")
+		t.Error("a voter that lost its folder may vote")
 	}
 	for range 12 {
 		g.run(5)
-		g.meet()
+		g.rejoin()
 	}
-	g.down["d"] = true // e has to vote now
+	g.down["d"] = true // now e's vote is needed
 	g.join("without d")
 	for _, name := range []string{"e", "f"} {
 		if s := g.cores[name].State(); len(s.Members) != 6 || len(s.Founders) != 3 {
-			t.Errorf("%s: members %v, founders %v", name, s.Names(), s.Founders)
+			t.Errorf("%s: members %v, voters %v", name, s.Names(), s.Founders)
 		}
 	}
 	g.down["a"], g.down["b"], g.down["c"], g.down["e"], g.down["f"] = false, false, false, true, true
 	g.run(60)
 	for _, name := range []string{"a", "b", "c"} {
 		if g.cores[name].Leads() {
-			t.Errorf("%s leads those who were let go", name)
+			t.Errorf("%s was elected by removed voters", name)
 		}
 	}
 }
 
-// Founders are taken in and let go while messages get lost and founders die with a third of their steps: no two ever apply different
-// commands at one version, and in the end all agree.
-func TestFoundersChangeUnderFaults(t *testing.T) {
+// Voters are added and removed while messages get lost and voters crash in a third of the steps. No two voters may
+// apply different commands at one version, and at the end all have to agree.
+func TestVoterChangesUnderFaults(t *testing.T) {
 	for seed := range uint64(15) {
 		rng := rand.New(rand.NewPCG(seed, 9))
 		g := newGroup(t)
-		g.names, g.first = []string{"a", "b", "c", "d", "e"}, []string{"a", "b", "c"}
+		g.names, g.configured = []string{"a", "b", "c", "d", "e"}, []string{"a", "b", "c"}
 		for _, name := range g.names {
 			g.disks[name] = fsys.NewMem()
 			g.open(name)
 		}
-		g.meet()
-		g.loses = func() bool { return rng.IntN(10) == 0 }
+		g.rejoin()
+		g.drops = func() bool { return rng.IntN(10) == 0 }
 		for step := range 60 {
 			name := g.names[rng.IntN(len(g.names))]
-			if rng.IntN(3) == 0 { // dies and comes back with its folder
+			if rng.IntN(3) == 0 { // crashes and comes back with its folder
 				g.down[name] = true
 				g.run(rng.IntN(15))
 				g.open(name)
@@ -384,12 +385,12 @@
 				}
 			}
 			g.run(rng.IntN(8))
-			g.meet()
+			g.rejoin()
 		}
-		g.loses = nil
+		g.drops = nil
 		g.join("last")
 		for range 6 {
-			g.meet()
+			g.rejoin()
 			g.run(6)
 		}
 		l := g.leader()
@@ -401,22 +402,22 @@
 	}
 }
 
-// A majority lost for good: the operator's rebuild keeps what the last founder knows.
+// A majority is lost for good: the operator's rebuild keeps what the last voter knows.
 func TestRebuild(t *testing.T) {
 	g := newGroup(t, "a", "b", "c")
 	g.join("m")
 	g.join("n")
 	before := g.cores["a"].State().Version
-	if err := g.keeps["a"].Close(); err != nil {
+	if err := g.stores["a"].Close(); err != nil {
 		t.Fatal(err)
 	}
 	k, kept, err := OpenRaftStore(g.disks["a"], func(s string) { t.Error(s) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	fresh, err := Rebuild(kept, []string{"a", "d", "e"})
+	newLeaseRequests, err := Rebuild(kept, []string{"a", "d", "e"})
 	if err == nil {
-		err = k.Replace(fresh)
+		err = k.Replace(newLeaseRequests)
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -425,8 +426,8 @@
 		t.Fatal(err)
 	}
 	g.names = []string{"a", "d", "e"}
-	g.first, g.saw = nil, map[uint64]string{}
-	for _, name := range g.names { // the operator copies the folder to the other founders
+	g.configured, g.appliedAt = nil, map[uint64]string{}
+	for _, name := range g.names { // the operator copies the folder to the other voters
 		g.disks[name] = g.disks["a"].Crash(fsys.LoseProcess, rand.New(rand.NewPCG(1, 1)))
 		g.open(name)
 	}
--- a/internal/cluster/controlplane/core.go
+++ b/internal/cluster/controlplane/core.go
@@ -17,80 +17,82 @@
 )
 
 const (
-	electionTicks  = 10
-	heartbeatTicks = 1
-	mostAppend     = 256 << 10 // bytes of one message between founders
-	mostInflight   = 64
-	snapshotEvery  = 512 // commands between two snapshots
-	firstIndex     = 1   // of the snapshot that all founders begin with
-	retained       = 64  // commands kept behind a snapshot for founders that are a little late
+	electionTicks       = 10
+	heartbeatTicks      = 1
+	maxMessageBytes     = 256 << 10 // bytes of one Raft message
+	maxInflightMessages = 64
+	entriesPerSnapshot  = 512 // commands between two snapshots
+	firstIndex          = 1   // index of the snapshot that every voter starts with
+	retainedEntries     = 64  // entries kept before a snapshot, for voters that lag slightly
 )
 
-// ID is a founder's number in the Raft group.
+// ID returns the Raft node ID of the voter with a name.
 func ID(name string) uint64 { return max(1, xxh3.HashString(name)) }
 
-// DurableState is what a core has to keep before it speaks: in this order, and all of it when Save has returned.
+// DurableState is what has to be on disk before the messages of the same step are sent.
 type DurableState struct {
 	Hard     raftpb.HardState
 	Entries  []raftpb.Entry
-	Snapshot raftpb.Snapshot // empty for none; replaces everything up to its index,
-	Reset    bool            // and behind it too: it came from the leader, and the log here had gone another way
+	Snapshot raftpb.Snapshot // empty for none; replaces all entries up to its index,
+	Reset    bool            // and those after it too: it came from the leader, and the local log has diverged
 }
 
-// Empty says that there is nothing to keep.
+// Empty reports whether there is nothing to save.
 func (d DurableState) Empty() bool {
 	return raft.IsEmptyHardState(d.Hard) && len(d.Entries) == 0 && raft.IsEmptySnap(d.Snapshot)
 }
 
-// Applied is a command that was carried out, with why it changed nothing if it did not.
+// Applied is a committed command that was applied, with the reason if it changed nothing.
 type Applied struct {
 	Version uint64
-	Ticket  uint64 // of who proposed it; see Propose
+	Ticket  uint64 // set by the proposer; see Propose
 	Command Command
 	Err     error
 }
 
-// Step is what a core wants done: Keep first, then Send; Applied and Confirmed are for whoever waits.
+// Step is the work that results from Raft's progress: Persist has to be saved before Send is sent. Applied and
+// Confirmed complete pending requests.
 type Step struct {
 	Persist   DurableState
 	Send      []raftpb.Message
 	Applied   []Applied
-	Confirmed []uint64 // askings of Confirm that are answered
+	Confirmed []uint64 // tickets of ConfirmLeadership that have been answered
 }
 
-// entry is a command as it stands in the log.
+// entry is a command as stored in the Raft log.
 type entry struct {
 	Ticket  uint64  `cbor:"1,keyasint,omitempty"`
 	Command Command `cbor:"2,keyasint,omitzero"`
 }
 
-// Core is one founder's part in the Raft group: events go in, Ready gives what to do. It has no clock, no socket and no
-// goroutine, and equal events give equal steps but for the chance in Raft's own election timeouts.
+// Core is one voter's part of the consensus group: a state machine that takes events and returns work from Ready. It
+// has no clock, no socket and no goroutine. Equal events give equal steps, except for Raft's randomized election
+// timeouts.
 type Core struct {
-	id      uint64
-	name    string
-	first   []Voter           // that the settings name
-	list    []Voter           // as far as this one knows,
-	listed  uint64            // as of this State.Council
-	names   map[uint64]string // of list
-	node    *raft.RawNode
-	storage *raft.MemoryStorage
-	conf    raftpb.ConfState
-	state   *State
-	log     *changelog.Log[Item] // the same, for watchers
-	applied uint64
-	snapped uint64
-	waiting []confirmation // read indices that are not applied yet
-	blank   bool           // it began without anything, or has forgotten, and has not met all others since
-	empty   bool           // it began without anything
-	outside bool           // it is none of the founders
-	meet    VoterStatus    // what it has to have before it votes
-	muted   bool           // it does not vote
+	id              uint64
+	name            string
+	configured      []Voter           // from the settings
+	voters          []Voter           // the latest voters known here,
+	votersVersion   uint64            // as of this State.Council
+	nameByID        map[uint64]string // of list
+	node            *raft.RawNode
+	storage         *raft.MemoryStorage
+	conf            raftpb.ConfState
+	state           *State
+	log             *changelog.Log[Item] // the same state, for watchers
+	applied         uint64
+	snapshotIndex   uint64
+	confirmations   []confirmation // read indices that are not applied yet
+	needsRejoin     bool           // it started empty, or has lost state, and has not heard from all other voters since
+	empty           bool           // it started with an empty folder
+	outsideGroup    bool           // it is not in the list of voters
+	required        VoterStatus    // what it has to have before it may vote
+	votingSuspended bool           // it neither votes nor campaigns
 }
 
-// VoterStatus is how far a founder is.
+// VoterStatus is how far a voter is.
 type VoterStatus struct {
-	Blank  bool // it has nothing, and does not know whether it ever had
+	Blank  bool // its state is lost, or it started empty and does not know whether it ever had any
 	Term   uint64
 	Commit uint64
 }
@@ -100,15 +102,15 @@
 	index  uint64
 }
 
-// quiet keeps Raft's own log away; what matters of it is in Status.
-var quiet = &raft.DefaultLogger{Logger: log.New(discard{}, "", 0)}
+// noLog discards Raft's own log; what matters of it is available through the core.
+var noLog = &raft.DefaultLogger{Logger: log.New(discard{}, "", 0)}
 
 type discard struct{}
 
 func (discard) Write(p []byte) (int, error) { return len(p), nil }
 
-// founding is the snapshot that every founder of a group begins with.
-func founding(names []string) (raftpb.Snapshot, error) {
+// initialSnapshot returns the initial snapshot that all voters of a new group start with.
+func initialSnapshot(names []string) (raftpb.Snapshot, error) {
 	s := raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{Index: firstIndex, Term: 1}}
 	for _, name := range names {
 		s.Metadata.ConfState.Voters = append(s.Metadata.ConfState.Voters, ID(name))
@@ -121,66 +123,67 @@
 	return s, err
 }
 
-// NewCore begins, or goes on, with what an earlier run has kept; kept is empty for none. Founders name the group at its
-// beginning; one that was rebuilt or changed has its own. Who is none of them is outside, until the group takes it in.
-func NewCore(name string, founders []Voter, kept DurableState) (*Core, error) {
-	c := &Core{id: ID(name), name: name, first: founders}
-	if err := distinct(append(slices.Clone(founders), Voter{Name: name})); err != nil {
+// NewCore starts a voter with the state that an earlier run has stored; stored is empty if there is none. voters are
+// the initial voters of the group; a group that was rebuilt or changed has stored its own. A process that is not among
+// the voters stays outside the group until the group adds it.
+func NewCore(name string, voters []Voter, stored DurableState) (*Core, error) {
+	c := &Core{id: ID(name), name: name, configured: voters}
+	if err := checkDistinct(append(slices.Clone(voters), Voter{Name: name})); err != nil {
 		return nil, err
 	}
 	var names []string
-	for _, f := range founders {
-		names = append(names, f.Name)
+	for _, v := range voters {
+		names = append(names, v.Name)
 	}
-	c.know(founders, 0)
-	c.empty = raft.IsEmptyHardState(kept.Hard) && raft.IsEmptySnap(kept.Snapshot)
-	if raft.IsEmptySnap(kept.Snapshot) && !(c.empty && c.outside) {
+	c.setVoters(voters, 0)
+	c.empty = raft.IsEmptyHardState(stored.Hard) && raft.IsEmptySnap(stored.Snapshot)
+	if raft.IsEmptySnap(stored.Snapshot) && !(c.empty && c.outsideGroup) {
 		var err error
-		if kept.Snapshot, err = founding(names); err != nil {
+		if stored.Snapshot, err = initialSnapshot(names); err != nil {
 			return nil, err
 		}
 	}
-	if err := c.begin(kept); err != nil {
+	if err := c.start(stored); err != nil {
 		return nil, err
 	}
-	c.blank = c.empty
-	c.muted = c.blank && (len(c.names) > 1 || c.outside)
+	c.needsRejoin = c.empty
+	c.votingSuspended = c.needsRejoin && (len(c.nameByID) > 1 || c.outsideGroup)
 	return c, nil
 }
 
-// begin makes the Raft node of what is kept; nothing at all makes one that waits for a leader's snapshot.
-func (c *Core) begin(kept DurableState) error {
-	c.storage, c.state, c.conf, c.applied, c.snapped = raft.NewMemoryStorage(), NewState(), raftpb.ConfState{}, 0, 0
-	c.log = changelog.NewLog(0, 0, 2*mostDeletions, changeSize)
-	if !raft.IsEmptySnap(kept.Snapshot) {
-		if err := c.storage.ApplySnapshot(kept.Snapshot); err != nil {
-			return fmt.Errorf("council: snapshot: %w", err)
+// start creates the Raft node from stored state. Without any it waits for a snapshot of the leader.
+func (c *Core) start(stored DurableState) error {
+	c.storage, c.state, c.conf, c.applied, c.snapshotIndex = raft.NewMemoryStorage(), NewState(), raftpb.ConfState{}, 0, 0
+	c.log = changelog.NewLog(0, 0, 2*maxDeletions, changeSize)
+	if !raft.IsEmptySnap(stored.Snapshot) {
+		if err := c.storage.ApplySnapshot(stored.Snapshot); err != nil {
+			return fmt.Errorf("controlplane: snapshot: %w", err)
 		}
-		if raft.IsEmptyHardState(kept.Hard) {
-			kept.Hard = raftpb.HardState{Term: 1}
+		if raft.IsEmptyHardState(stored.Hard) {
+			stored.Hard = raftpb.HardState{Term: 1}
 		}
-		kept.Hard.Commit = max(kept.Hard.Commit, kept.Snapshot.Metadata.Index)
-		if err := c.storage.SetHardState(kept.Hard); err != nil {
-			return fmt.Errorf("council: %w", err)
+		stored.Hard.Commit = max(stored.Hard.Commit, stored.Snapshot.Metadata.Index)
+		if err := c.storage.SetHardState(stored.Hard); err != nil {
+			return fmt.Errorf("controlplane: %w", err)
 		}
-		if err := c.storage.Append(kept.Entries); err != nil {
-			return fmt.Errorf("council: %w", err)
+		if err := c.storage.Append(stored.Entries); err != nil {
+			return fmt.Errorf("controlplane: %w", err)
 		}
-		if err := c.restore(kept.Snapshot); err != nil {
+		if err := c.restore(stored.Snapshot); err != nil {
 			return err
 		}
-		if last := c.LastIndex(); kept.Hard.Commit > last { // a folder that lost what it had promised: it must not vote as if it had it
-			return fmt.Errorf("council: the log ends at %d, and %d was committed: rolled back or damaged", last, kept.Hard.Commit)
+		if last := c.LastIndex(); stored.Hard.Commit > last { // the folder has lost entries that this voter acknowledged, so it must not vote
+			return fmt.Errorf("controlplane: the log ends at %d, but %d was committed: rolled back or damaged", last, stored.Hard.Commit)
 		}
 	}
 	var err error
 	c.node, err = raft.NewRawNode(&raft.Config{
 		ID: c.id, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: c.storage, Applied: c.applied,
-		MaxSizePerMsg: mostAppend, MaxInflightMsgs: mostInflight, CheckQuorum: true, PreVote: true, Logger: quiet,
+		MaxSizePerMsg: maxMessageBytes, MaxInflightMsgs: maxInflightMessages, CheckQuorum: true, PreVote: true, Logger: noLog,
 		MaxUncommittedEntriesSize: 4 << 20, ReadOnlyOption: raft.ReadOnlySafe, StepDownOnRemoval: true,
 	})
 	if err != nil {
-		return fmt.Errorf("council: %w", err)
+		return fmt.Errorf("controlplane: %w", err)
 	}
 	return nil
 }
@@ -190,19 +193,19 @@
 	if err != nil {
 		return err
 	}
-	if c.log, err = state.log(); err != nil {
+	if c.log, err = state.changeLog(); err != nil {
 		return err
 	}
 	c.state, c.conf = state, s.Metadata.ConfState
-	c.applied, c.snapped = s.Metadata.Index, s.Metadata.Index
-	c.know(state.Founders, state.Council)
+	c.applied, c.snapshotIndex = s.Metadata.Index, s.Metadata.Index
+	c.setVoters(state.Founders, state.Council)
 	return nil
 }
 
 func encode(v any) ([]byte, error) {
 	var b bytes.Buffer
 	if err := gob.NewEncoder(&b).Encode(v); err != nil {
-		return nil, fmt.Errorf("council: %w", err)
+		return nil, fmt.Errorf("controlplane: %w", err)
 	}
 	return b.Bytes(), nil
 }
@@ -210,103 +213,104 @@
 func decodeState(data []byte) (*State, error) {
 	s := NewState()
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(s); err != nil {
-		return nil, fmt.Errorf("council: state: %w", err)
+		return nil, fmt.Errorf("controlplane: state: %w", err)
 	}
 	if s.Members == nil {
 		s.Members = map[string]*Member{}
 	}
-	s.revise()
+	s.assignRevisions()
 	return s, nil
 }
 
-// Tick is one beat of the group's time.
+// Tick advances Raft's clock by one tick.
 func (c *Core) Tick() {
-	if !c.muted && !c.outside { // it must not ask to lead either
+	if !c.votingSuspended && !c.outsideGroup { // ticking could start an election
 		c.node.Tick()
 	}
 }
 
-// forgot silences a founder whose folder has less than it once said.
-func (c *Core) forgot() { c.muted, c.blank = true, true }
+// suspendVoting suspends voting after the folder turned out to have less than this voter has acknowledged.
+func (c *Core) suspendVoting() { c.votingSuspended, c.needsRejoin = true, true }
 
-// LastIndex is the index of the latest entry in its log.
+// LastIndex returns the index of the last entry in the log.
 func (c *Core) LastIndex() uint64 {
 	last, _ := c.storage.LastIndex()
 	return last
 }
 
-// YieldLeadership has another founder lead, if this one leads and takes one of a number for further along than that says it is: a leader
-// never goes back behind what it was told, its successor asks anew.
+// YieldLeadership transfers leadership away if this voter leads and has a voter's log further along than last, the
+// index that the voter itself reports. A Raft leader never lowers what a follower has acknowledged; its successor
+// probes anew.
 func (c *Core) YieldLeadership(id, last uint64) {
 	if !c.Leads() {
 		return
 	}
 	if c.node.Status().Progress[id].Match > last {
-		c.yieldTo(id)
+		c.transferLeadership(id)
 	}
 }
 
-// Status tells how far this founder is.
+// Status returns how far this voter is.
 func (c *Core) Status() VoterStatus {
 	s := c.node.BasicStatus()
-	return VoterStatus{Blank: c.muted, Term: s.Term, Commit: s.Commit}
+	return VoterStatus{Blank: c.votingSuspended, Term: s.Term, Commit: s.Commit}
 }
 
-// VotingSuspended says whether this founder still has to meet the others.
-func (c *Core) VotingSuspended() bool { return c.muted && !c.outside }
+// VotingSuspended reports whether this voter still has to hear from all other voters before it may vote.
+func (c *Core) VotingSuspended() bool { return c.votingSuspended && !c.outsideGroup }
 
-// Rejoin tells a founder that began with an empty folder how far all the others are. One that lost its folder has forgotten whom it
-// voted for and what it said it had; so it hears nobody before it knows of all, and votes only when it has whatever any of them
-// knows to be decided. Where all are blank the group begins; else who has nothing takes all it has from the leader, the
-// group's founders as well: the settings may name others by now.
+// Rejoin takes the status of all other voters for one whose state is lost or empty. A voter that lost its folder has
+// forgotten its votes and what it acknowledged. So it processes no message before all others have reported, and votes
+// only once it has everything that any of them knows to be committed. If all are blank, the group starts. Otherwise a
+// voter without any state takes all of it from the leader, also the list of voters, since the settings may be outdated.
 func (c *Core) Rejoin(others []VoterStatus) error {
-	if !c.muted || c.outside || len(others) < len(c.names)-1 {
+	if !c.votingSuspended || c.outsideGroup || len(others) < len(c.nameByID)-1 {
 		return nil
 	}
-	c.meet = VoterStatus{}
-	begun := false
+	c.required = VoterStatus{}
+	groupStarted := false
 	for _, o := range others {
 		if !o.Blank {
-			begun = begun || o.Commit > firstIndex // by a majority that was one without this founder
-			c.meet.Term, c.meet.Commit = max(c.meet.Term, o.Term), max(c.meet.Commit, o.Commit)
+			groupStarted = groupStarted || o.Commit > firstIndex // by a majority that did not include this voter
+			c.required.Term, c.required.Commit = max(c.required.Term, o.Term), max(c.required.Commit, o.Commit)
 		}
 	}
-	if begun && c.empty && c.blank {
-		if err := c.begin(DurableState{}); err != nil {
+	if groupStarted && c.empty && c.needsRejoin {
+		if err := c.start(DurableState{}); err != nil {
 			return err
 		}
 	}
-	c.blank = false
-	c.speak()
+	c.needsRejoin = false
+	c.resumeVoting()
 	return nil
 }
 
-// speak ends the muting once this founder has what it needs.
-func (c *Core) speak() {
-	if c.muted && !c.blank && c.applied >= c.meet.Commit {
-		c.muted = false
+// resumeVoting resumes voting once this voter has what it needs.
+func (c *Core) resumeVoting() {
+	if c.votingSuspended && !c.needsRejoin && c.applied >= c.required.Commit {
+		c.votingSuspended = false
 	}
 }
 
-// Receive takes a message of another founder; one that can't be meant is dropped.
+// Receive processes a message of another voter. Messages that are not meant for this one are dropped.
 func (c *Core) Receive(m raftpb.Message) {
-	if _, known := c.names[m.From]; !known || c.outside || m.To != c.id || raft.IsLocalMsg(m.Type) {
+	if _, known := c.nameByID[m.From]; !known || c.outsideGroup || m.To != c.id || raft.IsLocalMsg(m.Type) {
 		return
 	}
 	if last, _ := c.storage.LastIndex(); m.Type == raftpb.MsgHeartbeat && m.Commit > last {
-		c.forgot() // nobody is told of more than it has said it has: this folder is an older copy of itself
+		c.suspendVoting() // no voter is told of more than it has acknowledged, so this folder is an older copy of itself
 		return
 	}
-	if c.muted && (c.blank || m.Term < c.meet.Term || m.Type == raftpb.MsgVote || m.Type == raftpb.MsgPreVote) {
+	if c.votingSuspended && (c.needsRejoin || m.Term < c.required.Term || m.Type == raftpb.MsgVote || m.Type == raftpb.MsgPreVote) {
 		return
 	}
-	_ = c.node.Step(m) // what it says of a message that is late or stray changes nothing here
+	_ = c.node.Step(m) // errors are about late or stray messages, which change nothing here
 }
 
-// Unreachable says that a message to a founder got lost.
+// Unreachable reports that a message to a voter was lost.
 func (c *Core) Unreachable(id uint64) { c.node.ReportUnreachable(id) }
 
-// SnapshotSent says what became of a snapshot that was sent.
+// SnapshotSent reports whether a snapshot was delivered.
 func (c *Core) SnapshotSent(id uint64, ok bool) {
 	status := raft.SnapshotFinish
 	if !ok {
@@ -315,10 +319,11 @@
 	c.node.ReportSnapshot(id, status)
 }
 
-// ErrNotLeader is given by what only the leader may do.
+// ErrNotLeader is returned for what only the leader can do. Peers of all versions compare its text, which must not
+// change.
 var ErrNotLeader = errors.New("council: not the leader")
 
-// Propose asks for a command; Applied tells, by the ticket, what became of it, if anything does.
+// Propose proposes a command. If it is committed, Applied returns its outcome under the same ticket.
 func (c *Core) Propose(ticket uint64, cmd Command) error {
 	if !c.Leads() {
 		return ErrNotLeader
@@ -328,13 +333,13 @@
 		return err
 	}
 	if err := c.node.Propose(data); err != nil {
-		return fmt.Errorf("council: %w", err)
+		return fmt.Errorf("controlplane: %w", err)
 	}
 	return nil
 }
 
-// ConfirmLeadership asks whether this founder still leads; Confirmed names the ticket once a majority has said so after now, and all that
-// was decided before is applied.
+// ConfirmLeadership asks a majority whether this voter still leads. Confirmed contains the ticket once a majority has
+// agreed after this call and everything committed before it is applied.
 func (c *Core) ConfirmLeadership(ticket uint64) error {
 	if !c.Leads() {
 		return ErrNotLeader
@@ -343,42 +348,42 @@
 	return nil
 }
 
-// Leads says whether this founder takes itself for the leader.
+// Leads reports whether this voter considers itself the leader.
 func (c *Core) Leads() bool { return c.node.BasicStatus().RaftState == raft.StateLeader }
 
-// Leader is the leader's name as far as this founder knows, or "".
-func (c *Core) Leader() string { return c.names[c.node.BasicStatus().Lead] }
+// Leader returns the name of the leader as far as this voter knows, or "".
+func (c *Core) Leader() string { return c.nameByID[c.node.BasicStatus().Lead] }
 
-// Term is the group's present term.
+// Term returns the current Raft term.
 func (c *Core) Term() uint64 { return c.node.BasicStatus().Term }
 
-// State is what has been decided; it is the core's own.
+// State returns the committed state, which belongs to the core.
 func (c *Core) State() *State { return c.state }
 
-// Log is the same as a change log; it is the core's own.
+// Log returns the same state as a change log, which belongs to the core.
 func (c *Core) Log() *changelog.Log[Item] { return c.log }
 
-// HasReady says whether Ready has something.
+// HasReady reports whether Ready has work.
 func (c *Core) HasReady() bool { return c.node.HasReady() }
 
-// Ready gives what is to be done. Done must be called once Keep is kept and Send is on its way.
+// Ready returns the work to do. The returned function has to be called after Persist is saved and Send is handed over.
 func (c *Core) Ready() (Step, func(), error) {
 	rd := c.node.Ready()
 	step := Step{Persist: DurableState{Hard: rd.HardState, Entries: rd.Entries, Snapshot: rd.Snapshot}, Send: rd.Messages}
 	if step.Persist.Reset = !raft.IsEmptySnap(rd.Snapshot); step.Persist.Reset {
 		if err := c.storage.ApplySnapshot(rd.Snapshot); err != nil {
-			return step, nil, fmt.Errorf("council: snapshot: %w", err)
+			return step, nil, fmt.Errorf("controlplane: snapshot: %w", err)
 		}
 		if err := c.restore(rd.Snapshot); err != nil {
 			return step, nil, err
 		}
 	}
 	if err := c.storage.Append(rd.Entries); err != nil {
-		return step, nil, fmt.Errorf("council: %w", err)
+		return step, nil, fmt.Errorf("controlplane: %w", err)
 	}
 	if !raft.IsEmptyHardState(rd.HardState) {
 		if err := c.storage.SetHardState(rd.HardState); err != nil {
-			return step, nil, fmt.Errorf("council: %w", err)
+			return step, nil, fmt.Errorf("controlplane: %w", err)
 		}
 	}
 	changed := false
@@ -390,7 +395,7 @@
 		data, change := e.Data, raftpb.ConfChangeV2{}
 		if e.Type == raftpb.EntryConfChangeV2 {
 			if err := change.Unmarshal(e.Data); err != nil {
-				return step, nil, fmt.Errorf("council: change %d: %w", e.Index, err)
+				return step, nil, fmt.Errorf("controlplane: change %d: %w", e.Index, err)
 			}
 			data = change.Context
 		}
@@ -400,7 +405,7 @@
 		var in entry
 		a := Applied{Version: e.Index}
 		if err := decodeEntry(data, &in); err != nil {
-			a.Err = fmt.Errorf("council: command %d: %w", e.Index, err) // on all founders alike
+			a.Err = fmt.Errorf("controlplane: command %d: %w", e.Index, err) // the same error on all voters
 		} else {
 			a.Ticket, a.Command = in.Ticket, in.Command
 			a.Err = c.state.Apply(e.Index, in.Command)
@@ -410,38 +415,38 @@
 		}
 		if e.Type == raftpb.EntryConfChangeV2 && a.Err == nil {
 			c.conf, changed = *c.node.ApplyConfChange(change), true
-			c.know(c.state.Founders, c.state.Council)
+			c.setVoters(c.state.Founders, c.state.Council)
 		}
 		step.Applied = append(step.Applied, a)
 	}
 	for _, r := range rd.ReadStates {
 		var ticket uint64
 		if _, err := fmt.Sscan(string(r.RequestCtx), &ticket); err == nil {
-			c.waiting = append(c.waiting, confirmation{ticket, r.Index})
+			c.confirmations = append(c.confirmations, confirmation{ticket, r.Index})
 		}
 	}
-	c.waiting = slices.DeleteFunc(c.waiting, func(w confirmation) bool {
+	c.confirmations = slices.DeleteFunc(c.confirmations, func(w confirmation) bool {
 		if w.index > c.applied {
 			return false
 		}
 		step.Confirmed = append(step.Confirmed, w.ticket)
 		return true
 	})
-	c.speak()
+	c.resumeVoting()
 	snap, err := c.snapshot(changed)
 	if err != nil {
 		return step, nil, err
 	}
 	if !raft.IsEmptySnap(snap) {
-		step.Persist.Snapshot = snap // later than one that came with this very step, if one did
+		step.Persist.Snapshot = snap // more recent than a snapshot received in this step, if any
 	}
 	return step, func() { c.node.Advance(rd) }, nil
 }
 
-// snapshot shortens the log now and then, and where the group was changed: whoever is new to it begins with a snapshot that
-// names it, and a start needs no word of the settings on who the founders are.
+// snapshot creates a snapshot and compacts the log at intervals, and after every change of the voters: a new voter then
+// starts from a snapshot that contains it, and a restart does not depend on the voters in the settings.
 func (c *Core) snapshot(changed bool) (raftpb.Snapshot, error) {
-	if !changed && c.applied-c.snapped < snapshotEvery {
+	if !changed && c.applied-c.snapshotIndex < entriesPerSnapshot {
 		return raftpb.Snapshot{}, nil
 	}
 	data, err := encode(c.state)
@@ -450,33 +455,33 @@
 	}
 	s, err := c.storage.CreateSnapshot(c.applied, &c.conf, data)
 	if err != nil {
-		return s, fmt.Errorf("council: %w", err)
+		return s, fmt.Errorf("controlplane: %w", err)
 	}
-	c.snapped = c.applied
-	if c.applied > retained {
-		if err := c.storage.Compact(c.applied - retained); err != nil && !errors.Is(err, raft.ErrCompacted) {
-			return s, fmt.Errorf("council: %w", err)
+	c.snapshotIndex = c.applied
+	if c.applied > retainedEntries {
+		if err := c.storage.Compact(c.applied - retainedEntries); err != nil && !errors.Is(err, raft.ErrCompacted) {
+			return s, fmt.Errorf("controlplane: %w", err)
 		}
 	}
 	return s, nil
 }
 
-// Rebuild makes what a founder has kept the beginning of a new group: for the operator who has lost a majority for good. All
-// that this founder knows as decided stays; what only the lost ones knew is gone, so the founder that knows most is the one to
-// take. Versions jump, so that nothing of the old group is taken for newer.
-func Rebuild(kept DurableState, founders []string) (DurableState, error) {
-	if raft.IsEmptySnap(kept.Snapshot) { // its log goes back to the group's beginning
+// Rebuild turns the stored state of one voter into the start of a new group, for an operator who has permanently lost a
+// majority. Everything that this voter knows to be committed is kept; what only the lost voters knew is gone, so the
+// voter with the longest log should be used. Versions jump, so that nothing of the old group is taken for newer.
+func Rebuild(stored DurableState, voters []string) (DurableState, error) {
+	if raft.IsEmptySnap(stored.Snapshot) { // its log goes back to the start of the group
 		var err error
-		if kept.Snapshot, err = founding(founders); err != nil {
+		if stored.Snapshot, err = initialSnapshot(voters); err != nil {
 			return DurableState{}, err
 		}
 	}
-	state, err := decodeState(kept.Snapshot.Data)
+	state, err := decodeState(stored.Snapshot.Data)
 	if err != nil {
 		return DurableState{}, err
 	}
-	index, term := kept.Snapshot.Metadata.Index, max(kept.Hard.Term, kept.Snapshot.Metadata.Term)
-	for _, e := range kept.Entries { // whatever is there, also where nobody knows whether it was decided: it was asked for
+	index, term := stored.Snapshot.Metadata.Index, max(stored.Hard.Term, stored.Snapshot.Metadata.Term)
+	for _, e := range stored.Entries { // also entries of which it is unknown whether they were committed: somebody requested them
 		if e.Index <= index {
 			continue
 		}
@@ -487,16 +492,16 @@
 		}
 	}
 	if index > math.MaxUint64/2 {
-		return DurableState{}, errors.New("council: versions are used up")
+		return DurableState{}, errors.New("controlplane: no versions left")
 	}
-	s, err := founding(founders)
+	s, err := initialSnapshot(voters)
 	if err != nil {
 		return DurableState{}, err
 	}
 	s.Metadata.Index, s.Metadata.Term = index+1<<20, term+1<<10
-	state.Version, state.Founders, state.Council = s.Metadata.Index, nil, s.Metadata.Index // those of the settings
-	state.Deleted, state.Floor = nil, s.Metadata.Index                                     // watchers may know what only the lost ones knew
-	state.touch(votersKey)
+	state.Version, state.Founders, state.Council = s.Metadata.Index, nil, s.Metadata.Index // nil: those of the settings
+	state.Deleted, state.Floor = nil, s.Metadata.Index                                     // watchers may know what only the lost voters knew
+	state.markChanged(votersKey)
 	if s.Data, err = encode(state); err != nil {
 		return DurableState{}, err
 	}
--- a/internal/cluster/controlplane/items.go
+++ b/internal/cluster/controlplane/items.go
@@ -10,11 +10,11 @@
 	"mulleinbeam/internal/cluster/changelog"
 )
 
-// The decided state as a change log: every member, takeover, the plan and the voters have a key, and the version of a command is the revision
-// of all keys that it has changed.
+// The committed state as a change log: every member, takeover task and configuration entry, the plan and the voters
+// have a key. The version of a command is the revision of all keys that it has changed.
 
-// Item is what a key stands for; one of its exported fields is set. One that was sealed, or came over a link, is encoded once for all who get
-// it.
+// Item is the value of a key; exactly one of its exported fields is set. An item that was sealed, or was decoded, keeps
+// its encoding, so that it is encoded once for all watchers.
 type Item struct {
 	Member   *Member         `cbor:"1,keyasint,omitempty"`
 	Takeover *TakeoverTask   `cbor:"2,keyasint,omitempty"`
@@ -26,41 +26,41 @@
 	encoded []byte
 }
 
-// Voters are who holds the control plane, as of a version.
+// Voters are the voters and learners as of a version.
 type Voters struct {
 	List    []Voter `cbor:"1,keyasint,omitempty"`
 	Version uint64  `cbor:"2,keyasint,omitempty"`
 }
 
-// Change is one to a key.
+// Change is a change of a key.
 type Change = changelog.Record[Item]
 
-// Changes answer a watcher.
+// Changes is a response to a watcher.
 type Changes = changelog.Batch[Item]
 
-// The keys.
+// Keys and key prefixes.
 const (
 	memberPrefix      = "member/"
-	jobPrefix         = "takeover/"
+	takeoverPrefix    = "takeover/"
 	planKey           = "plan"
 	votersKey         = "voters"
 	configPrefix      = "config/"
 	configRevisionKey = "configuration"
 )
 
-// MemberKey is a member's.
+// MemberKey returns the key of a member.
 func MemberKey(name string) string { return memberPrefix + name }
 
-func jobKey(l Incarnation) string { return fmt.Sprintf("%s%s/%d", jobPrefix, l.Name, l.Number) }
+func taskKey(l Incarnation) string { return fmt.Sprintf("%s%s/%d", takeoverPrefix, l.Name, l.Number) }
 
 const (
-	// mostDeletions is how many deletions are remembered for watchers that are behind; while they are dropped, up to twice as many.
-	mostDeletions = 4096
-	// PieceBytes bounds a piece of an answer to a watcher, but for a single change that is larger.
+	// maxDeletions bounds the deletions that are kept for watchers that lag; pruning starts at twice as many.
+	maxDeletions = 4096
+	// PieceBytes bounds one piece of a response to a watcher, unless a single change is larger.
 	PieceBytes = 64 << 10
 )
 
-// changeSize is about how many bytes a change takes in an answer.
+// changeSize returns the approximate encoded size of a change.
 func changeSize(r Change) int {
 	const head = 24
 	size := head + len(r.Key)
@@ -83,17 +83,17 @@
 // SelectAll selects the whole state.
 var SelectAll = changelog.Selector{All: true}
 
-// SelectMember selects a member by itself, the plan, the voters and the configuration.
+// SelectMember selects one member, the plan, the voters and the configuration.
 func SelectMember(member string) changelog.Selector {
 	return changelog.Selector{Keys: []string{MemberKey(member), planKey, votersKey, configRevisionKey}, Prefixes: []string{configPrefix}}
 }
 
-// NewMirror has nothing yet; it is for a relay.
+// NewMirror returns an empty mirror, for a relay.
 func NewMirror() *changelog.Mirror[Item] {
-	return changelog.NewMirror(2*mostDeletions, changeSize)
+	return changelog.NewMirror(2*maxDeletions, changeSize)
 }
 
-// VotersIn are those that a mirror knows of; none is those that the group began with.
+// VotersIn returns the voters in a mirror; nil if they have not changed since the group started.
 func VotersIn(m *changelog.Mirror[Item]) []Voter {
 	if item, known := m.Get(votersKey); known && item.Voters != nil {
 		return item.Voters.List
@@ -101,69 +101,69 @@
 	return nil
 }
 
-// touch notes that a key has changed at this version.
-func (s *State) touch(key string) {
+// markChanged records that a key has changed at the current version.
+func (s *State) markChanged(key string) {
 	if s.Revisions == nil {
 		s.Revisions = map[string]uint64{}
 	}
 	s.Revisions[key] = s.Version
 	delete(s.Deleted, key)
-	s.note(key)
+	s.recordChanged(key)
 }
 
-// drop notes that a key is no more.
-func (s *State) drop(key string) {
+// markDeleted records that a key was deleted.
+func (s *State) markDeleted(key string) {
 	if s.Deleted == nil {
 		s.Deleted = map[string]uint64{}
 	}
 	delete(s.Revisions, key)
 	s.Deleted[key] = s.Version
-	s.note(key)
-	if len(s.Deleted) > 2*mostDeletions {
-		s.forgetDeletions()
+	s.recordChanged(key)
+	if len(s.Deleted) > 2*maxDeletions {
+		s.pruneDeletions()
 	}
 }
 
-func (s *State) note(key string) {
-	if !slices.Contains(s.touched, key) {
-		s.touched = append(s.touched, key)
+func (s *State) recordChanged(key string) {
+	if !slices.Contains(s.changedKeys, key) {
+		s.changedKeys = append(s.changedKeys, key)
 	}
 }
 
-// forgetDeletions drops the older half of them, the same ones wherever the same commands were applied.
-func (s *State) forgetDeletions() {
+// pruneDeletions drops the oldest deletions. It is deterministic, so every voter drops the same ones.
+func (s *State) pruneDeletions() {
 	keys := slices.SortedFunc(maps.Keys(s.Deleted), func(a, b string) int {
 		return cmp.Or(cmp.Compare(s.Deleted[a], s.Deleted[b]), cmp.Compare(a, b))
 	})
-	for _, key := range keys[:len(keys)-mostDeletions] {
+	for _, key := range keys[:len(keys)-maxDeletions] {
 		s.Floor = max(s.Floor, s.Deleted[key])
 		delete(s.Deleted, key)
 	}
 }
 
-// changeMember is a member that may be changed, as a copy in the place of the one before.
-func (s *State) changeMember(name string) *Member {
+// editMember replaces a member with a copy that may be modified, and returns the copy.
+func (s *State) editMember(name string) *Member {
 	m := *s.Members[name]
 	s.Members[name] = &m
-	s.touch(MemberKey(name))
+	s.markChanged(MemberKey(name))
 	return &m
 }
 
-// changeJob is a takeover that may be changed, as a copy in the place of the one before.
-func (s *State) changeJob(l Incarnation) *TakeoverTask {
+// editTask replaces a takeover task with a copy that may be modified, and returns the copy.
+func (s *State) editTask(l Incarnation) *TakeoverTask {
 	i := slices.IndexFunc(s.Jobs, func(j *TakeoverTask) bool { return j.Life == l })
 	j := *s.Jobs[i]
 	s.Jobs[i] = &j
-	s.touch(jobKey(l))
+	s.markChanged(taskKey(l))
 	return &j
 }
 
-func (s *State) addJob(j *TakeoverTask) {
+func (s *State) addTask(j *TakeoverTask) {
 	s.Jobs = append(s.Jobs, j)
-	s.touch(jobKey(j.Life))
+	s.markChanged(taskKey(j.Life))
 }
 
-// item is what a key stands for now; false: nothing.
+// item returns the current value of a key, and whether it has one.
 func (s *State) item(key string) (Item, bool) {
 	switch name, isMember := strings.CutPrefix(key, memberPrefix); {
 	case isMember:
@@ -182,21 +182,21 @@
 		return Item{Entry: e}.sealed(), e != nil
 	}
 	for _, j := range s.Jobs {
-		if jobKey(j.Life) == key {
+		if taskKey(j.Life) == key {
 			return Item{Takeover: j}.sealed(), true
 		}
 	}
 	return Item{}, false
 }
 
-// records are all keys, the deleted ones that are remembered among them.
+// records returns the records of all keys, including the deletions that are kept.
 func (s *State) records() (out []Change) {
-	jobs := make(map[string]*TakeoverTask, len(s.Jobs))
+	tasks := make(map[string]*TakeoverTask, len(s.Jobs))
 	for _, j := range s.Jobs {
-		jobs[jobKey(j.Life)] = j
+		tasks[taskKey(j.Life)] = j
 	}
 	for key, revision := range s.Revisions {
-		if j := jobs[key]; j != nil {
+		if j := tasks[key]; j != nil {
 			out = append(out, Change{Key: key, Revision: revision, Value: Item{Takeover: j}.sealed()})
 		} else if v, known := s.item(key); known {
 			out = append(out, Change{Key: key, Revision: revision, Value: v})
@@ -208,67 +208,68 @@
 	return out
 }
 
-// revise gives revisions to a state that was kept by a program which had none: all keys change at its version.
-func (s *State) revise() {
+// assignRevisions assigns revisions to a state stored by a version without them: all keys get the version of the state.
+func (s *State) assignRevisions() {
 	if len(s.Revisions) > 0 || s.Version <= firstIndex {
 		return
 	}
 	for name := range s.Members {
-		s.touch(MemberKey(name))
+		s.markChanged(MemberKey(name))
 	}
 	for _, j := range s.Jobs {
-		s.touch(jobKey(j.Life))
+		s.markChanged(taskKey(j.Life))
 	}
-	s.touch(planKey)
-	s.touch(votersKey)
-	s.Floor, s.touched = s.Version, nil
+	s.markChanged(planKey)
+	s.markChanged(votersKey)
+	s.Floor, s.changedKeys = s.Version, nil
 }
 
-// log is the state as a change log.
-func (s *State) log() (*changelog.Log[Item], error) {
-	log, err := changelog.Restore(s.records(), s.Version, s.Floor, 2*mostDeletions, changeSize)
+// changeLog returns the state as a change log.
+func (s *State) changeLog() (*changelog.Log[Item], error) {
+	log, err := changelog.Restore(s.records(), s.Version, s.Floor, 2*maxDeletions, changeSize)
 	if err != nil {
-		return nil, fmt.Errorf("council: change log: %w", err)
+		return nil, fmt.Errorf("controlplane: change log: %w", err)
 	}
 	return log, nil
 }
 
-// publish adds what the latest command has changed to a log.
+// publish appends what the latest command has changed to a log.
 func (s *State) publish(log *changelog.Log[Item]) error {
-	for _, key := range s.touched {
+	for _, key := range s.changedKeys {
 		v, known := s.item(key)
 		if err := log.Put(Change{Key: key, Revision: s.Version, Deleted: !known, Value: v}); err != nil {
-			return fmt.Errorf("council: change log: %w", err)
+			return fmt.Errorf("controlplane: change log: %w", err)
 		}
 	}
 	return log.Advance(s.Version)
 }
 
-// With is a state as a watcher has it after a change of its view, at a version. This one stays as it is.
+// With returns a watcher's state after a change to its view, as of a version. The receiver is not modified.
 func (s *State) With(version uint64, change *changelog.Change[Item]) *State {
 	out := NewState()
 	if !change.Whole {
-		out = s.cloneFor(change)
+		out = s.cloneForChange(change)
 	}
 	out.Version, out.Revisions, out.Deleted = version, nil, nil
-	jobs := map[Incarnation]*TakeoverTask{}
+	tasks := map[Incarnation]*TakeoverTask{}
 	for _, j := range out.Jobs {
-		jobs[j.Life] = j
+		tasks[j.Life] = j
 	}
 	changed := false
 	for _, r := range change.Records {
-		changed = out.take(r, jobs) || changed
+		changed = out.applyChange(r, tasks) || changed
 	}
 	if changed {
-		out.Jobs = slices.SortedFunc(maps.Values(jobs), compareJobs)
+		out.Jobs = slices.SortedFunc(maps.Values(tasks), compareTasks)
 	}
 	return out
 }
 
-// cloneFor is a copy to which a change can be applied. Entries are shared where it has none: there may be far more of them than of all else.
-func (s *State) cloneFor(change *changelog.Change[Item]) *State {
-	configures := slices.ContainsFunc(change.Records, func(r Change) bool { return strings.HasPrefix(r.Key, configPrefix) })
-	if configures {
+// cloneForChange returns a copy to which a change can be applied. It shares the configuration entries unless the change
+// modifies them: there may be far more of these than of anything else.
+func (s *State) cloneForChange(change *changelog.Change[Item]) *State {
+	changesEntries := slices.ContainsFunc(change.Records, func(r Change) bool { return strings.HasPrefix(r.Key, configPrefix) })
+	if changesEntries {
 		return s.Clone()
 	}
 	without := *s
@@ -278,13 +279,13 @@
 	return out
 }
 
-// compareJobs orders them by their age.
-func compareJobs(a, b *TakeoverTask) int {
-	return cmp.Or(cmp.Compare(a.At, b.At), compareLives(a.Life, b.Life))
+// compareTasks orders takeover tasks by age.
+func compareTasks(a, b *TakeoverTask) int {
+	return cmp.Or(cmp.Compare(a.At, b.At), compareIncarnations(a.Life, b.Life))
 }
 
-// take puts one change into a watcher's state; true says that it was one of a takeover.
-func (s *State) take(r Change, jobs map[Incarnation]*TakeoverTask) bool {
+// applyChange applies one change to a watcher's state, and reports whether it was one of a takeover task.
+func (s *State) applyChange(r Change, tasks map[Incarnation]*TakeoverTask) bool {
 	if name, isMember := strings.CutPrefix(r.Key, memberPrefix); isMember {
 		if r.Deleted || r.Value.Member == nil {
 			delete(s.Members, name)
@@ -309,12 +310,12 @@
 	case v.Voters != nil:
 		s.Founders, s.Council = v.Voters.List, v.Voters.Version
 	case v.Takeover != nil:
-		jobs[v.Takeover.Life] = v.Takeover
+		tasks[v.Takeover.Life] = v.Takeover
 		return true
 	case r.Deleted:
-		for life := range jobs {
-			if jobKey(life) == r.Key {
-				delete(jobs, life)
+		for incarnation := range tasks {
+			if taskKey(incarnation) == r.Key {
+				delete(tasks, incarnation)
 				return true
 			}
 		}
--- a/internal/cluster/controlplane/leases.go
+++ b/internal/cluster/controlplane/leases.go
@@ -5,112 +5,116 @@
 	"time"
 )
 
-// Leases is what a leader knows of the lives that may act. A life's lease runs, on its own clock, from the moment at which it
-// asked; the leader counts it from when the asking came, which is later, and adds a margin for clocks that run unevenly. So a
-// life that the leader may end has stopped acting for itself already.
+// Leases is a leader's record of the leases it has granted. An incarnation counts its lease, on its own clock, from the
+// moment it sent the renewal request. The leader counts from the arrival of the request, which is later, and adds a
+// margin for clocks that run at different speeds. So an incarnation that the leader may fence has already stopped
+// acting.
 //
-// A leader answers only when a majority has confirmed, after the asking came, that it still leads, and only once it has
-// applied all that was decided before its time. An earlier leader's last answers therefore belong to askings that came before
-// this one was elected, and a lease's time after that they are over as well.
+// A leader grants a lease only after a majority has confirmed, after the request arrived, that it still leads, and only
+// once it has applied everything committed before its term. The last grants of an earlier leader therefore belong to
+// requests that arrived before this leader was elected, and have expired one lease duration after that.
 type Leases struct {
 	Lease  time.Duration
 	Margin time.Duration
 
-	elected time.Duration
-	leads   bool
-	seen    map[Incarnation]time.Duration // latest asking
-	ending  map[Incarnation]bool          // its end was proposed in this leadership
-	due     deadlines
+	elected   time.Duration
+	leads     bool
+	renewed   map[Incarnation]time.Duration // time of the latest renewal request
+	fencing   map[Incarnation]bool          // a command to fence it was proposed during this leadership
+	deadlines deadlines
 }
 
-// deadline is when a life is to be looked at.
+// deadline is when to check the lease of an incarnation.
 type deadline struct {
-	life Incarnation
-	at   time.Duration
+	incarnation Incarnation
+	at          time.Duration
 }
 
-// deadlines is a heap of them, the earliest first.
+// deadlines is a min-heap ordered by time.
 type deadlines []deadline
 
 func (d deadlines) Len() int           { return len(d) }
 func (d deadlines) Less(i, j int) bool { return d[i].at < d[j].at }
 func (d deadlines) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
 
-// Push is heap.Interface's.
+// Push implements heap.Interface.
 func (d *deadlines) Push(x any) { *d = append(*d, x.(deadline)) }
 
-// Pop is heap.Interface's.
+// Pop implements heap.Interface.
 func (d *deadlines) Pop() any {
 	last := (*d)[len(*d)-1]
 	*d = (*d)[:len(*d)-1]
 	return last
 }
 
-// Track has Due give a life once its lease is over. A renewal costs nothing here: what is due is looked up only when it may be.
-func (l *Leases) Track(life Incarnation) { l.TrackAt(life, l.Expiry(life)) }
+// Track makes Expired return an incarnation once its lease is over. A renewal does not update the heap: Expired
+// computes the actual expiry when the deadline passes.
+func (l *Leases) Track(incarnation Incarnation) { l.TrackAt(incarnation, l.Expiry(incarnation)) }
 
-// TrackAt has Due look at a life at a moment.
-func (l *Leases) TrackAt(life Incarnation, at time.Duration) { heap.Push(&l.due, deadline{life, at}) }
+// TrackAt makes Expired check an incarnation at a given time.
+func (l *Leases) TrackAt(incarnation Incarnation, at time.Duration) {
+	heap.Push(&l.deadlines, deadline{incarnation, at})
+}
 
-// Expired gives lives whose leases are over, and tracks them no longer.
+// Expired returns the incarnations whose leases are over, and stops tracking them.
 func (l *Leases) Expired(now time.Duration) (out []Incarnation) {
-	for len(l.due) > 0 && l.due[0].at <= now {
-		life := heap.Pop(&l.due).(deadline).life
-		if over := l.Expiry(life); over > now {
-			l.TrackAt(life, over)
+	for len(l.deadlines) > 0 && l.deadlines[0].at <= now {
+		incarnation := heap.Pop(&l.deadlines).(deadline).incarnation
+		if over := l.Expiry(incarnation); over > now {
+			l.TrackAt(incarnation, over)
 			continue
 		}
-		out = append(out, life)
+		out = append(out, incarnation)
 	}
 	return out
 }
 
-// Elected begins a leadership.
+// Elected starts a leadership.
 func (l *Leases) Elected(now time.Duration) {
 	l.elected, l.leads = now, true
-	l.seen, l.ending, l.due = map[Incarnation]time.Duration{}, map[Incarnation]bool{}, nil
+	l.renewed, l.fencing, l.deadlines = map[Incarnation]time.Duration{}, map[Incarnation]bool{}, nil
 }
 
-// Deposed ends it.
+// Deposed ends the leadership.
 func (l *Leases) Deposed() { l.leads = false }
 
-// Leads says whether there is a leadership.
+// Leads reports whether this process is the leader.
 func (l *Leases) Leads() bool { return l.leads }
 
-// Renew books that a life asks for its lease; false says that it gets none.
-func (l *Leases) Renew(now time.Duration, life Incarnation) bool {
-	if !l.leads || l.ending[life] {
+// Renew records a lease renewal request, and returns false if the lease must not be granted.
+func (l *Leases) Renew(now time.Duration, incarnation Incarnation) bool {
+	if !l.leads || l.fencing[incarnation] {
 		return false
 	}
-	l.seen[life] = now
+	l.renewed[incarnation] = now
 	return true
 }
 
-// Expiry is when a life's lease has certainly ended, unless it asks again.
-func (l *Leases) Expiry(life Incarnation) time.Duration {
-	return max(l.elected, l.seen[life]) + l.Lease + l.Margin
+// Expiry returns when an incarnation's lease has certainly ended, unless it is renewed.
+func (l *Leases) Expiry(incarnation Incarnation) time.Duration {
+	return max(l.elected, l.renewed[incarnation]) + l.Lease + l.Margin
 }
 
-// MayFence says whether a life's end may be proposed, and that it gets no lease any more if so: what was proposed may be decided
-// long after.
-func (l *Leases) MayFence(now time.Duration, life Incarnation) bool {
-	if !l.leads || now < l.Expiry(life) {
+// MayFence reports whether the fencing of an incarnation may be proposed. If so, the incarnation gets no further lease,
+// since the proposal may be committed much later.
+func (l *Leases) MayFence(now time.Duration, incarnation Incarnation) bool {
+	if !l.leads || now < l.Expiry(incarnation) {
 		return false
 	}
-	l.ending[life] = true
+	l.fencing[incarnation] = true
 	return true
 }
 
-// Forget drops lives that are over.
+// Forget drops incarnations that have been fenced.
 func (l *Leases) Forget(alive func(Incarnation) bool) {
-	for life := range l.seen {
-		if !alive(life) {
-			delete(l.seen, life)
+	for incarnation := range l.renewed {
+		if !alive(incarnation) {
+			delete(l.renewed, incarnation)
 		}
 	}
-	for life := range l.ending {
-		if !alive(life) {
-			delete(l.ending, life)
+	for incarnation := range l.fencing {
+		if !alive(incarnation) {
+			delete(l.fencing, incarnation)
 		}
 	}
 }
--- a/internal/cluster/controlplane/disk_test.go
+++ b/internal/cluster/controlplane/raftstore_test.go
@@ -10,8 +10,9 @@
 	"mulleinbeam/internal/routing/wal/fsys"
 )
 
-// Guards against a founder that keeps less, or other, than it says once its disk takes writes again in the middle of a step.
-func TestAStepIsKeptWholeBehindAFailingDisk(t *testing.T) {
+// Guards against a voter that stores less than it acknowledges: writes fail in the middle of a step, and Save is
+// retried.
+func TestSaveIsRetriedWholeAfterDiskError(t *testing.T) {
 	entry := func(index, term uint64) raftpb.Entry {
 		return raftpb.Entry{Index: index, Term: term, Data: []byte{byte(index)}}
 	}
@@ -22,7 +23,7 @@
 	next := DurableState{
 		Hard: raftpb.HardState{Term: 2, Commit: firstIndex + 3}, Snapshot: snapshot, Entries: []raftpb.Entry{entry(firstIndex+3, 2), entry(firstIndex+4, 2)},
 	}
-	for works := range 12 { // operations of the disk before one fails
+	for works := range 12 { // number of writes that succeed before two fail
 		mem := fsys.NewMem()
 		faults := &fsys.Faults{FS: mem}
 		k, _, err := OpenRaftStore(faults, func(string) {})
@@ -41,7 +42,7 @@
 		})
 		for tries := 0; k.Save(next) != nil; tries++ {
 			if tries > 2 {
-				t.Fatalf("behind %d writes: not kept though the disk works", works)
+				t.Fatalf("after %d writes: not saved although the disk works", works)
 			}
 		}
 		if err := k.Close(); err != nil {
@@ -53,7 +54,7 @@
 		}
 		want := DurableState{Hard: next.Hard, Snapshot: snapshot, Entries: next.Entries}
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Errorf("behind %d writes:\n%s", works, diff)
+			t.Errorf("after %d writes:\n%s", works, diff)
 		}
 	}
 }
--- a/internal/cluster/controlplane/rollout.go
+++ b/internal/cluster/controlplane/rollout.go
@@ -8,12 +8,13 @@
 	"time"
 )
 
-// How far the configuration is in force. Each member reports with its lease renewal, relays add their members' reports up, and the leader adds up what
-// relays and members tell it. Nothing of it is committed: a new leader hears all of it again within a renewal.
+// Tracking of the configuration rollout. Each member sends a report with its lease renewals, relays add up the reports
+// of their members, and the leader adds up what relays and members send. None of it is committed: a new leader receives
+// all of it again within one renewal interval.
 
-// ConfigReport is what a member says of the configuration that is in force there.
+// ConfigReport is what a member reports about the configuration it has in force.
 type ConfigReport struct {
-	Revision uint64         `cbor:"1,keyasint,omitempty"` // of the configuration, as far as it was looked at there
+	Revision uint64         `cbor:"1,keyasint,omitempty"` // the latest configuration revision that the member has processed
 	Refused  []RefusedEntry `cbor:"2,keyasint,omitempty"` // at most maxReported
 }
 
@@ -23,14 +24,14 @@
 	Why string `cbor:"2,keyasint"`
 }
 
-// ConfigSummary adds up reports.
+// ConfigSummary is the sum of several reports.
 type ConfigSummary struct {
-	Revisions []RevisionCount `cbor:"1,keyasint,omitempty" json:"revisions"` // the newest first; the last of maxRevisions counts all that are older, too
+	Revisions []RevisionCount `cbor:"1,keyasint,omitempty" json:"revisions"` // newest first; the last of maxRevisions includes all older ones
 	Refusing  int             `cbor:"2,keyasint,omitempty" json:"refusing"`  // members that refuse an entry
 	Refusals  []MemberRefusal `cbor:"3,keyasint,omitempty" json:"refusals"`  // at most maxReported of them
 }
 
-// RevisionCount is how many members are at a revision.
+// RevisionCount is the number of members at a revision.
 type RevisionCount struct {
 	Revision uint64 `cbor:"1,keyasint" json:"revision"`
 	Members  int    `cbor:"2,keyasint" json:"members"`
@@ -43,70 +44,71 @@
 	Why  string      `cbor:"3,keyasint" json:"why"`
 }
 
-// Rollout is how far a fleet is, as its leader knows.
+// Rollout is the progress of the configuration rollout, as the leader knows it.
 type Rollout struct {
-	Revision uint64        `cbor:"1,keyasint" json:"revision"` // of what is committed
-	Members  int           `cbor:"2,keyasint" json:"members"`  // that live
-	Summary  ConfigSummary `cbor:"3,keyasint" json:"summary"`  // of those that were heard
+	Revision uint64        `cbor:"1,keyasint" json:"revision"` // the committed revision
+	Members  int           `cbor:"2,keyasint" json:"members"`  // live members
+	Summary  ConfigSummary `cbor:"3,keyasint" json:"summary"`  // of the members that have reported
 }
 
-// InForce says that all members that live have looked at the revision that is committed. Nobody who was heard may be behind: a member that has just
-// changed its relay is counted twice for a moment, and must not stand for another.
+// InForce reports whether all live members have processed the committed revision. No report may be behind: a member
+// that has just switched relays is counted twice for a moment, and must not make up for another.
 func (r Rollout) InForce() bool {
 	current := r.Summary.Current(r.Revision)
 	return current >= r.Members && current == r.Summary.Members()
 }
 
 const (
-	maxReported  = 16
-	maxRevisions = 16
-	maxWhy       = 256 // bytes of a reason
+	maxReported    = 16
+	maxRevisions   = 16
+	maxReasonBytes = 256 // bytes of a reason
 )
 
-// Bounded is the report within what a renewal carries.
+// Bounded returns the report cut to what a renewal may carry.
 func (r ConfigReport) Bounded() ConfigReport {
 	r.Refused = slices.Clone(r.Refused[:min(len(r.Refused), maxReported)])
 	for i, refused := range r.Refused {
-		r.Refused[i].Key = cut(refused.Key, maxEntryKey)
-		r.Refused[i].Why = cut(refused.Why, maxWhy)
+		r.Refused[i].Key = truncate(refused.Key, maxEntryKey)
+		r.Refused[i].Why = truncate(refused.Why, maxReasonBytes)
 	}
 	return r
 }
 
-// cut is a text of so many bytes at the most. It stays valid UTF-8: no answer with another text in it can be decoded.
-func cut(text string, most int) string {
-	return strings.ToValidUTF8(text[:min(len(text), most)], "")
+// truncate shortens text to a number of bytes. The result is valid UTF-8, as a message with any other text can't be
+// decoded.
+func truncate(text string, limit int) string {
+	return strings.ToValidUTF8(text[:min(len(text), limit)], "")
 }
 
-// Summarize adds reports up.
+// Summarize adds up reports.
 func Summarize(reports map[Incarnation]ConfigReport) (out ConfigSummary) {
 	counts := map[uint64]int{}
 	var refusing []Incarnation
-	for life, r := range reports {
+	for incarnation, r := range reports {
 		counts[r.Revision]++
 		if len(r.Refused) > 0 {
-			refusing = append(refusing, life)
+			refusing = append(refusing, incarnation)
 		}
 	}
 	out.setRevisions(counts)
 	out.Refusing = len(refusing)
-	slices.SortFunc(refusing, compareLives)
-	for _, life := range refusing {
-		for _, refused := range reports[life].Refused {
+	slices.SortFunc(refusing, compareIncarnations)
+	for _, incarnation := range refusing {
+		for _, refused := range reports[incarnation].Refused {
 			if len(out.Refusals) == maxReported {
 				return out
 			}
-			out.Refusals = append(out.Refusals, MemberRefusal{life, refused.Key, refused.Why})
+			out.Refusals = append(out.Refusals, MemberRefusal{incarnation, refused.Key, refused.Why})
 		}
 	}
 	return out
 }
 
-func compareLives(a, b Incarnation) int {
+func compareIncarnations(a, b Incarnation) int {
 	return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Number, b.Number))
 }
 
-// add adds another summary, of other members.
+// add adds the summary of other members.
 func (s *ConfigSummary) add(o ConfigSummary) {
 	counts := map[uint64]int{}
 	for _, list := range [][]RevisionCount{s.Revisions, o.Revisions} {
@@ -120,7 +122,7 @@
 	s.Refusals = append(s.Refusals, o.Refusals[:min(room, len(o.Refusals))]...)
 }
 
-// setRevisions lists counts, the newest first, and counts those beyond the bound with the oldest that is listed.
+// setRevisions lists counts, newest first; counts beyond the bound are added to the oldest one listed.
 func (s *ConfigSummary) setRevisions(counts map[uint64]int) {
 	s.Revisions = nil
 	revisions := slices.SortedFunc(maps.Keys(counts), func(a, b uint64) int { return cmp.Compare(b, a) })
@@ -133,7 +135,7 @@
 	}
 }
 
-// Members is how many were added up.
+// Members returns the number of members that were added up.
 func (s ConfigSummary) Members() (sum int) {
 	for _, c := range s.Revisions {
 		sum += c.Members
@@ -141,7 +143,7 @@
 	return sum
 }
 
-// Current is how many of them have a revision, or a later one.
+// Current returns the number of members at a revision or a later one.
 func (s ConfigSummary) Current(revision uint64) (sum int) {
 	for _, c := range s.Revisions {
 		if c.Revision >= revision {
@@ -151,21 +153,21 @@
 	return sum
 }
 
-// rolloutKeep is how long a report counts without another: some renewals, so that one that is lost does not count as lagging.
-const rolloutKeep = 3 * time.Second
+// reportTTL is how long a report is valid: several renewals, so that a member does not seem to lag if one is lost.
+const reportTTL = 3 * time.Second
 
-// rolloutSource is the latest that one relay or member has told.
+// rolloutSource is the latest summary of one relay or member.
 type rolloutSource struct {
 	summary ConfigSummary
 	at      time.Duration
 }
 
-// rollouts is what a leader has been told. The zero value knows nothing.
+// rollouts is what a leader has received. The zero value is empty.
 type rollouts struct {
 	sources map[string]rolloutSource
 }
 
-// report takes what a source tells.
+// report records the summary of a source.
 func (r *rollouts) report(now time.Duration, source string, summary ConfigSummary) {
 	if r.sources == nil {
 		r.sources = map[string]rolloutSource{}
@@ -173,12 +175,12 @@
 	r.sources[source] = rolloutSource{summary, now}
 }
 
-// expire drops what was told too long ago.
+// expire drops outdated summaries.
 func (r *rollouts) expire(now time.Duration) {
-	maps.DeleteFunc(r.sources, func(_ string, s rolloutSource) bool { return now-s.at > rolloutKeep })
+	maps.DeleteFunc(r.sources, func(_ string, s rolloutSource) bool { return now-s.at > reportTTL })
 }
 
-// sum adds up what was told of late.
+// sum adds up the summaries that are not outdated.
 func (r *rollouts) sum(now time.Duration) (out ConfigSummary) {
 	r.expire(now)
 	for _, name := range slices.Sorted(maps.Keys(r.sources)) {
@@ -187,10 +189,10 @@
 	return out
 }
 
-// forget drops everything, where a leadership ends.
+// forget drops everything at the end of a leadership.
 func (r *rollouts) forget() { r.sources = nil }
 
-// rollout answers an operator who asks how far the configuration is in force.
+// rollout returns the progress of the configuration rollout.
 func (s *Server) rollout() *Rollout {
 	state := s.core.State()
 	out := &Rollout{Revision: state.Configured, Summary: s.rollouts.sum(s.now())}
--- a/internal/cluster/controlplane/route.go
+++ b/internal/cluster/controlplane/route.go
@@ -8,14 +8,14 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Relay is a process that carries requests of members to the voters, and what is decided back.
+// Relay is a process that forwards members' requests to the voters, and serves the committed state to members.
 type Relay struct {
 	Zone    string
-	Address string // host:port; tells relays apart
+	Address string // host:port; identifies the relay
 }
 
-// RankRelays orders relays for a member: those of its own zone first, and among those of one kind by rendezvous hashing, so that the members
-// of a zone spread over its relays and only those of a relay that goes have to move.
+// RankRelays orders relays for a member: those of its own zone first, and within each of the two groups by rendezvous
+// hashing. So the members of a zone spread over its relays, and only those of a failed relay have to move.
 func RankRelays(relays []Relay, member, zone string) []Relay {
 	weight := func(r Relay) uint64 { return xxh3.HashString(member + "\x00" + r.Address) }
 	near := func(r Relay) int {
@@ -30,109 +30,111 @@
 }
 
 const (
-	relayPatience  = 400 * time.Millisecond // how long a renewal's answer is waited for
-	returnPatience = 200 * time.Millisecond // the same of a relay that took a connection, and had no answer the last time
-	silentAside    = 10 * time.Second       // the mean time for which a relay is passed over that had no answer,
-	goneAside      = 400 * time.Millisecond // the same of one that took no connection: it may be back at once,
-	refusedAside   = time.Second            // and how long of one that found no leader
-	directWithin   = 600 * time.Millisecond // in which members go to the voters that have no relay left, one behind the other: about half of a lease
+	relayTimeout    = 400 * time.Millisecond // timeout for a renewal
+	retryTimeout    = 200 * time.Millisecond // the same for a relay that timed out the last time
+	timeoutSkip     = 10 * time.Second       // mean time for which a relay is skipped after a timeout,
+	unreachableSkip = 400 * time.Millisecond // the same after a failed connection: the relay may be back at once,
+	noLeaderSkip    = time.Second            // and the time for which one is skipped that found no leader
+	voterSpread     = 600 * time.Millisecond // period over which members without a relay spread their requests to the voters: about half of a lease
 )
 
 // RouteStep is what a member does next.
 type RouteStep int
 
-// The steps.
+// The steps of a route.
 const (
 	AskRelay  RouteStep = iota
-	AskVoters           // all relays are silent, or there are none
-	Wait                // all relays are silent, and the time to ask the voters has not come
+	AskVoters           // no relay answers, or there are none
+	Wait                // no relay answers, and it is too early to ask the voters
 )
 
-// Route chooses whom a member asks. It is pure: times are of the caller's clock, and so is chance: a spread is from 0 to 1, drawn by the
-// caller, so that members do not all do the same at once. It is not safe for concurrent use.
+// Route chooses whom a member asks. It is pure: times are of the caller's clock, and spread is a random number from 0
+// to 1 that the caller draws, so that members do not act at the same moment. It is not safe for concurrent use.
 type Route struct {
-	relays []Relay // preferred first
-	aside  map[string]aside
-	direct time.Duration // from when on the voters may be asked; 0 while a relay answers
-	probed bool          // the latest step was to try a silent relay again, since there is no other
+	relays       []Relay // preferred first
+	skipped      map[string]skippedRelay
+	votersFrom   time.Duration // when the voters may be asked; 0 while a relay answers
+	retriedEarly bool          // the latest step was an early retry of a relay that does not answer, as there is no other
 }
 
-// aside is a relay that did not do what it was asked for.
-type aside struct {
+// skippedRelay is the state of a relay that is skipped.
+type skippedRelay struct {
 	since, until time.Duration
-	silent       bool          // it had no answer at all
-	patience     time.Duration // how long its answer is waited for when it is tried again
+	noAnswer     bool          // it did not answer at all
+	timeout      time.Duration // timeout for the next attempt
 }
 
-// NewRoute begins with relays in the order of preference.
-func NewRoute(relays []Relay) *Route { return &Route{relays: relays, aside: map[string]aside{}} }
+// NewRoute returns a route over relays in order of preference.
+func NewRoute(relays []Relay) *Route {
+	return &Route{relays: relays, skipped: map[string]skippedRelay{}}
+}
 
-// Next gives the relay to ask, and how long to wait for its answer. The first that is not passed over is taken; else one that answers, if
-// only that it finds no leader: the voters would be no better off with everybody at their own door.
-func (r *Route) Next(now time.Duration, spread float64) (step RouteStep, relay Relay, patience time.Duration) {
-	var refused *Relay
+// Next returns the relay to ask, and the timeout. It takes the first relay that is not skipped, else one that answers,
+// even if only to say that it finds no leader: requests of all members would not help the voters to elect one.
+func (r *Route) Next(now time.Duration, spread float64) (step RouteStep, relay Relay, timeout time.Duration) {
+	var withoutLeader *Relay
 	for _, candidate := range r.relays {
-		state, known := r.aside[candidate.Address]
+		state, known := r.skipped[candidate.Address]
 		switch {
 		case !known:
-			return AskRelay, candidate, relayPatience
+			return AskRelay, candidate, relayTimeout
 		case state.until <= now:
-			return AskRelay, candidate, state.patience
-		case !state.silent && (refused == nil || state.until < r.aside[refused.Address].until):
-			refused = &candidate
+			return AskRelay, candidate, state.timeout
+		case !state.noAnswer && (withoutLeader == nil || state.until < r.skipped[withoutLeader.Address].until):
+			withoutLeader = &candidate
 		}
 	}
 	switch {
-	case refused != nil:
-		return AskRelay, *refused, relayPatience
+	case withoutLeader != nil:
+		return AskRelay, *withoutLeader, relayTimeout
 	case len(r.relays) == 0:
 		return AskVoters, Relay{}, 0
-	case r.direct == 0:
-		r.direct = now + 1 + scatter(directWithin, spread)
+	case r.votersFrom == 0:
+		r.votersFrom = now + 1 + fraction(voterSpread, spread)
 	}
-	if relay, some := r.longestSilent(now); some && !r.probed {
-		r.probed = true
-		return AskRelay, relay, r.aside[relay.Address].patience
+	if relay, ok := r.longestSkipped(now); ok && !r.retriedEarly {
+		r.retriedEarly = true
+		return AskRelay, relay, r.skipped[relay.Address].timeout
 	}
-	r.probed = false
-	if now < r.direct {
+	r.retriedEarly = false
+	if now < r.votersFrom {
 		return Wait, Relay{}, 0
 	}
 	return AskVoters, Relay{}, 0
 }
 
-// longestSilent is the relay that has been left alone for the longest, if that is long enough to try it once more: all are silent, and one of
-// them may have come back long before its time.
-func (r *Route) longestSilent(now time.Duration) (relay Relay, some bool) {
+// longestSkipped returns the relay whose last attempt is the longest ago, and whether that is long enough for an early
+// retry. With no relay answering, one may have come back long before its skip time ends.
+func (r *Route) longestSkipped(now time.Duration) (relay Relay, ok bool) {
 	relay = slices.MinFunc(r.relays, func(a, b Relay) int {
-		return cmp.Compare(r.aside[a.Address].since, r.aside[b.Address].since)
+		return cmp.Compare(r.skipped[a.Address].since, r.skipped[b.Address].since)
 	})
-	return relay, now-r.aside[relay.Address].since >= goneAside
+	return relay, now-r.skipped[relay.Address].since >= unreachableSkip
 }
 
-// scatter is a part of a time.
-func scatter(within time.Duration, spread float64) time.Duration {
+// fraction returns a fraction of a duration.
+func fraction(within time.Duration, spread float64) time.Duration {
 	return time.Duration(spread * float64(within))
 }
 
-// TimedOut notes that a relay had no answer.
+// TimedOut records that a relay did not answer in time.
 func (r *Route) TimedOut(relay Relay, now time.Duration, spread float64) {
-	r.aside[relay.Address] = aside{now, now + silentAside/2 + scatter(silentAside, spread), true, returnPatience}
+	r.skipped[relay.Address] = skippedRelay{now, now + timeoutSkip/2 + fraction(timeoutSkip, spread), true, retryTimeout}
 }
 
-// Unreachable notes that a relay took no connection, or closed it.
+// Unreachable records that a relay refused or closed the connection.
 func (r *Route) Unreachable(relay Relay, now time.Duration, spread float64) {
-	r.aside[relay.Address] = aside{now, now + goneAside/2 + scatter(goneAside, spread), true, relayPatience}
+	r.skipped[relay.Address] = skippedRelay{now, now + unreachableSkip/2 + fraction(unreachableSkip, spread), true, relayTimeout}
 }
 
-// NoLeader notes that a relay answered that it finds no leader.
+// NoLeader records that a relay answered that it finds no leader.
 func (r *Route) NoLeader(relay Relay, now time.Duration) {
-	r.direct = 0
-	r.aside[relay.Address] = aside{now, now + refusedAside, false, relayPatience}
+	r.votersFrom = 0
+	r.skipped[relay.Address] = skippedRelay{now, now + noLeaderSkip, false, relayTimeout}
 }
 
-// Answered notes that a relay did what it was asked for.
+// Answered records that a relay handled a request.
 func (r *Route) Answered(relay Relay) {
-	r.direct = 0
-	delete(r.aside, relay.Address)
+	r.votersFrom = 0
+	delete(r.skipped, relay.Address)
 }
--- a/internal/cluster/controlplane/route_test.go
+++ b/internal/cluster/controlplane/route_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Members prefer relays of their own zone and spread over them; one that goes moves only its own members, and spreads them over the others.
+// Members prefer relays of their own zone and spread over them. Only the members of a failed relay move, and they
+// spread over the remaining ones.
 func TestRelaysAreRankedByZoneAndSpread(t *testing.T) {
 	var relays []Relay
 	for i := range 6 {
@@ -28,50 +29,50 @@
 	}
 	for _, address := range []string{"r1", "r3", "r5"} {
 		if n := first[address]; n < members/4 || n > members/2 {
-			t.Errorf("%s is the first of %d", address, n)
+			t.Errorf("%s is preferred by %d", address, n)
 		}
 	}
 	if len(second) != 2 || second["r3"] < members/9 || second["r5"] < members/9 {
-		t.Errorf("members of r1 go to %v", second)
+		t.Errorf("members of r1 move to %v", second)
 	}
 }
 
-// A relay without an answer is passed over, tried again later for a short time only, and preferred again once it answers. One that took no
-// connection is tried again soon.
-func TestARelayThatIsSilentIsPassedOver(t *testing.T) {
+// A relay that times out is skipped, retried later with a short timeout, and preferred again once it answers. One that
+// refuses the connection is retried soon.
+func TestUnresponsiveRelayIsSkipped(t *testing.T) {
 	a, b := Relay{Address: "a"}, Relay{Address: "b"}
 	r := NewRoute([]Relay{a, b})
 	at := time.Duration(0)
-	next := func(want Relay, patience time.Duration) {
+	next := func(want Relay, timeout time.Duration) {
 		t.Helper()
-		if step, got, wait := r.Next(at, 0); step != AskRelay || got != want || wait != patience {
+		if step, got, wait := r.Next(at, 0); step != AskRelay || got != want || wait != timeout {
 			t.Errorf("at %v: %v, %v for %v", at, step, got, wait)
 		}
 	}
-	next(a, relayPatience)
+	next(a, relayTimeout)
 	r.TimedOut(a, at, 0)
-	next(b, relayPatience)
-	at += silentAside/2 - 1
-	next(b, relayPatience)
+	next(b, relayTimeout)
+	at += timeoutSkip/2 - 1
+	next(b, relayTimeout)
 	at++
-	next(a, returnPatience)
+	next(a, retryTimeout)
 	r.TimedOut(a, at, 1)
-	at += silentAside
-	next(b, relayPatience)
-	at += silentAside / 2
-	next(a, returnPatience)
+	at += timeoutSkip
+	next(b, relayTimeout)
+	at += timeoutSkip / 2
+	next(a, retryTimeout)
 	r.Answered(a)
-	next(a, relayPatience)
+	next(a, relayTimeout)
 	r.Unreachable(a, at, 1)
-	at += goneAside
-	next(b, relayPatience)
-	at += goneAside / 2
-	next(a, relayPatience)
+	at += unreachableSkip
+	next(b, relayTimeout)
+	at += unreachableSkip / 2
+	next(a, relayTimeout)
 }
 
-// While relays answer that there is no leader, voters are not asked: only silence of all relays leads to them, and members come one behind
-// the other.
-func TestVotersAreAskedOnlyWhileAllRelaysAreSilent(t *testing.T) {
+// Voters are not asked while relays answer that there is no leader, only if no relay answers. Members then spread their
+// requests to the voters over time.
+func TestVotersAreAskedOnlyIfNoRelayAnswers(t *testing.T) {
 	a, b := Relay{Address: "a"}, Relay{Address: "b"}
 	r := NewRoute([]Relay{a, b})
 	r.NoLeader(a, 0)
@@ -80,10 +81,10 @@
 	}
 	r.TimedOut(b, 1, 0)
 	if step, got, _ := r.Next(2, 0); step != AskRelay || got != a {
-		t.Errorf("%v, %v: it refused, and answers", step, got)
+		t.Errorf("%v, %v: it found no leader, but it answers", step, got)
 	}
 	r.TimedOut(a, 2, 0)
-	for at, want := range map[time.Duration]RouteStep{3: Wait, 3 + directWithin/2: Wait, 4 + directWithin/2: AskVoters} {
+	for at, want := range map[time.Duration]RouteStep{3: Wait, 3 + voterSpread/2: Wait, 4 + voterSpread/2: AskVoters} {
 		if step, _, _ := r.Next(3, 0.5); step != Wait {
 			t.Errorf("%v at first", step)
 		}
@@ -92,44 +93,44 @@
 		}
 	}
 	r.Answered(a)
-	if step, got, _ := r.Next(directWithin, 0); step != AskRelay || got != a {
+	if step, got, _ := r.Next(voterSpread, 0); step != AskRelay || got != a {
 		t.Errorf("%v, %v", step, got)
 	}
 	r.TimedOut(a, 2, 1)
 	r.TimedOut(b, 2, 1)
 	if step, _, _ := r.Next(3, 1); step != Wait {
-		t.Errorf("%v: the time to ask voters is counted anew", step)
+		t.Errorf("%v: the wait before asking voters does not start anew", step)
 	}
 	if step, _, _ := NewRoute(nil).Next(0, 0); step != AskVoters {
-		t.Error("a relay where there is none")
+		t.Error("a route without relays does not ask voters")
 	}
 }
 
-// With all relays silent those that have been left alone for the longest are tried once more, in turn with the voters: a relay that was stopped
-// and went on again was passed over for ten seconds while the other one had stopped.
-func TestSilentRelaysAreTriedAgainWhenThereIsNoOther(t *testing.T) {
+// If no relay answers, the one whose last attempt is the longest ago is retried early, in turn with the voters.
+// Otherwise a relay that was suspended and resumed is skipped for ten seconds even though the other one has stopped.
+func TestUnresponsiveRelaysAreRetriedEarlyIfThereIsNoOther(t *testing.T) {
 	a, b := Relay{Address: "a"}, Relay{Address: "b"}
 	r := NewRoute([]Relay{a, b})
 	r.TimedOut(a, 1, 1)
-	at := goneAside
+	at := unreachableSkip
 	r.TimedOut(b, at, 1)
 	at++
 	for _, want := range []struct {
 		step  RouteStep
 		relay Relay
 	}{{AskRelay, a}, {AskVoters, Relay{}}, {AskRelay, b}, {AskVoters, Relay{}}, {AskRelay, a}} {
-		step, relay, patience := r.Next(at, 0)
-		if step == Wait { // for its turn at the voters
+		step, relay, timeout := r.Next(at, 0)
+		if step == Wait { // until the voters may be asked
 			at += 2
-			step, relay, patience = r.Next(at, 0)
+			step, relay, timeout = r.Next(at, 0)
 		}
-		if step != want.step || relay != want.relay || step == AskRelay && patience != returnPatience {
+		if step != want.step || relay != want.relay || step == AskRelay && timeout != retryTimeout {
 			t.Fatalf("at %v: %v of %q, wanted %v of %q", at, step, relay.Address, want.step, want.relay.Address)
 		}
 		if step == AskRelay {
 			r.TimedOut(relay, at, 1)
 		}
-		at += goneAside
+		at += unreachableSkip
 	}
 	r.Answered(a)
 	if step, relay, _ := r.Next(at, 0); step != AskRelay || relay != a {
--- a/internal/cluster/controlplane/rpc.go
+++ b/internal/cluster/controlplane/rpc.go
@@ -7,19 +7,19 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// RPC is what other processes call.
+// RPC is the net/rpc service of a voter.
 type RPC struct{ s *Server }
 
-// RPC gives the service of a founder, to be registered as Council.
+// RPC returns the service, to be registered under the name Council.
 func (s *Server) RPC() RPC { return RPC{s} }
 
-// Step takes messages of another founder.
+// Step delivers Raft messages of another voter.
 func (r RPC) Step(raw [][]byte, _ *bool) error {
 	var batch []raftpb.Message
 	for _, b := range raw {
 		var m raftpb.Message
 		if err := m.Unmarshal(b); err != nil {
-			return fmt.Errorf("council: message: %w", err)
+			return fmt.Errorf("controlplane: message: %w", err)
 		}
 		batch = append(batch, m)
 	}
@@ -33,30 +33,30 @@
 	return nil
 }
 
-// RejoinRequest is what a founder says of itself that has to meet the others.
+// RejoinRequest is sent by a voter that has lost its state, or started empty, to all others.
 type RejoinRequest struct {
 	ID    uint64
-	Last  uint64 // index of the latest entry in its log
-	Token uint64 // of its process
+	Last  uint64 // index of the last entry in its log
+	Token uint64 // identifies its process
 }
 
-// Meet tells how far this founder is.
+// Meet returns how far this voter is.
 func (r RPC) Meet(m RejoinRequest, out *VoterStatus) error {
-	way := make(chan *lane, 1)
-	if !r.s.post(func() { way <- r.s.lanes[m.ID] }) {
+	result := make(chan *lane, 1)
+	if !r.s.post(func() { result <- r.s.lanes[m.ID] }) {
 		return ErrNoLeader
 	}
-	var to *lane
+	var target *lane
 	select {
-	case to = <-way:
+	case target = <-result:
 	case <-r.s.done:
 		return ErrNoLeader
 	}
 	known := false
-	if to != nil { // whoever is at that founder's address: another process of its name changes nothing
+	if target != nil { // ask the process at that voter's address: another process with its name must not change anything
 		var token uint64
-		call, cancel := context.WithTimeout(context.Background(), stepFor/2)
-		known = to.peer.Call(call, "Council.Who", true, &token) == nil && token == m.Token
+		call, cancel := context.WithTimeout(context.Background(), messageTimeout/2)
+		known = target.peer.Call(call, "Council.Who", true, &token) == nil && token == m.Token
 		cancel()
 	}
 	answer := make(chan VoterStatus, 1)
@@ -76,13 +76,13 @@
 	}
 }
 
-// Who tells this founder's process from another of its name.
+// Who returns the token of this process, which distinguishes it from another one with the same name.
 func (r RPC) Who(_ bool, out *uint64) error {
 	*out = r.s.token
 	return nil
 }
 
-// Ask answers a request.
+// Ask responds to a request.
 func (r RPC) Ask(req Request, out *Response) error {
 	*out = r.s.Handle(req)
 	return nil
--- a/internal/cluster/controlplane/server.go
+++ b/internal/cluster/controlplane/server.go
@@ -16,95 +16,97 @@
 	"mulleinbeam/internal/routing/wal/store"
 )
 
-// Timing is the group's.
+// Timing is the timing of the consensus group.
 type Timing struct {
-	Tick   time.Duration // of Raft's clock: a leader is missed after 10 to 20 of them
-	Lease  time.Duration // how long a life may act after it has asked for its lease
-	Margin time.Duration // by which the council waits longer
+	Tick   time.Duration // Raft's tick: an election starts after 10 to 20 of them without a leader
+	Lease  time.Duration // how long an incarnation may act after it has sent a lease renewal request
+	Margin time.Duration // how much longer the control plane waits before it fences the incarnation
 }
 
-// paused is how many ticks may be missed before a leader takes itself for one that slept: everybody's askings may lie unread.
-const paused = 3
+// maxMissedTicks is the number of ticks that may be missed before a leader assumes that its process was suspended:
+// renewal requests of all members may then be waiting unread.
+const maxMissedTicks = 3
 
-// ErrNoLeader is given while nobody can be found who leads.
+// ErrNoLeader is returned while no leader can be found. Peers of all versions compare its text, which must not change.
 var ErrNoLeader = errors.New("council: no leader")
 
-// stepFor bounds a message between founders; a snapshot is the longest.
-const stepFor = 2 * time.Second
+// messageTimeout is the timeout of a message between voters; a snapshot takes the longest.
+const messageTimeout = 2 * time.Second
 
-// answerFor bounds how long a request waits at the leader.
-const answerFor = 3 * time.Second
+// answerTimeout bounds how long a request waits at the leader.
+const answerTimeout = 3 * time.Second
 
-// Server is a founder's part: it owns the core, in the goroutine of Run.
+// Server runs a voter. The goroutine of Run owns the core.
 type Server struct {
 	core   *Core
-	keeper *RaftStore
+	store  *RaftStore
 	timing Timing
 	logger zerolog.Logger
-	// Dial makes the way to a founder's address, which is this server's from then on: nothing else delays Raft's messages.
+	// Dial creates the connection to a voter's address, for this server alone, so that nothing else delays Raft
+	// messages.
 	Dial func(address string) *links.Peer
-	// FurthestReplica asks keepers how far their copies of a life go, and names the one that is furthest; "" is none. It is called in a
-	// goroutine of its own.
-	FurthestReplica func(ctx context.Context, life Incarnation, keepers []string, s *State) string
-	// CheckEntry says why a configuration entry can't be committed; nil is none. It must not wait.
+	// FurthestReplica asks replicas how far their copies of an incarnation's journal go, and returns the one with the
+	// most, or "". It is called in a goroutine of its own.
+	FurthestReplica func(ctx context.Context, incarnation Incarnation, replicas []string, s *State) string
+	// CheckEntry returns why a configuration entry can't be committed, or nil. It must not block.
 	CheckEntry func(key string, content []byte) error
 
-	began       time.Time
-	events      chan func()
-	done        chan struct{}
-	token       uint64 // of this process
-	ticket      uint64
-	leases      Leases
-	rollouts    rollouts
-	ticked      time.Duration
-	waiting     map[uint64]func(Applied)  // by ticket
-	unconfirmed map[uint64][]leaseRequest // by ticket of their confirmation
-	fresh       []leaseRequest            // not confirmed for yet
-	joining     map[string]*joining       // by name
-	ticks       int                       // in this leadership
-	looking     map[Incarnation]bool      // jobs whose keepers are being asked
-	lanes       map[uint64]*lane
-	seen        []Voter        // to whom the lanes are
-	carried     sync.WaitGroup // lanes
-	changed     time.Duration  // until when a change of the founders may be under way
-	meeting     bool
-	said        string // the leader of whom the log has told
+	started             time.Time
+	events              chan func()
+	done                chan struct{}
+	token               uint64 // identifies this process
+	ticket              uint64
+	leases              Leases
+	rollouts            rollouts
+	lastTick            time.Duration
+	pendingCommands     map[uint64]func(Applied)  // by ticket
+	pendingConfirmation map[uint64][]leaseRequest // by ticket of the confirmation
+	newLeaseRequests    []leaseRequest            // not sent for confirmation yet
+	pendingJoins        map[string]*pendingJoin   // by member name
+	ticks               int                       // during this leadership
+	selecting           map[Incarnation]bool      // takeover tasks whose replicas are being asked
+	lanes               map[uint64]*lane
+	laneVoters          []Voter        // the voters that lanes are for
+	laneSenders         sync.WaitGroup // goroutines of lanes
+	voterChangeUntil    time.Duration  // until then a change of the voters may be in progress
+	rejoining           bool
+	loggedLeader        string // the leader that was last logged
 }
 
-// lane is the way to another founder.
+// lane is the outgoing queue and connection to another voter.
 type lane struct {
 	Voter
-	peer *links.Peer
-	out  chan []raftpb.Message
-	end  context.CancelFunc
+	peer   *links.Peer
+	out    chan []raftpb.Message
+	cancel context.CancelFunc
 }
 
-// joining is a process that waits for an earlier life of its name to be over.
-type joining struct {
+// pendingJoin is a process that waits for the previous incarnation of its name to be fenced.
+type pendingJoin struct {
 	cmd   Command
 	since time.Duration
-	tell  func(Response)
+	reply func(Response)
 }
 
-// NewServer is a founder with what it had kept.
-func NewServer(core *Core, keeper *RaftStore, t Timing, logger zerolog.Logger) *Server {
+// NewServer returns a server for a core and the store that its state was loaded from.
+func NewServer(core *Core, raftStore *RaftStore, t Timing, logger zerolog.Logger) *Server {
 	return &Server{
-		core: core, keeper: keeper, timing: t, Dial: links.NewPeer, logger: logger, began: time.Now(), events: make(chan func(), 256),
+		core: core, store: raftStore, timing: t, Dial: links.NewPeer, logger: logger, started: time.Now(), events: make(chan func(), 256),
 		done: make(chan struct{}), token: rand.Uint64(), ticket: rand.Uint64(), leases: Leases{Lease: t.Lease, Margin: t.Margin},
-		waiting: map[uint64]func(Applied){}, unconfirmed: map[uint64][]leaseRequest{}, joining: map[string]*joining{},
-		looking: map[Incarnation]bool{}, lanes: map[uint64]*lane{},
+		pendingCommands: map[uint64]func(Applied){}, pendingConfirmation: map[uint64][]leaseRequest{}, pendingJoins: map[string]*pendingJoin{},
+		selecting: map[Incarnation]bool{}, lanes: map[uint64]*lane{},
 	}
 }
 
-func (s *Server) now() time.Duration { return time.Since(s.began) }
+func (s *Server) now() time.Duration { return time.Since(s.started) }
 
-// Run serves until ctx ends; an error is one of the disk that does not pass, after which this founder must not speak.
+// Run serves until ctx ends. An error is a permanent disk failure, after which this voter must not send anything.
 func (s *Server) Run(ctx context.Context) (err error) {
-	defer s.carried.Wait()
+	defer s.laneSenders.Wait()
 	defer close(s.done)
 	defer func() {
-		if r := recover(); r != nil { // Raft's own word for a log that can't be
-			err = fmt.Errorf("council: %v", r)
+		if r := recover(); r != nil { // Raft panics on an inconsistent log
+			err = fmt.Errorf("controlplane: %v", r)
 		}
 	}()
 	ctx, cancel := context.WithCancel(ctx)
@@ -112,7 +114,7 @@
 	tick := time.NewTicker(s.timing.Tick)
 	defer tick.Stop()
 	for {
-		s.roster(ctx)
+		s.syncLanes(ctx)
 		select {
 		case f := <-s.events:
 			f()
@@ -121,15 +123,15 @@
 		case <-ctx.Done():
 			return nil
 		}
-		for n := len(s.events); n > 0; n-- { // all that waits shares a step, and a sync
+		for n := len(s.events); n > 0; n-- { // all waiting events share one step, and one sync
 			(<-s.events)()
 		}
-		if s.core.VotingSuspended() && !s.meeting {
-			s.meeting = true
-			s.logger.Warn().Str("part", "council").Msg("this founder has nothing, or less than it once said: it does not vote before it has met all others")
-			go s.meet(ctx, s.core.LastIndex(), s.others())
+		if s.core.VotingSuspended() && !s.rejoining {
+			s.rejoining = true
+			s.logger.Warn().Str("part", "council").Msg("this voter's stored state is missing or incomplete: it does not vote until it has reached all other voters")
+			go s.rejoin(ctx, s.core.LastIndex(), s.otherPeers())
 		}
-		s.confirm()
+		s.confirmLeases()
 		for s.core.HasReady() {
 			if err := s.step(ctx); ctx.Err() != nil {
 				return nil
@@ -140,55 +142,55 @@
 	}
 }
 
-// roster has a lane to each of the other founders, and to nobody else.
-func (s *Server) roster(ctx context.Context) {
-	if slices.Equal(s.seen, s.core.Voters()) {
-		return // as at almost every event
+// syncLanes keeps a lane to each of the other voters, and to nobody else.
+func (s *Server) syncLanes(ctx context.Context) {
+	if slices.Equal(s.laneVoters, s.core.Voters()) {
+		return // the common case
 	}
-	s.seen = s.core.Voters()
+	s.laneVoters = s.core.Voters()
 	keep := map[uint64]bool{}
-	for _, f := range s.seen {
-		id := ID(f.Name)
+	for _, v := range s.laneVoters {
+		id := ID(v.Name)
 		if id == s.core.id || s.core.OutsideGroup() {
 			continue
 		}
 		keep[id] = true
-		if l := s.lanes[id]; l != nil && l.Address == f.Address {
+		if l := s.lanes[id]; l != nil && l.Address == v.Address {
 			continue
 		} else if l != nil {
-			l.end()
+			l.cancel()
 		}
-		l := &lane{Voter: f, peer: s.Dial(f.Address), out: make(chan []raftpb.Message, 64)}
-		var its context.Context
-		its, l.end = context.WithCancel(ctx)
+		l := &lane{Voter: v, peer: s.Dial(v.Address), out: make(chan []raftpb.Message, 64)}
+		var laneCtx context.Context
+		laneCtx, l.cancel = context.WithCancel(ctx)
 		s.lanes[id] = l
-		s.carried.Go(func() { s.carry(its, id, l) })
+		s.laneSenders.Go(func() { s.sendMessages(laneCtx, id, l) })
 	}
 	for id, l := range s.lanes {
 		if !keep[id] {
-			l.end()
+			l.cancel()
 			delete(s.lanes, id)
 		}
 	}
 }
 
-// others are the ways to all other founders.
-func (s *Server) others() (out []*links.Peer) {
+// otherPeers returns the connections to all other voters.
+func (s *Server) otherPeers() (out []*links.Peer) {
 	for _, l := range s.lanes {
 		out = append(out, l.peer)
 	}
 	return out
 }
 
-// meet asks all other founders how far they are, until all have answered. It ends where others are the founders by then: the server
-// begins again.
-func (s *Server) meet(ctx context.Context, last uint64, peers []*links.Peer) {
-	defer s.post(func() { s.meeting = false })
+// rejoin asks all other voters for their status until all have answered. It returns if the voters change meanwhile; Run
+// then starts it again.
+func (s *Server) rejoin(ctx context.Context, last uint64, peers []*links.Peer) {
+	defer s.post(func() { s.rejoining = false })
 	for ctx.Err() == nil {
 		var all []VoterStatus
 		for _, peer := range peers {
 			var st VoterStatus
-			call, cancel := context.WithTimeout(ctx, stepFor)
+			call, cancel := context.WithTimeout(ctx, messageTimeout)
 			if peer.Call(call, "Council.Meet", RejoinRequest{s.core.id, last, s.token}, &st) == nil {
 				all = append(all, st)
 			}
@@ -196,11 +198,11 @@
 		}
 		done := make(chan bool, 1)
 		s.post(func() {
-			now := s.others()
+			now := s.otherPeers()
 			over := len(now) != len(peers) || slices.ContainsFunc(now, func(p *links.Peer) bool { return !slices.Contains(peers, p) })
 			if !over && len(all) == len(peers) {
 				if err := s.core.Rejoin(all); err != nil {
-					s.logger.Error().Str("part", "council").Err(err).Msg("a founder that can't begin")
+					s.logger.Error().Str("part", "council").Err(err).Msg("restarting Raft without stored state failed")
 				}
 				over = !s.core.VotingSuspended()
 			}
@@ -211,7 +213,7 @@
 		case over := <-done:
 			if over {
 				return
-			} // until it has what they know, it asks again: a leader may have to yield for it
+			} // keep asking until this voter has what the others know: a leader may have to yield for it
 		case <-s.done:
 			return
 		}
@@ -222,8 +224,8 @@
 	}
 }
 
-// carry brings messages to one founder, one behind the other.
-func (s *Server) carry(ctx context.Context, id uint64, l *lane) {
+// sendMessages sends messages to one voter, in order.
+func (s *Server) sendMessages(ctx context.Context, id uint64, l *lane) {
 	defer l.peer.Close()
 	for {
 		select {
@@ -238,7 +240,7 @@
 				raw = append(raw, b)
 				snapshot = snapshot || m.Type == raftpb.MsgSnap
 			}
-			call, cancel := context.WithTimeout(ctx, stepFor)
+			call, cancel := context.WithTimeout(ctx, messageTimeout)
 			err := l.peer.Call(call, "Council.Step", raw, new(bool))
 			cancel()
 			if err != nil || snapshot {
@@ -266,13 +268,13 @@
 	}
 }
 
-// step does what the core wants done.
+// step does the work that the core has.
 func (s *Server) step(ctx context.Context) error {
 	step, done, err := s.core.Ready()
 	if err != nil {
 		return err
 	}
-	if err := s.keep(ctx, step.Persist); err != nil {
+	if err := s.persist(ctx, step.Persist); err != nil {
 		return err
 	}
 	batches := map[uint64][]raftpb.Message{}
@@ -286,97 +288,98 @@
 		}
 		select {
 		case out <- batch:
-		default: // it is far behind, or gone; Raft sends again
+		default: // the voter is far behind or unreachable; Raft sends again
 			s.core.Unreachable(id)
 		}
 	}
 	done()
 	for _, a := range step.Applied {
-		s.decided(a)
+		s.handleApplied(a)
 	}
 	for _, t := range step.Confirmed {
-		for _, a := range s.unconfirmed[t] {
-			s.grant(a)
+		for _, a := range s.pendingConfirmation[t] {
+			s.grantLeases(a)
 		}
-		delete(s.unconfirmed, t)
+		delete(s.pendingConfirmation, t)
 	}
-	s.follow()
+	s.checkLeader()
 	return nil
 }
 
-// keepAgain is the pause between two tries to keep a step's part.
-const keepAgain = 20 * time.Millisecond
+// saveRetryDelay is the pause between two attempts to save a step's state.
+const saveRetryDelay = 20 * time.Millisecond
 
-// keep keeps a step's part, and tries for as long as the disk does not take it: nothing may be said before. A sync that has failed is
+// persist saves a step's state, and retries while the disk refuses it: nothing may be sent before. A failed sync is
 // final for this process.
-func (s *Server) keep(ctx context.Context, d DurableState) error {
+func (s *Server) persist(ctx context.Context, d DurableState) error {
 	for tries := 1; ; tries++ {
-		err := s.keeper.Save(d)
+		err := s.store.Save(d)
 		switch {
 		case err == nil && tries > 1:
-			s.logger.Info().Str("part", "council").Int("tries", tries).Msg("this founder speaks again")
+			s.logger.Info().Str("part", "council").Int("tries", tries).Msg("saving state succeeded after a retry: this voter resumes")
 			return nil
 		case err == nil || errors.Is(err, store.ErrFailed) || ctx.Err() != nil:
 			return err
 		case tries == 1:
-			s.logger.Warn().Str("part", "council").Err(err).Msg("not kept, tried again: this founder is silent meanwhile")
+			s.logger.Warn().Str("part", "council").Err(err).Msg("saving state failed, retrying: this voter sends nothing until it succeeds")
 		}
 		select {
-		case <-time.After(keepAgain):
+		case <-time.After(saveRetryDelay):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// decided tells of a command that was carried out.
-func (s *Server) decided(a Applied) {
+// handleApplied logs a command that was applied, and responds to the request it came from.
+func (s *Server) handleApplied(a Applied) {
 	if c := a.Command; a.Err == nil && c.Kind > 0 && c.Kind != SetPlan {
 		line := s.logger.Info().Str("part", "council").Uint64("version", a.Version)
 		switch c.Kind {
 		case Join:
 			m := s.core.State().Members[c.Life.Name]
-			s.track(Incarnation{c.Life.Name, m.Life})
-			line.Stringer("life", Incarnation{c.Life.Name, m.Life}).Str("zone", c.Zone).Bool("folder lost", m.Lost).Msg("life begins")
+			s.trackLease(Incarnation{c.Life.Name, m.Life})
+			line.Stringer("life", Incarnation{c.Life.Name, m.Life}).Str("zone", c.Zone).Bool("folder lost", m.Lost).Msg("incarnation started")
 		case Fence:
-			line.Stringer("life", c.Life).Msg("life has ended")
+			line.Stringer("life", c.Life).Msg("incarnation fenced")
 		case AssignTakeover:
-			line.Stringer("life", c.Life).Stringer("taker", c.Taker).Msg("taken over")
+			line.Stringer("life", c.Life).Stringer("taker", c.Taker).Msg("takeover assigned")
 		case CompleteTakeover:
-			line.Stringer("life", c.Life).Stringer("taker", c.Taker).Msg("taking over is done")
+			line.Stringer("life", c.Life).Stringer("taker", c.Taker).Msg("takeover completed")
 		case SetReplicas:
-			line.Stringer("life", c.Life).Strs("keepers", c.Set).Msg("copies that count")
+			line.Stringer("life", c.Life).Strs("keepers", c.Set).Msg("in-sync replicas changed")
 		case Evacuate, Freeze:
-			line.Str("place", c.Place).Bool("on", c.On).Bool("freeze", c.Kind == Freeze).Msg("operators' order")
+			line.Str("place", c.Place).Bool("on", c.On).Bool("freeze", c.Kind == Freeze).Msg("operator order applied")
 		case ChangeVoters:
-			s.changed = 0
+			s.voterChangeUntil = 0
 			var votes, learn []string
-			for _, f := range s.core.Voters() {
-				if f.Learns {
-					learn = append(learn, f.Name)
+			for _, v := range s.core.Voters() {
+				if v.Learns {
+					learn = append(learn, v.Name)
 				} else {
-					votes = append(votes, f.Name)
+					votes = append(votes, v.Name)
 				}
 			}
-			line.Str("name", c.Life.Name).Bool("on", c.On).Strs("founders", votes).Strs("learning", learn).Msg("the council's founders")
+			line.Str("name", c.Life.Name).Bool("on", c.On).Strs("founders", votes).Strs("learning", learn).Msg("voters changed")
 		case Drain, Remove:
-			line.Str("name", c.Life.Name).Bool("leaving", c.Kind == Drain && c.On).Bool("removed", c.Kind == Remove).Msg("member")
+			line.Str("name", c.Life.Name).Bool("leaving", c.Kind == Drain && c.On).Bool("removed", c.Kind == Remove).Msg("member changed")
 		}
 	}
-	if tell := s.waiting[a.Ticket]; tell != nil {
-		delete(s.waiting, a.Ticket)
-		tell(a)
+	if reply := s.pendingCommands[a.Ticket]; reply != nil {
+		delete(s.pendingCommands, a.Ticket)
+		reply(a)
 	}
 }
 
-// track watches over the lease of a life that has just begun, as if it had asked for it just now: it gets to ask.
-func (s *Server) track(life Incarnation) {
-	if s.leases.Renew(s.now(), life) {
-		s.leases.Track(life)
+// trackLease starts tracking the lease of an incarnation that has just started as if it had just been renewed, so that
+// the incarnation has time to request it.
+func (s *Server) trackLease(incarnation Incarnation) {
+	if s.leases.Renew(s.now(), incarnation) {
+		s.leases.Track(incarnation)
 	}
 }
 
-// elected counts all leases anew.
-func (s *Server) elected() {
+// restartLeases restarts the count of all leases.
+func (s *Server) restartLeases() {
 	s.leases.Elected(s.now())
 	for name, m := range s.core.State().Members {
 		if m.Alive {
@@ -385,126 +388,126 @@
 	}
 }
 
-// follow notices who leads.
-func (s *Server) follow() {
+// checkLeader handles changes of the leader.
+func (s *Server) checkLeader() {
 	if leads := s.core.Leads(); leads != s.leases.Leads() {
 		if leads {
-			s.elected()
+			s.restartLeases()
 		} else {
 			s.leases.Deposed()
 			s.rollouts.forget()
-			s.refuseAll()
+			s.refusePending()
 		}
 	}
-	if leader := s.core.Leader(); leader != s.said {
-		s.said = leader
-		s.logger.Info().Str("part", "council").Str("leader", leader).Uint64("term", s.core.Term()).Msg("leader")
+	if leader := s.core.Leader(); leader != s.loggedLeader {
+		s.loggedLeader = leader
+		s.logger.Info().Str("part", "council").Str("leader", leader).Uint64("term", s.core.Term()).Msg("leader changed")
 	}
 }
 
-// refuseAll sends everybody who waits to the next leader.
-func (s *Server) refuseAll() {
+// refusePending redirects all pending requests to the next leader.
+func (s *Server) refusePending() {
 	no := Response{Refused: ErrNotLeader.Error()}
-	for t, list := range s.unconfirmed {
+	for t, list := range s.pendingConfirmation {
 		for _, a := range list {
-			a.tell(no)
+			a.reply(no)
 		}
-		delete(s.unconfirmed, t)
+		delete(s.pendingConfirmation, t)
 	}
-	for name, j := range s.joining {
-		j.tell(no)
-		delete(s.joining, name)
+	for name, j := range s.pendingJoins {
+		j.reply(no)
+		delete(s.pendingJoins, name)
 	}
-	clear(s.waiting) // their askers' time ends; whether it is decided they learn from the next
-	clear(s.looking)
+	clear(s.pendingCommands) // these requests time out; the next leader reports whether the command was committed
+	clear(s.selecting)
 }
 
-// tick is a beat: Raft's, the leases' and the jobs'.
+// tick advances Raft, the leases and the takeover tasks.
 func (s *Server) tick(ctx context.Context) {
 	now := s.now()
-	slept := s.ticked > 0 && now-s.ticked > paused*s.timing.Tick+s.timing.Margin
-	s.ticked = now
+	suspended := s.lastTick > 0 && now-s.lastTick > maxMissedTicks*s.timing.Tick+s.timing.Margin
+	s.lastTick = now
 	s.core.Tick()
 	if !s.leases.Leads() {
 		return
 	}
-	if slept { // what others sent meanwhile is read first
-		s.elected()
+	if suspended { // first process what others sent meanwhile
+		s.restartLeases()
 		return
 	}
 	state := s.core.State()
-	if s.ticks++; s.ticks%forgetTicks == 0 {
+	if s.ticks++; s.ticks%pruneTicks == 0 {
 		s.leases.Forget(state.Alive)
 		s.rollouts.expire(now)
 	}
-	s.admit(now, state)
-	s.endDue(now, state)
-	for _, f := range s.core.CaughtUpLearners() {
-		if s.changed <= now {
-			s.change(f, true, nil)
+	s.admitPending(now, state)
+	s.fenceExpired(now, state)
+	for _, v := range s.core.CaughtUpLearners() {
+		if s.voterChangeUntil <= now {
+			s.proposeVoterChange(v, true, nil)
 		}
 	}
 	for _, j := range state.Jobs {
-		if !j.Done && j.Taker.Number == 0 && !s.looking[j.Life] && s.FurthestReplica != nil {
-			s.look(ctx, j, state)
+		if !j.Done && j.Taker.Number == 0 && !s.selecting[j.Life] && s.FurthestReplica != nil {
+			s.selectSuccessor(ctx, j, state)
 		}
 	}
 }
 
 const (
-	forgetTicks = 100         // between two looks for leases of lives that are over
-	endAgain    = time.Second // until the end of a life is proposed again, if it was not decided
+	pruneTicks      = 100         // between two removals of the leases of fenced incarnations
+	fenceRetryDelay = time.Second // before fencing is proposed again, if it was not committed
 )
 
-// admit begins the lives of processes that wait for an earlier life of their name to be over.
-func (s *Server) admit(now time.Duration, state *State) {
-	for name, j := range s.joining {
+// admitPending starts incarnations of processes that wait for the previous one of their name to be fenced.
+func (s *Server) admitPending(now time.Duration, state *State) {
+	for name, j := range s.pendingJoins {
 		m := state.Members[name]
 		if m == nil {
 			continue
 		}
-		life := Incarnation{name, m.Life}
-		if m.Alive && now < s.leases.Expiry(life) {
+		incarnation := Incarnation{name, m.Life}
+		if m.Alive && now < s.leases.Expiry(incarnation) {
 			continue
 		}
-		delete(s.joining, name)
-		if !m.Alive || s.leases.MayFence(now, life) {
+		delete(s.pendingJoins, name)
+		if !m.Alive || s.leases.MayFence(now, incarnation) {
 			j.cmd.Fenced = true
-			s.propose(j.cmd, j.tell)
+			s.propose(j.cmd, j.reply)
 		} else {
-			j.tell(Response{Refused: ErrNotLeader.Error()})
+			j.reply(Response{Refused: ErrNotLeader.Error()})
 		}
 	}
 }
 
-// endDue proposes the end of lives whose leases are over.
-func (s *Server) endDue(now time.Duration, state *State) {
-	for _, life := range s.leases.Expired(now) {
-		if state.Alive(life) && s.leases.MayFence(now, life) {
-			s.leases.TrackAt(life, now+endAgain)
-			s.propose(Command{Kind: Fence, Life: life}, nil)
+// fenceExpired proposes to fence the incarnations whose leases are over.
+func (s *Server) fenceExpired(now time.Duration, state *State) {
+	for _, incarnation := range s.leases.Expired(now) {
+		if state.Alive(incarnation) && s.leases.MayFence(now, incarnation) {
+			s.leases.TrackAt(incarnation, now+fenceRetryDelay)
+			s.propose(Command{Kind: Fence, Life: incarnation}, nil)
 		}
 	}
 }
 
-// look finds who takes an ended life's messages up.
-func (s *Server) look(ctx context.Context, j *TakeoverTask, state *State) {
-	life := j.Life
-	keepers := slices.DeleteFunc(slices.Clone(j.Keepers), func(name string) bool {
+// selectSuccessor finds the replica to take over a fenced incarnation's messages.
+func (s *Server) selectSuccessor(ctx context.Context, j *TakeoverTask, state *State) {
+	incarnation := j.Life
+	replicas := slices.DeleteFunc(slices.Clone(j.Keepers), func(name string) bool {
 		m := state.Members[name]
 		return m == nil || !m.Alive
 	})
-	if len(keepers) == 0 {
-		return // until one of them is back
+	if len(replicas) == 0 {
+		return // wait for one of them to come back
 	}
-	s.looking[life] = true
+	s.selecting[incarnation] = true
 	state = state.Clone()
 	go func() {
-		name := s.FurthestReplica(ctx, life, keepers, state)
+		name := s.FurthestReplica(ctx, incarnation, replicas, state)
 		s.post(func() {
-			delete(s.looking, life)
+			delete(s.selecting, incarnation)
 			if m := s.core.State().Members[name]; m != nil && m.Alive && s.leases.Leads() {
-				s.propose(Command{Kind: AssignTakeover, Life: life, Taker: Incarnation{name, m.Life}}, nil)
+				s.propose(Command{Kind: AssignTakeover, Life: incarnation, Taker: Incarnation{name, m.Life}}, nil)
 			}
 		})
 	}()
--- a/internal/cluster/controlplane/state.go
+++ b/internal/cluster/controlplane/state.go
@@ -1,9 +1,10 @@
-// Package controlplane is what the forwarders of a fleet decide in common: who belongs, which life of each is the one that counts,
-// who keeps counted copies for whom, and who takes over what an ended life owed. A few of them hold a Raft group for it; the
-// rest follow. No message on its way waits for any of this.
+// Package controlplane holds what the forwarders of a fleet agree on: the members, the current incarnation of each, the
+// in-sync replicas of each journal, and who takes over the messages of a fenced incarnation. A few members are the
+// voters of a Raft consensus group; the others follow. No message waits for a decision of the control plane.
 //
-// State is the decided value, changed by commands alone and equal on all that have applied the same ones. Leases is what only
-// the leader knows. Core runs Raft without a clock, a socket or a goroutine; Server drives it.
+// State is the committed state. Only commands change it, and it is equal on all processes that have applied the same
+// commands. Leases is known to the leader alone. Core runs Raft without a clock, a socket or a goroutine; Server drives
+// it.
 package controlplane
 
 import (
@@ -16,7 +17,8 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Incarnation names one life of one forwarder: from the council's word that it begins to its word that it has ended. Numbers only grow.
+// Incarnation identifies one incarnation of a forwarder, from the commit of its Join to its fencing. Number is its
+// epoch, which only grows.
 type Incarnation struct {
 	Name   string `cbor:"1,keyasint,omitempty"`
 	Number uint64 `cbor:"2,keyasint,omitempty"`
@@ -24,130 +26,133 @@
 
 func (l Incarnation) String() string { return fmt.Sprintf("%s/%d", l.Name, l.Number) }
 
-// Member is a forwarder that belongs to the fleet.
+// Member is a forwarder of the fleet.
 type Member struct {
-	Life     uint64   `cbor:"1,keyasint,omitempty"` // the latest
-	Alive    bool     `cbor:"2,keyasint,omitempty"` // it has not ended
-	Token    string   `cbor:"3,keyasint,omitempty"` // of the folder that it began with; tells two processes of one name apart
-	Address  string   `cbor:"4,keyasint,omitempty"` // of its links
+	Life     uint64   `cbor:"1,keyasint,omitempty"` // epoch of the latest incarnation
+	Alive    bool     `cbor:"2,keyasint,omitempty"` // it has not been fenced
+	Token    string   `cbor:"3,keyasint,omitempty"` // identifies the process, to distinguish two of the same name
+	Address  string   `cbor:"4,keyasint,omitempty"` // host:port for other members
 	Zone     string   `cbor:"5,keyasint,omitempty"`
 	Region   string   `cbor:"6,keyasint,omitempty"`
-	Leaving  bool     `cbor:"7,keyasint,omitempty"`  // keeps no copies any more and is counted by nobody
-	Keepers  []string `cbor:"8,keyasint,omitempty"`  // whose copies count for this life
+	Leaving  bool     `cbor:"7,keyasint,omitempty"`  // it is being drained: it stores no copies and is nobody's replica
+	Keepers  []string `cbor:"8,keyasint,omitempty"`  // the in-sync replicas of this incarnation
 	Lost     bool     `cbor:"9,keyasint,omitempty"`  // it came back without its folder
-	Changed  uint64   `cbor:"10,keyasint,omitempty"` // at which its keepers were last decided
+	Changed  uint64   `cbor:"10,keyasint,omitempty"` // version at which Keepers was last set
 	Version  int      `cbor:"11,keyasint,omitempty"` // of the program
-	Capacity int64    `cbor:"12,keyasint,omitempty"` // bytes that it has for copies; 0 is not told
+	Capacity int64    `cbor:"12,keyasint,omitempty"` // bytes available for copies; 0 is unknown
 }
 
-// TakeoverTask is the taking over of what an ended life owed.
+// TakeoverTask is the takeover of a fenced incarnation's messages.
 type TakeoverTask struct {
 	Life    Incarnation `cbor:"1,keyasint,omitzero"`
-	Keepers []string    `cbor:"2,keyasint,omitempty"` // whose copies counted at its end
-	Taker   Incarnation `cbor:"3,keyasint,omitzero"`  // zero while nobody is left who has a copy
-	Done    bool        `cbor:"4,keyasint,omitempty"` // what was owed is the taker's from here on
-	At      uint64      `cbor:"5,keyasint,omitempty"` // when it ended
+	Keepers []string    `cbor:"2,keyasint,omitempty"` // the in-sync replicas when it was fenced
+	Taker   Incarnation `cbor:"3,keyasint,omitzero"`  // the successor; zero while no replica is available
+	Done    bool        `cbor:"4,keyasint,omitempty"` // the messages belong to the successor from here on
+	At      uint64      `cbor:"5,keyasint,omitempty"` // version at which it was fenced
 }
 
-// State is what has been decided. Version is the last command applied to it. Members and jobs are replaced when they change, never
-// changed in place: copies of a state share them.
+// State is the committed state. Version is that of the last command applied. Members and tasks are replaced, never
+// modified in place, as copies of a state share them.
 type State struct {
 	Version uint64
 	Members map[string]*Member
 	Jobs    []*TakeoverTask // oldest first
-	Plan    Plan            // of where traffic goes
-	// Founders are who holds the council since that was changed, as of version Council; none where it is as it began.
+	Plan    Plan            // traffic plan
+	// Founders are the voters as of version Council; nil while they are the initial ones.
 	Founders []Voter
 	Council  uint64
-	// Entries are the configuration by key, and Configured the version at which any of them last changed.
+	// Entries are the configuration entries by key, and Configured is the version at which any of them last changed.
 	Entries    map[string]*ConfigEntry
 	Configured uint64
-	EntryBytes int // of keys and contents; only processes that apply commands count them
-	// Revisions are the versions at which keys last changed, and Deleted those at which keys ceased to be, as far as that is remembered:
-	// every deletion behind Floor. See Item.
+	EntryBytes int // of keys and contents; maintained only by processes that apply commands
+	// Revisions holds the version at which each key last changed, and Deleted the version at which a key was deleted,
+	// for every deletion after Floor. See Item.
 	Revisions map[string]uint64
 	Deleted   map[string]uint64
 	Floor     uint64
 
-	touched []string // keys that the latest command has changed
+	changedKeys []string // changed by the latest command
 }
 
-// Plan is what is decided of where traffic goes. What it says is for package plan.
+// Plan is the traffic plan, whose content package plan defines.
 type Plan struct {
 	Number     uint64   `cbor:"1,keyasint,omitempty"` // of the plan; 0 is none
-	Content    []byte   `cbor:"2,keyasint,omitempty"` // never changed
-	Evacuating []string `cbor:"3,keyasint,omitempty"` // places that operators have ordered empty, in their order
-	Frozen     bool     `cbor:"4,keyasint,omitempty"` // operators have ordered that it stays as it is
-	Ordered    uint64   `cbor:"5,keyasint,omitempty"` // the version of the latest order
+	Content    []byte   `cbor:"2,keyasint,omitempty"` // immutable
+	Evacuating []string `cbor:"3,keyasint,omitempty"` // places that operators have ordered to evacuate, sorted
+	Frozen     bool     `cbor:"4,keyasint,omitempty"` // operators have ordered that the plan must not change
+	Ordered    uint64   `cbor:"5,keyasint,omitempty"` // version of the latest order
 }
 
-// mostJobs bounds what is remembered of a name's lives that are done with. A message remembers whose it was by them, so they have to
-// last longer than a forwarder that is restarted again and again holds one.
-const mostJobs = 64
+// maxCompletedTasks bounds the completed takeover tasks kept for each name. They link messages to their current owner,
+// so they have to outlast the messages held by a forwarder that restarts again and again.
+const maxCompletedTasks = 64
 
-// NewState is that of a fleet without members.
+// NewState returns the state of a fleet without members.
 func NewState() *State {
 	return &State{Members: map[string]*Member{}, Entries: map[string]*ConfigEntry{}, Revisions: map[string]uint64{}, Deleted: map[string]uint64{}}
 }
 
-// Kind says what a command does.
+// Kind is what a command does.
 type Kind int
 
-// The commands.
+// The kinds of commands.
 const (
-	Join             Kind = iota + 1 // a process begins a life, and ends the one before
-	Fence                            // a life has ended: its lease is over, and it gets no other
-	AssignTakeover                   // somebody takes over an ended life
-	CompleteTakeover                 // who takes over has all that was owed, with copies of it
-	SetReplicas                      // whose copies count is changed
-	Drain                            // a member is to be drained, or not any more
-	Remove                           // a member that has ended belongs no longer
-	SetPlan                          // the next plan of where traffic goes
-	Evacuate                         // a place is to be empty of traffic, or not any more
-	Freeze                           // the plan stays as it is, or not any more
-	ChangeVoters                     // a member belongs to the council's founders, or not any more
-	Configure                        // configuration entries are set or deleted
+	Join             Kind = iota + 1 // start an incarnation, and fence the previous one
+	Fence                            // fence an incarnation whose lease is over; it gets no other
+	AssignTakeover                   // assign a takeover task to a successor
+	CompleteTakeover                 // complete a takeover: the successor has all messages, and replicas of them
+	SetReplicas                      // set the in-sync replicas of an incarnation
+	Drain                            // start or stop draining a member
+	Remove                           // remove a fenced member
+	SetPlan                          // set the next traffic plan
+	Evacuate                         // evacuate a place, or stop that
+	Freeze                           // freeze or thaw the plan
+	ChangeVoters                     // add a member to the voters, promote a learner, or remove a voter
+	Configure                        // set or delete configuration entries
 )
 
-// Command is a change that is asked for. Fields that its kind does not name are ignored.
+// Command is a requested change. Only the fields that name its kind are used.
 type Command struct {
-	Kind    Kind          `cbor:"1,keyasint,omitempty"`
-	Life    Incarnation   `cbor:"2,keyasint,omitzero"`   // Join: Number is the one in its folder, 0 for none
-	Whole   bool          `cbor:"3,keyasint,omitempty"`  // Join: its folder still has the journal of that life
-	Fenced  bool          `cbor:"4,keyasint,omitempty"`  // Join: the life before can do nothing any more; else Join is refused while that lives
-	Token   string        `cbor:"5,keyasint,omitempty"`  // Join: drawn by the process
-	Past    string        `cbor:"6,keyasint,omitempty"`  // Join: that of the process which last had its folder
-	Address string        `cbor:"7,keyasint,omitempty"`  // Join
-	Zone    string        `cbor:"8,keyasint,omitempty"`  // Join
-	Region  string        `cbor:"9,keyasint,omitempty"`  // Join
-	Version int           `cbor:"10,keyasint,omitempty"` // Join
-	Space   int64         `cbor:"11,keyasint,omitempty"` // Join
-	Taker   Incarnation   `cbor:"12,keyasint,omitzero"`  // Assign, Done
-	From    uint64        `cbor:"13,keyasint,omitempty"` // Keepers: Changed of what it replaces. Propose: the plan's number. Evacuate, Freeze: Ordered, as the operator saw it. Found: Council. Configure: Configured, as the operator saw it
-	Set     []string      `cbor:"14,keyasint,omitempty"` // Keepers
-	On      bool          `cbor:"15,keyasint,omitempty"` // Leave, Evacuate, Freeze, Found
-	Number  uint64        `cbor:"16,keyasint,omitempty"` // Propose
-	Content []byte        `cbor:"17,keyasint,omitempty"` // Propose
+	Kind    Kind        `cbor:"1,keyasint,omitempty"`
+	Life    Incarnation `cbor:"2,keyasint,omitzero"`   // Join: Number is the epoch stored in its folder, 0 for none
+	Whole   bool        `cbor:"3,keyasint,omitempty"`  // Join: the folder still has the journal of that incarnation
+	Fenced  bool        `cbor:"4,keyasint,omitempty"`  // Join: the previous incarnation can no longer act; if false, Join is refused while it is alive
+	Token   string      `cbor:"5,keyasint,omitempty"`  // Join: drawn at random by the process
+	Past    string      `cbor:"6,keyasint,omitempty"`  // Join: Token of the process that last had the folder
+	Address string      `cbor:"7,keyasint,omitempty"`  // Join
+	Zone    string      `cbor:"8,keyasint,omitempty"`  // Join
+	Region  string      `cbor:"9,keyasint,omitempty"`  // Join
+	Version int         `cbor:"10,keyasint,omitempty"` // Join
+	Space   int64       `cbor:"11,keyasint,omitempty"` // Join
+	Taker   Incarnation `cbor:"12,keyasint,omitzero"`  // AssignTakeover, CompleteTakeover
+	// From is the version that the request is based on. SetReplicas: Changed. SetPlan: the plan's number. Evacuate,
+	// Freeze: Ordered. ChangeVoters: Council. Configure: Configured.
+	From    uint64        `cbor:"13,keyasint,omitempty"`
+	Set     []string      `cbor:"14,keyasint,omitempty"` // SetReplicas
+	On      bool          `cbor:"15,keyasint,omitempty"` // Drain, Evacuate, Freeze, ChangeVoters
+	Number  uint64        `cbor:"16,keyasint,omitempty"` // SetPlan
+	Content []byte        `cbor:"17,keyasint,omitempty"` // SetPlan
 	Place   string        `cbor:"18,keyasint,omitempty"` // Evacuate
-	Council []Voter       `cbor:"19,keyasint,omitempty"` // Found: all, as they are to be
+	Council []Voter       `cbor:"19,keyasint,omitempty"` // ChangeVoters: the complete new list
 	Entries []EntryChange `cbor:"20,keyasint,omitempty"` // Configure: each key once
 }
 
-// The reasons for which a command changes nothing.
+// The reasons for which a command changes nothing. Command line programs of all versions compare the text of
+// ErrConflict, which must not change.
 var (
-	ErrNameInUse = errors.New("council: that name's life goes on in another process")
-	ErrUnknown   = errors.New("council: no such life")
-	ErrFenced    = errors.New("council: that life has ended")
+	ErrNameInUse = errors.New("controlplane: the name is in use by another process")
+	ErrUnknown   = errors.New("controlplane: no such member or incarnation")
+	ErrFenced    = errors.New("controlplane: the incarnation has been fenced")
 	ErrConflict  = errors.New("council: something else was decided before")
 )
 
-// Apply carries a command out at a version, which only grows. An error says why nothing was changed.
+// Apply applies a command at a version, which only grows. An error is the reason why nothing has changed.
 func (s *State) Apply(version uint64, c Command) error {
 	if version <= s.Version {
-		return nil // it is in here already
+		return nil // already applied
 	}
 	s.Version = version
-	s.touched = nil
+	s.changedKeys = nil
 	switch c.Kind {
 	case Join:
 		return s.join(c)
@@ -157,30 +162,30 @@
 			return ErrUnknown
 		}
 		if m.Alive {
-			s.end(c.Life.Name, m)
+			s.fence(c.Life.Name, m)
 		}
 	case AssignTakeover:
-		j, taker := s.TakeoverTask(c.Life), s.Members[c.Taker.Name]
+		j, successor := s.TakeoverTask(c.Life), s.Members[c.Taker.Name]
 		switch {
-		case j == nil || taker == nil:
+		case j == nil || successor == nil:
 			return ErrUnknown
-		case !taker.Alive || taker.Life != c.Taker.Number:
+		case !successor.Alive || successor.Life != c.Taker.Number:
 			return ErrFenced
 		case j.Done || j.Taker.Number > 0 && j.Taker != c.Taker:
 			return ErrConflict
 		}
-		s.changeJob(c.Life).Taker = c.Taker
+		s.editTask(c.Life).Taker = c.Taker
 	case CompleteTakeover:
-		j, taker := s.TakeoverTask(c.Life), s.Members[c.Taker.Name]
+		j, successor := s.TakeoverTask(c.Life), s.Members[c.Taker.Name]
 		switch {
-		case j == nil || taker == nil:
+		case j == nil || successor == nil:
 			return ErrUnknown
 		case j.Taker != c.Taker:
 			return ErrConflict
-		case !taker.Alive || taker.Life != c.Taker.Number:
+		case !successor.Alive || successor.Life != c.Taker.Number:
 			return ErrFenced
 		}
-		s.changeJob(c.Life).Done = true
+		s.editTask(c.Life).Done = true
 	case SetReplicas:
 		m := s.Members[c.Life.Name]
 		switch {
@@ -189,14 +194,14 @@
 		case m.Changed != c.From:
 			return ErrConflict
 		}
-		m = s.changeMember(c.Life.Name)
+		m = s.editMember(c.Life.Name)
 		m.Keepers, m.Changed = slices.Clone(c.Set), version
 	case Drain:
 		m := s.Members[c.Life.Name]
 		if m == nil {
 			return ErrUnknown
 		}
-		s.changeMember(c.Life.Name).Leaving = c.On
+		s.editMember(c.Life.Name).Leaving = c.On
 	case Remove:
 		m := s.Members[c.Life.Name]
 		if m == nil {
@@ -206,19 +211,19 @@
 			return ErrConflict
 		}
 		delete(s.Members, c.Life.Name)
-		s.drop(MemberKey(c.Life.Name))
+		s.markDeleted(MemberKey(c.Life.Name))
 	case SetPlan:
 		if c.From != s.Plan.Number || c.Number <= c.From {
 			return ErrConflict
 		}
 		s.Plan.Number, s.Plan.Content = c.Number, c.Content
-		s.touch(planKey)
+		s.markChanged(planKey)
 	case Evacuate, Freeze:
-		if c.From != s.Plan.Ordered { // of two operators at once one wins, and the other is told
+		if c.From != s.Plan.Ordered { // of two concurrent orders one wins, and the other operator is told
 			return ErrConflict
 		}
 		s.Plan.Ordered = version
-		s.touch(planKey)
+		s.markChanged(planKey)
 		if c.Kind == Freeze {
 			s.Plan.Frozen = c.On
 			break
@@ -232,46 +237,46 @@
 		if c.From != s.Council {
 			return ErrConflict
 		}
-		s.Founders, s.Council = c.Council, version // never changed in place
-		s.touch(votersKey)
+		s.Founders, s.Council = c.Council, version // never modified in place
+		s.markChanged(votersKey)
 	case Configure:
 		return s.configure(c)
-	default: // of a later version: counted, not understood
+	default: // of a later version: only its version is recorded
 	}
 	return nil
 }
 
-// join begins a life. Numbers grow over lost folders too; what an earlier life of it owed goes to the new one where that
-// has the journal, since no copy is fuller.
+// join starts an incarnation. Epochs grow even if the folder is lost. What an earlier incarnation left unfinished goes
+// to the new one if that has its journal, since no copy is more complete.
 func (s *State) join(c Command) error {
 	name := c.Life.Name
 	m := s.Members[name]
-	had := Incarnation{name, c.Life.Number}
+	previous := Incarnation{name, c.Life.Number}
 	switch {
 	case m == nil:
-		m = &Member{Life: s.lastLife(name)}
-		if c.Whole && s.TakeoverTask(had) == nil { // it belonged to a council that is gone: nobody here took anything over
-			s.addJob(&TakeoverTask{Life: had, At: s.Version})
+		m = &Member{Life: s.lastEpoch(name)}
+		if c.Whole && s.TakeoverTask(previous) == nil { // it belonged to an earlier group, in which nobody took it over
+			s.addTask(&TakeoverTask{Life: previous, At: s.Version})
 		}
-	case m.Alive && m.Token == c.Token: // asked twice by one process, whose first answer was lost
+	case m.Alive && m.Token == c.Token: // a retry of the same process, which did not receive the first response
 		return nil
 	case m.Alive && !c.Fenced:
 		return ErrNameInUse
 	case m.Alive:
-		s.end(name, m)
+		s.fence(name, m)
 	}
 	s.Members[name] = &Member{
 		Life: max(m.Life, c.Life.Number) + 1, Alive: true, Token: c.Token, Address: c.Address, Zone: c.Zone, Region: c.Region,
 		Leaving: m.Leaving, Lost: !c.Whole && m.Life > 0, Changed: s.Version, Version: c.Version, Capacity: c.Space,
 	}
-	s.touch(MemberKey(name))
-	s.inherit(had, Incarnation{name, s.Members[name].Life}, c.Whole)
+	s.markChanged(MemberKey(name))
+	s.inheritTasks(previous, Incarnation{name, s.Members[name].Life}, c.Whole)
 	return nil
 }
 
-// lastLife is the highest number of a life of a name whose takeover is remembered: a name that was removed and comes back goes on from there,
-// or two of its lives would be taken for one.
-func (s *State) lastLife(name string) (number uint64) {
+// lastEpoch returns the highest epoch of a name among the takeover tasks. A name that was removed and comes back
+// continues from there; otherwise two of its incarnations would be identical.
+func (s *State) lastEpoch(name string) (number uint64) {
 	for _, j := range s.Jobs {
 		if j.Life.Name == name {
 			number = max(number, j.Life.Number)
@@ -280,49 +285,50 @@
 	return number
 }
 
-// inherit gives a new life what earlier lives of its name still owe, as far as its folder says so.
-func (s *State) inherit(had, mine Incarnation, whole bool) {
+// inheritTasks assigns the unfinished tasks of earlier incarnations to a new one, as far as its folder has their
+// messages.
+func (s *State) inheritTasks(previous, current Incarnation, whole bool) {
 	for _, j := range s.Jobs {
 		switch {
-		case j.Life.Name != mine.Name || j.Done:
-		case j.Life == had && whole:
-			s.changeJob(j.Life).Taker = mine
-		case j.Life.Number > had.Number && len(j.Keepers) == 0:
-			// The folder is not that life's, and nobody else ever had a copy: it ended before it had settled what it found, or with
-			// its folder. Nothing is left of it that anybody could take over.
-			settled := s.changeJob(j.Life)
-			settled.Taker, settled.Done = mine, true
+		case j.Life.Name != current.Name || j.Done:
+		case j.Life == previous && whole:
+			s.editTask(j.Life).Taker = current
+		case j.Life.Number > previous.Number && len(j.Keepers) == 0:
+			// The folder belongs to an earlier incarnation, and this one never had a replica: it was fenced before it
+			// had replicated what it found, or lost its folder. None of its messages are left to take over.
+			settled := s.editTask(j.Life)
+			settled.Taker, settled.Done = current, true
 		}
 	}
 }
 
-func (s *State) end(name string, m *Member) {
-	life := Incarnation{name, m.Life}
-	for _, j := range s.Jobs { // what it had not finished is anybody's who has a copy
-		if j.Taker == life && !j.Done {
-			s.changeJob(j.Life).Taker = Incarnation{}
+func (s *State) fence(name string, m *Member) {
+	incarnation := Incarnation{name, m.Life}
+	for _, j := range s.Jobs { // any replica may take over what it had not finished
+		if j.Taker == incarnation && !j.Done {
+			s.editTask(j.Life).Taker = Incarnation{}
 		}
 	}
-	s.addJob(&TakeoverTask{Life: life, Keepers: m.Keepers, At: s.Version})
-	ended := s.changeMember(name)
+	s.addTask(&TakeoverTask{Life: incarnation, Keepers: m.Keepers, At: s.Version})
+	ended := s.editMember(name)
 	ended.Alive, ended.Keepers = false, nil
-	s.forgetJobs(name)
+	s.pruneTasks(name)
 }
 
-// forgetJobs drops the oldest takeovers of a name that are done with, beyond the bound.
-func (s *State) forgetJobs(name string) {
+// pruneTasks drops the oldest completed takeover tasks of a name beyond the bound.
+func (s *State) pruneTasks(name string) {
 	done := 0
 	for i := len(s.Jobs) - 1; i >= 0; i-- {
 		if j := s.Jobs[i]; j.Life.Name == name && j.Done {
-			if done++; done > mostJobs {
-				s.drop(jobKey(j.Life))
+			if done++; done > maxCompletedTasks {
+				s.markDeleted(taskKey(j.Life))
 				s.Jobs = slices.Delete(s.Jobs, i, i+1)
 			}
 		}
 	}
 }
 
-// TakeoverTask is the taking over of a life; nil where that has not ended, or is long done with.
+// TakeoverTask returns the task of an incarnation; nil if that was not fenced, or if its task was pruned.
 func (s *State) TakeoverTask(l Incarnation) *TakeoverTask {
 	for _, j := range s.Jobs {
 		if j.Life == l {
@@ -332,8 +338,8 @@
 	return nil
 }
 
-// CurrentOwner is the life that has what a life owed by now: itself while it goes on, else whoever took over, and took over from that. It
-// is zero while a taking over is not done, and where nobody remembers.
+// CurrentOwner returns the incarnation that owns the messages of l now: l itself while it is alive, else its successor,
+// or the successor of that. It is zero while a takeover is not completed, and if the task was pruned.
 func (s *State) CurrentOwner(l Incarnation) Incarnation {
 	for range len(s.Jobs) + 1 {
 		if s.Alive(l) {
@@ -348,26 +354,27 @@
 	return Incarnation{}
 }
 
-// Alive says whether a life goes on.
+// Alive reports whether an incarnation has not been fenced.
 func (s *State) Alive(l Incarnation) bool {
 	m := s.Members[l.Name]
 	return m != nil && m.Alive && m.Life == l.Number
 }
 
-// Clone is a copy that can be changed by commands without changing this one.
+// Clone returns a copy to which commands can be applied without changing the original.
 func (s *State) Clone() *State {
 	out := *s
 	out.Members, out.Revisions, out.Deleted = maps.Clone(s.Members), maps.Clone(s.Revisions), maps.Clone(s.Deleted)
 	out.Entries = maps.Clone(s.Entries)
-	out.Jobs, out.touched = slices.Clone(s.Jobs), nil
+	out.Jobs, out.changedKeys = slices.Clone(s.Jobs), nil
 	return &out
 }
 
-// Names are the members' in their order.
+// Names returns the names of the members, sorted.
 func (s *State) Names() []string { return slices.Sorted(maps.Keys(s.Members)) }
 
-// RankReplicas is who should keep copies for a member, the best first: rendezvous hashing, so that a change of the fleet moves few
-// copies, with the best of another zone in front. Who is dead, leaving or refused by usable is not in it.
+// RankReplicas returns the candidates for a member's replicas, best first. They are ranked by rendezvous hashing, so
+// that a change of the fleet moves few copies, with the best one of another zone in front. Members that are fenced,
+// leaving or refused by usable are left out.
 func (s *State) RankReplicas(owner string, usable func(string) bool) []string {
 	own := s.Members[owner]
 	if own == nil {
--- a/internal/cluster/controlplane/view.go
+++ b/internal/cluster/controlplane/view.go
@@ -6,31 +6,32 @@
 	"mulleinbeam/internal/cluster/changelog"
 )
 
-// View is what a member knows of what is decided: the whole of it as of one version, which never goes backwards. It is not safe for
-// concurrent use.
+// View is what a member knows of the committed state: a consistent copy as of one version, which never goes backwards.
+// It is not safe for concurrent use.
 type View struct {
 	replica *changelog.Replica[Item]
 	state   *State
 }
 
-// NewView knows nothing yet, and is to know everything.
+// NewView returns an empty view of the whole state.
 func NewView() *View { return NewViewOf(SelectAll) }
 
-// NewViewOf knows nothing yet, and is to know what a selector says.
+// NewViewOf returns an empty view of what a selector selects.
 func NewViewOf(s changelog.Selector) *View {
 	return &View{replica: changelog.NewReplica[Item](s), state: NewState()}
 }
 
-// State is what is known; it is never changed.
+// State returns the current state, which is immutable.
 func (v *View) State() *State { return v.state }
 
-// Watch is what is asked for next.
+// Watch returns what to request next.
 func (v *View) Watch() *Watch {
 	return &Watch{Cursor: v.replica.Cursor(), Selector: v.replica.Selector()}
 }
 
-// Apply takes an answer. It says whether the state is another one now, and whether a further piece is to be asked for. An error says that the
-// answer changed nothing: it was late or doubled, contradicted itself, or came from a source that knows less.
+// Apply applies a response. It reports whether the state has changed, and whether another piece should be requested.
+// After an error nothing has changed: the response was late, duplicated, malformed, or came from a source that is
+// behind.
 func (v *View) Apply(c *Changes) (changed, more bool, err error) {
 	if c == nil {
 		return false, false, nil
@@ -43,22 +44,22 @@
 	return true, false, nil
 }
 
-// Lease is a member's side of its lease. Whoever carried a renewal, stopped it, or answers an earlier one: a lease counts from when the
-// member itself sent the renewal that is answered, which is before the leader booked it. It is not safe for concurrent use.
+// Lease is a member's side of its lease. However a renewal was delayed or forwarded, the lease counts from when the
+// member sent the renewal that is answered, which is before the leader recorded it. It is not safe for concurrent use.
 type Lease struct {
 	Length   time.Duration
 	sequence uint64
 	sent     time.Duration
 }
 
-// Renewal is what is asked for at a moment of the member's own clock. An earlier one counts no longer.
-func (l *Lease) Renewal(now time.Duration, life Incarnation) Request {
+// Renewal returns a renewal request, sent at now on the member's clock. It supersedes earlier ones.
+func (l *Lease) Renewal(now time.Duration, incarnation Incarnation) Request {
 	l.sequence++
 	l.sent = now
-	return Request{Renew: &life, Sequence: l.sequence}
+	return Request{Renew: &incarnation, Sequence: l.sequence}
 }
 
-// Granted says until when the life may act by an answer. False: the answer is to another renewal, or grants nothing.
+// Granted returns until when the incarnation may act. ok is false for responses to another renewal, and for refusals.
 func (l *Lease) Granted(r Response) (until time.Duration, ok bool) {
 	return l.sent + l.Length, r.Granted && r.Sequence == l.sequence
 }
--- a/internal/cluster/controlplane/view_test.go
+++ b/internal/cluster/controlplane/view_test.go
@@ -15,10 +15,10 @@
 	"mulleinbeam/internal/routing/wal/fsys"
 )
 
-// decided is what a state says, without how it is kept.
-func decided(s *State) *State {
+// committedPart returns the parts of a state that a view has to reproduce.
+func committedPart(s *State) *State {
 	out := *s
-	out.Revisions, out.Deleted, out.Floor, out.touched, out.EntryBytes = nil, nil, 0, nil, 0
+	out.Revisions, out.Deleted, out.Floor, out.changedKeys, out.EntryBytes = nil, nil, 0, nil, 0
 	if len(out.Entries) == 0 {
 		out.Entries = nil
 	}
@@ -29,10 +29,10 @@
 }
 
 func sameState(a, b *State) string {
-	return cmp.Diff(decided(a), decided(b), cmp.AllowUnexported(State{}))
+	return cmp.Diff(committedPart(a), committedPart(b), cmp.AllowUnexported(State{}))
 }
 
-// randomCommand is one that often changes something.
+// randomCommand returns a command that is likely to change something.
 func randomCommand(rng *rand.Rand, s *State) Command {
 	name := fmt.Sprint("m", rng.IntN(6))
 	m := s.Members[name]
@@ -43,18 +43,18 @@
 		}
 		return Command{Kind: Join, Life: Incarnation{name, had}, Whole: had > 0, Fenced: true, Token: fmt.Sprint(rng.Uint64()), Zone: "z"}
 	}
-	life := Incarnation{name, m.Life}
+	incarnation := Incarnation{name, m.Life}
 	switch rng.IntN(10) {
 	case 8, 9:
 		return randomConfiguration(rng, s)
 	case 0:
-		return Command{Kind: Fence, Life: life}
+		return Command{Kind: Fence, Life: incarnation}
 	case 1:
-		return Command{Kind: SetReplicas, Life: life, From: m.Changed, Set: []string{fmt.Sprint("m", rng.IntN(6))}}
+		return Command{Kind: SetReplicas, Life: incarnation, From: m.Changed, Set: []string{fmt.Sprint("m", rng.IntN(6))}}
 	case 2:
-		return Command{Kind: Drain, Life: life, On: rng.IntN(2) == 0}
+		return Command{Kind: Drain, Life: incarnation, On: rng.IntN(2) == 0}
 	case 3:
-		return Command{Kind: Remove, Life: life}
+		return Command{Kind: Remove, Life: incarnation}
 	case 4:
 		return Command{Kind: SetPlan, From: s.Plan.Number, Number: s.Plan.Number + 1, Content: []byte(fmt.Sprint(rng.Uint64()))}
 	case 5:
@@ -62,16 +62,16 @@
 	}
 	for _, j := range s.Jobs {
 		if !j.Done && j.Taker.Number == 0 {
-			return Command{Kind: AssignTakeover, Life: j.Life, Taker: life}
+			return Command{Kind: AssignTakeover, Life: j.Life, Taker: incarnation}
 		}
 		if !j.Done {
 			return Command{Kind: CompleteTakeover, Life: j.Life, Taker: j.Taker}
 		}
 	}
-	return Command{Kind: Fence, Life: life}
+	return Command{Kind: Fence, Life: incarnation}
 }
 
-// randomConfiguration sets and deletes entries.
+// randomConfiguration sets and deletes configuration entries.
 func randomConfiguration(rng *rand.Rand, s *State) Command {
 	cmd := Command{Kind: Configure, From: s.Configured}
 	for i := range 1 + rng.IntN(3) {
@@ -86,9 +86,10 @@
 	return cmd
 }
 
-// Views are fed by any voter, in pieces, over links that lose, double and delay answers, while voters restart, one of them without its
-// folder, and their logs are cut short: whatever a view shows is exactly what was decided as of its version, and versions only grow.
-func TestViewsShowWhatWasDecided(t *testing.T) {
+// Views are fed by any voter, in pieces, over links that lose, duplicate and delay responses, while voters restart, one
+// of them without its folder, and their logs are compacted. A view has to equal the state committed at its version, and
+// versions only grow.
+func TestViewsEqualCommittedState(t *testing.T) {
 	for seed := range uint64(12) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		g := newGroup(t, "a", "b", "c")
@@ -110,7 +111,7 @@
 				g.down[name] = false
 				for range 3 {
 					g.run(5)
-					g.meet()
+					g.rejoin()
 				}
 				states[g.leader().State().Version] = g.leader().State().Clone()
 			}
@@ -145,7 +146,7 @@
 	}
 }
 
-// catchUp has a view learn all that a voter knows.
+// catchUp feeds a view until it has everything that a voter knows.
 func catchUp(t *testing.T, v *View, c *Core) {
 	t.Helper()
 	for v.State().Version < c.State().Version {
@@ -160,9 +161,9 @@
 	}
 }
 
-// The control plane is rebuilt from a voter that had missed the latest decisions: whoever knew of these goes by what was rebuilt, and no
-// version goes backwards. A voter of the old one that is left over has nothing for it any more.
-func TestARebuiltStateReplacesWhatWasKnown(t *testing.T) {
+// The group is rebuilt from a voter that lacks the latest commands. A view that had them has to adopt the rebuilt state
+// at a higher version, and a leftover voter of the old group must be behind that view.
+func TestRebuiltStateReplacesView(t *testing.T) {
 	g := newGroup(t, "a", "b", "c")
 	g.join("kept")
 	g.run(10)
@@ -171,18 +172,18 @@
 	v := NewView()
 	catchUp(t, v, g.leader())
 	if v.State().Members["lost"] == nil {
-		t.Fatal("the view has missed it")
+		t.Fatal("the view does not have it")
 	}
-	if err := g.keeps["a"].Close(); err != nil {
+	if err := g.stores["a"].Close(); err != nil {
 		t.Fatal(err)
 	}
 	k, kept, err := OpenRaftStore(g.disks["a"], func(s string) { t.Error(s) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	fresh, err := Rebuild(kept, []string{"a"})
+	newLeaseRequests, err := Rebuild(kept, []string{"a"})
 	if err == nil {
-		err = errors.Join(k.Replace(fresh), k.Close())
+		err = errors.Join(k.Replace(newLeaseRequests), k.Close())
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -202,9 +203,9 @@
 	}
 }
 
-// Whatever is done to answers on their way, a lease counts from the sending of the renewal that was answered: one that is answered late, twice,
-// or with the answer to an earlier renewal is no longer for it.
-func TestALeaseCountsFromItsOwnSending(t *testing.T) {
+// A lease counts from when the renewal that was answered was sent. Responses to an earlier renewal, late or duplicated,
+// must not extend it.
+func TestLeaseCountsFromSendingOfRenewal(t *testing.T) {
 	l := Lease{Length: time.Second}
 	a := Incarnation{"a", 1}
 	first := l.Renewal(10*time.Second, a)
@@ -224,8 +225,9 @@
 	}
 }
 
-// A life whose lease is over is due once, whoever has renewed in the meantime is not, and one that has just begun gets its time.
-func TestWhoseLeaseIsDue(t *testing.T) {
+// An incarnation whose lease is over is returned once. One that has renewed is not, and one that has just started gets
+// a whole lease.
+func TestExpiredLeases(t *testing.T) {
 	l := Leases{Lease: time.Second, Margin: 200 * time.Millisecond}
 	l.Elected(0)
 	a, b, late := Incarnation{"a", 1}, Incarnation{"b", 1}, Incarnation{"late", 1}
@@ -233,17 +235,17 @@
 	l.Track(b)
 	l.Renew(time.Second, b)
 	if due := l.Expired(1199 * time.Millisecond); len(due) != 0 {
-		t.Errorf("%v are due too early", due)
+		t.Errorf("%v expired too early", due)
 	}
 	if diff := cmp.Diff([]Incarnation{a}, l.Expired(1200*time.Millisecond)); diff != "" {
 		t.Error(diff)
 	}
-	l.Renew(2*time.Second, late) // as a server does when it begins
+	l.Renew(2*time.Second, late) // as a server does at its start
 	l.Track(late)
 	if diff := cmp.Diff([]Incarnation{b}, l.Expired(2200*time.Millisecond)); diff != "" {
 		t.Error(diff)
 	}
-	l.TrackAt(b, 3*time.Second) // its end may not be decided
+	l.TrackAt(b, 3*time.Second) // the proposal to fence it may not get committed
 	if diff := cmp.Diff([]Incarnation{b}, l.Expired(3*time.Second)); diff != "" {
 		t.Error(diff)
 	}
@@ -252,12 +254,13 @@
 	}
 	l.Elected(2 * time.Hour)
 	if due := l.Expired(3 * time.Hour); len(due) != 0 {
-		t.Errorf("%v are left of an earlier leadership", due)
+		t.Errorf("%v remain from an earlier leadership", due)
 	}
 }
 
-// A state that an earlier program kept has no revisions: all its keys get that of its version, and watchers begin with a snapshot.
-func TestAStateOfAnEarlierProgram(t *testing.T) {
+// A state stored by an earlier version has no revisions. All its keys get the version of the state, and watchers start
+// with a snapshot.
+func TestStateOfEarlierVersion(t *testing.T) {
 	type oldState struct {
 		Version uint64
 		Members map[string]*Member
@@ -272,7 +275,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	log, err := s.log()
+	log, err := s.changeLog()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/controlplane/wire.go
+++ b/internal/cluster/controlplane/wire.go
@@ -8,46 +8,46 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// How requests and answers travel. On a link they are single values of CBOR to net/rpc's gob: gob sends and compiles the types of all that it
-// carries anew for each connection, which took some 2 ms of a voter for every member that came. Fields are numbered, so sides of different
-// versions leave out what they do not know.
+// Encoding of requests and responses. On a link each is one CBOR value inside net/rpc's gob stream. gob sends and
+// compiles the types of all it carries anew for each connection, which took a voter some 2 ms for every member that
+// connected. Fields are numbered, so that versions ignore the fields they do not know.
 
-// GobEncode is gob.GobEncoder's.
+// GobEncode implements gob.GobEncoder.
 func (r Request) GobEncode() ([]byte, error) {
 	type plain Request
 	return marshal(plain(r))
 }
 
-// GobDecode is gob.GobDecoder's.
+// GobDecode implements gob.GobDecoder.
 func (r *Request) GobDecode(b []byte) error {
 	type plain Request
 	return unmarshal(b, (*plain)(r))
 }
 
-// GobEncode is gob.GobEncoder's.
+// GobEncode implements gob.GobEncoder.
 func (r Response) GobEncode() ([]byte, error) {
 	type plain Response
 	return marshal(plain(r))
 }
 
-// GobDecode is gob.GobDecoder's.
+// GobDecode implements gob.GobDecoder.
 func (r *Response) GobDecode(b []byte) error {
 	type plain Response
 	return unmarshal(b, (*plain)(r))
 }
 
-// plainItem is an Item whose encoding is made of its fields.
+// plainItem is an Item without its encoding methods.
 type plainItem Item
 
-// sealed is the item with its encoding, which is then made once, however many watchers get it.
+// sealed returns the item with its encoding, so that it is encoded only once for all watchers.
 func (i Item) sealed() Item {
-	if b, err := marshal(plainItem(i)); err == nil { // else it is tried again, and told of, for each
+	if b, err := marshal(plainItem(i)); err == nil { // on an error, encoding is tried again, and reports the error, for each watcher
 		i.encoded = b
 	}
 	return i
 }
 
-// MarshalCBOR is cbor.Marshaler's.
+// MarshalCBOR implements cbor.Marshaler.
 func (i Item) MarshalCBOR() ([]byte, error) {
 	if i.encoded != nil {
 		return i.encoded, nil
@@ -55,7 +55,7 @@
 	return marshal(plainItem(i))
 }
 
-// UnmarshalCBOR is cbor.Unmarshaler's.
+// UnmarshalCBOR implements cbor.Unmarshaler.
 func (i *Item) UnmarshalCBOR(b []byte) error {
 	var p plainItem
 	if err := unmarshal(b, &p); err != nil {
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// entryCBOR begins an entry of the Raft log in CBOR. Earlier programs wrote gob, which never begins with it.
+// entryCBOR is the first byte of a CBOR entry in the Raft log. Earlier versions wrote gob, which never starts with it.
 const entryCBOR = 0
 
 func encodeEntry(e entry) ([]byte, error) {
@@ -74,13 +74,13 @@
 	return append([]byte{entryCBOR}, b...), err
 }
 
-// decodeEntry reads an entry of this program or of an earlier one.
+// decodeEntry decodes an entry of this version or an earlier one.
 func decodeEntry(data []byte, e *entry) error {
 	if len(data) > 0 && data[0] == entryCBOR {
 		return unmarshal(data[1:], e)
 	}
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(e); err != nil {
-		return fmt.Errorf("council: decode: %w", err)
+		return fmt.Errorf("controlplane: decode: %w", err)
 	}
 	return nil
 }
@@ -88,14 +88,14 @@
 func marshal(v any) ([]byte, error) {
 	b, err := cbor.Marshal(v)
 	if err != nil {
-		return nil, fmt.Errorf("council: encode: %w", err)
+		return nil, fmt.Errorf("controlplane: encode: %w", err)
 	}
 	return b, nil
 }
 
 func unmarshal(b []byte, v any) error {
 	if err := cbor.Unmarshal(b, v); err != nil {
-		return fmt.Errorf("council: decode: %w", err)
+		return fmt.Errorf("controlplane: decode: %w", err)
 	}
 	return nil
 }
--- a/internal/cluster/controlplane/wire_test.go
+++ b/internal/cluster/controlplane/wire_test.go
@@ -9,7 +9,7 @@
 	"mulleinbeam/internal/cluster/changelog"
 )
 
-// overLink is a value as it comes out of a link.
+// overLink encodes and decodes a value like a link does.
 func overLink[T any](t *testing.T, v T) (out T) {
 	t.Helper()
 	var b bytes.Buffer
@@ -22,17 +22,17 @@
 	return out
 }
 
-// What is asked and answered comes out of a link as it went in.
-func TestRequestsAndResponsesTravel(t *testing.T) {
-	life := Incarnation{"a", 3}
+// Requests and responses are the same after a link has encoded and decoded them.
+func TestRequestAndResponseEncoding(t *testing.T) {
+	incarnation := Incarnation{"a", 3}
 	cursor := changelog.Cursor{SelectorGeneration: 1, ViewRevision: 2, Revision: 3, SnapshotRevision: 4, SourceRevision: 5, Restart: true}
 	for _, req := range []Request{
 		{},
-		{Renew: &life, Sequence: 7, Watch: &Watch{Cursor: cursor, Selector: changelog.Selector{Prefixes: []string{"p"}, Keys: []string{"k"}, Mirror: true}}},
-		{Command: &Command{Kind: Join, Life: life, Whole: true, Token: "t", Set: []string{"b"}, Content: []byte{0, 1}, Council: []Voter{{"f", "a:1", true}}}},
+		{Renew: &incarnation, Sequence: 7, Watch: &Watch{Cursor: cursor, Selector: changelog.Selector{Prefixes: []string{"p"}, Keys: []string{"k"}, Mirror: true}}},
+		{Command: &Command{Kind: Join, Life: incarnation, Whole: true, Token: "t", Set: []string{"b"}, Content: []byte{0, 1}, Council: []Voter{{"f", "a:1", true}}}},
 	} {
 		if got := overLink(t, req); !reflect.DeepEqual(got, req) {
-			t.Errorf("%+v came as %+v", req, got)
+			t.Errorf("%+v arrived as %+v", req, got)
 		}
 	}
 	member := Member{Life: 3, Alive: true, Keepers: []string{"b"}, Address: "a:1"}
@@ -48,11 +48,11 @@
 		t.Errorf("%+v", got)
 	}
 	if !reflect.DeepEqual(*got.Changes, batch) {
-		t.Errorf("%+v came as %+v", batch, *got.Changes)
+		t.Errorf("%+v arrived as %+v", batch, *got.Changes)
 	}
 }
 
-// A peer's nonsense is an error, and changes nothing.
+// Malformed input from a peer is an error.
 func TestMalformedRequestsAreErrors(t *testing.T) {
 	for _, b := range [][]byte{nil, {0xff}, {0x9f}, []byte("nonsense"), {0xa1, 0x02, 0x01}} {
 		if req := (Request{}); req.GobDecode(b) == nil {
@@ -61,8 +61,8 @@
 	}
 }
 
-// Entries of the log that an earlier program wrote are read, and those of this one.
-func TestEntriesOfEarlierPrograms(t *testing.T) {
+// Entries of the Raft log are read whether this version or an earlier one wrote them.
+func TestEntriesOfEarlierVersions(t *testing.T) {
 	want := entry{5, Command{Kind: Fence, Life: Incarnation{"a", 1}, Set: []string{"b"}}}
 	old, err := encode(want)
 	if err != nil {
@@ -79,6 +79,6 @@
 		}
 	}
 	if decodeEntry([]byte{entryCBOR, 0xff}, new(entry)) == nil || decodeEntry([]byte("x"), new(entry)) == nil {
-		t.Error("damage was read")
+		t.Error("damaged entries were decoded")
 	}
 }
