--- a/internal/cluster/controlplane/configuration_test.go
+++ b/internal/cluster/controlplane/configuration_test.go
@@ -68,9 +68,9 @@
 
 // A state stored by a version without configuration entries has none, and entries can be added to it.
 func TestStateWithoutConfiguration(t *testing.T) {
-	kept := NewState()
-	kept.Version, kept.Entries = 20, nil
-	data, err := encode(kept)
+	stored := NewState()
+	stored.Version, stored.Entries = 20, nil
+	data, err := encode(stored)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +84,8 @@
 	}
 }
 
-// A watcher that reads after ten thousand changes gets each key once, in pieces of bounded size.
+// A watcher that reads after ten thousand changes gets each key once, in pieces of bounded size; changes are not queued
+// for it.
 func TestTenThousandChanges(t *testing.T) {
 	const keys, changes = 100, 10_000
 	s := NewState()
@@ -129,7 +130,7 @@
 // The state of a view is never modified, even if a later one shares its entries.
 func TestEntriesAreShared(t *testing.T) {
 	view := NewView()
-	learn := func(version uint64, records ...Change) *State {
+	apply := func(version uint64, records ...Change) *State {
 		t.Helper()
 		w := view.Watch()
 		b := Changes{From: w.Cursor, To: changelog.Cursor{ViewRevision: version, Revision: version}, Records: records}
@@ -141,10 +142,10 @@
 	entry := func(revision uint64, key, content string) Change {
 		return Change{Key: configPrefix + key, Revision: revision, Value: Item{Entry: &ConfigEntry{Content: []byte(content), Revision: revision}}}
 	}
-	one := learn(5, entry(5, "a", "1"))
-	two := learn(6, Change{Key: MemberKey("m"), Revision: 6, Value: Item{Member: &Member{Life: 1}}})
-	three := learn(7, entry(7, "a", "2"), entry(7, "b", "3"))
-	four := learn(8, Change{Key: configPrefix + "a", Revision: 8, Deleted: true})
+	one := apply(5, entry(5, "a", "1"))
+	two := apply(6, Change{Key: MemberKey("m"), Revision: 6, Value: Item{Member: &Member{Life: 1}}})
+	three := apply(7, entry(7, "a", "2"), entry(7, "b", "3"))
+	four := apply(8, Change{Key: configPrefix + "a", Revision: 8, Deleted: true})
 	for i, c := range []struct {
 		state *State
 		want  map[string][]byte
--- a/internal/cluster/controlplane/controlplane_test.go
+++ b/internal/cluster/controlplane/controlplane_test.go
@@ -131,7 +131,7 @@
 	if g.configured == nil {
 		g.configured = g.names
 	}
-	k, d, err := OpenRaftStore(g.disks[name], func(s string) { g.t.Error(s) })
+	raftStore, d, err := OpenRaftStore(g.disks[name], func(s string) { g.t.Error(s) })
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -143,7 +143,7 @@
 	if err != nil {
 		g.t.Fatal(err)
 	}
-	g.cores[name], g.stores[name] = c, k
+	g.cores[name], g.stores[name] = c, raftStore
 }
 
 // rejoin runs the rejoin protocol of blank voters like a server does, and tells all members who the voters are.
@@ -156,8 +156,8 @@
 			}
 		}
 		var all []VoterStatus
-		for _, f := range c.Voters() {
-			if other := g.cores[f.Name]; f.Name != name && !g.down[f.Name] && !g.down[name] && c.VotingSuspended() {
+		for _, v := range c.Voters() {
+			if other := g.cores[v.Name]; v.Name != name && !g.down[v.Name] && !g.down[name] && c.VotingSuspended() {
 				other.YieldLeadership(ID(name), c.LastIndex())
 				all = append(all, other.Status())
 			}
@@ -287,7 +287,7 @@
 	g.t.Helper()
 	for range 60 {
 		l := g.leader()
-		at := slices.IndexFunc(l.Voters(), func(f Voter) bool { return f.Name == name })
+		at := slices.IndexFunc(l.Voters(), func(v Voter) bool { return v.Name == name })
 		if on && at >= 0 && !l.Voters()[at].Learns || !on && at < 0 {
 			return
 		}
@@ -373,13 +373,13 @@
 			}
 			for _, other := range g.names {
 				if l := g.cores[other]; l.Leads() {
-					f := g.names[rng.IntN(len(g.names))]
+					target := g.names[rng.IntN(len(g.names))]
 					on := rng.IntN(2) == 0
-					if level := l.CaughtUpLearners(); len(level) > 0 {
-						f, on = level[0].Name, true
+					if learners := l.CaughtUpLearners(); len(learners) > 0 {
+						target, on = learners[0].Name, true
 					}
-					if !on || len(l.CaughtUpLearners()) > 0 || !slices.ContainsFunc(l.Voters(), func(x Voter) bool { return x.Name == f }) {
-						_ = l.ChangeVoters(rand.Uint64(), Voter{Name: f}, on)
+					if !on || len(l.CaughtUpLearners()) > 0 || !slices.ContainsFunc(l.Voters(), func(x Voter) bool { return x.Name == target }) {
+						_ = l.ChangeVoters(rand.Uint64(), Voter{Name: target}, on)
 					}
 					_ = l.Propose(rand.Uint64(), Command{Kind: Join, Life: Incarnation{Name: fmt.Sprint(step)}, Token: "t"})
 				}
@@ -394,9 +394,9 @@
 			g.run(6)
 		}
 		l := g.leader()
-		for _, f := range l.Voters() {
-			if s := g.cores[f.Name].State(); s.Version != l.State().Version || s.Members["last"] == nil {
-				t.Fatalf("seed %d: %s at %d, the leader at %d", seed, f.Name, s.Version, l.State().Version)
+		for _, v := range l.Voters() {
+			if s := g.cores[v.Name].State(); s.Version != l.State().Version || s.Members["last"] == nil {
+				t.Fatalf("seed %d: %s at %d, the leader at %d", seed, v.Name, s.Version, l.State().Version)
 			}
 		}
 	}
@@ -411,18 +411,18 @@
 	if err := g.stores["a"].Close(); err != nil {
 		t.Fatal(err)
 	}
-	k, kept, err := OpenRaftStore(g.disks["a"], func(s string) { t.Error(s) })
+	raftStore, stored, err := OpenRaftStore(g.disks["a"], func(s string) { t.Error(s) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	newLeaseRequests, err := Rebuild(kept, []string{"a", "d", "e"})
+	newState, err := Rebuild(stored, []string{"a", "d", "e"})
 	if err == nil {
-		err = k.Replace(newLeaseRequests)
+		err = raftStore.Replace(newState)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := k.Close(); err != nil {
+	if err := raftStore.Close(); err != nil {
 		t.Fatal(err)
 	}
 	g.names = []string{"a", "d", "e"}
--- a/internal/cluster/controlplane/core.go
+++ b/internal/cluster/controlplane/core.go
@@ -19,7 +19,7 @@
 const (
 	electionTicks       = 10
 	heartbeatTicks      = 1
-	maxMessageBytes     = 256 << 10 // bytes of one Raft message
+	maxMessageBytes     = 256 << 10 // of one Raft message
 	maxInflightMessages = 64
 	entriesPerSnapshot  = 512 // commands between two snapshots
 	firstIndex          = 1   // index of the snapshot that every voter starts with
@@ -74,7 +74,7 @@
 	configured      []Voter           // from the settings
 	voters          []Voter           // the latest voters known here,
 	votersVersion   uint64            // as of this State.Council
-	nameByID        map[uint64]string // of list
+	nameByID        map[uint64]string // of voters
 	node            *raft.RawNode
 	storage         *raft.MemoryStorage
 	conf            raftpb.ConfState
--- a/internal/cluster/controlplane/raftstore_test.go
+++ b/internal/cluster/controlplane/raftstore_test.go
@@ -26,8 +26,8 @@
 	for works := range 12 { // number of writes that succeed before two fail
 		mem := fsys.NewMem()
 		faults := &fsys.Faults{FS: mem}
-		k, _, err := OpenRaftStore(faults, func(string) {})
-		if err != nil || k.Save(first) != nil {
+		raftStore, _, err := OpenRaftStore(faults, func(string) {})
+		if err != nil || raftStore.Save(first) != nil {
 			t.Fatal(err)
 		}
 		left := works
@@ -40,12 +40,12 @@
 			}
 			return n, nil
 		})
-		for tries := 0; k.Save(next) != nil; tries++ {
+		for tries := 0; raftStore.Save(next) != nil; tries++ {
 			if tries > 2 {
 				t.Fatalf("after %d writes: not saved although the disk works", works)
 			}
 		}
-		if err := k.Close(); err != nil {
+		if err := raftStore.Close(); err != nil {
 			t.Fatal(err)
 		}
 		_, got, err := OpenRaftStore(mem.Crash(fsys.LoseUnsynced, nil), func(string) {})
--- a/internal/cluster/controlplane/requests.go
+++ b/internal/cluster/controlplane/requests.go
@@ -142,17 +142,17 @@
 		return
 	}
 	state := s.core.State()
-	var ended []Incarnation
+	var fenced []Incarnation
 	for _, incarnation := range a.incarnations {
 		if !state.Alive(incarnation) || s.leases.fencing[incarnation] {
-			ended = append(ended, incarnation)
+			fenced = append(fenced, incarnation)
 		}
 	}
 	r := Response{Granted: true, Version: state.Version, Leader: s.core.Leader()}
 	switch {
 	case a.batch:
-		r.Fenced = ended
-	case len(ended) > 0:
+		r.Fenced = fenced
+	case len(fenced) > 0:
 		r.Granted, r.Refused = false, ErrFenced.Error()
 	}
 	a.reply(r)
--- a/internal/cluster/controlplane/rollout.go
+++ b/internal/cluster/controlplane/rollout.go
@@ -61,7 +61,7 @@
 const (
 	maxReported    = 16
 	maxRevisions   = 16
-	maxReasonBytes = 256 // bytes of a reason
+	maxReasonBytes = 256
 )
 
 // Bounded returns the report cut to what a renewal may carry.
--- a/internal/cluster/controlplane/state.go
+++ b/internal/cluster/controlplane/state.go
@@ -30,11 +30,11 @@
 type Member struct {
 	Life     uint64   `cbor:"1,keyasint,omitempty"` // epoch of the latest incarnation
 	Alive    bool     `cbor:"2,keyasint,omitempty"` // it has not been fenced
-	Token    string   `cbor:"3,keyasint,omitempty"` // identifies the process, to distinguish two of the same name
+	Token    string   `cbor:"3,keyasint,omitempty"` // drawn by the process that joined; distinguishes two processes of one name
 	Address  string   `cbor:"4,keyasint,omitempty"` // host:port for other members
 	Zone     string   `cbor:"5,keyasint,omitempty"`
 	Region   string   `cbor:"6,keyasint,omitempty"`
-	Leaving  bool     `cbor:"7,keyasint,omitempty"`  // it is being drained: it stores no copies and is nobody's replica
+	Leaving  bool     `cbor:"7,keyasint,omitempty"`  // it is being drained: it stores no copies and is not counted as a replica
 	Keepers  []string `cbor:"8,keyasint,omitempty"`  // the in-sync replicas of this incarnation
 	Lost     bool     `cbor:"9,keyasint,omitempty"`  // it came back without its folder
 	Changed  uint64   `cbor:"10,keyasint,omitempty"` // version at which Keepers was last set
@@ -92,7 +92,7 @@
 	return &State{Members: map[string]*Member{}, Entries: map[string]*ConfigEntry{}, Revisions: map[string]uint64{}, Deleted: map[string]uint64{}}
 }
 
-// Kind is what a command does.
+// Kind is the kind of a command.
 type Kind int
 
 // The kinds of commands.
@@ -310,8 +310,8 @@
 		}
 	}
 	s.addTask(&TakeoverTask{Life: incarnation, Keepers: m.Keepers, At: s.Version})
-	ended := s.editMember(name)
-	ended.Alive, ended.Keepers = false, nil
+	fenced := s.editMember(name)
+	fenced.Alive, fenced.Keepers = false, nil
 	s.pruneTasks(name)
 }
 
--- a/internal/cluster/controlplane/view_test.go
+++ b/internal/cluster/controlplane/view_test.go
@@ -177,13 +177,13 @@
 	if err := g.stores["a"].Close(); err != nil {
 		t.Fatal(err)
 	}
-	k, kept, err := OpenRaftStore(g.disks["a"], func(s string) { t.Error(s) })
+	raftStore, stored, err := OpenRaftStore(g.disks["a"], func(s string) { t.Error(s) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	newLeaseRequests, err := Rebuild(kept, []string{"a"})
+	newState, err := Rebuild(stored, []string{"a"})
 	if err == nil {
-		err = errors.Join(k.Replace(newLeaseRequests), k.Close())
+		err = errors.Join(raftStore.Replace(newState), raftStore.Close())
 	}
 	if err != nil {
 		t.Fatal(err)
