--- a/decide.go
+++ b/decide.go
@@ -503,13 +503,13 @@
 // nothing of the endpoint: one that is down refuses the next connection. Resets are tallied for both kinds.
 func (d *Decider) lostToReusedConn(e Answer) bool {
 	t := &d.newConnection
-	if e.ReusedConn {
+	if e.ReusedConnection {
 		t = &d.reusedConnection
 	}
 	if e.Outcome == OK || e.Outcome == Reset {
 		t.add(e.Outcome == Reset, maxResetTallyCalls)
 	}
-	return e.ReusedConn && e.Outcome == Reset
+	return e.ReusedConnection && e.Outcome == Reset
 }
 
 // wantsNewConn reports whether a message needs a new connection: an unsafe one, which a reset ends, if reused
--- a/internal/routing/calls.go
+++ b/internal/routing/calls.go
@@ -298,6 +298,6 @@
 	r.decide(mb.Answer{
 		ID: mb.MessageID(h.seq), Attempt: c.number, Endpoint: mb.EndpointID(c.endpoint), Outcome: out,
 		Latency: time.Since(c.sentAt) - c.delayed, Settled: over || h.ended, RetryAfter: result.RetryAfter, Limit: result.Limit,
-		ReusedConn: result.ReusedConnection, BodyConsumed: result.BodyConsumed,
+		ReusedConnection: result.ReusedConnection, BodyConsumed: result.BodyConsumed,
 	})
 }
--- a/mulleinbeam.go
+++ b/mulleinbeam.go
@@ -257,16 +257,16 @@
 
 // Answer reports the end of an attempt.
 type Answer struct {
-	ID           MessageID
-	Attempt      int
-	Endpoint     EndpointID
-	Outcome      Outcome
-	Latency      time.Duration
-	Settled      bool          // the message has had its final answer
-	RetryAfter   time.Duration // with Refused; zero if none
-	Limit        *LimitReport  // reported by the endpoint; nil if none
-	ReusedConn   bool          // the connection had carried an earlier call
-	BodyConsumed bool          // of a long message: its body can't be sent again, so there is no further attempt
+	ID               MessageID
+	Attempt          int
+	Endpoint         EndpointID
+	Outcome          Outcome
+	Latency          time.Duration
+	Settled          bool          // the message has had its final answer
+	RetryAfter       time.Duration // with Refused; zero if none
+	Limit            *LimitReport  // reported by the endpoint; nil if none
+	ReusedConnection bool          // the connection had carried an earlier call
+	BodyConsumed     bool          // of a long message: its body can't be sent again, so there is no further attempt
 }
 
 // LimitReport is an endpoint's report of its rate limit.
--- a/rules_test.go
+++ b/rules_test.go
@@ -656,7 +656,7 @@
 	for range 20 {
 		r.submit("safe", 1, 0)
 		s := r.last()
-		r.do(Answer{ID: s.ID, Attempt: r.sent[s.ID] - 1, Endpoint: s.Endpoint, Outcome: Reset, Latency: 50 * ms, ReusedConn: true})
+		r.do(Answer{ID: s.ID, Attempt: r.sent[s.ID] - 1, Endpoint: s.Endpoint, Outcome: Reset, Latency: 50 * ms, ReusedConnection: true})
 		r.do(MessageCancelled{ID: s.ID})
 	}
 	if circ := r.d.destinations[1].circuits[0]; circ.state != closed || circ.slowStart {
