--- a/cmd/larkreach/fleet_test.go
+++ b/cmd/larkreach/fleet_test.go
@@ -449,7 +449,7 @@
 	must(t, fw.Prepare(t.TempDir(), f.Agent))
 	must(t, fw.Start())
 	defer fw.End(syscall.SIGKILL)
-	if _, ok := fw.Sees("node: no life was given why=council: that name's life goes on in another process"); !ok {
+	if _, ok := fw.Sees("node: joining the fleet was refused why=council: that name's life goes on in another process"); !ok {
 		t.Fatal(fw.Log())
 	}
 	c, err := lab.Dial(fw.Address())
--- a/internal/cluster/node/configuration.go
+++ b/internal/cluster/node/configuration.go
@@ -11,66 +11,69 @@
 	"mulleinbeam/internal/routing"
 )
 
-// The committed configuration, put into force at this forwarder: package entry with the control plane's view and the router.
+// Applies the committed configuration on this forwarder: connects package entry with the view of the control plane's
+// state and the router.
 
-// checkEntry is what a voter asks before an entry is committed.
+// checkEntry checks that a voter can decode an entry before it is committed.
 func checkEntry(key string, content []byte) error {
 	_, err := entry.Decode(key, content)
 	return err
 }
 
-// configuring is a node's part in it.
-type configuring struct {
-	changed chan struct{} // another configuration may be committed
+// configuration is a node's state of the committed configuration.
+type configuration struct {
+	changed chan struct{} // signals that another configuration may have been committed
 	limits  limits
 
-	mu     sync.Mutex // held while a configuration is put into force
+	mu     sync.Mutex // held while a configuration is applied
 	active entry.Active
 }
 
-// configure puts what is committed into force until ctx ends.
+// configure applies each newly committed configuration until ctx ends.
 func (n *Node) configure(ctx context.Context) {
 	for {
 		select {
-		case <-n.configuring.changed:
-			n.putIntoForce()
+		case <-n.configuration.changed:
+			n.applyConfiguration()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// putIntoForce has the router go by what is committed, as far as is known here. What is handed in from here on goes by it.
-func (n *Node) putIntoForce() {
-	c := &n.configuring
+// applyConfiguration applies the committed configuration, as far as it is known here, to messages that are submitted
+// from now on.
+func (n *Node) applyConfiguration() {
+	c := &n.configuration
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, state := n.latest()
-	changes, refused := c.active.Update(state.EntryContents(), n.allows)
-	n.router.Configure(destinations(changes))
-	c.limits.change(changes)
+	_, state := n.currentState()
+	changes, refused := c.active.Update(state.EntryContents(), n.checkSupported)
+	n.router.Configure(endpointChanges(changes))
+	c.limits.apply(changes)
 	report := controlplane.ConfigReport{Revision: state.Configured}
 	for _, r := range refused {
 		report.Refused = append(report.Refused, controlplane.RefusedEntry{Key: r.Key, Why: r.Why})
 	}
 	report = report.Bounded()
 	n.mu.Lock()
-	before := n.reported
-	n.reported = report
+	before := n.configReported
+	n.configReported = report
 	n.mu.Unlock()
 	n.logConfiguration(before, report)
 }
 
-// allows says why this forwarder can't have an entry in force; nil is none.
-func (n *Node) allows(e entry.Entry) error {
+// checkSupported returns an error if this forwarder cannot apply an entry.
+func (n *Node) checkSupported(e entry.Entry) error {
 	if e.Class != nil && !n.router.HasClass(e.Class.Name) {
 		return fmt.Errorf("node: class %q is not one of this forwarder's", e.Class.Name)
 	}
 	return nil
 }
 
-// destinations are the changes of destinations in the router's terms.
-func destinations(changes entry.Changes) map[int64][]routing.Endpoint {
+// endpointChanges converts changes of destinations to the router's form; no endpoints mean that a destination was
+// removed.
+func endpointChanges(changes entry.Changes) map[int64][]routing.Endpoint {
 	out := map[int64][]routing.Endpoint{}
 	for _, e := range changes.Removed {
 		if e.Destination != nil {
@@ -99,7 +102,7 @@
 	return out
 }
 
-// logConfiguration tells of what is in force now, and of entries that are refused for the first time.
+// logConfiguration logs a new revision in force, and entries that are refused for the first time.
 func (n *Node) logConfiguration(before, now controlplane.ConfigReport) {
 	if now.Revision != before.Revision {
 		n.cfg.Logger.Info().Str("part", "configuration").Uint64("revision", now.Revision).Int("refused", len(now.Refused)).Msg("configuration in force")
@@ -110,23 +113,23 @@
 	}
 	for _, r := range now.Refused {
 		if !known[r] {
-			n.cfg.Logger.Warn().Str("part", "configuration").Str("key", r.Key).Str("why", r.Why).Msg("entry refused: the one before stays in force")
+			n.cfg.Logger.Warn().Str("part", "configuration").Str("key", r.Key).Str("why", r.Why).Msg("entry refused: the previous entry stays in force")
 		}
 	}
 }
 
-// reconfigure has configure look again.
-func (n *Node) reconfigure() {
+// signalConfiguration wakes configure.
+func (n *Node) signalConfiguration() {
 	select {
-	case n.configuring.changed <- struct{}{}:
+	case n.configuration.changed <- struct{}{}:
 	default:
 	}
 }
 
-// configReport is what goes with a lease renewal.
+// configReport returns the report that is sent with a lease renewal.
 func (n *Node) configReport() *controlplane.ConfigReport {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	report := n.reported
+	report := n.configReported
 	return &report
 }
--- a/internal/cluster/node/configuration_test.go
+++ b/internal/cluster/node/configuration_test.go
@@ -14,15 +14,15 @@
 	"mulleinbeam/internal/routing/wal"
 )
 
-// silent is a caller and a notifier that is never asked.
-type silent struct{}
+// unusedCaller is a caller and notifier that is never called.
+type unusedCaller struct{}
 
-func (silent) Call(context.Context, routing.Attempt) routing.Result { return routing.Result{} }
-func (silent) CloseIdle(string)                                     {}
-func (silent) Notify(routing.DeliveryReport)                        {}
+func (unusedCaller) Call(context.Context, routing.Attempt) routing.Result { return routing.Result{} }
+func (unusedCaller) CloseIdle(string)                                     {}
+func (unusedCaller) Notify(routing.DeliveryReport)                        {}
 
-// newAlone opens a member that is the only voter, with its control plane running and nothing else.
-func newAlone(t *testing.T) *Node {
+// newSingleVoter opens a member that is the only voter and runs only its control plane server and its router.
+func newSingleVoter(t *testing.T) *Node {
 	t.Helper()
 	address := "127.0.0.1:0"
 	n, err := Open(Config{
@@ -39,7 +39,7 @@
 	classes := []mb.Class{{Name: "safe", Target: time.Second, DeliveryTimeout: time.Minute, Worth: 1, Effect: mb.Safe}}
 	n.router, err = routing.New(routing.Config{
 		Settings: mb.Settings{Forwarders: 1, Slots: 4, LongSlots: 1, MostHeld: 10, MaxAttempts: 6, MaxRetryAfter: time.Second, Classes: classes},
-		Log:      journal, Caller: silent{}, Notifier: silent{}, Logger: zerolog.Nop(),
+		Log:      journal, Caller: unusedCaller{}, Notifier: unusedCaller{}, Logger: zerolog.Nop(),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -65,9 +65,9 @@
 	return n
 }
 
-// What is committed is in force before a life begins, without anybody else having put it there.
-func TestConfigurationIsInForceBeforeALifeBegins(t *testing.T) {
-	n := newAlone(t)
+// Guards against an incarnation that starts before the committed configuration is in force: join applies it by itself.
+func TestConfigurationIsInForceBeforeIncarnationStarts(t *testing.T) {
+	n := newSingleVoter(t)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	cmd := controlplane.Command{Kind: controlplane.Configure}
@@ -82,7 +82,7 @@
 	if err != nil || committed.Refused != "" {
 		t.Fatalf("%+v, %v", committed, err)
 	}
-	if err := n.begin(ctx); err != nil {
+	if err := n.join(ctx); err != nil {
 		t.Fatal(err)
 	}
 	limiter := n.Limiter()
@@ -95,31 +95,31 @@
 	}
 	bad := controlplane.Command{Kind: controlplane.Configure, From: committed.Version, Entries: []controlplane.EntryChange{{Key: "class/safe", Content: []byte("{}")}}}
 	if r, err := n.client.Do(ctx, controlplane.Request{Command: &bad}); err != nil || r.Refused == "" {
-		t.Errorf("an entry that can't be used: %+v, %v", r, err)
+		t.Errorf("an invalid entry was accepted: %+v, %v", r, err)
 	}
 }
 
-// A class's rate that changes keeps what was used of it; one that is no longer configured does not limit.
+// Guards against a changed rate limit that refills the burst, and against a removed one that still limits.
 func TestLimits(t *testing.T) {
 	var l limits
 	if !l.Allows("safe") {
-		t.Error("a class without a rate")
+		t.Error("a class without a rate limit is limited")
 	}
 	safe := func(perSecond float64) []entry.Entry {
 		return []entry.Entry{{Class: &entry.Class{Name: "safe", Rate: perSecond}}}
 	}
-	l.change(entry.Changes{Set: safe(0.001)})
+	l.apply(entry.Changes{Set: safe(0.001)})
 	if !l.Allows("safe") || l.Allows("safe") {
-		t.Error("one message is what a low rate gives at once")
+		t.Error("a low rate does not allow a burst of exactly one message")
 	}
-	l.change(entry.Changes{Set: safe(0.002)})
+	l.apply(entry.Changes{Set: safe(0.002)})
 	if l.Allows("safe") {
-		t.Error("another rate gives the used message back")
+		t.Error("a changed rate refills the burst")
 	}
-	l.change(entry.Changes{Removed: safe(0.002)})
+	l.apply(entry.Changes{Removed: safe(0.002)})
 	for range 2 {
 		if !l.Allows("safe") {
-			t.Error("a rate that is gone")
+			t.Error("a removed rate still limits")
 		}
 	}
 }
--- a/internal/cluster/node/limits.go
+++ b/internal/cluster/node/limits.go
@@ -8,15 +8,15 @@
 	"mulleinbeam/internal/cluster/entry"
 )
 
-// limits are the configured rates of classes at this forwarder. A class without one is not limited. It stands before the router as its
-// Limiter; its methods may be called from any goroutine.
+// limits holds the configured rate limits of classes on this forwarder. A class without one is not limited. It
+// implements routing.Limiter. Its methods may be called from any goroutine.
 type limits struct {
 	mu      sync.Mutex
 	byClass map[string]*rate.Limiter
 }
 
-// change takes changes of the configuration.
-func (l *limits) change(changes entry.Changes) {
+// apply applies changes of the configuration.
+func (l *limits) apply(changes entry.Changes) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range changes.Removed {
@@ -31,8 +31,8 @@
 	}
 }
 
-// set has a class take on so many messages a second, and at once what that gives in a second, one at the least. What was used of an earlier rate
-// stays used. l.mu is held.
+// set limits a class to perSecond messages per second, with a burst of one second's messages and at least one. A
+// changed rate does not refill the burst. l.mu is held.
 func (l *limits) set(class string, perSecond float64) {
 	if l.byClass == nil {
 		l.byClass = map[string]*rate.Limiter{}
@@ -47,7 +47,7 @@
 	limiter.SetBurst(burst)
 }
 
-// Allows counts a message of a class and says whether it may be taken on.
+// Allows counts a message of a class and reports whether it may be accepted.
 func (l *limits) Allows(class string) bool {
 	l.mu.Lock()
 	limiter := l.byClass[class]
--- a/internal/cluster/node/node_test.go
+++ b/internal/cluster/node/node_test.go
@@ -10,15 +10,16 @@
 	"mulleinbeam/internal/cluster/replication"
 )
 
-// A life that ends while somebody waits for its keepers: a class that may goes on alone, a strict one learns that nobody knows,
-// and nobody is left waiting for a mark that means something else in the next life.
-func TestALifeEndsWhileItsKeepersAreWaitedFor(t *testing.T) {
+// Guards against waiters that outlive an incarnation that is fenced while they wait for its replicas: a class that may
+// be unreplicated goes on alone, a strict class gets an error, and no waiter is left for a log position that means
+// something else in the next incarnation.
+func TestIncarnationEndsWhileWaitingForReplicas(t *testing.T) {
 	for class, strict := range map[string]bool{"safe": false, "unsafe": true} {
-		n := &Node{cfg: Config{Copies: 2, AllowUnreplicated: map[string]bool{"safe": true}, ReplicaTimeout: time.Millisecond}, began: time.Now()}
+		n := &Node{cfg: Config{Copies: 2, AllowUnreplicated: map[string]bool{"safe": true}, ReplicaTimeout: time.Millisecond}, started: time.Now()}
 		n.owner = replication.NewOwner(controlplane.Incarnation{Name: "n", Number: 1})
 		n.owner.SetReplicas([]string{"k"}, nil)
-		n.lease.Store(math.MaxInt64)
-		n.thawed.Store(true)
+		n.leaseUntil.Store(math.MaxInt64)
+		n.resumed.Store(true)
 		type answer struct {
 			alone bool
 			err   error
@@ -40,7 +41,7 @@
 		n.owner = nil
 		n.mu.Unlock()
 		if a := <-got; a.alone == strict || (a.err != nil) != strict || waiting() != 0 {
-			t.Errorf("%s: alone %v, %v, %d still wait", class, a.alone, a.err, waiting())
+			t.Errorf("%s: alone %v, %v, %d waiters left", class, a.alone, a.err, waiting())
 		}
 	}
 }
--- a/internal/cluster/node/delays_test.go
+++ b/internal/cluster/node/scheduling_delays_test.go
@@ -10,34 +10,36 @@
 
 const ms = time.Millisecond
 
-// Delays count as far as they lie in a call's time, also the one that is under way when its answer is read, and are forgotten.
+// Guards against delays that are counted wrongly: only the part within a call's time counts, a delay still in progress
+// counts too, and old delays are forgotten.
 func TestSchedulingDelays(t *testing.T) {
 	d := &schedulingDelays{}
-	for _, at := range []time.Duration{10 * ms, 21 * ms, 40 * ms, 340 * ms, 350 * ms} { // late by 1, 9 and 290 ms
-		d.look(at)
+	for _, at := range []time.Duration{10 * ms, 21 * ms, 40 * ms, 340 * ms, 350 * ms} { // samples late by 1, 9 and 290 ms
+		d.sample(at)
 	}
 	for _, c := range []struct{ from, now, want time.Duration }{
 		{0, 355 * ms, 290 * ms},
 		{40 * ms, 355 * ms, 290 * ms},
 		{300 * ms, 355 * ms, 40 * ms},
 		{345 * ms, 355 * ms, 0},
-		{345 * ms, 460 * ms, 100 * ms}, // no look was taken since 350 ms
+		{345 * ms, 460 * ms, 100 * ms}, // no sample since 350 ms
 	} {
 		if got := d.within(c.from, c.now); got != c.want {
 			t.Errorf("within %v to %v: %v, want %v", c.from, c.now, got, c.want)
 		}
 	}
-	if d.look(2 * delayKeep); len(d.spans) != 1 {
+	if d.sample(2 * delayRetention); len(d.spans) != 1 {
 		t.Errorf("remembered: %v", d.spans)
 	}
 }
 
-// A call whose time this process itself has spent waiting for a processor is no slow call, and no late one.
-func TestOwnDelaysAreNotTheDestinations(t *testing.T) {
+// Guards against blaming a destination for delays of this process: a call during which the process was not scheduled is
+// neither slow nor timed out.
+func TestSchedulingDelaysDoNotCountAgainstDestination(t *testing.T) {
 	for name, c := range map[string]struct {
 		out           mb.Outcome
 		took, delayed time.Duration
-		median        time.Duration // of what is booked; 0 is nothing
+		median        time.Duration // of the recorded latencies; 0 means none
 		late          float64
 	}{
 		"a usual call":                   {mb.OK, 40 * ms, 0, 58 * ms, 0},
@@ -50,7 +52,7 @@
 		"refused connection in a delay":  {mb.ConnectFailed, 300 * ms, 299 * ms, 0, 1},
 	} {
 		tally := plan.Tally{}
-		bookCall(&tally, c.out, c.took, c.delayed)
+		recordCall(&tally, c.out, c.took, c.delayed)
 		if got := tally.Median().Round(ms); got != c.median && !(got < 58*ms && got > 0 && c.median == 58*ms) || tally.Late+tally.NoConnect != c.late {
 			t.Errorf("%s: median %v, late %v, no connection %v", name, got, tally.Late, tally.NoConnect)
 		}
--- a/internal/cluster/node/status.go
+++ b/internal/cluster/node/status.go
@@ -9,34 +9,34 @@
 	"mulleinbeam/internal/routing/wal/store"
 )
 
-// Status is what a member knows, for operators.
+// Status is a member's view of the fleet and of itself, for operators.
 type Status struct {
 	Name     string                   `json:"name"`
 	Life     controlplane.Incarnation `json:"life"`
 	MayAct   bool                     `json:"may_act"`
-	Silent   bool                     `json:"silent"`      // a founder that does not vote yet
-	Knows    bool                     `json:"knows_ended"` // the ids that were over in the life before this one
-	Leader   string                   `json:"leader"`      // of the council, as far as this member knows; only founders do
+	Silent   bool                     `json:"silent"`      // a voter that does not vote yet
+	Knows    bool                     `json:"knows_ended"` // the ids of messages that ended in the previous incarnation are known
+	Leader   string                   `json:"leader"`      // leader of the control plane as known here; only voters know it
 	State    *controlplane.State      `json:"state"`
-	Founders []controlplane.Voter     `json:"founders"`  // of the council, as far as this member knows
-	Unheard  map[string]float64       `json:"unheard_s"` // seconds for which a member has not answered this one
+	Founders []controlplane.Voter     `json:"founders"`  // voters of the control plane as known here
+	Unheard  map[string]float64       `json:"unheard_s"` // seconds since each unresponsive member stopped answering this one
 	Keepers  []ReplicaStatus          `json:"keepers"`
 	Copies   []CopyStatus             `json:"copies"`
 	Disk     store.Stats              `json:"disk"`
 	Figures  Counters                 `json:"figures"`
 }
 
-// ReplicaStatus is how far one that keeps copies for this member is.
+// ReplicaStatus is the progress of a replica of this member's journal.
 type ReplicaStatus struct {
 	Name    string  `json:"name"`
 	Counts  bool    `json:"counts"`
-	Has     uint64  `json:"has"`      // the log up to this index,
-	Of      uint64  `json:"of"`       // of so many
-	Missed  float64 `json:"missed_s"` // seconds for which it has been out of reach; 0 is reached
+	Has     uint64  `json:"has"`      // index up to which the replica has the log
+	Of      uint64  `json:"of"`       // index of the latest record of the log
+	Missed  float64 `json:"missed_s"` // seconds for which it has been unreachable; 0 if it is reachable
 	Refuses bool    `json:"full"`
 }
 
-// CopyStatus is one that this member keeps.
+// CopyStatus describes a replica that this member stores for another.
 type CopyStatus struct {
 	Life     controlplane.Incarnation `json:"life"`
 	Has      uint64                   `json:"has"`
@@ -46,29 +46,29 @@
 	SkewMS   float64                  `json:"skew_ms"`
 }
 
-// Status is what this member knows now.
+// Status returns this member's present status.
 func (n *Node) Status() Status {
 	n.mu.Lock()
-	s := Status{Name: n.cfg.Name, Life: n.mine, State: n.view.State(), Figures: n.figures}
+	s := Status{Name: n.cfg.Name, Life: n.current, State: n.view.State(), Figures: n.counters}
 	if n.owner != nil {
 		names := n.owner.InSync()
-		counted := map[string]bool{}
+		inSync := map[string]bool{}
 		for _, name := range names {
-			counted[name] = true
+			inSync[name] = true
 		}
 		if m := n.view.State().Members[n.cfg.Name]; m != nil {
-			names = append(append([]string(nil), names...), n.wanted(m)...)
+			names = append(append([]string(nil), names...), n.candidates(m)...)
 		}
 		for _, name := range names {
-			k := ReplicaStatus{Name: name, Counts: counted[name], Has: n.owner.MatchIndex(name), Of: n.owner.LastIndex(), Refuses: n.owner.Full(name)}
-			if since, away := n.missed[name]; away {
+			k := ReplicaStatus{Name: name, Counts: inSync[name], Has: n.owner.MatchIndex(name), Of: n.owner.LastIndex(), Refuses: n.owner.Full(name)}
+			if since, unreachable := n.unreachable[name]; unreachable {
 				k.Missed = time.Since(since).Seconds()
 			}
 			s.Keepers = append(s.Keepers, k)
 		}
 	}
 	n.mu.Unlock()
-	s.MayAct, s.Knows = n.MayAct(), n.knows.Load()
+	s.MayAct, s.Knows = n.MayAct(), n.knowsEnded.Load()
 	r := n.server.Handle(controlplane.Request{})
 	s.Leader, s.Silent = r.Leader, r.VotingSuspended
 	s.Founders = n.cfg.Founders
@@ -76,81 +76,81 @@
 		s.Founders = s.State.Founders
 	}
 	s.Unheard = map[string]float64{}
-	n.talk.mu.Lock()
-	for name, since := range n.talk.unheard {
+	n.observations.mu.Lock()
+	for name, since := range n.observations.unanswered {
 		s.Unheard[name] = time.Since(since).Seconds()
 	}
-	n.talk.mu.Unlock()
-	n.shelfMu.Lock()
-	defer n.shelfMu.Unlock()
-	for _, life := range n.shelf.Incarnations() {
-		h := n.shelf.Replica(life)
+	n.observations.mu.Unlock()
+	n.replicasMu.Lock()
+	defer n.replicasMu.Unlock()
+	for _, incarnation := range n.replicas.Incarnations() {
+		replica := n.replicas.Replica(incarnation)
 		s.Copies = append(s.Copies, CopyStatus{
-			Life: life, Has: h.LastIndex, Messages: len(h.Content.Messages()), Past: len(h.Content.Past()), Unknown: h.Unknown,
-			SkewMS: float64(h.Skew) / float64(time.Millisecond),
+			Life: incarnation, Has: replica.LastIndex, Messages: len(replica.Content.Messages()), Past: len(replica.Content.Past()), Unknown: replica.Unknown,
+			SkewMS: float64(replica.Skew) / float64(time.Millisecond),
 		})
 	}
 	s.Disk = n.disk.Stats()
 	return s
 }
 
-// statusRPC is what operators call.
+// statusRPC serves operators' calls.
 type statusRPC struct{ n *Node }
 
-// Get tells what this member knows.
+// Get returns this member's status.
 func (s statusRPC) Get(_ bool, out *Status) error {
 	*out = s.n.Status()
 	return nil
 }
 
-// Command passes an operator's command to the council.
+// Command passes an operator's command to the control plane.
 func (s statusRPC) Command(c controlplane.Command, out *controlplane.Response) error {
-	ctx, cancel := context.WithTimeout(context.Background(), askFor)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	r, err := s.n.client.Do(ctx, controlplane.Request{Command: &c})
 	*out = r
 	return err
 }
 
-// look asks the member at an address.
-func look[T any](ctx context.Context, address, method string) (s T, err error) {
+// get calls a method of the member at an address and returns its answer.
+func get[T any](ctx context.Context, address, method string) (s T, err error) {
 	p := links.NewPeer(address)
 	defer p.Close()
 	return s, p.Call(ctx, method, true, &s)
 }
 
-// GetStatus asks the member at an address what it knows.
+// GetStatus requests the status of the member at an address.
 func GetStatus(ctx context.Context, address string) (Status, error) {
-	return look[Status](ctx, address, "Status.Get")
+	return get[Status](ctx, address, "Status.Get")
 }
 
-// GetObservations asks the member at an address what it knows of partners.
+// GetObservations requests what the member at an address knows about destinations.
 func GetObservations(ctx context.Context, address string) (ObservationStatus, error) {
-	return look[ObservationStatus](ctx, address, "Status.Facts")
+	return get[ObservationStatus](ctx, address, "Status.Facts")
 }
 
-// SendCommand has the member at an address ask the council for a command.
+// SendCommand sends a command to the control plane through the member at an address.
 func SendCommand(ctx context.Context, address string, c controlplane.Command) (r controlplane.Response, err error) {
 	p := links.NewPeer(address)
 	defer p.Close()
 	return r, p.Call(ctx, "Status.Command", c, &r)
 }
 
-// Rollout passes an operator's question on to whoever leads: how far the configuration is in force.
+// Rollout asks the control plane's leader how far the configuration is in force in the fleet.
 func (s statusRPC) Rollout(_ bool, out *controlplane.Rollout) error {
-	ctx, cancel := context.WithTimeout(context.Background(), askFor)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	r, err := s.n.client.Rollout(ctx)
 	*out = r
 	return err
 }
 
-// GetRollout asks the member at an address how far the configuration is in force in the fleet.
+// GetRollout asks, through the member at an address, how far the configuration is in force in the fleet.
 func GetRollout(ctx context.Context, address string) (controlplane.Rollout, error) {
-	return look[controlplane.Rollout](ctx, address, "Status.Rollout")
+	return get[controlplane.Rollout](ctx, address, "Status.Rollout")
 }
 
-// GetPlan asks the member at an address where traffic goes.
+// GetPlan requests the traffic plan and its state at the member at an address.
 func GetPlan(ctx context.Context, address string) (PlanStatus, error) {
-	return look[PlanStatus](ctx, address, "Status.Plan")
+	return get[PlanStatus](ctx, address, "Status.Plan")
 }
