--- a/internal/transport/accept_test.go
+++ b/internal/transport/accept_test.go
@@ -15,22 +15,22 @@
 	"mulleinbeam/internal/protocol"
 )
 
-// failingListener fails with the errors that it is sent, one for each accept, before it accepts again.
+// failingListener fails one accept with each error that it is sent before it accepts again.
 type failingListener struct {
 	net.Listener
-	errors chan error
-	failed chan struct{} // one for each accept that begins behind a failed one
-	behind bool
+	errors       chan error
+	failed       chan struct{} // receives a value for each accept that follows a failed one
+	afterFailure bool
 }
 
 func (l *failingListener) Accept() (net.Conn, error) {
-	if l.behind {
+	if l.afterFailure {
 		l.failed <- struct{}{}
 	}
-	l.behind = false
+	l.afterFailure = false
 	select {
 	case err := <-l.errors:
-		l.behind = true
+		l.afterFailure = true
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", err)}
 	default:
 	}
@@ -38,8 +38,9 @@
 	return conn, err
 }
 
-// Guards against connections that are closed because an accept has failed: one that rests is in use again a moment later, and one that
-// is new is just about to ask. Where descriptors are missing, too, only those give way that have rested for a while.
+// Guards against connections that are closed because an accept has failed: an idle connection may be reused a moment
+// later, and a new one is about to send its request. Even when descriptors run out, only connections that have been
+// idle for a while are closed.
 func TestAFailedAcceptClosesNoConnectionInUse(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM, syscall.EMFILE, syscall.ENFILE} {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -48,28 +49,28 @@
 				t.Fatal(err)
 			}
 			l := &failingListener{Listener: inner, errors: make(chan error, 8), failed: make(chan struct{}, 8)}
-			s := &Clients{Handler: actingHandler{}, MaxConnections: 16}
+			s := &Clients{Handler: hookHandler{}, MaxConnections: 16}
 			ctx, cancel := context.WithCancel(t.Context())
 			var group errgroup.Group
 			group.Go(func() error { return s.Serve(ctx, ctx, l) })
-			resting, fresh := dialTCP(t, inner), dialTCP(t, inner)
-			handInAndRead(t, resting, "first")
+			idleConn, newConn := dialTCP(t, inner), dialTCP(t, inner)
+			submitAndRead(t, idleConn, "first")
 			awaitOpen(s, 2)
 			for range 3 {
 				l.errors <- errno
 			}
-			last := dialTCP(t, inner) // ends the accept that waits; those behind it fail
+			last := dialTCP(t, inner) // completes the pending accept; the following ones fail
 			for range 3 {
 				<-l.failed
 			}
-			for _, conn := range []net.Conn{resting, fresh, last} {
-				handInAndRead(t, conn, "behind the failure")
+			for _, conn := range []net.Conn{idleConn, newConn, last} {
+				submitAndRead(t, conn, "behind the failure")
 			}
 			if got := s.Counters(); got.AcceptFailed != 3 || got.ClosedIdle+got.Silent != 0 {
 				t.Errorf("counters %+v", got)
 			}
 			cancel()
-			for _, conn := range []net.Conn{resting, fresh, last} {
+			for _, conn := range []net.Conn{idleConn, newConn, last} {
 				_ = conn.Close()
 			}
 			if err := group.Wait(); err != nil {
@@ -88,16 +89,16 @@
 	return conn
 }
 
-// awaitOpen polls the counters until so many connections are open.
+// awaitOpen polls the counters until n connections are open.
 func awaitOpen(s *Clients, n int) {
 	for s.Counters().Open < n {
 	}
 }
 
-// handInAndRead hands a message in and wants it taken on.
-func handInAndRead(t *testing.T, conn net.Conn, id string) {
+// submitAndRead submits a message and expects 202.
+func submitAndRead(t *testing.T, conn net.Conn, id string) {
 	t.Helper()
-	if _, err := conn.Write([]byte(handIn(id, ""))); err != nil {
+	if _, err := conn.Write([]byte(submitRequest(id, ""))); err != nil {
 		t.Fatal(err)
 	}
 	res, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -106,38 +107,38 @@
 	}
 }
 
-// tellingHandler tells how much time messages were handed in with.
-type tellingHandler struct {
-	actingHandler
-	left chan time.Duration
+// timeoutHandler reports the timeouts of the messages that are submitted.
+type timeoutHandler struct {
+	hookHandler
+	timeouts chan time.Duration
 }
 
-func (h tellingHandler) Accept(m protocol.Submission) (*protocol.Refusal, func()) {
-	h.left <- m.Timeout
+func (h timeoutHandler) Accept(m protocol.Submission) (*protocol.Refusal, func()) {
+	h.timeouts <- m.Timeout
 	return nil, nil
 }
 
-// Guards against an end that comes too late for its client, because the message's time was counted from when it was read and not from when
-// it had come.
-func TestTheTimeThatARequestWaitedCounts(t *testing.T) {
-	client, conn := ends(t)
-	s := &Clients{Handler: tellingHandler{left: make(chan time.Duration, 2)}, MaxConnections: 4, conns: map[*clientConn]struct{}{}}
-	if _, err := client.Write([]byte(handIn("a", ""))); err != nil {
+// Guards against an end that is reported too late to the client because the message's timeout was counted from when
+// its request was read rather than from when it arrived.
+func TestQueueDelayCountsAgainstTimeout(t *testing.T) {
+	client, conn := connPair(t)
+	s := &Clients{Handler: timeoutHandler{timeouts: make(chan time.Duration, 2)}, MaxConnections: 4, conns: map[*clientConn]struct{}{}}
+	if _, err := client.Write([]byte(submitRequest("a", ""))); err != nil {
 		t.Fatal(err)
 	}
 	const wait = 100 * time.Millisecond
 	for ago := time.Duration(0); ago < wait; { // as while accept fails
-		told := false
-		if ago, told = sinceReceived(conn); !told {
+		known := false
+		if ago, known = sinceReceived(conn); !known {
 			t.Fatal("the kernel does not tell")
 		}
 	}
-	c := &clientConn{lastingConn: lastingConn{conn}, held: true}
+	c := &clientConn{retryConn: retryConn{conn}, acceptDelayed: true}
 	s.admit(c)
 	served := make(chan struct{})
 	go func() { defer close(served); s.serve(c) }()
-	if left := <-s.Handler.(tellingHandler).left; left > 9*time.Second-wait {
-		t.Errorf("%v left of 9 s behind %v", left, wait)
+	if timeout := <-s.Handler.(timeoutHandler).timeouts; timeout > 9*time.Second-wait {
+		t.Errorf("%v left of 9 s behind %v", timeout, wait)
 	}
 	_ = client.Close()
 	<-served
--- a/internal/transport/client_admission.go
+++ b/internal/transport/client_admission.go
@@ -2,61 +2,63 @@
 
 import "time"
 
-// Which of the clients' connections stay, and for how long.
+// Admission and eviction of client connections, and their deadlines.
 
-// leave closes the idle connections and gives the others a moment to finish what they have begun.
-func (s *Clients) leave() {
+// shutDown closes the idle connections and gives the others shutdownGrace to finish the request that they have begun.
+func (s *Clients) shutDown() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving = true
+	s.shuttingDown = true
 	for c := range s.conns {
-		switch c.at {
-		case asking, answering:
-			_ = c.SetReadDeadline(time.Now().Add(graceFor))
-		case silent, idle:
+		switch c.state {
+		case stateReading, stateAnswering:
+			_ = c.SetReadDeadline(time.Now().Add(shutdownGrace))
+		case stateNew, stateIdle:
 			_ = c.SetReadDeadline(time.Now())
 		}
 	}
 }
 
-// admit books a new connection; false says that there is no room for it and it is to be turned away. Who gives way to
-// it is one that has asked for nothing, one that has been idle for long enough, or one whose request does not come on.
+// admit registers a new connection. It returns false if there is no room, in which case the connection has to be
+// rejected. To make room it evicts, in this order, a connection that has sent nothing, one that has been idle for
+// minIdleTime, or one whose request has been incomplete for minReadTime.
 func (s *Clients) admit(c *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counters.Accepted++
-	c.since = c.accepted
-	_ = c.SetReadDeadline(c.accepted.Add(requestFor))
-	room := len(s.conns)-s.endings-s.passings < s.MaxConnections || s.drop(silent, 0) || s.drop(idle, idleLeast) || s.drop(asking, askLeast)
+	c.stateSince = c.accepted
+	_ = c.SetReadDeadline(c.accepted.Add(requestTimeout))
+	room := len(s.conns)-s.closingConns-s.streamingConns < s.MaxConnections || s.evict(stateNew, 0) || s.evict(stateIdle, minIdleTime) || s.evict(stateReading, minReadTime)
 	s.conns[c] = struct{}{}
 	if !room {
 		s.counters.Rejected++
-		s.endings++
-		c.at = ending
+		s.closingConns++
+		c.state = stateClosing
 	}
-	if len(s.conns)-s.passings > s.MaxConnections+overflow {
-		_ = s.closeAnswered() || s.drop(ending, 0) // perhaps this very one
+	if len(s.conns)-s.streamingConns > s.MaxConnections+maxRejecting {
+		_ = s.closeAnswered() || s.evict(stateClosing, 0) // may evict the new connection itself
 	}
 	return room
 }
 
-// freeDescriptor ends a connection that nobody misses: one that has its last answer and nothing more to say, or one that has rested
-// for long enough. None that is in use gives way, nor one that is just coming.
+// freeDescriptor closes one connection to free a file descriptor: one that is closing and whose last answer the
+// client has acknowledged, one that has sent nothing for minReadTime, or one that has been idle for minIdleTime. It
+// closes no connection that is in use and none that was just accepted.
 func (s *Clients) freeDescriptor() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_ = s.closeAnswered() || s.drop(silent, askLeast) || s.drop(idle, idleLeast)
+	_ = s.closeAnswered() || s.evict(stateNew, minReadTime) || s.evict(stateIdle, minIdleTime)
 }
 
-// closeAnswered closes a connection at its end whose last answer has arrived and on which nothing more has come, so that the close does not
-// reset it; s.mu is held.
+// closeAnswered closes a connection in stateClosing whose last answer is acknowledged and that has no unread input,
+// so that the close does not reset it. The caller holds s.mu.
 func (s *Clients) closeAnswered() bool {
 	for c := range s.conns {
-		if c.at != ending || unacknowledged(c.Conn) != 0 {
+		if c.state != stateClosing || unacknowledgedBytes(c.Conn) != 0 {
 			continue
 		}
-		if n, err := peek(c.Conn); n == 0 && !unclear(err) {
-			s.forget(c)
+		if n, err := peek(c.Conn); n == 0 && !inconclusive(err) {
+			s.remove(c)
 			_ = c.Close()
 			return true
 		}
@@ -64,90 +66,94 @@
 	return false
 }
 
-// drop ends the connection that has been at something the longest, and for so long at least; s.mu is held. One that is at its
-// end already is closed. Any other is booked as one that is, and its goroutine ends it in order: what has come on it is
-// answered, and what crosses the end does not reset it.
-func (s *Clients) drop(at standing, least time.Duration) bool {
+// evict ends the connection that has been in the given state the longest, if it has been there for at least the given
+// time. The caller holds s.mu. A connection in stateClosing is closed at once. Any other is moved to stateClosing and
+// its own goroutine ends it gracefully: input that has already arrived is answered, and input that arrives during the
+// close does not reset the connection.
+func (s *Clients) evict(state connState, minTime time.Duration) bool {
 	var oldest *clientConn
 	for c := range s.conns {
-		if c.at == at && (oldest == nil || c.since.Before(oldest.since)) {
+		if c.state == state && (oldest == nil || c.stateSince.Before(oldest.stateSince)) {
 			oldest = c
 		}
 	}
-	if oldest == nil || time.Since(oldest.since) < least {
+	if oldest == nil || time.Since(oldest.stateSince) < minTime {
 		return false
 	}
-	switch at {
-	case ending:
-		s.forget(oldest)
+	switch state {
+	case stateClosing:
+		s.remove(oldest)
 		_ = oldest.Close()
 		return true
-	case silent:
+	case stateNew:
 		s.counters.Silent++
-	case idle:
+	case stateIdle:
 		s.counters.ClosedIdle++
-	case asking:
+	case stateReading:
 		s.counters.Late++
 	}
-	s.tally(ending, 1)
-	oldest.at, oldest.closing = ending, true
+	s.adjustCount(stateClosing, 1)
+	oldest.state, oldest.closeAfterAnswer = stateClosing, true
 	_ = oldest.SetReadDeadline(time.Now())
 	return true
 }
 
-// forget takes a connection out of the books; s.mu is held.
-func (s *Clients) forget(c *clientConn) {
+// remove unregisters a connection. The caller holds s.mu.
+func (s *Clients) remove(c *clientConn) {
 	if _, known := s.conns[c]; known {
-		s.tally(c.at, -1)
+		s.adjustCount(c.state, -1)
 	}
 	delete(s.conns, c)
 }
 
-// tally books a connection among those that count apart; s.mu is held.
-func (s *Clients) tally(at standing, n int) {
-	switch at {
-	case ending:
-		s.endings += n
-	case passing:
-		s.passings += n
+// adjustCount adds n to the counter of a state, if the state has one. The caller holds s.mu.
+func (s *Clients) adjustCount(state connState, n int) {
+	switch state {
+	case stateClosing:
+		s.closingConns += n
+	case stateStreaming:
+		s.streamingConns += n
 	}
 }
 
-// mark books what a connection is at and sets how long its next bytes may take; false says that it has to end.
-func (s *Clients) mark(c *clientConn, at standing) bool {
+// setState sets a connection's state and its read deadline. It returns false if the connection has to be closed.
+func (s *Clients) setState(c *clientConn, state connState) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, known := s.conns[c]; !known || at == idle && (s.leaving || c.closing) {
+	if _, known := s.conns[c]; !known || state == stateIdle && (s.shuttingDown || c.closeAfterAnswer) {
 		return false
 	}
 	now := time.Now()
-	until := now.Add(requestFor)
+	deadline := now.Add(requestTimeout)
 	switch {
-	case s.leaving || c.closing:
-		until = now.Add(graceFor)
-	case at == idle && s.crowded():
-		until = now.Add(idleLeast)
-	case at == idle:
-		until = now.Add(idleFor)
-	case c.at == silent: // its first request: trickled bytes buy no time
-		until = c.accepted.Add(requestFor)
+	case s.shuttingDown || c.closeAfterAnswer:
+		deadline = now.Add(shutdownGrace)
+	case state == stateIdle && s.crowded():
+		deadline = now.Add(minIdleTime)
+	case state == stateIdle:
+		deadline = now.Add(idleTimeout)
+	case c.state == stateNew: // the first request: trickled bytes do not extend the deadline
+		deadline = c.accepted.Add(requestTimeout)
 	}
-	if at == passing { // from here on its exchange sets how long it may take
-		until = time.Time{}
+	if state == stateStreaming { // from here on the stream's own timeouts apply
+		deadline = time.Time{}
 	}
-	s.tally(c.at, -1)
-	s.tally(at, 1)
-	c.at, c.since = at, now
-	return c.SetReadDeadline(until) == nil
+	s.adjustCount(c.state, -1)
+	s.adjustCount(state, 1)
+	c.state, c.stateSince = state, now
+	return c.SetReadDeadline(deadline) == nil
 }
 
-// crowded says that many connections are open, most of them surely idle; s.mu is held. Clients have a bound of their own
-// on what they hold, so those that stay keep others from asking long before room is short here.
-func (s *Clients) crowded() bool { return len(s.conns)-s.passings > s.MaxConnections/crowdShare }
+// crowded reports whether so many connections are open that most of them must be idle. The caller holds s.mu. Clients
+// limit the connections that they hold themselves, so idle connections that stay open would keep other requests out
+// long before the limit is reached here.
+func (s *Clients) crowded() bool {
+	return len(s.conns)-s.streamingConns > s.MaxConnections/crowdedDivisor
+}
 
-// closesNext says whether a connection ends with its next answer.
-func (s *Clients) closesNext(c *clientConn) bool {
+// closesAfterAnswer reports whether a connection is closed after its next answer.
+func (s *Clients) closesAfterAnswer(c *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.leaving || c.closing || s.crowded()
+	return s.shuttingDown || c.closeAfterAnswer || s.crowded()
 }
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -1,5 +1,6 @@
-// Package transport has the thin drivers that read and write sockets for the state machines of package protocol: the
-// clients' listener, the endpoints' connections, discovery's watch and the notices. It decides nothing.
+// Package transport contains the drivers that read and write sockets for the state machines of packages protocol and
+// pump: the clients' listener, the connections to endpoints, the discovery watch and the delivery reports. It makes
+// no routing decisions.
 package transport
 
 import (
@@ -19,123 +20,127 @@
 )
 
 const (
-	idleFor     = 90 * time.Second        // a connection between requests, while there is room
-	idleLeast   = 2 * time.Second         // and where there is none
-	askLeast    = 500 * time.Millisecond  // a request that is not whole, where there is no room
-	requestFor  = 2400 * time.Millisecond // a request from its first byte to its last, the first one from the accept on
-	answerFor   = 2 * time.Second         // the writing of an answer
-	graceFor    = 300 * time.Millisecond  // for a request that has begun, once clients are to leave
-	drainFor    = 3 * time.Second         // after an error: what still comes is read for so long,
-	drainQuiet  = 500 * time.Millisecond  // while it does not pause for so long,
-	drainStep   = 1 << 20                 // in steps of so many bytes,
-	drainMost   = 64 << 20                // and up to so many bytes; a close under them would take the error away
-	crowdShare  = 4                       // of the room, one part: with more connections than that they no longer stay
-	acceptAgain = 5 * time.Millisecond    // behind an accept that failed: a message\'s time runs while its connection waits
+	idleTimeout       = 90 * time.Second        // of a connection between requests, while there is room
+	minIdleTime       = 2 * time.Second         // before an idle connection may be evicted to make room
+	minReadTime       = 500 * time.Millisecond  // before an incomplete request may be evicted to make room
+	requestTimeout    = 2400 * time.Millisecond // from a request's first byte, or from the accept, to its last byte
+	answerTimeout     = 2 * time.Second         // for writing an answer
+	shutdownGrace     = 300 * time.Millisecond  // for a request that has begun when the shutdown starts
+	drainTimeout      = 3 * time.Second         // input after an error is discarded: a close would lose the answer
+	drainQuietTimeout = 500 * time.Millisecond  // draining stops after a pause of this length in the input
+	drainStepBytes    = 1 << 20                 // bytes discarded between two checks of the time
+	maxDrainBytes     = 64 << 20                // bytes discarded in all
+	crowdedDivisor    = 4                       // with more than MaxConnections/crowdedDivisor, none is kept open
+	acceptRetryDelay  = 5 * time.Millisecond    // short: a message's timeout runs while it waits for the accept
 )
 
-// OverflowConnections is how many connections there may be beyond the most, while they are turned away or accepted.
+// OverflowConnections is how many connections beyond Clients.MaxConnections may be open while they are rejected or
+// accepted.
 const OverflowConnections = 14
 
-// overflow are those that may stay until they have been told so.
-const overflow = OverflowConnections - 2
+// maxRejecting is how many of them may stay open until the rejection is delivered.
+const maxRejecting = OverflowConnections - 2
 
-// Handler decides on what clients hand in.
+// Handler decides about the messages that clients submit.
 type Handler interface {
-	// Accept answers a handover; a nil Refusal says that it is taken on, and withdraw, unless it is nil, is to be called
-	// if its client could not be told so. The handover's slices are the caller's.
-	Accept(h protocol.Submission) (r *protocol.Refusal, withdraw func())
-	// Stream takes a long message, whose Body is not there. Without a Refusal it is taken on, and its end comes once.
+	// Accept answers a submission. A nil Refusal means that the message is accepted; withdraw, unless it is nil, is
+	// then called if the client could not be told. The submission's slices are valid only during the call.
+	Accept(h protocol.Submission) (r *protocol.Refusal, cancel func())
+	// Stream accepts or refuses a long message, whose Submission.Body is empty. If the Refusal is nil, the message is
+	// accepted and the channel delivers its end once.
 	Stream(h protocol.Submission, up *Upload) (*protocol.Refusal, <-chan StreamEnd)
 }
 
 // StreamEnd is the end of a long message.
 type StreamEnd struct {
-	Refusal    *protocol.Refusal // nil for a delivery
-	OnAnswered func(bool)        // to be called unless it is nil: whether the client was told of the Refusal
+	Refusal    *protocol.Refusal // nil if the message was delivered
+	OnAnswered func(bool)        // if not nil, called with whether the Refusal was written to the client
 }
 
-// Clients serves the clients' side.
+// Clients serves the client connections.
 type Clients struct {
 	Handler        Handler
-	MaxConnections int            // connections at once, beside those with long messages
-	Streams        *Streams       // nil: no body may be longer than protocol.MostBody
-	Samples        *oplog.Sampler // of connections that end otherwise than in order; nil tells of none
-
-	mu       sync.Mutex
-	conns    map[*clientConn]struct{}
-	endings  int // of them, those at their end,
-	passings int // and those with a long message
-	leaving  bool
-	counters ClientCounters
+	MaxConnections int            // not counting those that stream long messages
+	Streams        *Streams       // if nil, bodies are limited to protocol.MaxBodyBytes
+	Samples        *oplog.Sampler // logs connections that end with an error; may be nil
+
+	mu             sync.Mutex
+	conns          map[*clientConn]struct{}
+	closingConns   int // connections in stateClosing
+	streamingConns int // connections in stateStreaming
+	shuttingDown   bool
+	counters       ClientCounters
 }
 
-// ClientCounters counts connections and what became of those that did not just ask.
+// ClientCounters counts connections, and those that ended without or outside of a request.
 type ClientCounters struct {
 	Accepted    int64
-	Rejected    int64 // there was no room for one more
-	ClosedIdle  int64 // to make room, after their idle time
-	Silent      int64 // nothing was asked in time, or others needed the room
-	Late        int64 // a request did not come whole in time
-	BadRequests int64 // a request can't be read, or asks for what there is not
-	// AcceptFailed counts accepts that failed, Broken the connections that ended under a request or an answer.
+	Rejected    int64 // no room for the connection
+	ClosedIdle  int64 // idle connections evicted to make room
+	Silent      int64 // closed before any request, by timeout or eviction
+	Late        int64 // a request was not complete in time
+	BadRequests int64 // a request was malformed or not supported
+	// AcceptFailed counts failed accepts, Broken the connections that failed during a request or an answer.
 	AcceptFailed, Broken int64
-	Open                 int // now
+	Open                 int // current number of open connections
 }
 
-// MarshalZerologObject writes the counters' group of the log.
+// MarshalZerologObject implements zerolog.LogObjectMarshaler.
 func (c ClientCounters) MarshalZerologObject(e *zerolog.Event) {
 	e.Int64("connections", c.Accepted).Int("open", c.Open).Int64("turned_away", c.Rejected).Int64("closed_idle", c.ClosedIdle).
 		Int64("silent", c.Silent).Int64("late", c.Late).Int64("unreadable", c.BadRequests).
 		Int64("accept_failed", c.AcceptFailed).Int64("broken", c.Broken)
 }
 
-// standing is what a connection is at.
-type standing int
+// connState is the state of a client connection.
+type connState int
 
 const (
-	silent    standing = iota // it has asked for nothing yet
-	asking                    // a request has begun and is not whole
-	answering                 // a whole one is being answered
-	passing                   // a long one is passed on
-	idle                      // between requests
-	ending                    // it has its last answer; what it still sends is drained
+	stateNew       connState = iota // no request yet
+	stateReading                    // a request has begun and is incomplete
+	stateAnswering                  // a complete request is being answered
+	stateStreaming                  // a long message is being streamed
+	stateIdle                       // between requests
+	stateClosing                    // the last answer is sent; remaining input is drained
 )
 
-// clientConn is one connection. Its goroutine owns it; Clients.mu guards the rest.
+// clientConn is one client connection. Its goroutine owns the connection; Clients.mu guards state, stateSince and
+// closeAfterAnswer.
 type clientConn struct {
-	lastingConn
-	accepted time.Time
-	at       standing
-	since    time.Time
-	closing  bool // it ends with its next answer, or without one where none is due
-	held     bool // it may have waited to be accepted, and its first request with it
-	overtime bool // its time was up, and what had come by then was let in
+	retryConn
+	accepted         time.Time
+	state            connState
+	stateSince       time.Time
+	closeAfterAnswer bool // closes after its next answer, or at once if none is due
+	acceptDelayed    bool // the connection and its first request may have waited in the accept queue
+	graceUsed        bool // the read deadline expired once and the input that had arrived was still read
 }
 
-// Serve accepts connections until ctx ends. When leave ends, which comes first, connections end with their next answer
-// and idle ones at once. A request that had come by then is answered; one that crosses the end is not read as one, and comes
-// again on a new connection, which is still answered.
-func (s *Clients) Serve(ctx, leave context.Context, listener net.Listener) error {
+// Serve accepts connections until ctx is done. When leave is done, which happens first, idle connections are closed
+// and the others close after their next answer. Requests that have arrived by then are answered. A request that
+// arrives during the close is not read; the client repeats it on a new connection, which is still answered until ctx
+// is done.
+func (s *Clients) Serve(ctx, shutdown context.Context, listener net.Listener) error {
 	s.mu.Lock()
 	s.conns = map[*clientConn]struct{}{}
 	s.mu.Unlock()
 	var group errgroup.Group
-	defer context.AfterFunc(leave, s.leave)()
+	defer context.AfterFunc(shutdown, s.shutDown)()
 	defer context.AfterFunc(ctx, func() {
 		_ = listener.Close()
-		s.leave()
+		s.shutDown()
 	})()
 	var failed error
-	heldUntil := time.Time{} // until then accepted connections may have waited behind one that failed
+	delayedUntil := time.Time{} // connections accepted before then may have waited behind a failed accept
 	for {
 		conn, err := listener.Accept()
 		if err == nil {
-			c := &clientConn{lastingConn: lastingConn{conn}, accepted: time.Now()}
-			c.held = c.accepted.Before(heldUntil)
+			c := &clientConn{retryConn: retryConn{conn}, accepted: time.Now()}
+			c.acceptDelayed = c.accepted.Before(delayedUntil)
 			if room := s.admit(c); room {
 				group.Go(func() error { s.serve(c); return nil })
 			} else {
-				group.Go(func() error { s.turnAway(c); return nil })
+				group.Go(func() error { s.reject(c); return nil })
 			}
 			continue
 		}
@@ -146,17 +151,17 @@
 			failed = fmt.Errorf("transport: accept: %w", err)
 			break
 		}
-		heldUntil = time.Now().Add(heldFor)
+		delayedUntil = time.Now().Add(acceptDelayWindow)
 		s.Samples.Note("accept failed", err.Error(), func(*zerolog.Event) {})
 		if s.count(&s.counters.AcceptFailed); errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 			s.freeDescriptor()
 		}
-		pause(ctx, acceptAgain)
+		pause(ctx, acceptRetryDelay)
 	}
 	return errors.Join(failed, group.Wait())
 }
 
-// Counters gives the counters as they are now.
+// Counters returns the current counters.
 func (s *Clients) Counters() ClientCounters {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/transport/closing_test.go
+++ b/internal/transport/closing_test.go
@@ -14,31 +14,32 @@
 	"mulleinbeam/internal/protocol"
 )
 
-// Two events that cross at the end of a client's connection. The order is made: by a handler that acts while a request is with it,
-// and by a connection whose time is up just when it is told so.
+// Events that coincide with the end of a client connection. The tests force their order with a handler that acts
+// while a request is being handled, and with a connection whose deadline expires on command.
 
-// actingHandler takes on all that is handed in, and acts first.
-type actingHandler struct{ act func() }
+// hookHandler accepts every message after calling onAccept.
+type hookHandler struct{ onAccept func() }
 
-func (d actingHandler) Accept(protocol.Submission) (*protocol.Refusal, func()) {
-	if d.act != nil {
-		d.act()
+func (d hookHandler) Accept(protocol.Submission) (*protocol.Refusal, func()) {
+	if d.onAccept != nil {
+		d.onAccept()
 	}
 	return nil, nil
 }
 
-func (actingHandler) Stream(protocol.Submission, *Upload) (*protocol.Refusal, <-chan StreamEnd) {
+func (hookHandler) Stream(protocol.Submission, *Upload) (*protocol.Refusal, <-chan StreamEnd) {
 	return &protocol.Refusal{Status: 503, Close: true}, nil
 }
 
-// handIn is a request for a message, with further lines in its head.
-func handIn(id, lines string) string {
+// submitRequest returns a request that submits a message, with additional header lines.
+func submitRequest(id, lines string) string {
 	return "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: " + id + "\r\nX-Priority-Class: c\r\nX-Timeout-Ms: 9000\r\n" +
 		"X-Addressing: dest=1\r\nContent-Length: 0\r\n" + lines + "\r\n"
 }
 
-// wantsLast reads one answer, which has to say 202 and be the last, and the connection's end, which may not be a reset.
-func wantsLast(t *testing.T, client net.Conn) {
+// expectLastAnswer reads one answer, which has to be a 202 with Connection: close, and then the end of the stream,
+// which must not be a reset.
+func expectLastAnswer(t *testing.T, client net.Conn) {
 	t.Helper()
 	r := bufio.NewReader(client)
 	res, err := http.ReadResponse(r, nil)
@@ -53,10 +54,10 @@
 	}
 }
 
-// A connection that ends with its answer ends in order whatever the client still sends: a close over unread bytes would reset
-// it, and the 202 could go with that. So it is where the client asks for the end, where the forwarder is told to stop while the
-// request is being answered, and where there are too many connections.
-func TestALastAnswerOutlastsWhatStillComes(t *testing.T) {
+// A connection that closes after its answer closes gracefully whatever the client still sends: closing it with unread
+// input would reset it, and the client could lose the 202. This holds where the client asks for the close, where the
+// forwarder is stopped while it answers the request, and where there are too many connections.
+func TestLastAnswerSurvivesUnreadInput(t *testing.T) {
 	for name, c := range map[string]struct {
 		most  int
 		lines string
@@ -67,14 +68,14 @@
 		"crowded":   {1, "", false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			leave, stop := context.WithCancel(t.Context())
+			shutdown, stop := context.WithCancel(t.Context())
 			s := &Clients{MaxConnections: c.most}
-			s.Handler = actingHandler{func() {
+			s.Handler = hookHandler{func() {
 				if c.stops {
 					stop()
-					for left := false; !left; { // it is told in a goroutine of its own
+					for shuttingDown := false; !shuttingDown; { // shutDown runs in its own goroutine
 						s.mu.Lock()
-						left = s.leaving
+						shuttingDown = s.shuttingDown
 						s.mu.Unlock()
 					}
 				}
@@ -85,15 +86,15 @@
 			}
 			ctx, end := context.WithCancel(t.Context())
 			served := make(chan error, 1)
-			go func() { served <- s.Serve(ctx, leave, l) }()
+			go func() { served <- s.Serve(ctx, shutdown, l) }()
 			client, err := net.Dial("tcp", l.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, err := io.WriteString(client, handIn("a", c.lines)+strings.Repeat("x", 200<<10)); err != nil {
+			if _, err := io.WriteString(client, submitRequest("a", c.lines)+strings.Repeat("x", 200<<10)); err != nil {
 				t.Fatal(err)
 			}
-			wantsLast(t, client)
+			expectLastAnswer(t, client)
 			client.Close()
 			stop()
 			end()
@@ -104,13 +105,13 @@
 	}
 }
 
-// timedOut is a connection whose time is up at its first read, once it is told so, whatever has come by then.
-type timedOut struct {
+// timedOutConn is a connection whose first read times out, on command, whatever has arrived by then.
+type timedOutConn struct {
 	*net.TCPConn
 	up chan struct{}
 }
 
-func (c *timedOut) Read(b []byte) (int, error) {
+func (c *timedOutConn) Read(b []byte) (int, error) {
 	if c.up != nil {
 		<-c.up
 		c.up = nil
@@ -119,50 +120,51 @@
 	return c.TCPConn.Read(b)
 }
 
-// A request that has come when its connection's time is up is answered as the last one: the time may be the resting one's, the
-// place may be wanted for others, or the forwarder may have been told to stop.
-func TestARequestThatCrossesTheEndOfItsTimeIsAnswered(t *testing.T) {
+// A request that has arrived when its connection's deadline expires is answered as the last one, whether the deadline
+// is that of an idle connection, an eviction or the shutdown.
+func TestRequestAtDeadlineIsAnswered(t *testing.T) {
 	for name, cut := range map[string]func(*Clients, *clientConn){
 		"its own time":     func(*Clients, *clientConn) {},
-		"others' place":    func(s *Clients, _ *clientConn) { s.mu.Lock(); s.drop(silent, 0); s.mu.Unlock() },
-		"told to stop":     func(s *Clients, _ *clientConn) { s.leave() },
-		"both, one by one": func(s *Clients, _ *clientConn) { s.mu.Lock(); s.drop(silent, 0); s.mu.Unlock(); s.leave() },
+		"others' place":    func(s *Clients, _ *clientConn) { s.mu.Lock(); s.evict(stateNew, 0); s.mu.Unlock() },
+		"told to stop":     func(s *Clients, _ *clientConn) { s.shutDown() },
+		"both, one by one": func(s *Clients, _ *clientConn) { s.mu.Lock(); s.evict(stateNew, 0); s.mu.Unlock(); s.shutDown() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			client, conn := ends(t)
-			gate := &timedOut{conn.(*net.TCPConn), make(chan struct{})}
-			s := &Clients{Handler: actingHandler{}, MaxConnections: 4, conns: map[*clientConn]struct{}{}}
-			c := &clientConn{lastingConn: lastingConn{gate}}
+			client, conn := connPair(t)
+			gate := &timedOutConn{conn.(*net.TCPConn), make(chan struct{})}
+			s := &Clients{Handler: hookHandler{}, MaxConnections: 4, conns: map[*clientConn]struct{}{}}
+			c := &clientConn{retryConn: retryConn{gate}}
 			s.admit(c)
 			served := make(chan struct{})
 			up := gate.up
 			go func() { defer close(served); s.serve(c) }()
-			fmt.Fprint(client, handIn("a", ""))
-			for n := 0; n == 0; { // it has come
+			fmt.Fprint(client, submitRequest("a", ""))
+			for n := 0; n == 0; { // until the request has arrived
 				n, _ = peek(conn)
 			}
 			cut(s, c)
 			close(up)
-			wantsLast(t, client)
+			expectLastAnswer(t, client)
 			client.Close()
 			<-served
-			if s.endings != 0 || len(s.conns) != 0 {
-				t.Errorf("booked as ending %d, open %d", s.endings, len(s.conns))
+			if s.closingConns != 0 || len(s.conns) != 0 {
+				t.Errorf("booked as ending %d, open %d", s.closingConns, len(s.conns))
 			}
 		})
 	}
 }
 
-// Bytes that ask for nothing buy no time: whoever sends empty lines on and on is ended like one that is silent.
-func TestEmptyLinesBuyNoTime(t *testing.T) {
-	client, conn := ends(t)
-	l := &lines{TCPConn: conn.(*net.TCPConn)}
-	s := &Clients{Handler: actingHandler{}, MaxConnections: 4, conns: map[*clientConn]struct{}{}}
-	c := &clientConn{lastingConn: lastingConn{l}}
+// Empty lines do not extend a connection's deadline: a client that keeps sending them is closed like one that sends
+// nothing.
+func TestEmptyLinesDoNotExtendDeadline(t *testing.T) {
+	client, conn := connPair(t)
+	l := &emptyLineConn{TCPConn: conn.(*net.TCPConn)}
+	s := &Clients{Handler: hookHandler{}, MaxConnections: 4, conns: map[*clientConn]struct{}{}}
+	c := &clientConn{retryConn: retryConn{l}}
 	s.admit(c)
 	served := make(chan struct{})
 	go func() { defer close(served); s.serve(c) }()
-	fmt.Fprint(client, "\r\n\r\n") // never read: more is always waiting
+	fmt.Fprint(client, "\r\n\r\n") // never read: more input is always waiting
 	if n, err := io.Copy(io.Discard, client); n != 0 || err != nil {
 		t.Errorf("answered %d bytes, %v", n, err)
 	}
@@ -173,13 +175,13 @@
 	}
 }
 
-// lines is a connection on which an empty line comes just before each time that its time is up.
-type lines struct {
+// emptyLineConn is a connection on which an empty line arrives just before each expiry of the deadline.
+type emptyLineConn struct {
 	*net.TCPConn
 	reads, times int
 }
 
-func (l *lines) Read(b []byte) (int, error) {
+func (l *emptyLineConn) Read(b []byte) (int, error) {
 	if l.reads++; l.reads%2 == 0 {
 		return copy(b, "\r\n"), nil
 	}
--- a/internal/transport/endpoints.go
+++ b/internal/transport/endpoints.go
@@ -17,84 +17,84 @@
 	"mulleinbeam/internal/protocol"
 )
 
-// CallOutcome says how far a call came.
+// CallOutcome says how far a call got.
 type CallOutcome int
 
-// The ends of a call.
+// The outcomes of a call.
 const (
-	Answered    CallOutcome = iota // the Reply holds
-	NotBegun                       // it was not let go
+	Answered    CallOutcome = iota // Reply is valid
+	NotBegun                       // Call.Begin did not permit it
 	Unconnected                    // no connection, or it broke before the call's last byte was written
 	Broken                         // the connection broke after that
-	Malformed                      // what came can't be read, or is not whole: the call may have run
-	Abandoned                      // ctx ended before the answer came
+	Malformed                      // the answer was malformed or incomplete: the call may have run
+	Abandoned                      // ctx was done before the answer arrived
 )
 
 const (
-	mostAnswer = 64 << 10               // bytes of an answer's body
-	wholeFor   = time.Second            // an answer from its first byte to its last
-	restFor    = 200 * time.Millisecond // the rest of one that is known to be a delivery
-	idleMargin = 0.05                   // of the keep-alive time: connections are closed so much before the endpoint would
-	leastEarly = 300 * time.Millisecond
+	maxAnswerBytes       = 64 << 10               // of an answer's body
+	answerReadTimeout    = time.Second            // from an answer's first byte to its last
+	deliveredRestTimeout = 200 * time.Millisecond // for the rest of an answer whose status 200 is already read
+	idleMarginShare      = 0.05                   // of the keep-alive time: connections close before the endpoint does
+	minIdleMargin        = 300 * time.Millisecond
 )
 
-// Endpoints keeps the connections to endpoints. A connection carries one call at a time; the one used last is used
-// next, so that few stay warm. One that is idle holds no buffer and no goroutine.
+// Endpoints is a pool of connections to endpoints. A connection carries one call at a time, and the most recently
+// used one is reused first, so that few connections stay warm. An idle connection holds no buffer and no goroutine.
 type Endpoints struct {
-	Samples *oplog.Sampler // of connections that do not come up or break; nil tells of none
-
-	keep    time.Duration
-	connect time.Duration
-	most    int // idle connections at once
-	parsers sync.Pool
-	// longAnswers are parsers that leave the body of a delivery to be passed on.
-	longAnswers sync.Pool
-
-	mu       sync.Mutex
-	idle     map[string][]*endpointConn // by endpoint, warmest last
-	idles    int
-	closed   bool
-	counters EndpointCounters
+	Samples *oplog.Sampler // logs connections that cannot be established or break; may be nil
+
+	idleTimeout    time.Duration
+	connectTimeout time.Duration
+	maxIdle        int // idle connections at once
+	parsers        sync.Pool
+	// streamParsers are parsers that leave the body of an answer with status 200 to be streamed.
+	streamParsers sync.Pool
+
+	mu        sync.Mutex
+	idle      map[string][]*endpointConn // by endpoint name, most recently used last
+	idleCount int
+	closed    bool
+	counters  EndpointCounters
 }
 
-// EndpointCounters counts connections and answers that were not as they should be.
+// EndpointCounters counts connections and faulty answers.
 type EndpointCounters struct {
-	Opened             int64 // connections
-	ClosedBeforeUse    int64 // those that had ended, or held bytes that nobody asked for, when they were to be used
-	Malformed          int64 // answers that can't be read or don't come whole
-	MalformedDelivered int64 // of these, those whose first line says that the message is delivered
-	Surplus            int64 // answers with more behind them than belongs to them
-	LocalDialErrors    int64 // tries of a connection for which this machine had no room
-	Idle               int   // now
+	Opened             int64 // connections opened
+	ClosedBeforeUse    int64 // reused connections that had ended or held unexpected bytes
+	Malformed          int64 // malformed or incomplete answers
+	MalformedDelivered int64 // of these, those whose status line says that the message was delivered
+	Surplus            int64 // answers followed by bytes that do not belong to them
+	LocalDialErrors    int64 // connect attempts that failed for lack of resources on this machine
+	Idle               int   // current number of idle connections
 }
 
-// MarshalZerologObject writes the counters' group of the log.
+// MarshalZerologObject implements zerolog.LogObjectMarshaler.
 func (c EndpointCounters) MarshalZerologObject(e *zerolog.Event) {
 	e.Int64("opened", c.Opened).Int("idle", c.Idle).Int64("ended_before_use", c.ClosedBeforeUse).Int64("spoilt", c.Malformed).
 		Int64("delivered_all_the_same", c.MalformedDelivered).Int64("surplus", c.Surplus).
 		Int64("no_room", c.LocalDialErrors)
 }
 
-// NewEndpoints keeps at most so many idle connections, each for less than keepAlive.
-func NewEndpoints(keepAlive, connectTimeout time.Duration, most int) *Endpoints {
-	early := max(leastEarly, time.Duration(idleMargin*float64(keepAlive)))
+// NewEndpoints returns a pool that keeps at most the given number of idle connections, each for less than keepAlive.
+func NewEndpoints(keepAlive, connectTimeout time.Duration, maxIdle int) *Endpoints {
+	early := max(minIdleMargin, time.Duration(idleMarginShare*float64(keepAlive)))
 	p := &Endpoints{
-		keep: max(0, keepAlive-early), connect: connectTimeout, most: max(1, most), idle: map[string][]*endpointConn{},
+		idleTimeout: max(0, keepAlive-early), connectTimeout: connectTimeout, maxIdle: max(1, maxIdle), idle: map[string][]*endpointConn{},
 	}
-	p.parsers.New = func() any { return protocol.NewAnswerParser(mostAnswer) }
-	p.longAnswers.New = func() any {
-		parser := protocol.NewAnswerParser(mostAnswer)
+	p.parsers.New = func() any { return protocol.NewAnswerParser(maxAnswerBytes) }
+	p.streamParsers.New = func() any {
+		parser := protocol.NewAnswerParser(maxAnswerBytes)
 		parser.Stream(protocol.StreamAnswered)
 		return parser
 	}
 	return p
 }
 
-// Counters gives the counters as they are now.
+// Counters returns the current counters.
 func (p *Endpoints) Counters() EndpointCounters {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.counters.Idle = p.idles
+	p.counters.Idle = p.idleCount
 	return p.counters
 }
 
@@ -104,34 +104,36 @@
 	p.mu.Unlock()
 }
 
-// endpointConn is one connection: the call's that it carries, or the pool's while it is idle.
+// endpointConn is one connection. It is owned by the call that it carries, or by the pool while it is idle.
 type endpointConn struct {
-	lastingConn
-	name    string
-	address string
-	kept    bool // it has been idle
-	expire  *time.Timer
-	since   time.Time // idle since then
+	retryConn
+	name      string
+	address   string
+	reused    bool // it has carried a call before
+	idleTimer *time.Timer
+	idleSince time.Time // start of the current idle time
 }
 
-// quiet says that nothing has come on a connection that carries no call, not even its end: whatever comes there belongs to no call and
-// makes it unusable. A new one of which that can't be told is taken for quiet.
-func (c *endpointConn) quiet() bool {
+// nothingReceived reports whether a connection without a call in progress has received nothing, not even its end.
+// Anything received there belongs to no call and makes the connection unusable. If a peek at a new connection is
+// inconclusive, it counts as usable.
+func (c *endpointConn) nothingReceived() bool {
 	_, err := peek(c.Conn)
-	return errors.Is(err, syscall.EAGAIN) || !c.kept && unclear(err)
+	return errors.Is(err, syscall.EAGAIN) || !c.reused && inconclusive(err)
 }
 
-// connection is the endpoint's warmest one, or a new one; with fresh a new one in any case.
-func (p *Endpoints) connection(ctx context.Context, name, address string, fresh bool) (*endpointConn, error) {
+// getConn returns the most recently used idle connection to an endpoint, or a new connection if there is none or
+// fresh is set.
+func (p *Endpoints) getConn(ctx context.Context, name, address string, fresh bool) (*endpointConn, error) {
 	for !fresh {
-		c := p.warmest(name, address)
-		if c == nil {
+		idle := p.takeIdle(name, address)
+		if idle == nil {
 			break
 		}
-		if c.quiet() {
-			return c, nil
+		if idle.nothingReceived() {
+			return idle, nil
 		}
-		_ = c.Close()
+		_ = idle.Close()
 		p.count(&p.counters.ClosedBeforeUse)
 	}
 	conn, err := p.dial(ctx, address)
@@ -139,119 +141,121 @@
 		return nil, err
 	}
 	p.count(&p.counters.Opened)
-	return &endpointConn{lastingConn: lastingConn{conn}, name: name, address: address}, nil
+	return &endpointConn{retryConn: retryConn{conn}, name: name, address: address}, nil
 }
 
-// ownErrors are those of a connection that this machine cannot open for a while. They speak of no endpoint.
-var ownErrors = []syscall.Errno{
+// localDialErrors are connect errors caused by a temporary lack of resources on this machine. They say nothing about
+// the endpoint.
+var localDialErrors = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EINTR,
 }
 
-const dialRetry = 10 * time.Millisecond // the pause behind such an error
+const dialRetryDelay = 10 * time.Millisecond // delay after such an error
 
-// dial opens a connection. While this machine has no room for one it goes on, for as long as a connection may take to come up.
+// dial opens a connection. While this machine lacks the resources, it retries until the connect timeout.
 func (p *Endpoints) dial(ctx context.Context, address string) (net.Conn, error) {
-	if p.connect > 0 {
+	if p.connectTimeout > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, p.connect)
+		ctx, cancel = context.WithTimeout(ctx, p.connectTimeout)
 		defer cancel()
 	}
 	dialer := net.Dialer{}
 	for {
 		conn, err := dialer.DialContext(ctx, "tcp", address)
 		number := syscall.Errno(0)
-		if err == nil || !errors.As(err, &number) || !slices.Contains(ownErrors, number) {
+		if err == nil || !errors.As(err, &number) || !slices.Contains(localDialErrors, number) {
 			return conn, err
 		}
 		p.count(&p.counters.LocalDialErrors)
-		if pause(ctx, dialRetry); ctx.Err() != nil {
+		if pause(ctx, dialRetryDelay); ctx.Err() != nil {
 			return nil, err
 		}
 	}
 }
 
-// Call is one to an endpoint. Begin is asked just before the first byte, and once more if the connection then turns out
-// to have ended.
+// Call is a call to an endpoint. Begin is called just before the first byte is written, and once more if the
+// connection then turns out to have ended.
 type Call struct {
 	protocol.Call
 	Name, Address string
-	Fresh         bool // on a new connection
+	Fresh         bool // use a new connection
 	Begin         func() bool
 }
 
-// Result is how a call ended.
+// Result is the result of a call.
 type Result struct {
-	Reply   protocol.Reply // with Answered
+	Reply   protocol.Reply // valid if Outcome is Answered
 	Outcome CallOutcome
-	Reused  bool // its connection had carried a call before
+	Reused  bool // the connection had carried a call before
 }
 
-// Call makes one call; nothing is ever written twice.
+// Call makes one call. Nothing is written twice.
 func (p *Endpoints) Call(ctx context.Context, call Call) Result {
 	for {
-		c, err := p.connection(ctx, call.Name, call.Address, call.Fresh)
+		c, err := p.getConn(ctx, call.Name, call.Address, call.Fresh)
 		if err != nil {
-			p.sample(call, "not connected", err)
+			p.logSample(call, "not connected", err)
 			return Result{Outcome: Unconnected}
 		}
 		if !call.Begin() {
 			p.keepIdle(c)
 			return Result{Outcome: NotBegun}
 		}
-		if c.quiet() {
-			kept := c.kept
+		if c.nothingReceived() {
+			kept := c.reused
 			reply, end, err := p.exchange(ctx, c, call.Call)
 			if end == Broken || end == Unconnected {
-				p.sample(call, "connection broken", err)
+				p.logSample(call, "connection broken", err)
 			}
 			return Result{reply, end, kept}
 		}
 		_ = c.Close()
 		p.count(&p.counters.ClosedBeforeUse)
-		if !c.kept {
+		if !c.reused {
 			return Result{Outcome: Unconnected} // accepted, and closed before anything was written
 		}
 	}
 }
 
-// exchange writes a call and reads its answer. When ctx ends first, the connection is closed before it returns. An answer that was
-// read behind ctx's deadline is not taken: the endpoint was told that nobody waits for it any more, and may not count it.
-func (p *Endpoints) exchange(ctx context.Context, c *endpointConn, call protocol.Call) (protocol.Reply, CallOutcome, error) {
+// exchange writes a call and reads its answer. If ctx is done first, the connection is closed before exchange
+// returns. An answer read after ctx's deadline is discarded: the endpoint was told that the forwarder stops waiting
+// then, and may not count the call as delivered.
+func (p *Endpoints) exchange(ctx context.Context, conn *endpointConn, call protocol.Call) (protocol.Reply, CallOutcome, error) {
 	deadline, limited := ctx.Deadline()
 	if limited {
 		call.Timeout = time.Until(deadline)
 	}
 	closed := make(chan struct{})
-	stop := context.AfterFunc(ctx, func() { defer close(closed); _ = c.Close() })
+	stop := context.AfterFunc(ctx, func() { defer close(closed); _ = conn.Close() })
 	pieces := call.Buffers()
 	total := int64(0)
 	for _, piece := range pieces {
 		total += int64(len(piece))
 	}
-	written, err := pieces.WriteTo(c)
+	written, err := pieces.WriteTo(conn)
 	reply, end := protocol.Reply{}, Unconnected
-	keep := err == nil
+	reusable := err == nil
 	if written == total {
 		var whole bool
-		reply, end, whole, err = p.read(ctx, c)
+		reply, end, whole, err = p.readAnswer(ctx, conn)
 		if limited && !time.Now().Before(deadline) {
 			reply, end, whole = protocol.Reply{}, Abandoned, false
 		}
-		keep = keep && whole
+		reusable = reusable && whole
 	}
 	switch {
 	case !stop():
 		<-closed
-	case keep:
-		p.keepIdle(c)
+	case reusable:
+		p.keepIdle(conn)
 	default:
-		_ = c.Close()
+		_ = conn.Close()
 	}
 	return reply, end, err
 }
 
-// sample tells of a call whose connection did not come up, or broke, and by which system call.
-func (p *Endpoints) sample(call Call, what string, err error) {
+// logSample logs a call whose connection could not be established or broke, and the system call that failed.
+func (p *Endpoints) logSample(call Call, what string, err error) {
 	reason := "ended"
 	if failed := (*os.SyscallError)(nil); errors.As(err, &failed) {
 		reason = failed.Error()
@@ -259,30 +263,31 @@
 	p.Samples.Note(what, reason, func(e *zerolog.Event) { e.Str("request", call.ID).Str("endpoint", call.Name).Err(err) })
 }
 
-// read reads a call's answer; keep says that the connection can carry another call. A first line with 200 is a
-// delivery however the answer goes on. Any other answer that is not whole may stand for a call that ran.
-func (p *Endpoints) read(ctx context.Context, c *endpointConn) (reply protocol.Reply, end CallOutcome, keep bool, broken error) {
+// readAnswer reads a call's answer; keep reports whether the connection can carry another call. A status line with
+// 200 counts as a delivery even if the rest of the answer is faulty. Any other incomplete answer may belong to a call
+// that ran.
+func (p *Endpoints) readAnswer(ctx context.Context, conn *endpointConn) (reply protocol.Reply, end CallOutcome, reusable bool, readErr error) {
 	parser := p.parsers.Get().(*protocol.Parser)
 	defer func() {
 		parser.Reset()
 		p.parsers.Put(parser)
 	}()
-	var until time.Time // the answer's last byte
+	var until time.Time // deadline for the answer's last byte
 	for {
 		m, err := parser.Next()
 		if m == nil && err == nil {
 			var n int
-			if n, err = c.Read(parser.Space()); n > 0 {
+			if n, err = conn.Read(parser.Space()); n > 0 {
 				parser.Commit(n)
 				err = nil
 				now := time.Now()
 				if until.IsZero() {
-					until = now.Add(wholeFor)
+					until = now.Add(answerReadTimeout)
 				}
-				if soon := now.Add(restFor); soon.Before(until) && parser.Status() == 200 {
+				if soon := now.Add(deliveredRestTimeout); soon.Before(until) && parser.Status() == 200 {
 					until = soon
 				}
-				_ = c.SetReadDeadline(until) // if it is closed by now, the next read tells
+				_ = conn.SetReadDeadline(until) // if the connection is closed by now, the next read reports it
 				continue
 			}
 			m = parser.Finish(errors.Is(err, io.EOF))
@@ -294,7 +299,7 @@
 				p.count(&p.counters.Surplus)
 			}
 			reply = protocol.ReadReply(m)
-			return reply, Answered, !m.Close && !surplus && c.SetReadDeadline(time.Time{}) == nil, nil
+			return reply, Answered, !m.Close && !surplus && conn.SetReadDeadline(time.Time{}) == nil, nil
 		case parser.Status() == 200:
 			p.count(&p.counters.Malformed)
 			p.count(&p.counters.MalformedDelivered)
@@ -315,24 +320,24 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for len(p.idle[name]) > 0 {
-		p.drop(p.idle[name][0])
+		p.closeIdleConn(p.idle[name][0])
 	}
 }
 
-// Close closes all idle connections and keeps no more.
+// Close closes all idle connections; from then on none is kept.
 func (p *Endpoints) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
 	for _, conns := range p.idle {
 		for _, c := range append([]*endpointConn(nil), conns...) {
-			p.drop(c)
+			p.closeIdleConn(c)
 		}
 	}
 }
 
-// warmest takes the connection to an endpoint that was used last.
-func (p *Endpoints) warmest(name, address string) *endpointConn {
+// takeIdle takes the most recently used idle connection to an endpoint out of the pool.
+func (p *Endpoints) takeIdle(name, address string) *endpointConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for {
@@ -341,64 +346,64 @@
 			return nil
 		}
 		c := conns[len(conns)-1]
-		if !c.expire.Stop() || c.address != address {
-			p.drop(c)
+		if !c.idleTimer.Stop() || c.address != address {
+			p.closeIdleConn(c)
 			continue
 		}
-		p.remove(c)
+		p.removeIdle(c)
 		return c
 	}
 }
 
-// keepIdle puts a connection back until it is used again, ends, or has been idle for too long.
+// keepIdle returns a connection to the pool until it is reused or its idle time is over.
 func (p *Endpoints) keepIdle(c *endpointConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || p.keep == 0 {
+	if p.closed || p.idleTimeout == 0 {
 		_ = c.Close()
 		return
 	}
-	if p.idles >= p.most {
-		p.drop(p.coldest())
+	if p.idleCount >= p.maxIdle {
+		p.closeIdleConn(p.leastRecentlyUsed())
 	}
 	p.idle[c.name] = append(p.idle[c.name], c)
-	p.idles++
-	c.kept, c.since = true, time.Now()
-	c.expire = time.AfterFunc(p.keep, func() {
+	p.idleCount++
+	c.reused, c.idleSince = true, time.Now()
+	c.idleTimer = time.AfterFunc(p.idleTimeout, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.drop(c)
+		p.closeIdleConn(c)
 	})
 }
 
-// coldest is the idle connection that was used least lately.
-func (p *Endpoints) coldest() *endpointConn {
+// leastRecentlyUsed returns the idle connection that has been idle the longest. The caller holds p.mu.
+func (p *Endpoints) leastRecentlyUsed() *endpointConn {
 	var coldest *endpointConn
 	for _, conns := range p.idle {
-		if coldest == nil || conns[0].since.Before(coldest.since) {
+		if coldest == nil || conns[0].idleSince.Before(coldest.idleSince) {
 			coldest = conns[0]
 		}
 	}
 	return coldest
 }
 
-// drop closes a connection if it is idle; p.mu is held.
-func (p *Endpoints) drop(c *endpointConn) {
-	if p.remove(c) {
-		c.expire.Stop()
+// closeIdleConn closes a connection if it is idle. The caller holds p.mu.
+func (p *Endpoints) closeIdleConn(c *endpointConn) {
+	if p.removeIdle(c) {
+		c.idleTimer.Stop()
 		_ = c.Close()
 	}
 }
 
-// remove takes a connection out of the idle ones; p.mu is held.
-func (p *Endpoints) remove(c *endpointConn) bool {
+// removeIdle takes a connection out of the pool and reports whether it was there. The caller holds p.mu.
+func (p *Endpoints) removeIdle(c *endpointConn) bool {
 	conns := p.idle[c.name]
 	for i, o := range conns {
 		if o == c {
 			if p.idle[c.name] = append(conns[:i], conns[i+1:]...); len(conns) == 1 {
 				delete(p.idle, c.name)
 			}
-			p.idles--
+			p.idleCount--
 			return true
 		}
 	}
--- a/internal/transport/endpoints_test.go
+++ b/internal/transport/endpoints_test.go
@@ -11,7 +11,7 @@
 	"mulleinbeam/internal/protocol"
 )
 
-// deadlineContext has a deadline and never ends by itself: a timer that fires late.
+// deadlineContext has a deadline but is never done, like a context whose timer fires late.
 type deadlineContext struct {
 	context.Context
 	at time.Time
@@ -19,8 +19,8 @@
 
 func (c deadlineContext) Deadline() (time.Time, bool) { return c.at, true }
 
-// okEndpoint starts an endpoint that answers each call 200, and gives a connection to it.
-func okEndpoint(t *testing.T) *endpointConn {
+// dialOKEndpoint starts an endpoint that answers each call with 200, and returns a connection to it.
+func dialOKEndpoint(t *testing.T) *endpointConn {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -42,12 +42,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	return &endpointConn{lastingConn: lastingConn{conn}, name: "p", address: listener.Addr().String()}
+	return &endpointConn{retryConn: retryConn{conn}, name: "p", address: listener.Addr().String()}
 }
 
-// An endpoint may take its answer for too late once the time that it was told is over. So an answer that is read behind that time is
-// none, also where the call's own timer has not fired yet, and its connection carries no other call.
-func TestAnAnswerBehindTheToldTimeIsNotTaken(t *testing.T) {
+// An endpoint may treat its answer as too late once the timeout that it was told has passed. So an answer that is
+// read after that time is discarded, even if the call's own timer has not fired yet, and its connection is not
+// reused.
+func TestAnswerAfterDeadlineIsDiscarded(t *testing.T) {
 	for name, c := range map[string]struct {
 		deadline time.Time
 		end      CallOutcome
@@ -57,7 +58,7 @@
 		"late":    {time.Now().Add(-time.Microsecond), Abandoned, 0},
 	} {
 		endpoints := NewEndpoints(time.Minute, time.Second, 1)
-		reply, end, _ := endpoints.exchange(deadlineContext{context.Background(), c.deadline}, okEndpoint(t), protocol.Call{ID: "i", Host: "h"})
+		reply, end, _ := endpoints.exchange(deadlineContext{context.Background(), c.deadline}, dialOKEndpoint(t), protocol.Call{ID: "i", Host: "h"})
 		if end != c.end || (reply.Status == 200) != (c.end == Answered) || endpoints.Counters().Idle != c.idle {
 			t.Errorf("%s: end %v, status %d, %d idle connections", name, end, reply.Status, endpoints.Counters().Idle)
 		}
--- a/internal/transport/resting_test.go
+++ b/internal/transport/idle_conn_test.go
@@ -12,12 +12,13 @@
 	"mulleinbeam/internal/protocol"
 )
 
-// What an endpoint does to a connection behind its answer is seen before the connection is used again: nothing is written there,
-// and the call goes on a new one, once. The order is made: the next call starts when what was done has come.
-func TestWhatComesOnARestingConnectionIsSeenBeforeItsUse(t *testing.T) {
+// Whatever an endpoint does to a connection after its answer is detected before the connection is reused: nothing is
+// written there, and the call is made once, on a new connection. The order is forced: the second call starts when the
+// event has arrived.
+func TestIdleConnectionIsCheckedBeforeReuse(t *testing.T) {
 	for name, c := range map[string]struct {
 		done func(*net.TCPConn)
-		used bool // the connection can be used again
+		used bool // the connection can be reused
 	}{
 		"nothing":           {func(*net.TCPConn) {}, true},
 		"it ends":           {func(c *net.TCPConn) { _ = c.CloseWrite() }, false},
@@ -71,9 +72,9 @@
 			invoke("first")
 			c.done(<-conns)
 			p.mu.Lock()
-			resting := p.idle["a"][0]
+			idleConn := p.idle["a"][0]
 			p.mu.Unlock()
-			for !c.used && resting.quiet() { // until it has come
+			for !c.used && idleConn.nothingReceived() { // until the event has arrived
 			}
 			invoke("second")
 			opened, ended := int64(2), int64(1)
--- a/internal/transport/peek.go
+++ b/internal/transport/peek.go
@@ -7,26 +7,27 @@
 	"syscall"
 )
 
-// peekTries is how often a look that fails is made.
-const peekTries = 8
+// maxPeekTries is how often a failing peek is attempted.
+const maxPeekTries = 8
 
-// connectionErrors are those that tell of the connection. Any other error of a look at it tells nothing.
+// connectionErrors are the errors that describe the connection's state. Any other error of a peek says nothing about
+// the connection.
 var connectionErrors = []syscall.Errno{
 	syscall.EAGAIN, syscall.ECONNRESET, syscall.EPIPE, syscall.ENOTCONN, syscall.ECONNABORTED, syscall.ECONNREFUSED, syscall.ETIMEDOUT,
 	syscall.EBADF,
 }
 
-// peek looks for bytes that have come on a connection and takes none: how many, none for its end, EAGAIN for nothing at all. No
-// deadline of the connection holds it up.
+// peek checks for unread input on a connection without consuming it. It returns the number of bytes seen (0 at the
+// end of the stream) or EAGAIN if there is no input. It does not block and ignores the connection's deadlines.
 func peek(conn net.Conn) (n int, err error) {
 	raw, err := conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return 0, err
 	}
 	if cut := raw.Control(func(fd uintptr) {
-		for range peekTries {
+		for range maxPeekTries {
 			n, _, err = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-			if !unclear(err) {
+			if !inconclusive(err) {
 				return
 			}
 		}
@@ -36,8 +37,8 @@
 	return max(0, n), err
 }
 
-// unclear says that a look has failed, and tells nothing of the connection.
-func unclear(err error) bool {
+// inconclusive reports whether a peek failed in a way that says nothing about the connection.
+func inconclusive(err error) bool {
 	number := syscall.Errno(0)
 	return errors.As(err, &number) && !slices.Contains(connectionErrors, number)
 }
--- a/internal/transport/lasting_test.go
+++ b/internal/transport/retry_conn_test.go
@@ -11,10 +11,10 @@
 	"mulleinbeam/internal/protocol"
 )
 
-// flakyConn fails reads and writes with errors of the system call, on a connection that lives.
+// flakyConn fails reads and writes with errors of the system call on an open connection.
 type flakyConn struct {
 	*net.TCPConn
-	reads, writes, shutdowns int // that fail before one works; a write that fails comes behind one that wrote a part
+	reads, writes, shutdowns int // failures before the first success; a failing write writes a part first
 }
 
 var errFlaky = os.NewSyscallError("call", syscall.EHOSTUNREACH)
@@ -41,35 +41,35 @@
 	return c.TCPConn.CloseWrite()
 }
 
-// Guards against answers that are missing or cut short because reads, writes and shutdowns of a living connection fail for a moment,
-// also where the client has ended its sending already.
-func TestAnAnswerOutlastsFailingCalls(t *testing.T) {
-	for name, half := range map[string]bool{"open": false, "client has ended its sending": true} {
+// Guards against answers that are lost or cut short because reads, writes and shutdowns of an open connection fail
+// transiently, also where the client has already shut down its writing side.
+func TestAnswerSurvivesTransientErrors(t *testing.T) {
+	for name, halfClosed := range map[string]bool{"open": false, "client has ended its sending": true} {
 		t.Run(name, func(t *testing.T) {
-			client, conn := ends(t)
-			s := &Clients{Handler: actingHandler{}, MaxConnections: 4, conns: map[*clientConn]struct{}{}}
-			c := &clientConn{lastingConn: lastingConn{&flakyConn{conn.(*net.TCPConn), 3, 3, 3}}}
+			client, conn := connPair(t)
+			s := &Clients{Handler: hookHandler{}, MaxConnections: 4, conns: map[*clientConn]struct{}{}}
+			c := &clientConn{retryConn: retryConn{&flakyConn{conn.(*net.TCPConn), 3, 3, 3}}}
 			s.admit(c)
-			if _, err := client.Write([]byte(handIn("a", "Connection: close\r\n"))); err != nil {
+			if _, err := client.Write([]byte(submitRequest("a", "Connection: close\r\n"))); err != nil {
 				t.Fatal(err)
 			}
-			if half {
+			if halfClosed {
 				_ = client.(*net.TCPConn).CloseWrite()
 			}
 			served := make(chan struct{})
 			go func() { defer close(served); s.serve(c) }()
-			wantsLast(t, client)
+			expectLastAnswer(t, client)
 			_ = client.Close()
 			<-served
 		})
 	}
 }
 
-// Guards against a request that was read in part and is never answered, because the rest of it cannot be read.
-func TestARequestThatCannotBeReadIsAnswered(t *testing.T) {
-	client, conn := ends(t)
-	s := &Clients{Handler: actingHandler{}, MaxConnections: 4, conns: map[*clientConn]struct{}{}}
-	c := &clientConn{lastingConn: lastingConn{&flakyConn{conn.(*net.TCPConn), 1 << 30, 0, 0}}}
+// Guards against a request that was read in part and is never answered because the rest of it cannot be read.
+func TestUnreadableRequestIsAnswered(t *testing.T) {
+	client, conn := connPair(t)
+	s := &Clients{Handler: hookHandler{}, MaxConnections: 4, conns: map[*clientConn]struct{}{}}
+	c := &clientConn{retryConn: retryConn{&flakyConn{conn.(*net.TCPConn), 1 << 30, 0, 0}}}
 	s.admit(c)
 	parser := protocol.NewRequestParser(protocol.MaxBodyBytes)
 	parser.Commit(copy(parser.Space(), "POST /api HTTP/1.1\r\n"))
--- a/internal/transport/state_linux.go
+++ b/internal/transport/state_linux.go
@@ -8,19 +8,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// tcpState is where a connection stands, in the kernel's numbers; 0 is not told.
+// tcpState is the TCP state of a connection, with the kernel's numbers; 0 means unknown.
 type tcpState uint8
 
-// The states of the kernel's tcp_states.h in which a connection still carries bytes.
+// The states of the kernel's tcp_states.h in which a connection still carries data.
 const (
 	tcpEstablished tcpState = 1
-	tcpFinWait1    tcpState = 4 // this side has ended its sending,
-	tcpFinWait2    tcpState = 5 // and the other side knows
-	tcpCloseWait   tcpState = 8 // the other side has ended its sending
+	tcpFinWait1    tcpState = 4 // this side has shut down writing
+	tcpFinWait2    tcpState = 5 // and the peer has acknowledged that
+	tcpCloseWait   tcpState = 8 // the peer has shut down writing
 )
 
-// stateOf asks the kernel where a connection stands.
-func stateOf(conn net.Conn) (state tcpState) {
+// tcpStateOf returns the TCP state of a connection.
+func tcpStateOf(conn net.Conn) (state tcpState) {
 	raw, err := conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return 0
@@ -33,22 +33,23 @@
 	return state
 }
 
-// sinceReceived is how long ago the last bytes have come on a connection, in the kernel's coarse clock; false where that is not told.
-func sinceReceived(conn net.Conn) (ago time.Duration, told bool) {
+// sinceReceived returns how long ago data last arrived on a connection, by the kernel's coarse clock, and whether
+// that is known.
+func sinceReceived(conn net.Conn) (ago time.Duration, known bool) {
 	raw, err := conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return 0, false
 	}
 	_ = raw.Control(func(fd uintptr) {
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-			ago, told = time.Duration(info.Last_data_recv)*time.Millisecond, true
+			ago, known = time.Duration(info.Last_data_recv)*time.Millisecond, true
 		}
 	})
-	return ago, told
+	return ago, known
 }
 
-// unacknowledged is how many bytes the other side of a connection has not acknowledged; below zero where that is not told.
-func unacknowledged(conn net.Conn) int {
+// unacknowledgedBytes returns how many sent bytes the peer has not acknowledged, or -1 if that is unknown.
+func unacknowledgedBytes(conn net.Conn) int {
 	raw, err := conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return -1
--- a/internal/transport/state_other.go
+++ b/internal/transport/state_other.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// tcpState is where a connection stands; 0, all that is told here, is not told.
+// tcpState is the TCP state of a connection; on this platform it is always 0, unknown.
 type tcpState uint8
 
 const (
@@ -17,7 +17,7 @@
 	tcpCloseWait
 )
 
-func stateOf(net.Conn) tcpState   { return 0 }
-func unacknowledged(net.Conn) int { return -1 }
+func tcpStateOf(net.Conn) tcpState     { return 0 }
+func unacknowledgedBytes(net.Conn) int { return -1 }
 
 func sinceReceived(net.Conn) (ago time.Duration, told bool) { return 0, false }
--- /dev/null
+++ b/internal/transport/stream.go
@@ -0,0 +1,352 @@
+package transport
+
+import (
+	"context"
+	"errors"
+	"net"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"mulleinbeam/internal/protocol"
+	"mulleinbeam/internal/pump"
+)
+
+// Streams holds the settings, buffers and counters of long messages: those whose bodies are streamed as they arrive.
+type Streams struct {
+	MaxBodyBytes int64         // of one body, in either direction
+	IdleTimeout  time.Duration // a call ends when no byte has moved in either direction for this long
+	WindowBytes  int           // buffered bytes of one body, in either direction
+
+	windows  sync.Pool
+	bytes    [2]atomic.Int64
+	counters [pump.Aborted + 1]atomic.Int64
+}
+
+// MarshalZerologObject implements zerolog.LogObjectMarshaler.
+func (p *Streams) MarshalZerologObject(e *zerolog.Event) {
+	count := func(name string, end pump.Outcome) { e.Int64(name, p.counters[end].Load()) }
+	e.Int64("bytes_up", p.bytes[pump.Up].Load()).Int64("bytes_down", p.bytes[pump.Down].Load())
+	count("delivered", pump.Delivered)
+	count("answered", pump.Answered)
+	count("spoilt", pump.Malformed)
+	count("broken", pump.Broken)
+	count("not_begun", pump.NotBegun)
+	count("endpoint_stalled", pump.EndpointStalled)
+	count("client_gone", pump.ClientGone)
+	count("client_stalled", pump.ClientStalled)
+	count("client_bad", pump.ClientMalformed)
+	count("time_up", pump.TimeUp)
+	count("aborted", pump.Aborted)
+}
+
+func (p *Streams) getWindow() *[]byte {
+	if w, ok := p.windows.Get().(*[]byte); ok {
+		return w
+	}
+	w := make([]byte, p.WindowBytes)
+	return &w
+}
+
+// Upload is the client's side of a long message, from its head to its final answer. One attempt at a time uses it;
+// between attempts the client's goroutine waits.
+type Upload struct {
+	streams         *Streams
+	conn            net.Conn
+	body            *protocol.Body
+	content         []byte // the part of the body that arrived with the head
+	undecoded       []byte // the part of that which is not decoded yet; both slices lie in the parser's buffer
+	framing         protocol.Framing
+	length          int64
+	expectsContinue bool // the client waits for 100 Continue
+	http10          bool // the client speaks HTTP/1.0
+	closesClient    func() bool
+	pipe            *pump.Pipe
+	windows         []*[]byte    // buffers to be released
+	outcome         pump.Outcome // of the last attempt
+	answerStarted   bool         // a byte of an answer has gone to the client
+	reusable        bool
+}
+
+// prepare allocates the window and sends 100 Continue to a waiting client, now that the message is accepted. It
+// returns an error if the part of the body that has arrived is malformed.
+func (u *Upload) prepare() error {
+	if u.pipe == nil {
+		w := u.streams.getWindow()
+		u.windows = append(u.windows, w)
+		pipe, err := pump.NewPipe(*w, u.body, u.content, u.undecoded)
+		if u.pipe = pipe; err != nil {
+			return err
+		}
+		u.content, u.undecoded = nil, nil
+	}
+	if u.expectsContinue && u.pipe.Empty() {
+		if u.conn.SetWriteDeadline(time.Now().Add(answerTimeout)) == nil {
+			_, _ = u.conn.Write([]byte(protocol.ContinueResponse)) // if the client is gone, the next read reports it
+		}
+	}
+	u.expectsContinue = false
+	return nil
+}
+
+// release returns the windows to the pool.
+func (u *Upload) release() {
+	for _, w := range u.windows {
+		u.streams.windows.Put(w)
+	}
+	u.windows, u.pipe = nil, nil
+}
+
+// StreamCall is one attempt to stream a long message to an endpoint.
+type StreamCall struct {
+	Call
+	Upload         *Upload
+	RecordDelivery func() bool // records a delivery before the client can see it
+}
+
+// StreamResult is the result of such an attempt.
+type StreamResult struct {
+	Outcome   pump.Outcome
+	Reply     protocol.Reply // valid if Outcome is pump.Answered
+	Begun     bool           // a byte may have gone to the endpoint
+	Sent      bool           // the whole body has gone to the endpoint
+	Retryable bool           // the body is still buffered: another attempt can be made
+	Reused    bool           // the connection had carried a call before
+}
+
+var errNoConnection = errors.New("transport: no connection")
+
+// Stream makes one call with a long message. When it returns, nothing of the message is in progress on either
+// connection. The endpoint's connection is then closed or idle; the client's is left to the caller.
+func (p *Endpoints) Stream(ctx context.Context, call StreamCall) StreamResult {
+	upload := call.Upload
+	streams := upload.streams
+	conn, err := p.getConn(ctx, call.Name, call.Address, call.Fresh)
+	if err != nil {
+		return StreamResult{Outcome: pump.Broken, Retryable: true}
+	}
+	if err := upload.prepare(); err != nil {
+		upload.outcome = pump.ClientMalformed
+		streams.counters[upload.outcome].Add(1)
+		p.keepIdle(conn)
+		return StreamResult{Outcome: upload.outcome, Reused: conn.reused}
+	}
+	driver := &duplex{start: time.Now(), client: innerConn(upload.conn), endpoint: innerConn(conn), recordDelivery: call.RecordDelivery, streams: streams}
+	cutAt := 24 * time.Hour
+	if deadline, ok := ctx.Deadline(); ok {
+		cutAt = time.Until(deadline)
+	}
+	call.Timeout = cutAt
+	framing, length := upload.framing, upload.length
+	if framing == protocol.Chunked && upload.pipe.Complete() { // the whole body has arrived: send its length
+		framing, length = protocol.ByLength, upload.pipe.Received()
+	}
+	upload.pipe.Rewind()
+	upload.pipe.Start(protocol.AppendStreamHead(nil, protocol.StreamHead{Call: call.Call.Call, Framing: framing, Length: length}), framing)
+	parser := p.streamParsers.Get().(*protocol.Parser)
+	defer func() { parser.Reset(); p.streamParsers.Put(parser) }()
+	driver.exchange = pump.New(pump.Config{
+		Request: upload.pipe, Answers: parser, MaxAnswerBytes: streams.MaxBodyBytes, IdleTimeout: streams.IdleTimeout, Deadline: cutAt, HTTP10: upload.http10, CloseClient: upload.closesClient(), Splice: true,
+		Window: func() []byte {
+			w := streams.getWindow()
+			upload.windows = append(upload.windows, w)
+			return *w
+		},
+	})
+	driver.begin = func() error {
+		for {
+			switch {
+			case !call.Begin():
+				return pump.ErrForbidden
+			case conn.nothingReceived():
+				return nil
+			}
+			_ = conn.Close()
+			p.count(&p.counters.ClosedBeforeUse)
+			if !conn.reused {
+				return errNoConnection // accepted, and closed before anything was written
+			}
+			next, err := p.getConn(ctx, call.Name, call.Address, call.Fresh)
+			if err != nil {
+				return errNoConnection
+			}
+			conn, driver.endpoint = next, innerConn(next)
+		}
+	}
+	stop := context.AfterFunc(ctx, func() {
+		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
+			driver.abort(pump.TimeUp)
+		} else {
+			driver.abort(pump.Aborted)
+		}
+	})
+	driver.run()
+	stop()
+	return p.finishStream(driver, conn, upload)
+}
+
+// finishStream releases the endpoint's connection after an exchange and returns the result.
+func (p *Endpoints) finishStream(driver *duplex, conn *endpointConn, upload *Upload) StreamResult {
+	driver.mu.Lock() // an abort may be in progress
+	defer driver.mu.Unlock()
+	x := driver.exchange
+	keep, reusable := x.Reusable()
+	if !x.Begun() && conn.nothingReceived() {
+		keep = true
+	}
+	if keep && conn.SetDeadline(time.Time{}) == nil {
+		p.keepIdle(conn)
+	} else {
+		_ = conn.Close()
+	}
+	upload.outcome, upload.answerStarted, upload.reusable = x.Outcome(), x.AnswerStarted(), reusable
+	upload.streams.counters[upload.outcome].Add(1)
+	return StreamResult{
+		Outcome: x.Outcome(), Reply: x.Reply(), Begun: x.Begun(), Sent: upload.pipe.Written(), Retryable: x.Retryable(), Reused: conn.reused,
+	}
+}
+
+// innerConn returns the underlying connection, which supports gathered writes.
+func innerConn(c net.Conn) net.Conn {
+	switch c := c.(type) {
+	case *clientConn:
+		return c.Conn
+	case *endpointConn:
+		return c.Conn
+	}
+	return c
+}
+
+// duplex drives the two directions of an exchange over two sockets. Deadlines are set under the lock, so that a step
+// decided before a wake cannot override the wake's deadline.
+type duplex struct {
+	mu               sync.Mutex
+	exchange         *pump.Exchange
+	start            time.Time // the exchange's times are relative to it
+	client, endpoint net.Conn
+	begin            func() error
+	recordDelivery   func() bool
+	streams          *Streams
+	splices          [2]*splicePipe // one for each direction, holding its spliced bytes
+}
+
+// run drives both directions until they stop. The direction to the client starts once the call has begun.
+func (d *duplex) run() {
+	defer func() {
+		for _, u := range d.splices {
+			u.close()
+		}
+	}()
+	var up, down gatherWriter
+	for !d.exchange.Begun() {
+		if !d.step(pump.Up, &up) {
+			return
+		}
+	}
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		for d.step(pump.Down, &down) {
+		}
+	}()
+	for d.step(pump.Up, &up) {
+	}
+	<-done
+}
+
+func (d *duplex) now() time.Duration { return time.Since(d.start) }
+
+// gatherWriter holds the pieces of a gathered write.
+type gatherWriter struct {
+	pieces  [4][]byte
+	buffers net.Buffers
+}
+
+// write writes all pieces. An error of the system call is retried for as long as the connection is open.
+func (g *gatherWriter) write(c net.Conn, out [][]byte) (written int, err error) {
+	lasting := retryConn{c}
+	if len(out) == 1 {
+		return lasting.Write(out[0])
+	}
+	g.buffers = g.pieces[:copy(g.pieces[:], out)]
+	err = lasting.retry(lasting.canWrite, func() error {
+		n, err := g.buffers.WriteTo(c) // keeps the pieces that are not written
+		written += int(n)
+		return err
+	})
+	return written, err
+}
+
+// step performs one step of a direction. It returns false if there is none left.
+func (d *duplex) step(direction pump.Direction, g *gatherWriter) bool {
+	d.mu.Lock()
+	source, sink := d.client, d.endpoint
+	if direction == pump.Down {
+		source, sink = sink, source
+	}
+	step := d.exchange.Next(direction, d.now())
+	var err error
+	switch step.Op {
+	case pump.Read, pump.SpliceIn:
+		err = source.SetReadDeadline(d.start.Add(step.Deadline))
+	case pump.Write, pump.SpliceOut:
+		err = sink.SetWriteDeadline(d.start.Add(step.Deadline))
+	}
+	d.mu.Unlock()
+	n := 0
+	switch {
+	case err != nil:
+	case step.Op == pump.Stop:
+		return false
+	case step.Op == pump.Read:
+		n, err = retryConn{source}.Read(step.Space)
+	case step.Op == pump.Write:
+		n, err = g.write(sink, step.Out)
+		d.streams.bytes[direction].Add(int64(n))
+	case step.Op == pump.SpliceIn:
+		if d.splices[direction] == nil {
+			d.splices[direction], err = newSplicePipe(source, sink, step.Limit)
+		}
+		if err == nil {
+			n, err = d.splices[direction].pull(step.Limit)
+		}
+	case step.Op == pump.SpliceOut:
+		n, err = d.splices[direction].push(step.Limit)
+		d.streams.bytes[direction].Add(int64(n))
+	case step.Op == pump.Begin:
+		err = d.begin()
+	case step.Op == pump.RecordDelivery:
+		if !d.recordDelivery() {
+			err = errNoConnection
+		}
+	}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.exchange.StepDone(direction, n, err, d.now()) {
+		d.wake(1 - direction)
+	}
+	return true
+}
+
+// wake interrupts the current step of a direction. The caller holds d.mu.
+func (d *duplex) wake(direction pump.Direction) {
+	source, sink := d.client, d.endpoint
+	if direction == pump.Down {
+		source, sink = sink, source
+	}
+	_ = source.SetReadDeadline(pastDeadline)
+	_ = sink.SetWriteDeadline(pastDeadline)
+}
+
+var pastDeadline = time.Unix(1, 0)
+
+// abort ends the exchange with an outcome.
+func (d *duplex) abort(outcome pump.Outcome) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.exchange.Abort(outcome)
+	d.wake(pump.Up)
+	d.wake(pump.Down)
+}
--- a/internal/transport/passage_test.go
+++ b/internal/transport/stream_test.go
@@ -15,8 +15,8 @@
 	"mulleinbeam/internal/pump"
 )
 
-// ends is a pair of connected sockets.
-func ends(t testing.TB) (a, b net.Conn) {
+// connPair returns a pair of connected sockets.
+func connPair(t testing.TB) (a, b net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,8 +33,8 @@
 	return a, b
 }
 
-// partner listens and hands each request to serve.
-func partner(t testing.TB, serve func(net.Conn, *http.Request)) string {
+// startEndpoint listens and passes each request to serve.
+func startEndpoint(t testing.TB, serve func(net.Conn, *http.Request)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -63,35 +63,35 @@
 	return l.Addr().String()
 }
 
-// passage is a long message of a told length, coming on a connection, to an address.
-func passage(conn net.Conn, address string, length int64) StreamCall {
+// newStreamCall returns a call to an address with a long message of the given length that arrives on conn.
+func newStreamCall(conn net.Conn, address string, length int64) StreamCall {
 	body, _ := protocol.NewBody(protocol.ByLength, length, length)
 	return StreamCall{
 		Call: Call{Call: protocol.Call{ID: "m", Host: address}, Name: "p", Address: address, Begin: func() bool { return true }},
 		Upload: &Upload{
-			passages: &Streams{MaxBodyBytes: 1 << 60, IdleTimeout: time.Minute, WindowBytes: 256 << 10}, conn: conn, body: body, length: length,
-			last: func() bool { return false },
+			streams: &Streams{MaxBodyBytes: 1 << 60, IdleTimeout: time.Minute, WindowBytes: 256 << 10}, conn: conn, body: body, length: length,
+			closesClient: func() bool { return false },
 		},
 		RecordDelivery: func() bool { return true },
 	}
 }
 
-// A cancelled call has closed its connection, and ended what it started, by the time it returns.
-func TestCancelledPassageLeavesNothing(t *testing.T) {
+// A cancelled call has closed its connection and ended its goroutines by the time it returns.
+func TestCancelledStreamReleasesResources(t *testing.T) {
 	before := goleak.IgnoreCurrent()
-	t.Cleanup(func() { goleak.VerifyNone(t, before) }) // behind all other clean-ups
+	t.Cleanup(func() { goleak.VerifyNone(t, before) }) // runs after all other cleanups
 	ctx, cancel := context.WithCancel(t.Context())
 	closed := make(chan error, 1)
-	address := partner(t, func(conn net.Conn, req *http.Request) {
+	address := startEndpoint(t, func(conn net.Conn, req *http.Request) {
 		_, _ = io.CopyN(io.Discard, req.Body, 1)
 		cancel()
 		_, err := io.Copy(io.Discard, req.Body)
 		closed <- err
 	})
-	client, conn := ends(t)
+	client, conn := connPair(t)
 	go func() { _, _ = client.Write(make([]byte, 1<<20)) }()
 	endpoints := NewEndpoints(time.Minute, time.Second, 8)
-	r := endpoints.Stream(ctx, passage(conn, address, 2<<20))
+	r := endpoints.Stream(ctx, newStreamCall(conn, address, 2<<20))
 	if r.Outcome != pump.Aborted || !r.Begun || r.Sent || r.Retryable {
 		t.Errorf("%v, %+v", r.Outcome, r)
 	}
@@ -105,14 +105,14 @@
 	conn.Close()
 }
 
-// BenchmarkPassage moves a MiB per operation through a whole passage on loopback sockets. What a run allocates once is
-// divided by all of them; none of it grows with the bytes.
-func BenchmarkPassage(b *testing.B) {
-	address := partner(b, func(conn net.Conn, req *http.Request) {
+// BenchmarkStream streams 1 MiB per operation over loopback sockets. One-time allocations of a run are divided by the
+// number of operations; none grows with the bytes.
+func BenchmarkStream(b *testing.B) {
+	address := startEndpoint(b, func(conn net.Conn, req *http.Request) {
 		_, _ = io.CopyBuffer(struct{ io.Writer }{io.Discard}, req.Body, make([]byte, 256<<10))
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	})
-	client, conn := ends(b)
+	client, conn := connPair(b)
 	piece := make([]byte, 1<<20)
 	b.SetBytes(int64(len(piece)))
 	b.ReportAllocs()
@@ -124,7 +124,7 @@
 			}
 		}
 	}()
-	if r := NewEndpoints(time.Minute, time.Second, 8).Stream(b.Context(), passage(conn, address, int64(b.N)<<20)); r.Outcome != pump.Delivered {
+	if r := NewEndpoints(time.Minute, time.Second, 8).Stream(b.Context(), newStreamCall(conn, address, int64(b.N)<<20)); r.Outcome != pump.Delivered {
 		b.Fatal(r.Outcome)
 	}
 }
