--- a/internal/transport/accept_test.go
+++ b/internal/transport/accept_test.go
@@ -113,8 +113,8 @@
 	timeouts chan time.Duration
 }
 
-func (h timeoutHandler) Accept(m protocol.Submission) (*protocol.Refusal, func()) {
-	h.timeouts <- m.Timeout
+func (submission timeoutHandler) Accept(m protocol.Submission) (*protocol.Refusal, func()) {
+	submission.timeouts <- m.Timeout
 	return nil, nil
 }
 
--- a/internal/transport/client_admission.go
+++ b/internal/transport/client_admission.go
@@ -28,7 +28,8 @@
 	s.counters.Accepted++
 	c.stateSince = c.accepted
 	_ = c.SetReadDeadline(c.accepted.Add(requestTimeout))
-	room := len(s.conns)-s.closingConns-s.streamingConns < s.MaxConnections || s.evict(stateNew, 0) || s.evict(stateIdle, minIdleTime) || s.evict(stateReading, minReadTime)
+	room := len(s.conns)-s.closingConns-s.streamingConns < s.MaxConnections ||
+		s.evict(stateNew, 0) || s.evict(stateIdle, minIdleTime) || s.evict(stateReading, minReadTime)
 	s.conns[c] = struct{}{}
 	if !room {
 		s.counters.Rejected++
--- a/internal/transport/client_conn.go
+++ b/internal/transport/client_conn.go
@@ -156,7 +156,8 @@
 	http10 := string(message.Start[2]) == "HTTP/1.0"
 	upload := &Upload{
 		streams: s.Streams, conn: c, body: body, content: message.Body, undecoded: raw, framing: framing, length: length,
-		expectsContinue: parser.Continue(), http10: http10, closesClient: func() bool { return message.Close || s.closesAfterAnswer(c) },
+		expectsContinue: parser.Continue(), http10: http10,
+		closesClient: func() bool { return message.Close || s.closesAfterAnswer(c) },
 	}
 	defer upload.release()
 	refusal, done := s.Handler.Stream(submission, upload)
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -21,7 +21,7 @@
 
 const (
 	idleTimeout       = 90 * time.Second        // of a connection between requests, while there is room
-	minIdleTime       = 2 * time.Second         // before an idle connection may be evicted to make room
+	minIdleTime       = 2 * time.Second         // the same while many are open, and before an eviction to make room
 	minReadTime       = 500 * time.Millisecond  // before an incomplete request may be evicted to make room
 	requestTimeout    = 2400 * time.Millisecond // from a request's first byte, or from the accept, to its last byte
 	answerTimeout     = 2 * time.Second         // for writing an answer
@@ -43,12 +43,12 @@
 
 // Handler decides about the messages that clients submit.
 type Handler interface {
-	// Accept answers a submission. A nil Refusal means that the message is accepted; withdraw, unless it is nil, is
+	// Accept answers a submission. A nil Refusal means that the message is accepted; cancel, unless it is nil, is
 	// then called if the client could not be told. The submission's slices are valid only during the call.
-	Accept(h protocol.Submission) (r *protocol.Refusal, cancel func())
+	Accept(submission protocol.Submission) (r *protocol.Refusal, cancel func())
 	// Stream accepts or refuses a long message, whose Submission.Body is empty. If the Refusal is nil, the message is
 	// accepted and the channel delivers its end once.
-	Stream(h protocol.Submission, up *Upload) (*protocol.Refusal, <-chan StreamEnd)
+	Stream(submission protocol.Submission, upload *Upload) (*protocol.Refusal, <-chan StreamEnd)
 }
 
 // StreamEnd is the end of a long message.
@@ -116,7 +116,7 @@
 	graceUsed        bool // the read deadline expired once and the input that had arrived was still read
 }
 
-// Serve accepts connections until ctx is done. When leave is done, which happens first, idle connections are closed
+// Serve accepts connections until ctx is done. When shutdown is done, which happens first, idle connections are closed
 // and the others close after their next answer. Requests that have arrived by then are answered. A request that
 // arrives during the close is not read; the client repeats it on a new connection, which is still answered until ctx
 // is done.
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -215,8 +215,8 @@
 }
 
 // Watch passes every change to OnList until ctx is done. While discovery does not answer, Watch retries and the
-// forwarder keeps the list that it has. When the address changes, Watch switches to it at once and requests the whole
-// list, since versions are valid only at the address that issued them.
+// forwarder keeps the list that it has; nothing waits for an answer. When the address changes, Watch switches to it at
+// once and requests the whole list, since versions are valid only at the address that issued them.
 func (d *Discovery) Watch(ctx context.Context) error {
 	a := &agentConn{}
 	defer a.close()
@@ -362,7 +362,7 @@
 	return nil
 }
 
-// nextBatch moves the reports that may be sent now to the front of the queue and returns them. held reports whether
+// nextBatch moves the reports that may be sent now to the front of the queue and returns them. waiting reports whether
 // others have to wait.
 func (r *Reporter) nextBatch() (batch []PendingReport, waiting bool) {
 	r.mu.Lock()
@@ -401,14 +401,14 @@
 	if len(batch) == 0 || ctx.Err() != nil {
 		return false
 	}
-	notices := make([]protocol.DeliveryReport, len(batch))
+	reports := make([]protocol.DeliveryReport, len(batch))
 	for i, p := range batch {
-		notices[i] = p.DeliveryReport
+		reports[i] = p.DeliveryReport
 	}
 	address, untilMoved, release := r.Address.follow(ctx)
 	defer release()
 	a.setAddress(address)
-	request, err := protocol.AppendReport(nil, address, notices)
+	request, err := protocol.AppendReport(nil, address, reports)
 	var answer *protocol.Message
 	if err == nil {
 		answer, err = a.roundTrip(untilMoved, request, reportTimeout)
--- a/internal/transport/endpoints.go
+++ b/internal/transport/endpoints.go
@@ -77,9 +77,10 @@
 
 // NewEndpoints returns a pool that keeps at most the given number of idle connections, each for less than keepAlive.
 func NewEndpoints(keepAlive, connectTimeout time.Duration, maxIdle int) *Endpoints {
-	early := max(minIdleMargin, time.Duration(idleMarginShare*float64(keepAlive)))
+	margin := max(minIdleMargin, time.Duration(idleMarginShare*float64(keepAlive)))
 	p := &Endpoints{
-		idleTimeout: max(0, keepAlive-early), connectTimeout: connectTimeout, maxIdle: max(1, maxIdle), idle: map[string][]*endpointConn{},
+		idleTimeout: max(0, keepAlive-margin), connectTimeout: connectTimeout, maxIdle: max(1, maxIdle),
+		idle: map[string][]*endpointConn{},
 	}
 	p.parsers.New = func() any { return protocol.NewAnswerParser(maxAnswerBytes) }
 	p.streamParsers.New = func() any {
@@ -202,12 +203,12 @@
 			return Result{Outcome: NotBegun}
 		}
 		if c.nothingReceived() {
-			kept := c.reused
-			reply, end, err := p.exchange(ctx, c, call.Call)
-			if end == Broken || end == Unconnected {
+			reused := c.reused
+			reply, outcome, err := p.exchange(ctx, c, call.Call)
+			if outcome == Broken || outcome == Unconnected {
 				p.logSample(call, "connection broken", err)
 			}
-			return Result{reply, end, kept}
+			return Result{reply, outcome, reused}
 		}
 		_ = c.Close()
 		p.count(&p.counters.ClosedBeforeUse)
@@ -233,15 +234,15 @@
 		total += int64(len(piece))
 	}
 	written, err := pieces.WriteTo(conn)
-	reply, end := protocol.Reply{}, Unconnected
+	reply, outcome := protocol.Reply{}, Unconnected
 	reusable := err == nil
 	if written == total {
-		var whole bool
-		reply, end, whole, err = p.readAnswer(ctx, conn)
+		var complete bool
+		reply, outcome, complete, err = p.readAnswer(ctx, conn)
 		if limited && !time.Now().Before(deadline) {
-			reply, end, whole = protocol.Reply{}, Abandoned, false
+			reply, outcome, complete = protocol.Reply{}, Abandoned, false
 		}
-		reusable = reusable && whole
+		reusable = reusable && complete
 	}
 	switch {
 	case !stop():
@@ -251,7 +252,7 @@
 	default:
 		_ = conn.Close()
 	}
-	return reply, end, err
+	return reply, outcome, err
 }
 
 // logSample logs a call whose connection could not be established or broke, and the system call that failed.
@@ -263,10 +264,10 @@
 	p.Samples.Note(what, reason, func(e *zerolog.Event) { e.Str("request", call.ID).Str("endpoint", call.Name).Err(err) })
 }
 
-// readAnswer reads a call's answer; keep reports whether the connection can carry another call. A status line with
+// readAnswer reads a call's answer; reusable reports whether the connection can carry another call. A status line with
 // 200 counts as a delivery even if the rest of the answer is faulty. Any other incomplete answer may belong to a call
 // that ran.
-func (p *Endpoints) readAnswer(ctx context.Context, conn *endpointConn) (reply protocol.Reply, end CallOutcome, reusable bool, readErr error) {
+func (p *Endpoints) readAnswer(ctx context.Context, conn *endpointConn) (reply protocol.Reply, outcome CallOutcome, reusable bool, readErr error) {
 	parser := p.parsers.Get().(*protocol.Parser)
 	defer func() {
 		parser.Reset()
@@ -378,13 +379,13 @@
 
 // leastRecentlyUsed returns the idle connection that has been idle the longest. The caller holds p.mu.
 func (p *Endpoints) leastRecentlyUsed() *endpointConn {
-	var coldest *endpointConn
+	var oldest *endpointConn
 	for _, conns := range p.idle {
-		if coldest == nil || conns[0].idleSince.Before(coldest.idleSince) {
-			coldest = conns[0]
+		if oldest == nil || conns[0].idleSince.Before(oldest.idleSince) {
+			oldest = conns[0]
 		}
 	}
-	return coldest
+	return oldest
 }
 
 // closeIdleConn closes a connection if it is idle. The caller holds p.mu.
--- a/internal/transport/stream.go
+++ b/internal/transport/stream.go
@@ -133,12 +133,13 @@
 		p.keepIdle(conn)
 		return StreamResult{Outcome: upload.outcome, Reused: conn.reused}
 	}
-	driver := &duplex{start: time.Now(), client: innerConn(upload.conn), endpoint: innerConn(conn), recordDelivery: call.RecordDelivery, streams: streams}
-	cutAt := 24 * time.Hour
+	driver := &duplex{start: time.Now(), client: innerConn(upload.conn), endpoint: innerConn(conn),
+		recordDelivery: call.RecordDelivery, streams: streams}
+	timeout := 24 * time.Hour
 	if deadline, ok := ctx.Deadline(); ok {
-		cutAt = time.Until(deadline)
+		timeout = time.Until(deadline)
 	}
-	call.Timeout = cutAt
+	call.Timeout = timeout
 	framing, length := upload.framing, upload.length
 	if framing == protocol.Chunked && upload.pipe.Complete() { // the whole body has arrived: send its length
 		framing, length = protocol.ByLength, upload.pipe.Received()
@@ -148,7 +149,8 @@
 	parser := p.streamParsers.Get().(*protocol.Parser)
 	defer func() { parser.Reset(); p.streamParsers.Put(parser) }()
 	driver.exchange = pump.New(pump.Config{
-		Request: upload.pipe, Answers: parser, MaxAnswerBytes: streams.MaxBodyBytes, IdleTimeout: streams.IdleTimeout, Deadline: cutAt, HTTP10: upload.http10, CloseClient: upload.closesClient(), Splice: true,
+		Request: upload.pipe, Answers: parser, MaxAnswerBytes: streams.MaxBodyBytes, IdleTimeout: streams.IdleTimeout,
+		Deadline: timeout, HTTP10: upload.http10, CloseClient: upload.closesClient(), Splice: true,
 		Window: func() []byte {
 			w := streams.getWindow()
 			upload.windows = append(upload.windows, w)
@@ -191,9 +193,9 @@
 func (p *Endpoints) finishStream(driver *duplex, conn *endpointConn, upload *Upload) StreamResult {
 	driver.mu.Lock() // an abort may be in progress
 	defer driver.mu.Unlock()
-	x := driver.exchange
-	keep, reusable := x.Reusable()
-	if !x.Begun() && conn.nothingReceived() {
+	exchange := driver.exchange
+	keep, reusable := exchange.Reusable()
+	if !exchange.Begun() && conn.nothingReceived() {
 		keep = true
 	}
 	if keep && conn.SetDeadline(time.Time{}) == nil {
@@ -201,10 +203,10 @@
 	} else {
 		_ = conn.Close()
 	}
-	upload.outcome, upload.answerStarted, upload.reusable = x.Outcome(), x.AnswerStarted(), reusable
+	upload.outcome, upload.answerStarted, upload.reusable = exchange.Outcome(), exchange.AnswerStarted(), reusable
 	upload.streams.counters[upload.outcome].Add(1)
 	return StreamResult{
-		Outcome: x.Outcome(), Reply: x.Reply(), Begun: x.Begun(), Sent: upload.pipe.Written(), Retryable: x.Retryable(), Reused: conn.reused,
+		Outcome: exchange.Outcome(), Reply: exchange.Reply(), Begun: exchange.Begun(), Sent: upload.pipe.Written(), Retryable: exchange.Retryable(), Reused: conn.reused,
 	}
 }
 
@@ -265,14 +267,14 @@
 }
 
 // write writes all pieces. An error of the system call is retried for as long as the connection is open.
-func (g *gatherWriter) write(c net.Conn, out [][]byte) (written int, err error) {
-	lasting := retryConn{c}
+func (g *gatherWriter) write(inner net.Conn, out [][]byte) (written int, err error) {
+	conn := retryConn{inner}
 	if len(out) == 1 {
-		return lasting.Write(out[0])
+		return conn.Write(out[0])
 	}
 	g.buffers = g.pieces[:copy(g.pieces[:], out)]
-	err = lasting.retry(lasting.canWrite, func() error {
-		n, err := g.buffers.WriteTo(c) // keeps the pieces that are not written
+	err = conn.retry(conn.canWrite, func() error {
+		n, err := g.buffers.WriteTo(inner) // keeps the pieces that are not written
 		written += int(n)
 		return err
 	})
