--- a/internal/transport/accept_test.go
+++ b/internal/transport/accept_test.go
@@ -64,7 +64,7 @@
 				<-l.failed
 			}
 			for _, conn := range []net.Conn{idleConn, newConn, last} {
-				submitAndRead(t, conn, "behind the failure")
+				submitAndRead(t, conn, "after the failure")
 			}
 			if got := s.Counters(); got.AcceptFailed != 3 || got.ClosedIdle+got.Silent != 0 {
 				t.Errorf("counters %+v", got)
@@ -130,7 +130,7 @@
 	for ago := time.Duration(0); ago < wait; { // as while accept fails
 		known := false
 		if ago, known = sinceReceived(conn); !known {
-			t.Fatal("the kernel does not tell")
+			t.Fatal("the kernel does not report when data arrived")
 		}
 	}
 	c := &clientConn{retryConn: retryConn{conn}, acceptDelayed: true}
@@ -138,7 +138,7 @@
 	served := make(chan struct{})
 	go func() { defer close(served); s.serve(c) }()
 	if timeout := <-s.Handler.(timeoutHandler).timeouts; timeout > 9*time.Second-wait {
-		t.Errorf("%v left of 9 s behind %v", timeout, wait)
+		t.Errorf("%v left of 9 s after a queue delay of %v", timeout, wait)
 	}
 	_ = client.Close()
 	<-served
--- a/internal/transport/closing_test.go
+++ b/internal/transport/closing_test.go
@@ -32,9 +32,9 @@
 }
 
 // submitRequest returns a request that submits a message, with additional header lines.
-func submitRequest(id, lines string) string {
+func submitRequest(id, headerLines string) string {
 	return "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: " + id + "\r\nX-Priority-Class: c\r\nX-Timeout-Ms: 9000\r\n" +
-		"X-Addressing: dest=1\r\nContent-Length: 0\r\n" + lines + "\r\n"
+		"X-Addressing: dest=1\r\nContent-Length: 0\r\n" + headerLines + "\r\n"
 }
 
 // expectLastAnswer reads one answer, which has to be a 202 with Connection: close, and then the end of the stream,
@@ -47,10 +47,10 @@
 		t.Fatal(err)
 	}
 	if res.StatusCode != 202 || !res.Close {
-		t.Errorf("answered %s, last: %v", res.Status, res.Close)
+		t.Errorf("answered %s, close: %v", res.Status, res.Close)
 	}
 	if n, err := io.Copy(io.Discard, r); n != 0 || err != nil {
-		t.Errorf("behind the last answer: %d bytes, %v", n, err)
+		t.Errorf("after the last answer: %d bytes, %v", n, err)
 	}
 }
 
@@ -63,8 +63,8 @@
 		lines string
 		stops bool
 	}{
-		"asked for": {100, "Connection: close\r\n", false},
-		"stopping":  {100, "", true},
+		"requested": {100, "Connection: close\r\n", false},
+		"shutdown":  {100, "", true},
 		"crowded":   {1, "", false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -108,13 +108,13 @@
 // timedOutConn is a connection whose first read times out, on command, whatever has arrived by then.
 type timedOutConn struct {
 	*net.TCPConn
-	up chan struct{}
+	expired chan struct{}
 }
 
 func (c *timedOutConn) Read(b []byte) (int, error) {
-	if c.up != nil {
-		<-c.up
-		c.up = nil
+	if c.expired != nil {
+		<-c.expired
+		c.expired = nil
 		return 0, os.ErrDeadlineExceeded
 	}
 	return c.TCPConn.Read(b)
@@ -123,11 +123,11 @@
 // A request that has arrived when its connection's deadline expires is answered as the last one, whether the deadline
 // is that of an idle connection, an eviction or the shutdown.
 func TestRequestAtDeadlineIsAnswered(t *testing.T) {
-	for name, cut := range map[string]func(*Clients, *clientConn){
-		"its own time":     func(*Clients, *clientConn) {},
-		"others' place":    func(s *Clients, _ *clientConn) { s.mu.Lock(); s.evict(stateNew, 0); s.mu.Unlock() },
-		"told to stop":     func(s *Clients, _ *clientConn) { s.shutDown() },
-		"both, one by one": func(s *Clients, _ *clientConn) { s.mu.Lock(); s.evict(stateNew, 0); s.mu.Unlock(); s.shutDown() },
+	for name, expire := range map[string]func(*Clients, *clientConn){
+		"read deadline":           func(*Clients, *clientConn) {},
+		"eviction":                func(s *Clients, _ *clientConn) { s.mu.Lock(); s.evict(stateNew, 0); s.mu.Unlock() },
+		"shutdown":                func(s *Clients, _ *clientConn) { s.shutDown() },
+		"eviction, then shutdown": func(s *Clients, _ *clientConn) { s.mu.Lock(); s.evict(stateNew, 0); s.mu.Unlock(); s.shutDown() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			client, conn := connPair(t)
@@ -136,19 +136,19 @@
 			c := &clientConn{retryConn: retryConn{gate}}
 			s.admit(c)
 			served := make(chan struct{})
-			up := gate.up
+			expired := gate.expired
 			go func() { defer close(served); s.serve(c) }()
 			fmt.Fprint(client, submitRequest("a", ""))
 			for n := 0; n == 0; { // until the request has arrived
 				n, _ = peek(conn)
 			}
-			cut(s, c)
-			close(up)
+			expire(s, c)
+			close(expired)
 			expectLastAnswer(t, client)
 			client.Close()
 			<-served
 			if s.closingConns != 0 || len(s.conns) != 0 {
-				t.Errorf("booked as ending %d, open %d", s.closingConns, len(s.conns))
+				t.Errorf("%d connections closing, %d open", s.closingConns, len(s.conns))
 			}
 		})
 	}
@@ -170,22 +170,22 @@
 	}
 	client.Close()
 	<-served
-	if l.times > 3 {
-		t.Errorf("its time was up %d times", l.times)
+	if l.timeouts > 3 {
+		t.Errorf("its deadline expired %d times", l.timeouts)
 	}
 }
 
 // emptyLineConn is a connection on which an empty line arrives just before each expiry of the deadline.
 type emptyLineConn struct {
 	*net.TCPConn
-	reads, times int
+	reads, timeouts int
 }
 
 func (l *emptyLineConn) Read(b []byte) (int, error) {
 	if l.reads++; l.reads%2 == 0 {
 		return copy(b, "\r\n"), nil
 	}
-	if l.times++; l.times > 100 {
+	if l.timeouts++; l.timeouts > 100 {
 		return 0, io.EOF
 	}
 	return 0, os.ErrDeadlineExceeded
--- a/internal/transport/idle_conn_test.go
+++ b/internal/transport/idle_conn_test.go
@@ -20,12 +20,12 @@
 		done func(*net.TCPConn)
 		used bool // the connection can be reused
 	}{
-		"nothing":           {func(*net.TCPConn) {}, true},
-		"it ends":           {func(c *net.TCPConn) { _ = c.CloseWrite() }, false},
-		"it is closed":      {func(c *net.TCPConn) { _ = c.Close() }, false},
-		"it is reset":       {func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() }, false},
-		"half a line comes": {func(c *net.TCPConn) { _, _ = io.WriteString(c, "HTTP/1.1 20") }, false},
-		"an answer comes":   {func(c *net.TCPConn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n") }, false},
+		"nothing":       {func(*net.TCPConn) {}, true},
+		"end of stream": {func(c *net.TCPConn) { _ = c.CloseWrite() }, false},
+		"close":         {func(c *net.TCPConn) { _ = c.Close() }, false},
+		"reset":         {func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() }, false},
+		"half a line":   {func(c *net.TCPConn) { _, _ = io.WriteString(c, "HTTP/1.1 20") }, false},
+		"an answer":     {func(c *net.TCPConn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n") }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -63,10 +63,10 @@
 					Call: protocol.Call{ID: id, Host: "x"}, Name: "a", Address: l.Addr().String(), Begin: func() bool { return true },
 				})
 				if r.Outcome != Answered || r.Reply.Status != 200 {
-					t.Fatalf("%s ended as %v with %+v", id, r.Outcome, r.Reply)
+					t.Fatalf("%s: outcome %v with %+v", id, r.Outcome, r.Reply)
 				}
 				if got := <-requests; got != id {
-					t.Errorf("%s came", got)
+					t.Errorf("the endpoint received %s", got)
 				}
 			}
 			invoke("first")
--- a/internal/transport/poll_schedule.go
+++ b/internal/transport/poll_schedule.go
@@ -65,7 +65,7 @@
 	}
 	n := time.Duration(min(forwarders, int(within/startSpacing))) // larger fleets reach the caps below
 	return PollSchedule{
-		startSpread: min(n*startSpacing, within/2, maxCallInterval),
+		startSpread:  min(n*startSpacing, within/2, maxCallInterval),
 		initialDelay: min(n*retrySpacing, within), maxDelay: 2 * within, random: random,
 	}
 }
--- a/internal/transport/poll_schedule_test.go
+++ b/internal/transport/poll_schedule_test.go
@@ -69,30 +69,30 @@
 		// Checks the simulation itself: at a fixed interval most forwarders never get the list.
 		fixedInterval := func(func() float64) PollSchedule { return PollSchedule{} }
 		if got := countLearned(fixedInterval, n, perSecond, perSecond, 30*time.Second); got > n/2 {
-			t.Errorf("on a fixed beat %d of %d learned it: discovery was not overbooked", got, n)
+			t.Errorf("at a fixed interval %d of %d learned it: discovery was not overloaded", got, n)
 		}
 	}
 }
 
 func TestPollScheduleByFleetSize(t *testing.T) {
-	chance := func(v float64) func() float64 { return func() float64 { return v } }
+	random := func(v float64) func() float64 { return func() float64 { return v } }
 	for _, n := range []int{-1, 0, 1, 2, 3, largeFleet - 1} {
 		if a := NewPollSchedule(n, callWithin, nil); a.startDelay() != 0 || a.delayAfter(1, 0, false) != retryDelay || a.delayAfter(1000, 0, false) != retryDelay {
-			t.Errorf("%d forwarders don't ask as few do", n)
+			t.Errorf("a fleet of %d forwarders delays its calls", n)
 		}
 	}
 	if a := NewPollSchedule(80, 0, nil); a.startDelay() != 0 || a.delayAfter(5, 0, false) != retryDelay {
-		t.Error("where the list comes by itself, nothing is spread")
+		t.Error("calls are delayed although the list is pushed")
 	}
 	for _, n := range []int{largeFleet, 80, 1000, 1 << 40} {
 		for _, v := range []float64{0, 0.5, 1} {
-			a := NewPollSchedule(n, callWithin, chance(v))
+			a := NewPollSchedule(n, callWithin, random(v))
 			if s := a.startDelay(); s < 0 || s > callWithin/2 {
 				t.Errorf("%d forwarders: the first call after %v", n, s)
 			}
 			for _, failures := range []int{0, 1, 2, 10, 1 << 30} {
 				if p := a.delayAfter(failures, 0, false); p < retryDelay || p > 2*callWithin {
-					t.Errorf("%d forwarders, %d failures: a pause of %v", n, failures, p)
+					t.Errorf("%d forwarders, %d failures: a delay of %v", n, failures, p)
 				}
 			}
 		}
@@ -115,7 +115,7 @@
 		ended := make(chan error, 1)
 		d := Discovery{
 			Address: NewAddress(discovery), KnownVersion: 7, Logger: zerolog.Nop(),
-			OnList: func(protocol.List) { t.Error("a refusal taught a list") },
+			OnList: func(protocol.List) { t.Error("an error answer was reported as a list") },
 		}
 		go func() { ended <- d.Watch(ctx) }()
 		if first, second := <-versions, <-versions; first != "7" || second != since {
@@ -141,17 +141,17 @@
 			for _, chance := range chances {
 				a := NewPollSchedule(forwarders, within, func() float64 { return chance })
 				if s := a.startDelay(); s > maxCallInterval {
-					t.Errorf("%d forwarders, %v: the first call %v behind the start", forwarders, within, s)
+					t.Errorf("%d forwarders, %v: the first call %v after the start", forwarders, within, s)
 				}
 				// A call is refused at once, cannot connect, breaks, or gets no answer until its timeout.
 				for _, took := range []time.Duration{0, 40 * time.Millisecond, agentConnectTimeout, listCallTimeout, 4 * time.Second, callTimeout} {
 					for _, failures := range []int{1, 2, 3, 9, 1 << 30} {
 						if next := took + a.delayAfter(failures, took, false); next > maxCallInterval {
-							t.Errorf("%d forwarders, %v: a call that failed within %v is followed by one %v behind its start",
+							t.Errorf("%d forwarders, %v: a call that failed within %v is followed by one %v after its start",
 								forwarders, within, took, next)
 						}
 						if next := took + a.delayAfter(failures, took, true); took <= listCallTimeout && next > maxCallIntervalAfterMove {
-							t.Errorf("%d forwarders, %v: behind a move, a call that failed within %v is followed by one %v behind its start",
+							t.Errorf("%d forwarders, %v: after a move, a call that failed within %v is followed by one %v after its start",
 								forwarders, within, took, next)
 						}
 					}
@@ -191,7 +191,7 @@
 			t.Errorf("learned %+v", l)
 		}
 	case <-time.After(maxCallInterval * 8 / 10): // the shortest delay that there could be
-		t.Error("a pause stands between a forgotten version and the whole list")
+		t.Error("the whole list was not requested right after an unknown version")
 	}
 	cancel()
 	if err := <-ended; err != nil {
--- a/internal/transport/retry_conn.go
+++ b/internal/transport/retry_conn.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// retry calls do until it succeeds, fails with an error that is not a system call's, or useful returns false.
+// retry calls do until it succeeds, fails with an error that is not a system call's, useful returns false, or
+// ioRetryTimeout has passed.
 func (c retryConn) retry(useful func() bool, do func() error) error {
 	err := do()
 	if err == nil || !isSyscallError(err) || !useful() {
--- a/internal/transport/retry_conn_test.go
+++ b/internal/transport/retry_conn_test.go
@@ -14,20 +14,20 @@
 // flakyConn fails reads and writes with errors of the system call on an open connection.
 type flakyConn struct {
 	*net.TCPConn
-	reads, writes, shutdowns int // failures before the first success; a failing write writes a part first
+	failingReads, failingWrites, failingShutdowns int // failures before the first success; a failing write writes a part first
 }
 
 var errFlaky = os.NewSyscallError("call", syscall.EHOSTUNREACH)
 
 func (c *flakyConn) Read(b []byte) (int, error) {
-	if c.reads--; c.reads >= 0 {
+	if c.failingReads--; c.failingReads >= 0 {
 		return 0, errFlaky
 	}
 	return c.TCPConn.Read(b)
 }
 
 func (c *flakyConn) Write(b []byte) (int, error) {
-	if c.writes--; c.writes >= 0 && len(b) > 1 {
+	if c.failingWrites--; c.failingWrites >= 0 && len(b) > 1 {
 		n, _ := c.TCPConn.Write(b[:len(b)/2])
 		return n, errFlaky
 	}
@@ -35,7 +35,7 @@
 }
 
 func (c *flakyConn) CloseWrite() error {
-	if c.shutdowns--; c.shutdowns >= 0 {
+	if c.failingShutdowns--; c.failingShutdowns >= 0 {
 		return errFlaky
 	}
 	return c.TCPConn.CloseWrite()
@@ -44,7 +44,7 @@
 // Guards against answers that are lost or cut short because reads, writes and shutdowns of an open connection fail
 // transiently, also where the client has already shut down its writing side.
 func TestAnswerSurvivesTransientErrors(t *testing.T) {
-	for name, halfClosed := range map[string]bool{"open": false, "client has ended its sending": true} {
+	for name, halfClosed := range map[string]bool{"open": false, "client has shut down writing": true} {
 		t.Run(name, func(t *testing.T) {
 			client, conn := connPair(t)
 			s := &Clients{Handler: hookHandler{}, MaxConnections: 4, conns: map[*clientConn]struct{}{}}
--- a/internal/transport/state_other.go
+++ b/internal/transport/state_other.go
@@ -20,4 +20,4 @@
 func tcpStateOf(net.Conn) tcpState     { return 0 }
 func unacknowledgedBytes(net.Conn) int { return -1 }
 
-func sinceReceived(net.Conn) (ago time.Duration, told bool) { return 0, false }
+func sinceReceived(net.Conn) (ago time.Duration, known bool) { return 0, false }
--- a/internal/transport/stream_test.go
+++ b/internal/transport/stream_test.go
@@ -96,7 +96,7 @@
 		t.Errorf("%v, %+v", r.Outcome, r)
 	}
 	if err := <-closed; err == nil {
-		t.Error("the partner took it for whole")
+		t.Error("the endpoint received a complete body")
 	}
 	if got := endpoints.Counters(); got.Idle != 0 {
 		t.Errorf("%d connections are kept", got.Idle)
