--- a/internal/transport/resting_test.go
+++ b/internal/transport/idle_conn_test.go
@@ -12,19 +12,20 @@
 	"mulleinbeam/internal/protocol"
 )
 
-// What an endpoint does to a connection behind its answer is seen before the connection is used again: nothing is written there,
-// and the call goes on a new one, once. The order is made: the next call starts when what was done has come.
-func TestWhatComesOnARestingConnectionIsSeenBeforeItsUse(t *testing.T) {
+// Whatever an endpoint does to a connection after its answer is detected before the connection is reused: nothing is
+// written there, and the call is made once, on a new connection. The order is forced: the second call starts when the
+// event has arrived.
+func TestIdleConnectionIsCheckedBeforeReuse(t *testing.T) {
 	for name, c := range map[string]struct {
 		done func(*net.TCPConn)
-		used bool // the connection can be used again
+		used bool // the connection can be reused
 	}{
-		"nothing":           {func(*net.TCPConn) {}, true},
-		"it ends":           {func(c *net.TCPConn) { _ = c.CloseWrite() }, false},
-		"it is closed":      {func(c *net.TCPConn) { _ = c.Close() }, false},
-		"it is reset":       {func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() }, false},
-		"half a line comes": {func(c *net.TCPConn) { _, _ = io.WriteString(c, "HTTP/1.1 20") }, false},
-		"an answer comes":   {func(c *net.TCPConn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n") }, false},
+		"nothing":       {func(*net.TCPConn) {}, true},
+		"end of stream": {func(c *net.TCPConn) { _ = c.CloseWrite() }, false},
+		"close":         {func(c *net.TCPConn) { _ = c.Close() }, false},
+		"reset":         {func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() }, false},
+		"half a line":   {func(c *net.TCPConn) { _, _ = io.WriteString(c, "HTTP/1.1 20") }, false},
+		"an answer":     {func(c *net.TCPConn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n") }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -62,18 +63,18 @@
 					Call: protocol.Call{ID: id, Host: "x"}, Name: "a", Address: l.Addr().String(), Begin: func() bool { return true },
 				})
 				if r.Outcome != Answered || r.Reply.Status != 200 {
-					t.Fatalf("%s ended as %v with %+v", id, r.Outcome, r.Reply)
+					t.Fatalf("%s: outcome %v with %+v", id, r.Outcome, r.Reply)
 				}
 				if got := <-requests; got != id {
-					t.Errorf("%s came", got)
+					t.Errorf("the endpoint received %s", got)
 				}
 			}
 			invoke("first")
 			c.done(<-conns)
 			p.mu.Lock()
-			resting := p.idle["a"][0]
+			idleConn := p.idle["a"][0]
 			p.mu.Unlock()
-			for !c.used && resting.quiet() { // until it has come
+			for !c.used && idleConn.nothingReceived() { // until the event has arrived
 			}
 			invoke("second")
 			opened, ended := int64(2), int64(1)
