--- a/internal/cluster/links/links.go
+++ b/internal/cluster/links/links.go
@@ -1,8 +1,9 @@
-// Package links carries calls between the forwarders of a fleet: the standard library's net/rpc with gob over TCP, one
-// connection a direction, on a network that is trusted. gob leaves out what a side does not know, so versions may differ. A
-// call that has no answer in its time takes its connection along: a link that stalls without a word is not waited on twice. A peer that is
-// too busy for connections, or whose calls have no answers again and again, is dialled after growing and random delays, so that many
-// callers do not keep it busy with new connections; meanwhile calls to it fail at once.
+// Package links carries remote calls between the forwarders of a fleet. It uses the standard library's net/rpc with gob
+// over TCP, with one connection for each direction, on a trusted network. gob ignores fields that one side does not
+// know, so versions may differ. A call that is not answered in time closes its connection, so that no later call waits
+// on a link that has stalled. A peer that is too busy to accept connections, or that repeatedly leaves calls
+// unanswered, is redialled with exponential backoff and jitter, so that many callers do not keep it busy with new
+// connections. During the backoff, calls to it fail at once.
 package links
 
 import (
@@ -18,39 +19,39 @@
 )
 
 const (
-	dialFor    = time.Second
-	retryAfter = 100 * time.Millisecond // until a peer that refused is dialled again; the mean delay of one that stalled
-	retryMost  = 2 * time.Second        // the mean delay, however often it has stalled
+	dialTimeout    = time.Second
+	redialDelay    = 100 * time.Millisecond // delay after a refused connection, and mean of the first backoff
+	maxRedialDelay = 2 * time.Second        // bound on the mean backoff
 )
 
-// ErrDown is given while a peer that could not be reached is left alone for a moment.
-var ErrDown = errors.New("links: not reached a moment ago")
+// ErrDown is returned while a peer that could not be reached is not redialled yet.
+var ErrDown = errors.New("links: peer unreachable, waiting to redial")
 
-// Peer is the way to one other process. Its methods may be called from any goroutine.
+// Peer is a client of one other process. Its methods may be called from any goroutine.
 type Peer struct {
 	address string
 
-	mu      sync.Mutex
-	client  *rpc.Client
-	dialing chan struct{} // closed when the dial under way has ended
-	delays  *backoff.ExponentialBackOff
-	stalls  int       // calls without an answer since the latest that had one
-	next    time.Time // it is not dialled before
-	err     error
-	closed  bool
+	mu       sync.Mutex
+	client   *rpc.Client
+	dialing  chan struct{} // closed when the dial in progress has ended; nil if there is none
+	backoff  *backoff.ExponentialBackOff
+	timeouts int       // unanswered calls since the latest answered one
+	redialAt time.Time // the peer is not dialled before this time
+	lastErr  error
+	closed   bool
 }
 
-// NewPeer is one that is dialled when it is first called.
+// NewPeer returns a peer that is dialled at its first call.
 func NewPeer(address string) *Peer {
-	return &Peer{address: address, delays: &backoff.ExponentialBackOff{
-		InitialInterval: retryAfter, MaxInterval: retryMost, Multiplier: 2, RandomizationFactor: 0.5,
+	return &Peer{address: address, backoff: &backoff.ExponentialBackOff{
+		InitialInterval: redialDelay, MaxInterval: maxRedialDelay, Multiplier: 2, RandomizationFactor: 0.5,
 	}}
 }
 
-// Address is where it is dialled.
+// Address returns the address that is dialled.
 func (p *Peer) Address() string { return p.address }
 
-// Call calls a method, such as Council.Ask, and waits for its answer until ctx ends.
+// Call calls a method, such as Council.Ask, and waits for the answer until ctx is done.
 func (p *Peer) Call(ctx context.Context, method string, args, reply any) error {
 	client, err := p.dial(ctx)
 	if err != nil {
@@ -59,20 +60,20 @@
 	call := client.Go(method, args, reply, make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
-		var said rpc.ServerError
-		if call.Error != nil && !errors.As(call.Error, &said) {
-			p.drop(client)
+		var serverError rpc.ServerError
+		if call.Error != nil && !errors.As(call.Error, &serverError) {
+			p.closeClient(client)
 		} else {
-			p.answered()
+			p.callAnswered()
 		}
 		if call.Error != nil {
 			return fmt.Errorf("links: %s: %w", p.address, call.Error)
 		}
 		return nil
 	case <-ctx.Done():
-		p.drop(client)
-		p.stalled(ctx.Err())
-		<-call.Done // reply is nobody else's again
+		p.closeClient(client)
+		p.callTimedOut(ctx.Err())
+		<-call.Done // from here on net/rpc does not write to reply
 		return fmt.Errorf("links: %s: %w", p.address, ctx.Err())
 	}
 }
@@ -88,28 +89,28 @@
 			defer p.mu.Unlock()
 			return p.client, nil
 		case p.dialing != nil:
-			wait := p.dialing
+			dialDone := p.dialing
 			p.mu.Unlock()
 			select {
-			case <-wait:
+			case <-dialDone:
 				continue
 			case <-ctx.Done():
 				return nil, ctx.Err()
 			}
-		case time.Now().Before(p.next):
+		case time.Now().Before(p.redialAt):
 			defer p.mu.Unlock()
-			return nil, errors.Join(ErrDown, p.err)
+			return nil, errors.Join(ErrDown, p.lastErr)
 		}
-		done := make(chan struct{})
-		p.dialing = done
+		dialDone := make(chan struct{})
+		p.dialing = dialDone
 		p.mu.Unlock()
-		d := net.Dialer{Timeout: dialFor}
-		conn, err := d.DialContext(ctx, "tcp", p.address)
+		dialer := net.Dialer{Timeout: dialTimeout}
+		conn, err := dialer.DialContext(ctx, "tcp", p.address)
 		p.mu.Lock()
 		p.dialing = nil
-		close(done)
+		close(dialDone)
 		if err != nil {
-			p.refused(err)
+			p.dialFailed(err)
 			p.mu.Unlock()
 			return nil, err
 		}
@@ -122,41 +123,43 @@
 	}
 }
 
-// delay has the peer left alone for a while, longer each time; p.mu is held.
-func (p *Peer) delay(err error) {
-	p.next, p.err = time.Now().Add(p.delays.NextBackOff()), err
+// startBackoff blocks dials for a delay that grows with each call; p.mu must be held.
+func (p *Peer) startBackoff(err error) {
+	p.redialAt, p.lastErr = time.Now().Add(p.backoff.NextBackOff()), err
 }
 
-// refused notes a dial that failed; p.mu is held. A peer that is not there costs nobody anything and may be back at once: it is dialled again
-// soon. One that is too busy to take a connection is left alone as one that has no answers.
-func (p *Peer) refused(err error) {
-	var slow net.Error
-	if errors.As(err, &slow) && slow.Timeout() {
-		p.delay(err)
+// dialFailed handles a failed dial; p.mu must be held. A peer that is not running is redialled soon: a refused
+// connection is cheap, and the peer may be back at any time. A dial that timed out means that the peer is too busy to
+// accept connections, and starts a backoff as an unanswered call does.
+func (p *Peer) dialFailed(err error) {
+	var netError net.Error
+	if errors.As(err, &netError) && netError.Timeout() {
+		p.startBackoff(err)
 		return
 	}
-	p.next, p.err = time.Now().Add(retryAfter), err
+	p.redialAt, p.lastErr = time.Now().Add(redialDelay), err
 }
 
-// answered notes that the peer answers calls.
-func (p *Peer) answered() {
+// callAnswered resets the backoff after an answered call.
+func (p *Peer) callAnswered() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stalls = 0
-	p.delays.Reset()
+	p.timeouts = 0
+	p.backoff.Reset()
 }
 
-// stalled notes a call without an answer. The first of them is tried again at once, on a new connection.
-func (p *Peer) stalled(err error) {
+// callTimedOut handles an unanswered call. After the first one in a row the peer may be redialled at once, after
+// further ones only after a backoff.
+func (p *Peer) callTimedOut(err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.stalls++; p.stalls > 1 {
-		p.delay(err)
+	if p.timeouts++; p.timeouts > 1 {
+		p.startBackoff(err)
 	}
 }
 
-// drop ends a connection that is of no use, if it is still the one.
-func (p *Peer) drop(client *rpc.Client) {
+// closeClient closes a connection, and forgets it if it is still the current one.
+func (p *Peer) closeClient(client *rpc.Client) {
 	p.mu.Lock()
 	if p.client == client {
 		p.client = nil
@@ -165,7 +168,7 @@
 	_ = client.Close()
 }
 
-// Close ends the connection and everything that waits on it.
+// Close closes the connection; calls that wait on it fail.
 func (p *Peer) Close() {
 	p.mu.Lock()
 	client := p.client
@@ -176,24 +179,24 @@
 	}
 }
 
-// Peers is a set of them by address.
+// Peers is a set of peers by address.
 type Peers struct {
-	// DialAddresses maps an address to the one that is dialled for it, where the two differ.
+	// DialAddresses maps an address to the one to dial instead, where the two differ.
 	DialAddresses map[string]string
 
 	mu    sync.Mutex
 	peers map[string]*Peer
 }
 
-// DialAddress is what is dialled for an address.
+// DialAddress returns the address to dial for an address.
 func (p *Peers) DialAddress(address string) string {
-	if via, other := p.DialAddresses[address]; other {
-		return via
+	if dialAddress, mapped := p.DialAddresses[address]; mapped {
+		return dialAddress
 	}
 	return address
 }
 
-// At is the peer at an address.
+// At returns the peer at an address and creates it if there is none.
 func (p *Peers) At(address string) *Peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -208,7 +211,7 @@
 	return peer
 }
 
-// Retain closes all but those at the addresses given.
+// Retain closes and removes all peers but those at the addresses given.
 func (p *Peers) Retain(addresses map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -220,14 +223,15 @@
 	}
 }
 
-// Close closes all.
+// Close closes all peers.
 func (p *Peers) Close() { p.Retain(nil) }
 
-// servedConn is closed as soon as its other end has closed it or it has failed. net/rpc would keep it, and its descriptor, until the last
-// call that came on it has ended, although nobody is left to have the answer.
+// servedConn closes itself as soon as a read fails, because the other end has closed the connection or the connection
+// has failed. net/rpc would keep it, and its file descriptor, until the last call on it has ended, although the answer
+// can no longer be sent.
 type servedConn struct{ net.Conn }
 
-// Read is net.Conn's.
+// Read implements net.Conn.
 func (c servedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if err != nil {
@@ -236,11 +240,12 @@
 	return n, err
 }
 
-// Serve answers calls to services, by name, until the listener is closed; it returns when all its connections have ended.
+// Serve answers calls to the services, which are registered by name, until the listener is closed. It returns when all
+// its connections have ended.
 func Serve(listener net.Listener, services map[string]any) error {
 	server := rpc.NewServer()
-	for name, s := range services {
-		if err := server.RegisterName(name, s); err != nil {
+	for name, service := range services {
+		if err := server.RegisterName(name, service); err != nil {
 			return fmt.Errorf("links: %w", err)
 		}
 	}
@@ -260,8 +265,8 @@
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil { // out of descriptors, say
-			time.Sleep(retryAfter)
+		if err != nil { // for example, no file descriptors left
+			time.Sleep(redialDelay)
 			continue
 		}
 		mu.Lock()
--- a/internal/cluster/links/links_test.go
+++ b/internal/cluster/links/links_test.go
@@ -11,33 +11,33 @@
 	"time"
 )
 
-// Slow is a service whose calls end when the test says so.
-type Slow struct{ came, end chan struct{} }
+// SlowService is a service whose calls end when the test lets them.
+type SlowService struct{ started, release chan struct{} }
 
 // Wait is called over the link.
-func (s Slow) Wait(bool, *bool) error {
-	s.came <- struct{}{}
-	<-s.end
+func (s SlowService) Wait(bool, *bool) error {
+	s.started <- struct{}{}
+	<-s.release
 	return nil
 }
 
-// toldListener tells of connections that the server has closed.
-type toldListener struct {
+// observedListener reports when the server closes a connection that it has accepted.
+type observedListener struct {
 	net.Listener
 	closed chan struct{}
 }
 
-func (l toldListener) Accept() (net.Conn, error) {
+func (l observedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
-	return toldConn{c, l.closed}, err
+	return observedConn{c, l.closed}, err
 }
 
-type toldConn struct {
+type observedConn struct {
 	net.Conn
 	closed chan struct{}
 }
 
-func (c toldConn) Close() error {
+func (c observedConn) Close() error {
 	select {
 	case c.closed <- struct{}{}:
 	default:
@@ -45,83 +45,86 @@
 	return c.Conn.Close()
 }
 
-// A server does not keep the connection of a caller that has gone while its call goes on: 3,000 callers that gave up and came again filled a
-// voter's 20,000 descriptors, and nobody got in any more.
-func TestAServerClosesWhatItsCallerHasClosed(t *testing.T) {
+// A server that keeps the connection of a caller that has gone, while the call goes on, runs out of file descriptors:
+// 3,000 callers that gave up and reconnected used up the 20,000 descriptors of a voter, which then accepted no
+// connections.
+func TestServerClosesConnectionOfGoneCaller(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	slow := Slow{make(chan struct{}, 1), make(chan struct{})}
-	closed, ended := make(chan struct{}, 1), make(chan error, 1)
-	go func() { ended <- Serve(toldListener{listener, closed}, map[string]any{"Slow": slow}) }()
+	service := SlowService{make(chan struct{}, 1), make(chan struct{})}
+	closed, served := make(chan struct{}, 1), make(chan error, 1)
+	go func() { served <- Serve(observedListener{listener, closed}, map[string]any{"Slow": service}) }()
 	peer := NewPeer(listener.Addr().String())
-	ctx, giveUp := context.WithCancel(t.Context())
-	go func() { <-slow.came; giveUp() }()
+	ctx, cancel := context.WithCancel(t.Context())
+	go func() { <-service.started; cancel() }()
 	if err := peer.Call(ctx, "Slow.Wait", true, new(bool)); !errors.Is(err, context.Canceled) {
 		t.Errorf("call: %v", err)
 	}
-	<-closed // while the call goes on
-	close(slow.end)
+	<-closed // before the call has ended
+	close(service.release)
 	_ = listener.Close()
-	if err := <-ended; err != nil {
+	if err := <-served; err != nil {
 		t.Error(err)
 	}
 }
 
-// A peer whose calls stall is called anew at once, and from then on after growing delays in which calls fail without a connection. An answer
-// ends that.
-func TestAPeerThatStallsIsLeftAlone(t *testing.T) {
+// A peer that leaves a call unanswered is redialled at once after the first timeout, and with growing backoff after
+// further ones; during the backoff calls fail without a connection. An answered call resets the backoff. Without it,
+// many callers keep a busy peer busy with new connections.
+func TestUnresponsivePeerIsRedialledWithBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := NewPeer("")
-		mayDial := func() bool { return !time.Now().Before(p.next) }
-		p.stalled(context.DeadlineExceeded)
+		mayDial := func() bool { return !time.Now().Before(p.redialAt) }
+		p.callTimedOut(context.DeadlineExceeded)
 		if !mayDial() {
-			t.Error("not tried again at once")
+			t.Error("not redialled at once after the first timeout")
 		}
-		for _, mean := range []time.Duration{retryAfter, 2 * retryAfter, 4 * retryAfter} {
-			p.stalled(context.DeadlineExceeded)
+		for _, mean := range []time.Duration{redialDelay, 2 * redialDelay, 4 * redialDelay} {
+			p.callTimedOut(context.DeadlineExceeded)
 			if _, err := p.dial(t.Context()); !errors.Is(err, ErrDown) {
-				t.Errorf("dialled: %v", err)
+				t.Errorf("dial during the backoff: %v", err)
 			}
 			time.Sleep(mean/2 - time.Millisecond)
 			if mayDial() {
-				t.Errorf("dialled again after less than %v", mean/2)
+				t.Errorf("redialled after less than %v", mean/2)
 			}
 			if time.Sleep(mean + 2*time.Millisecond); !mayDial() {
-				t.Errorf("not dialled again after %v", 2*mean)
+				t.Errorf("not redialled after %v", 2*mean)
 			}
 		}
 		for range 20 {
-			p.stalled(context.DeadlineExceeded)
+			p.callTimedOut(context.DeadlineExceeded)
 		}
-		if wait := time.Until(p.next); wait > 2*retryMost {
-			t.Errorf("left alone for %v", wait)
+		if wait := time.Until(p.redialAt); wait > 2*maxRedialDelay {
+			t.Errorf("backoff of %v", wait)
 		}
-		p.answered()
-		if p.stalled(context.DeadlineExceeded); p.stalls != 1 {
-			t.Errorf("%d stalls behind an answer and one", p.stalls)
+		p.callAnswered()
+		if p.callTimedOut(context.DeadlineExceeded); p.timeouts != 1 {
+			t.Errorf("%d timeouts counted after an answer and one timeout", p.timeouts)
 		}
 	})
 }
 
-// A peer that is not there is dialled again soon, however long it was away: a member that was restarted is back with all others at once. One
-// that is too busy to take a connection is left alone for longer each time.
-func TestAPeerThatIsAwayIsDialledAgainSoon(t *testing.T) {
+// A peer that refuses connections is redialled after a short constant delay, however long it was away, so that all
+// other members reach a restarted member at once. A peer that is too busy to accept a connection is redialled with
+// growing backoff.
+func TestRefusedDialIsRetriedSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := NewPeer("")
 		for range 20 {
-			p.refused(syscall.ECONNREFUSED)
-			if wait := time.Until(p.next); wait != retryAfter {
-				t.Fatalf("left alone for %v", wait)
+			p.dialFailed(syscall.ECONNREFUSED)
+			if wait := time.Until(p.redialAt); wait != redialDelay {
+				t.Fatalf("redial after %v", wait)
 			}
-			time.Sleep(retryAfter)
+			time.Sleep(redialDelay)
 		}
 		for range 20 {
-			p.refused(os.ErrDeadlineExceeded)
+			p.dialFailed(os.ErrDeadlineExceeded)
 		}
-		if wait := time.Until(p.next); wait < retryMost/2 {
-			t.Errorf("a busy peer is left alone for %v", wait)
+		if wait := time.Until(p.redialAt); wait < maxRedialDelay/2 {
+			t.Errorf("a busy peer is redialled after %v", wait)
 		}
 	})
 }
--- a/internal/cluster/replication/disk.go
+++ b/internal/cluster/replication/disk.go
@@ -11,183 +11,190 @@
 	"mulleinbeam/internal/routing/wal/store"
 )
 
-// ErrFull is given when a copy finds no room.
-var ErrFull = errors.New("copies: no room")
+// ErrFull is returned when the space for replicas is used up.
+var ErrFull = errors.New("replication: no space left for replicas")
 
 const (
-	spaceShares  = 16 // segments that the space for copies is divided into
-	leastSegment = 64 << 10
-	mostSegment  = 8 << 20
+	segmentsPerDisk = 16 // segments that the space for replicas is divided into, within the sizes below
+	minSegmentBytes = 64 << 10
+	maxSegmentBytes = 8 << 20
 )
 
-// at is what a record on the disk is of.
-type at struct {
-	life    controlplane.Incarnation
-	message uint64
-	past    string
+// recordKey identifies what a stored record describes: a message, a completed message ID, or, with neither, the
+// position of a replica.
+type recordKey struct {
+	incarnation controlplane.Incarnation
+	message     uint64
+	pastID      string
 }
 
-// Disk keeps what a shelf wants kept, in the journal's store: a key for each message, for each id that is over and for how far a
-// copy goes. It is not safe for concurrent use, but for Commit.
+// Disk persists the records of a Store in the journal's storage engine, under one key for each message, each completed
+// message ID and the position of each replica. Commit and Compact may be called from any goroutine; the other methods
+// are not safe for concurrent use.
 type Disk struct {
-	store *store.Store
-	next  uint64
-	keys  map[at]uint64
-	lives map[controlplane.Incarnation]map[at]bool
+	store         *store.Store
+	nextKey       uint64
+	keys          map[recordKey]uint64
+	byIncarnation map[controlplane.Incarnation]map[recordKey]bool
 }
 
-// OpenDisk opens a folder and gives what is kept there, in its order. Damaged records are told to report and left out.
-func OpenDisk(fs fsys.FS, space int64, d store.Durability, report func(string), give func(DiskRecord)) (*Disk, error) {
-	k := &Disk{next: 1, keys: map[at]uint64{}, lives: map[controlplane.Incarnation]map[at]bool{}}
+// OpenDisk opens a folder and passes each stored record to restore, in the order of writing. Unreadable records are
+// passed to report and skipped.
+func OpenDisk(fs fsys.FS, space int64, durability store.Durability, report func(string), restore func(DiskRecord)) (*Disk, error) {
+	d := &Disk{nextKey: 1, keys: map[recordKey]uint64{}, byIncarnation: map[controlplane.Incarnation]map[recordKey]bool{}}
 	var err error
-	k.store, err = store.Open(store.Options{
-		FS: fs, Bound: space, Segment: min(mostSegment, max(leastSegment, space/spaceShares)), Durability: d, Seed: 1, Report: report,
-	}, func(r store.Record) {
-		kept, err := decode(r.Payload)
+	d.store, err = store.Open(store.Options{
+		FS: fs, Bound: space, Segment: min(maxSegmentBytes, max(minSegmentBytes, space/segmentsPerDisk)), Durability: durability, Seed: 1, Report: report,
+	}, func(stored store.Record) {
+		record, err := decode(stored.Payload)
 		if err != nil {
-			report(fmt.Sprintf("copies: record %d: %v, passed over", r.Number, err))
+			report(fmt.Sprintf("replication: record %d: %v, skipped", stored.Number, err))
 			return
 		}
-		k.book(at{kept.Life, kept.Message, kept.PastID}, r.Key)
-		give(kept)
+		d.index(recordKey{record.Life, record.Message, record.PastID}, stored.Key)
+		restore(record)
 	})
 	if err != nil {
-		return nil, fmt.Errorf("copies: %w", err)
+		return nil, fmt.Errorf("replication: %w", err)
 	}
-	k.next = k.store.LastKey() + 1
-	return k, nil
+	d.nextKey = d.store.LastKey() + 1
+	return d, nil
 }
 
-func (k *Disk) book(a at, key uint64) {
-	k.keys[a] = key
-	if k.lives[a.life] == nil {
-		k.lives[a.life] = map[at]bool{}
+// index remembers the storage key of a record.
+func (d *Disk) index(record recordKey, key uint64) {
+	d.keys[record] = key
+	if d.byIncarnation[record.incarnation] == nil {
+		d.byIncarnation[record.incarnation] = map[recordKey]bool{}
 	}
-	k.lives[a.life][a] = true
+	d.byIncarnation[record.incarnation][record] = true
 }
 
-// Save writes what a shelf wants kept and gives what Commit needs. ErrFull says that there is no room, and that what is kept of
-// that life is of no use any more.
-func (k *Disk) Save(list []DiskRecord) (last uint64, err error) {
-	for _, kept := range list {
-		num, err := k.save(kept)
+// Save writes records and returns the number to pass to Commit. ErrFull means that there is no space for them; what is
+// stored of the replica concerned may then be incomplete and must not be used.
+func (d *Disk) Save(list []DiskRecord) (last uint64, err error) {
+	for _, record := range list {
+		num, err := d.saveRecord(record)
 		if errors.Is(err, store.ErrFull) {
-			k.store.Refused()
+			d.store.Refused()
 			return last, ErrFull
 		}
 		if err != nil {
-			return last, fmt.Errorf("copies: %w", err)
+			return last, fmt.Errorf("replication: %w", err)
 		}
 		last = max(last, num)
 	}
 	return last, nil
 }
 
-func (k *Disk) save(kept DiskRecord) (num uint64, err error) {
-	if kept.Reset {
-		for a := range k.lives[kept.Life] {
-			if num, err = k.end(a); err != nil {
+func (d *Disk) saveRecord(record DiskRecord) (num uint64, err error) {
+	if record.Reset {
+		for stored := range d.byIncarnation[record.Life] {
+			if num, err = d.deleteRecord(stored); err != nil {
 				return num, err
 			}
 		}
-		delete(k.lives, kept.Life)
-		if kept.Index == 0 {
+		delete(d.byIncarnation, record.Life)
+		if record.Index == 0 {
 			return num, nil
 		}
 	}
-	a := at{kept.Life, kept.Message, kept.PastID}
-	if kept.Delete {
-		if num, err = k.end(a); err != nil || kept.Message == 0 {
+	target := recordKey{record.Life, record.Message, record.PastID}
+	if record.Delete {
+		if num, err = d.deleteRecord(target); err != nil || record.Message == 0 {
 			return num, err
 		}
-		a.message, kept.Message = 0, 0 // how far the copy goes is kept beside: it must not fall back
-	} else if key, there := k.keys[a]; there && kept.Message != 0 {
-		return k.store.Add(key, encode(kept))
+		target.message, record.Message = 0, 0 // stores the position separately, so that the last index does not go back
+	} else if key, there := d.keys[target]; there && record.Message != 0 {
+		return d.store.Add(key, encode(record))
 	}
-	if a.message == 0 && a.past == "" {
-		kept.Payload = nil
+	if target.message == 0 && target.pastID == "" {
+		record.Payload = nil
 	}
-	if _, err = k.end(a); err != nil {
+	if _, err = d.deleteRecord(target); err != nil {
 		return num, err
 	}
-	key := k.next
-	k.next++
-	if num, err = k.store.Put(key, encode(kept), 0); err == nil {
-		k.book(a, key)
+	key := d.nextKey
+	d.nextKey++
+	if num, err = d.store.Put(key, encode(record), 0); err == nil {
+		d.index(target, key)
 	}
 	return num, err
 }
 
-func (k *Disk) end(a at) (num uint64, err error) {
-	key, there := k.keys[a]
+func (d *Disk) deleteRecord(record recordKey) (num uint64, err error) {
+	key, there := d.keys[record]
 	if !there {
 		return 0, nil
 	}
-	delete(k.keys, a)
-	delete(k.lives[a.life], a)
-	if num, err = k.store.End(key); errors.Is(err, store.ErrUnknown) {
+	delete(d.keys, record)
+	delete(d.byIncarnation[record.incarnation], record)
+	if num, err = d.store.End(key); errors.Is(err, store.ErrUnknown) {
 		return 0, nil
 	}
 	return num, err
 }
 
-// Commit returns once all up to a number outlasts what the store's durability says. It may be called from any goroutine.
-func (k *Disk) Commit(num uint64) error { return k.store.Commit(num) }
+// Commit returns once all records up to a number are as durable as the disk's durability setting demands. It may be
+// called from any goroutine.
+func (d *Disk) Commit(num uint64) error { return d.store.Commit(num) }
 
-// Broken is closed once only the next start can keep anything.
-func (k *Disk) Broken() <-chan struct{} { return k.store.Broken() }
+// Broken returns a channel that is closed when the disk has failed and can store nothing until the next start.
+func (d *Disk) Broken() <-chan struct{} { return d.store.Broken() }
 
-// Compact gains room where that is worth it. It may be called from any goroutine.
-func (k *Disk) Compact() error {
+// Compact reclaims space where that is worthwhile. It may be called from any goroutine.
+func (d *Disk) Compact() error {
 	for {
-		if did, err := k.store.Compact(nil); err != nil || !did {
+		if did, err := d.store.Compact(nil); err != nil || !did {
 			return err
 		}
 	}
 }
 
-// Stats tells how full it is.
-func (k *Disk) Stats() store.Stats { return k.store.Stats() }
+// Stats returns the space in use and other figures of the storage engine.
+func (d *Disk) Stats() store.Stats { return d.store.Stats() }
 
 // Close closes the folder.
-func (k *Disk) Close() error { return k.store.Close() }
+func (d *Disk) Close() error { return d.store.Close() }
 
-func text(b []byte, s string) []byte { return append(binary.AppendUvarint(b, uint64(len(s))), s...) }
+func appendString(b []byte, s string) []byte {
+	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
+}
 
-func encode(k DiskRecord) []byte {
-	b := text(nil, k.Life.Name)
-	b = binary.AppendUvarint(binary.AppendUvarint(b, k.Life.Number), k.Index)
-	b = binary.AppendVarint(b, int64(k.Skew))
-	return append(text(binary.AppendUvarint(b, k.Message), k.PastID), k.Payload...)
+func encode(record DiskRecord) []byte {
+	b := appendString(nil, record.Life.Name)
+	b = binary.AppendUvarint(binary.AppendUvarint(b, record.Life.Number), record.Index)
+	b = binary.AppendVarint(b, int64(record.Skew))
+	return append(appendString(binary.AppendUvarint(b, record.Message), record.PastID), record.Payload...)
 }
 
-var errForm = errors.New("record of no known form")
+var errMalformedRecord = errors.New("malformed record")
 
-func decode(b []byte) (k DiskRecord, err error) {
-	number := func() (v uint64) {
+func decode(b []byte) (record DiskRecord, err error) {
+	readUvarint := func() (v uint64) {
 		v, n := binary.Uvarint(b)
 		if n <= 0 {
-			err, b = errForm, nil
+			err, b = errMalformedRecord, nil
 			return 0
 		}
 		b = b[n:]
 		return v
 	}
-	word := func() string {
-		n := number()
+	readString := func() string {
+		n := readUvarint()
 		if n > uint64(len(b)) {
-			err, b = errForm, nil
+			err, b = errMalformedRecord, nil
 			return ""
 		}
 		s := string(b[:n])
 		b = b[n:]
 		return s
 	}
-	k.Life.Name = word()
-	k.Life.Number, k.Index = number(), number()
-	skew := number()
-	k.Skew = time.Duration(int64(skew>>1) ^ -int64(skew&1))
-	k.Message, k.PastID = number(), word()
-	k.Payload = append([]byte(nil), b...)
-	return k, err
+	record.Life.Name = readString()
+	record.Life.Number, record.Index = readUvarint(), readUvarint()
+	skew := readUvarint()
+	record.Skew = time.Duration(int64(skew>>1) ^ -int64(skew&1))
+	record.Message, record.PastID = readUvarint(), readString()
+	record.Payload = append([]byte(nil), b...)
+	return record, err
 }
--- a/internal/cluster/replication/merge.go
+++ b/internal/cluster/replication/merge.go
@@ -8,19 +8,20 @@
 	"mulleinbeam/internal/routing/wal"
 )
 
-// Content is what is known of one life's messages: those that are not over by their number, and the ids of those that are.
+// Content is what is known of the messages of one incarnation: those not yet completed, by sequence number, and the IDs
+// of those that are.
 type Content struct {
 	Messages map[uint64]*wal.Message
 	Past     map[string]wal.Past
 }
 
-// ContentOf takes what a copy says, with the owner's times put on the keeper's clock.
+// ContentOf returns the content of a replica, with the owner's times converted to the replica's clock.
 func ContentOf(c *wal.Copy, skew time.Duration) Content {
 	out := Content{Messages: map[uint64]*wal.Message{}, Past: map[string]wal.Past{}}
 	for _, m := range c.Messages() {
-		moved := *m
-		moved.Shift(skew)
-		out.Messages[m.Seq] = &moved
+		shifted := *m
+		shifted.Shift(skew)
+		out.Messages[m.Seq] = &shifted
 	}
 	for _, p := range c.Past() {
 		p.At = p.At.Add(skew)
@@ -29,21 +30,22 @@
 	return out
 }
 
-// Merge is what holds where copies of one life's log differ. It commutes, associates and is idempotent, so that it does not matter
-// who merges what with whom, and in which order. The table is docs/design/replication.md's:
+// Merge combines two differing replicas of one incarnation's log. It is commutative, associative and idempotent, so the
+// result does not depend on which replicas are merged in which order. The rules are those of
+// docs/design/replication.md:
 //
-//	over                            over everything: an id that is over for one is over
-//	given up, handed back           over whatever has no end
-//	may have run                    over a call that is out, over never begun
-//	two calls that may have run     the earlier, from which a key's window is counted
-//	delivered                       over given up, of ids that are over
+//	completed                       wins over everything: an ID completed in one replica is completed
+//	abandoned, returned             win over a message without an ending
+//	may have run                    wins over a call in progress, which wins over never started
+//	two calls that may have run     the earlier wins; a key's deduplication window counts from it
+//	delivered                       wins over abandoned, for completed IDs
 func Merge(a, b Content) Content {
 	out := Content{Messages: map[uint64]*wal.Message{}, Past: maps.Clone(a.Past)}
 	if out.Past == nil {
 		out.Past = map[string]wal.Past{}
 	}
 	for id, p := range b.Past {
-		if old, twice := out.Past[id]; twice {
+		if old, both := out.Past[id]; both {
 			p.Delivered = p.Delivered || old.Delivered
 			if old.At.After(p.At) {
 				p.At = old.At
@@ -51,9 +53,9 @@
 		}
 		out.Past[id] = p
 	}
-	for _, from := range []map[uint64]*wal.Message{a.Messages, b.Messages} {
-		for seq, m := range from {
-			if _, over := out.Past[m.ID]; over {
+	for _, messages := range []map[uint64]*wal.Message{a.Messages, b.Messages} {
+		for seq, m := range messages {
+			if _, completed := out.Past[m.ID]; completed {
 				continue
 			}
 			if old := out.Messages[seq]; old != nil {
@@ -65,7 +67,7 @@
 	return out
 }
 
-// Ordered gives the messages in the order in which they were accepted.
+// Ordered returns the messages in the order in which they were accepted.
 func (c Content) Ordered() []*wal.Message {
 	var out []*wal.Message
 	for _, seq := range slices.Sorted(maps.Keys(c.Messages)) {
@@ -74,17 +76,18 @@
 	return out
 }
 
-// Ranges digests messages that are not over by ranges of their numbers, so that two sides can tell where they differ without
-// showing each other all of it. Ids that are over are left out: each side forgets them in its own time.
+// Ranges returns digests of the messages that are not completed, one for each range of sequence numbers. Two sides
+// compare them to find where they differ without exchanging the messages. Completed IDs are left out because each side
+// expires them on its own schedule.
 func Ranges(messages []*wal.Message) [RangeCount]uint64 {
 	var out [RangeCount]uint64
 	for _, m := range messages {
-		out[m.Seq/rangeWidth%RangeCount] += wal.Digest(m) // a sum: no order
+		out[m.Seq/rangeWidth%RangeCount] += wal.Digest(m) // a sum does not depend on the order
 	}
 	return out
 }
 
-// RangeCount is the number of ranges, and rangeWidth how many messages in a row share one.
+// RangeCount is the number of digests, and rangeWidth the number of consecutive messages that share one.
 const (
 	RangeCount = 64
 	rangeWidth = 16
--- a/internal/cluster/replication/owner.go
+++ b/internal/cluster/replication/owner.go
@@ -1,7 +1,9 @@
-// Package replication keeps what forwarders owe on other machines as well. Each life's journal is a log with one writer: Owner, at the
-// writer, says what each keeper has and what it is sent next; Shelf, at a keeper, takes it in order, stores it and only then
-// says so. Merge says what holds where copies differ. All of it is events in and actions out: no clock, no socket, no goroutine,
-// so that the program, the laboratory and the model check run the same code.
+// Package replication replicates the journals of forwarders to other machines. The journal of each incarnation is a log
+// with a single writer. Owner, at the writer, tracks how far each replica is and decides what it is sent next. Store,
+// at a replica, applies the records in order and acknowledges them once they are on the disk. Merge combines replicas
+// that differ, and Takeover is the state machine of a takeover. The package has no clocks, sockets or goroutines:
+// callers pass events in and carry out the actions returned, so that the program, the laboratory and the model check
+// run the same code.
 package replication
 
 import (
@@ -11,79 +13,80 @@
 	"mulleinbeam/internal/cluster/controlplane"
 )
 
-// Record is one of a life's log. Index counts from 1 in the order in which they were written.
+// Record is a record of an incarnation's log. Index counts from 1 in the order of writing.
 type Record struct {
 	Index   uint64
 	Payload []byte
 }
 
-// Batch goes from an owner to a keeper: records one behind the other, or a piece of a snapshot that stands for all of them up to
-// UpTo. An empty one asks how far the keeper is.
+// Batch is sent by an owner to a replica. It holds consecutive records, or a piece of a snapshot that replaces all
+// records up to UpTo. An empty batch asks for the replica's position.
 type Batch struct {
-	Life     controlplane.Incarnation
-	Shelf    uint64 // the keeper's shelf as the owner knows it; 0 asks for it
-	Clock    int64  // the owner's wall clock as it sends, in nanoseconds since 1970
+	Life     controlplane.Incarnation // writes the log
+	Shelf    uint64                   // id of the replica store as the owner knows it; 0 asks for it
+	Clock    int64                    // the owner's wall clock at sending, in nanoseconds since 1970
 	Records  []Record
 	Snapshot uint64 // number of the snapshot; 0 is none
-	Piece    int    // of it, from 0
-	Last     bool   // it is the last
-	UpTo     uint64 // the log's index that the snapshot stands for
+	Piece    int    // number of the piece, from 0
+	Last     bool   // it is the last piece
+	UpTo     uint64 // the log index that the snapshot covers
 }
 
-// Ack is a keeper's answer. What it names is on its disk.
+// Ack is a replica's answer to a batch. Everything that it acknowledges is on the replica's disk.
 type Ack struct {
-	Shelf    uint64 // drawn at each start of the keeper: what was said to another one counts for nothing
-	Have     uint64 // the whole log up to this index; 0 is nothing
-	Snapshot uint64 // the one that it is taking,
-	Pieces   int    // and how many pieces of it it has
-	Full     bool   // it has no room: another is to be chosen
-	Ended    bool   // the council has ended that life
+	Shelf    uint64 // id of the replica store, new at each start; what another run acknowledged no longer holds
+	Have     uint64 // the replica has the whole log up to this index; 0 is nothing
+	Snapshot uint64 // the snapshot being received
+	Pieces   int    // pieces of that snapshot received so far
+	Full     bool   // the replica has no space; another one has to be chosen
+	Ended    bool   // the incarnation has been fenced
 }
 
 const (
-	mostBatch = 512 << 10 // bytes of payloads
-	mostPiece = 64 << 10  // of a snapshot's piece: messages go on between two of them
-	mostTail  = 32 << 20  // bytes of records that are kept for keepers that are behind; beyond it they get a snapshot
+	maxBatchBytes = 512 << 10 // payload bytes in a batch
+	maxPieceBytes = 64 << 10  // payload bytes in a snapshot piece; small, so that a snapshot does not hold up messages
+	maxTailBytes  = 32 << 20  // bytes of records kept for replicas that lag; those further behind get a snapshot
 )
 
-// progress is what an owner knows of one keeper.
+// progress is what an owner knows of one replica.
 type progress struct {
-	shelf    uint64
-	known    bool   // shelf and match are its own words
-	match    uint64 // it has the log up to here
-	out      bool   // a batch is on its way
-	snapshot uint64
-	pieces   [][]Record // of the snapshot under way
-	piece    int        // the next of them
-	upTo     uint64
-	full     bool
+	storeID       uint64
+	confirmed     bool   // storeID and match were reported by the replica itself
+	match         uint64 // the replica has the log up to this index
+	inFlight      bool   // a batch was sent and not yet answered
+	snapshot      uint64 // number of the snapshot being sent; 0 is none
+	pieces        [][]Record
+	nextPiece     int
+	snapshotIndex uint64 // the log index that the snapshot covers
+	full          bool
 }
 
-// Owner is the writer's part. Keepers are named; which of them count is the council's word.
+// Owner is the writer's side of replication. The control plane decides which replicas are in-sync.
 type Owner struct {
-	life      controlplane.Incarnation
-	next      uint64 // index of the next record
-	tail      []Record
-	tailBytes int
-	keepers   map[string]*progress
-	counted   []string
-	snapshots uint64
-	pending   []string // asked to count; both count until the council has answered
+	incarnation    controlplane.Incarnation
+	nextIndex      uint64   // index of the next record
+	tail           []Record // the latest records, which replicas may still need
+	tailBytes      int
+	replicas       map[string]*progress
+	inSync         []string
+	lastSnapshot   uint64   // number of the latest snapshot
+	proposedInSync []string // proposed to the control plane; required beside inSync until it has answered
 }
 
-// NewOwner begins a life's log. What the life found in its folder goes to keepers as a snapshot, and has no index of its own.
-func NewOwner(life controlplane.Incarnation) *Owner {
-	return &Owner{life: life, next: 2, keepers: map[string]*progress{}} // index 1 stands for what was there
+// NewOwner starts the log of an incarnation. The journal's initial content is sent to replicas as a snapshot and
+// has no indexes of its own.
+func NewOwner(incarnation controlplane.Incarnation) *Owner {
+	return &Owner{incarnation: incarnation, nextIndex: 2, replicas: map[string]*progress{}} // index 1 is the initial content
 }
 
-// Incarnation is whose log it is.
-func (o *Owner) Incarnation() controlplane.Incarnation { return o.life }
+// Incarnation returns the incarnation that writes the log.
+func (o *Owner) Incarnation() controlplane.Incarnation { return o.incarnation }
 
-// Append takes a record, whose payload must not be changed any more, and gives its index.
+// Append adds a record and returns its index. The payload must not be changed afterwards.
 func (o *Owner) Append(payload []byte) uint64 {
-	r := Record{o.next, payload}
-	o.next++
-	if len(o.keepers) == 0 { // whoever comes gets a snapshot
+	r := Record{o.nextIndex, payload}
+	o.nextIndex++
+	if len(o.replicas) == 0 { // a replica that is added later gets a snapshot
 		o.tail, o.tailBytes = nil, 0
 		return r.Index
 	}
@@ -93,18 +96,18 @@
 	return r.Index
 }
 
-// trim drops what all have, and what is more than keepers that are behind may hold on to.
+// trim drops the records that all replicas have, and the oldest records beyond maxTailBytes.
 func (o *Owner) trim() {
-	least := o.next
-	for _, p := range o.keepers {
-		if p.known && p.snapshot == 0 {
-			least = min(least, p.match+1)
+	firstNeeded := o.nextIndex
+	for _, p := range o.replicas {
+		if p.confirmed && p.snapshot == 0 {
+			firstNeeded = min(firstNeeded, p.match+1)
 		} else if p.snapshot > 0 {
-			least = min(least, p.upTo+1)
+			firstNeeded = min(firstNeeded, p.snapshotIndex+1)
 		}
 	}
 	n := 0
-	for n < len(o.tail) && (o.tail[n].Index < least || o.tailBytes > mostTail) {
+	for n < len(o.tail) && (o.tail[n].Index < firstNeeded || o.tailBytes > maxTailBytes) {
 		o.tailBytes -= len(o.tail[n].Payload)
 		n++
 	}
@@ -116,97 +119,99 @@
 	}
 }
 
-// LastIndex is the index of the latest record.
-func (o *Owner) LastIndex() uint64 { return o.next - 1 }
+// LastIndex returns the index of the latest record.
+func (o *Owner) LastIndex() uint64 { return o.nextIndex - 1 }
 
-// SetReplicas says who gets the log. Those that count are named by the council alone.
-func (o *Owner) SetReplicas(counted, others []string) {
-	o.counted = slices.Clone(counted)
-	want := append(slices.Clone(counted), others...)
-	want = append(want, o.pending...)
-	for name := range o.keepers {
+// SetReplicas sets the replicas that get the log. Only the control plane decides which of them are in-sync.
+func (o *Owner) SetReplicas(inSync, others []string) {
+	o.inSync = slices.Clone(inSync)
+	want := append(slices.Clone(inSync), others...)
+	want = append(want, o.proposedInSync...)
+	for name := range o.replicas {
 		if !slices.Contains(want, name) {
-			delete(o.keepers, name)
+			delete(o.replicas, name)
 		}
 	}
 	for _, name := range want {
-		if o.keepers[name] == nil {
-			o.keepers[name] = &progress{}
+		if o.replicas[name] == nil {
+			o.replicas[name] = &progress{}
 		}
 	}
 	o.trim()
 }
 
-// Propose says that the council is asked to count others; until Settled, they count beside those that do.
-func (o *Owner) Propose(set []string) { o.pending = slices.Clone(set) }
+// Propose records that the control plane was asked for another in-sync set. Until ProposalSettled is called, a
+// record needs the replicas of both sets to be below the high watermark.
+func (o *Owner) Propose(set []string) { o.proposedInSync = slices.Clone(set) }
 
-// ProposalSettled says that the council has answered, one way or the other: SetKeepers has what holds.
-func (o *Owner) ProposalSettled() { o.pending = nil }
+// ProposalSettled records that the control plane has accepted or rejected the proposal. SetReplicas passes the
+// resulting set.
+func (o *Owner) ProposalSettled() { o.proposedInSync = nil }
 
-// Replicas are those that get the log, in their order.
-func (o *Owner) Replicas() []string { return slices.Sorted(maps.Keys(o.keepers)) }
+// Replicas returns the names of the replicas that get the log, sorted.
+func (o *Owner) Replicas() []string { return slices.Sorted(maps.Keys(o.replicas)) }
 
-// InSync are those that count.
-func (o *Owner) InSync() []string { return o.counted }
+// InSync returns the names of the in-sync replicas.
+func (o *Owner) InSync() []string { return o.inSync }
 
-// HighWatermark is the index up to which every keeper that counts has the log; without any it is 0.
+// HighWatermark returns the index up to which every in-sync replica has the log, or 0 if there is no in-sync replica.
 func (o *Owner) HighWatermark() uint64 {
-	if len(o.counted) == 0 {
+	if len(o.inSync) == 0 {
 		return 0
 	}
-	least := o.LastIndex()
-	for _, list := range [][]string{o.counted, o.pending} {
-		for _, name := range list {
-			p := o.keepers[name]
-			if p == nil || !p.known {
+	lowest := o.LastIndex()
+	for _, names := range [][]string{o.inSync, o.proposedInSync} {
+		for _, name := range names {
+			p := o.replicas[name]
+			if p == nil || !p.confirmed {
 				return 0
 			}
-			least = min(least, p.match)
+			lowest = min(lowest, p.match)
 		}
 	}
-	return least
+	return lowest
 }
 
-// CaughtUp says whether a keeper has all that there is but for the few records on their way.
+// CaughtUp reports whether a replica has all but the latest few records, which may be on their way.
 func (o *Owner) CaughtUp(name string) bool {
-	p := o.keepers[name]
-	return p != nil && p.known && p.snapshot == 0 && p.match+levelWithin >= o.LastIndex()
+	p := o.replicas[name]
+	return p != nil && p.confirmed && p.snapshot == 0 && p.match+maxCaughtUpLag >= o.LastIndex()
 }
 
-const levelWithin = 256
+const maxCaughtUpLag = 256 // records that a caught-up replica may lack
 
-// Full says whether a keeper has no room.
-func (o *Owner) Full(name string) bool { p := o.keepers[name]; return p != nil && p.full }
+// Full reports whether a replica has no space left.
+func (o *Owner) Full(name string) bool { p := o.replicas[name]; return p != nil && p.full }
 
-// MatchIndex is how far a keeper is, for who looks on.
+// MatchIndex returns the index up to which a replica has the log, for status reports.
 func (o *Owner) MatchIndex(name string) uint64 {
-	if p := o.keepers[name]; p != nil {
+	if p := o.replicas[name]; p != nil {
 		return p.match
 	}
 	return 0
 }
 
-// NeedsSnapshot says whether a keeper can go on only from one; Snapshot gives it.
+// NeedsSnapshot reports whether a replica can continue only from a snapshot, which Snapshot provides.
 func (o *Owner) NeedsSnapshot(name string) bool {
-	p := o.keepers[name]
-	if p == nil || !p.known || p.out || p.full || p.snapshot > 0 || p.match >= o.LastIndex() && p.match > 0 {
+	p := o.replicas[name]
+	if p == nil || !p.confirmed || p.inFlight || p.full || p.snapshot > 0 || p.match >= o.LastIndex() && p.match > 0 {
 		return false
 	}
 	return p.match == 0 || len(o.tail) == 0 || o.tail[0].Index > p.match+1
 }
 
-// Snapshot has a keeper go on from all that there is at the log's latest index. Snapshots of one life taken at the same index are
-// the same, so one that was cut goes on where it was.
+// Snapshot starts sending a replica a snapshot of the log at its latest index. Snapshots of one incarnation at the same
+// index are identical, so an interrupted one continues where it stopped.
 func (o *Owner) Snapshot(name string, records [][]byte) {
-	p := o.keepers[name]
+	p := o.replicas[name]
 	if p == nil {
 		return
 	}
-	o.snapshots++
-	p.snapshot, p.upTo, p.piece, p.pieces = o.snapshots, o.LastIndex(), 0, [][]Record{nil}
+	o.lastSnapshot++
+	p.snapshot, p.snapshotIndex, p.nextPiece, p.pieces = o.lastSnapshot, o.LastIndex(), 0, [][]Record{nil}
 	size := 0
 	for _, payload := range records {
-		if last := len(p.pieces) - 1; size > 0 && size+len(payload) > mostPiece {
+		if last := len(p.pieces) - 1; size > 0 && size+len(payload) > maxPieceBytes {
 			p.pieces, size = append(p.pieces, []Record{{Payload: payload}}), len(payload)
 		} else {
 			p.pieces[last], size = append(p.pieces[last], Record{Payload: payload}), size+len(payload)
@@ -214,29 +219,29 @@
 	}
 }
 
-// Due says whether there is something to send to a keeper now.
+// Due reports whether there is something to send to a replica now.
 func (o *Owner) Due(name string) bool {
-	p := o.keepers[name]
-	return p != nil && !p.out && !p.full && (!p.known || p.snapshot > 0 || p.match < o.LastIndex())
+	p := o.replicas[name]
+	return p != nil && !p.inFlight && !p.full && (!p.confirmed || p.snapshot > 0 || p.match < o.LastIndex())
 }
 
-// Next gives what a keeper is to be sent now, if it is time for something; Answered or Unanswered has to follow.
-func (o *Owner) Next(name string, clock int64) (b Batch, some bool) {
-	p := o.keepers[name]
-	if p == nil || p.out {
+// Next returns the batch to send to a replica now, if there is one. HandleAck or HandleNoAck must follow.
+func (o *Owner) Next(name string, clock int64) (b Batch, ok bool) {
+	p := o.replicas[name]
+	if p == nil || p.inFlight {
 		return b, false
 	}
-	b = Batch{Life: o.life, Shelf: p.shelf, Clock: clock}
+	b = Batch{Life: o.incarnation, Shelf: p.storeID, Clock: clock}
 	switch {
-	case !p.known:
+	case !p.confirmed:
 		b.Shelf = 0
 	case p.snapshot > 0:
-		b.Snapshot, b.Piece, b.UpTo = p.snapshot, p.piece, p.upTo
-		b.Records, b.Last = p.pieces[p.piece], p.piece == len(p.pieces)-1
+		b.Snapshot, b.Piece, b.UpTo = p.snapshot, p.nextPiece, p.snapshotIndex
+		b.Records, b.Last = p.pieces[p.nextPiece], p.nextPiece == len(p.pieces)-1
 	case p.match < o.LastIndex() && len(o.tail) > 0 && o.tail[0].Index <= p.match+1:
 		from := int(p.match + 1 - o.tail[0].Index)
 		size, to := 0, from
-		for to < len(o.tail) && (size == 0 || size+len(o.tail[to].Payload) <= mostBatch) {
+		for to < len(o.tail) && (size == 0 || size+len(o.tail[to].Payload) <= maxBatchBytes) {
 			size += len(o.tail[to].Payload)
 			to++
 		}
@@ -244,53 +249,54 @@
 	default:
 		return b, false
 	}
-	p.out = true
+	p.inFlight = true
 	return b, true
 }
 
-// Ping gives a batch without records for a keeper that nothing was sent to for a while: its answer says whether it still has what it
-// said. Answered or Unanswered has to follow.
-func (o *Owner) Ping(name string, clock int64) (b Batch, some bool) {
-	p := o.keepers[name]
-	if p == nil || p.out || !p.known {
+// Ping returns an empty batch for a replica that was sent nothing for a while. The answer tells whether the replica
+// still has what it acknowledged. HandleAck or HandleNoAck must follow.
+func (o *Owner) Ping(name string, clock int64) (b Batch, ok bool) {
+	p := o.replicas[name]
+	if p == nil || p.inFlight || !p.confirmed {
 		return b, false
 	}
-	p.out = true
-	return Batch{Life: o.life, Shelf: p.shelf, Clock: clock}, true
+	p.inFlight = true
+	return Batch{Life: o.incarnation, Shelf: p.storeID, Clock: clock}, true
 }
 
-// HandleAck books a keeper's answer to the batch that was out.
+// HandleAck processes a replica's answer to the batch in flight.
 func (o *Owner) HandleAck(name string, a Ack) {
-	p := o.keepers[name]
+	p := o.replicas[name]
 	if p == nil {
 		return
 	}
-	p.out, p.full = false, a.Full
-	if !p.known || p.shelf != a.Shelf { // another start of it: what it says now is all that it has
-		*p = progress{shelf: a.Shelf, known: true, match: min(a.Have, o.LastIndex()), full: a.Full}
+	p.inFlight, p.full = false, a.Full
+	if !p.confirmed || p.storeID != a.Shelf { // the replica may have restarted: it has only what it reports now
+		*p = progress{storeID: a.Shelf, confirmed: true, match: min(a.Have, o.LastIndex()), full: a.Full}
 		o.trim()
 		return
 	}
 	if p.snapshot > 0 {
 		switch {
-		case a.Have >= p.upTo:
+		case a.Have >= p.snapshotIndex:
 			p.snapshot, p.pieces = 0, nil
 		case a.Snapshot == p.snapshot && a.Pieces > 0 && a.Pieces < len(p.pieces):
-			p.piece = a.Pieces
+			p.nextPiece = a.Pieces
 		default:
-			p.piece = 0
+			p.nextPiece = 0
 		}
 	}
-	p.match = min(a.Have, o.LastIndex()) // also where it has less than it said: its word now is what is on its disk
+	p.match = min(a.Have, o.LastIndex()) // even if lower than before: it is what is on the replica's disk now
 	o.trim()
 }
 
-// HandleNoAck says that nobody knows what became of the batch that was out. The next one asks.
+// HandleNoAck records that the batch in flight was not answered, so that it may or may not have been applied. The next
+// batch asks for the replica's position or repeats the piece of a snapshot.
 func (o *Owner) HandleNoAck(name string) {
-	if p := o.keepers[name]; p != nil {
-		p.out = false
+	if p := o.replicas[name]; p != nil {
+		p.inFlight = false
 		if p.snapshot == 0 {
-			p.known = false
+			p.confirmed = false
 		}
 	}
 }
--- a/internal/cluster/replication/takeover.go
+++ b/internal/cluster/replication/takeover.go
@@ -2,74 +2,79 @@
 
 import "mulleinbeam/internal/cluster/controlplane"
 
-// TakeoverStep is what a takeover wants done next; the answer to it is the event of its name.
+// TakeoverStep is the next action of a takeover. Its result is reported by the method named after it.
 type TakeoverStep int
 
-// What a takeover wants done, in this order. Nothing of an ended life is acted for before the council's word that it is this
-// one's; until then it stands beside what is held, and whoever takes this life over in turn leaves it to others.
+// The steps of a takeover, in this order. The successor acts on no message of the fenced incarnation before the control
+// plane has assigned these messages to it. Until then they are staged apart from its own, and if the successor is
+// fenced too, the forwarder that takes over from it leaves them to others.
 const (
-	Gather    TakeoverStep = iota // merge the copies that can be reached
-	Stage                         // take on what they say, under the ended life's name, without acting for it
-	Replicate                     // until those who keep copies of this life hold that too
-	Commit                        // ask the council to say that it is this life's
-	Activate                      // for it
-	Discard                       // what was taken on
-	Done                          // nothing more is to be done
+	Gather    TakeoverStep = iota // merge the reachable replicas of the fenced incarnation
+	Stage                         // add the messages under the fenced incarnation's name, without acting on them
+	Replicate                     // wait until the successor's in-sync replicas have them too
+	Commit                        // ask the control plane to assign the messages to the successor
+	Activate                      // start acting on the messages
+	Discard                       // remove the staged messages
+	Done                          // nothing is left to do
 )
 
-// Takeover is the taking over of one ended life by one that lives, as a state machine.
+// Takeover is the state machine by which a live incarnation takes over the messages of a fenced one.
 type Takeover struct {
+	// Ended is the fenced incarnation.
 	Ended, Successor controlplane.Incarnation
-	doing            TakeoverStep
+	step             TakeoverStep
 	failed           bool
 }
 
-// NewTakeover begins one that the council has assigned.
-func NewTakeover(life, taker controlplane.Incarnation) *Takeover {
-	return &Takeover{Ended: life, Successor: taker}
+// NewTakeover starts a takeover that the control plane has assigned.
+func NewTakeover(fenced, successor controlplane.Incarnation) *Takeover {
+	return &Takeover{Ended: fenced, Successor: successor}
 }
 
-// Step says what is to be done now.
-func (t *Takeover) Step() TakeoverStep { return t.doing }
+// Step returns the action to take now.
+func (t *Takeover) Step() TakeoverStep { return t.step }
 
-// Failed says that it has stopped without having anything, and may be begun again.
+// Failed reports whether the takeover has stopped without activating anything. It may be started again.
 func (t *Takeover) Failed() bool { return t.failed }
 
-// Gathered says whether there was a copy that counts.
+// Gathered records whether an in-sync replica was found.
 func (t *Takeover) Gathered(found bool) {
-	if t.doing = Stage; !found {
-		t.doing, t.failed = Done, true
+	if t.step = Stage; !found {
+		t.step, t.failed = Done, true
 	}
 }
 
-// Staged says whether all of it was taken on; if not, nothing of it was.
+// Staged records whether all messages were staged; ok is false if none were.
 func (t *Takeover) Staged(ok bool) {
-	if t.doing = Replicate; !ok {
-		t.doing, t.failed = Done, true
+	if t.step = Replicate; !ok {
+		t.step, t.failed = Done, true
 	}
 }
 
-// Replicated says whether everybody who counts has it; if that will not be known in this life, it is taken back.
+// Replicated records whether all in-sync replicas of the successor have the staged messages. If this incarnation will
+// never know, the messages are discarded.
 func (t *Takeover) Replicated(ok bool) {
-	if t.doing = Commit; !ok {
-		t.doing = Discard
+	if t.step = Commit; !ok {
+		t.step = Discard
 	}
 }
 
-// Committed tells the council's word. Where nobody knows it, what was taken on stays, not acted for, and a further try asks again.
+// Committed records the control plane's decision. If the decision is not known, the messages stay staged and inactive,
+// and the next attempt asks again.
 func (t *Takeover) Committed(known, done bool) {
 	switch {
 	case !known:
-		t.doing, t.failed = Done, true
+		t.step, t.failed = Done, true
 	case done:
-		t.doing = Activate
+		t.step = Activate
 	default:
-		t.doing = Discard
+		t.step = Discard
 	}
 }
 
-// Activated says whether this life could still act; if not, what it goes on with, or its next life, does.
-func (t *Takeover) Activated(ok bool) { t.doing, t.failed = Done, !ok }
+// Activated records whether the successor was still allowed to act. If it was not, the messages are activated when it
+// may act again, or by its next incarnation.
+func (t *Takeover) Activated(ok bool) { t.step, t.failed = Done, !ok }
 
-// Discarded ends one that has come to nothing.
-func (t *Takeover) Discarded() { t.doing, t.failed = Done, true }
+// Discarded records that the staged messages were removed, which ends the takeover as failed.
+func (t *Takeover) Discarded() { t.step, t.failed = Done, true }
