--- a/cmd/larkreach/crossing_test.go
+++ b/cmd/larkreach/crossing_test.go
@@ -141,7 +141,7 @@
 				t.Errorf("exit: %v\n%s", err, s.log)
 			}
 			s.start()
-			if text := s.log.String(); !strings.Contains(text, "resumed what an earlier life had left messages=1 notices=0") {
+			if text := s.log.String(); !strings.Contains(text, "resumed messages of an earlier process messages=1 notices=0") {
 				t.Errorf("the next life:\n%s", text)
 			}
 		})
--- a/cmd/larkreach/larkreach_test.go
+++ b/cmd/larkreach/larkreach_test.go
@@ -191,7 +191,7 @@
 		t.Errorf("exit: %v\n%s", err, s.log)
 	}
 	s.start()
-	if !strings.Contains(s.log.String(), "resumed what an earlier life had left messages=1 notices=0") {
+	if !strings.Contains(s.log.String(), "resumed messages of an earlier process messages=1 notices=0") {
 		t.Errorf("the next life:\n%s", s.log)
 	}
 }
--- a/internal/routing/accept.go
+++ b/internal/routing/accept.go
@@ -7,162 +7,165 @@
 	"mulleinbeam/internal/routing/wal"
 )
 
-// How a message is taken on: refused without a trace, or decided on, journalled and held. The router's goroutine only.
+// Acceptance of messages: a message is either refused without a trace, or decided on, journalled and held. The
+// functions below run on the router's goroutine only.
 
-// take decides on a message that is handed in.
-func (r *Router) take(m Message) Verdict {
-	r.counters.HandedIn++
-	r.forget()
-	if v, known := r.knownAlready(m); known {
-		return v
-	}
-	if v, refused := r.refuseUnheard(m); refused {
-		return v
-	}
-	apart := r.cfg.Replication != nil && !r.cfg.Replication.MayAct()
-	if r.cfg.Replication != nil && (apart && m.Long != nil || !r.cfg.Replication.CanAccept(m.Class)) { // it could not be copied, or not be sent
-		return r.refuse(m, &r.counters.NoCopy, "no replica")
-	}
-	if err := r.cfg.Log.Flush(); err != nil { // nothing can be taken on now, so it is not even decided on
-		r.journal(m.ID, err)
-		return r.refuse(m, &r.counters.NoRoom, "journal not written")
-	}
-	longest := r.classes[m.Class]
-	if m.Long != nil {
-		longest = r.cfg.Long.MaxTimeLeft
-	}
-	m.TimeLeft = min(m.TimeLeft, longest)
-	h := &held{Message: m, seq: r.cfg.Log.Next(), deadline: time.Now().Add(m.TimeLeft), apart: apart}
+// accept decides on a submitted message.
+func (r *Router) accept(message Message) Verdict {
+	r.counters.Requests++
+	r.expireEndedIDs()
+	if verdict, known := r.checkDuplicate(message); known {
+		return verdict
+	}
+	if verdict, refused := r.refuseBeforeDecision(message); refused {
+		return verdict
+	}
+	unreplicated := r.cfg.Replication != nil && !r.cfg.Replication.MayAct()
+	if r.cfg.Replication != nil && (unreplicated && message.Long != nil || !r.cfg.Replication.CanAccept(message.Class)) { // it could not be replicated, or not be sent
+		return r.refuse(message, &r.counters.NoReplica, "no replica")
+	}
+	if err := r.cfg.Log.Flush(); err != nil { // no record can be written, so the message is refused before it is decided on
+		r.noteJournalError(message.ID, err)
+		return r.refuse(message, &r.counters.NoRoom, "journal not written")
+	}
+	maxTimeLeft := r.deliveryTimeouts[message.Class]
+	if message.Long != nil {
+		maxTimeLeft = r.cfg.Long.MaxTimeLeft
+	}
+	message.TimeLeft = min(message.TimeLeft, maxTimeLeft)
+	held := &heldMessage{Message: message, seq: r.cfg.Log.Next(), deadline: time.Now().Add(message.TimeLeft), unreplicated: unreplicated}
 	entry := &wal.Message{
-		Seq: h.seq, Deadline: h.deadline, Destination: m.Destination, ID: m.ID, Key: m.Key, Class: m.Class, Body: m.Body,
-		Long: m.Long != nil,
+		Seq: held.seq, Deadline: held.deadline, Destination: message.Destination, ID: message.ID, Key: message.Key, Class: message.Class, Body: message.Body,
+		Long: message.Long != nil,
 	}
-	room, fits := r.cfg.Log.Reserve(entry)
+	reservation, fits := r.cfg.Log.Reserve(entry)
 	if !fits {
-		return r.refuse(m, &r.counters.NoRoom, "journal full")
+		return r.refuse(message, &r.counters.NoRoom, "journal full")
 	}
-	defer room.Release()
-	actions := r.decider.Handle(r.now(), []mb.Event{r.submission(h, m.TimeLeft)})
-	if v, others, answered := r.answeredAtOnce(h, actions); answered { // nothing was taken on
-		r.sampleRefused(m, "decision")
+	defer reservation.Release()
+	actions := r.decider.Handle(r.now(), []mb.Event{r.submission(held, message.TimeLeft)})
+	if verdict, others, answered := r.immediateAnswer(held, actions); answered { // nothing was accepted
+		r.sampleRefused(message, "decision module")
 		r.perform(others)
-		return v
+		return verdict
 	}
-	if err := r.cfg.Log.AcceptReserved(room, entry); err != nil {
-		r.journal(m.ID, err)
-		r.revoke(h, actions)
-		return r.refuse(m, &r.counters.NoRoom, "journal not written")
+	if err := r.cfg.Log.AcceptReserved(reservation, entry); err != nil {
+		r.noteJournalError(message.ID, err)
+		r.revoke(held, actions)
+		return r.refuse(message, &r.counters.NoRoom, "journal not written")
 	}
-	r.hold(h, entry)
+	r.hold(held, entry)
 	r.perform(actions)
-	return Verdict{Kind: Accepted, record: h.record, mark: h.mark, seq: h.seq}
+	return Verdict{Kind: Accepted, recordNumber: held.acceptRecord, logPosition: held.logPosition, seq: held.seq}
 }
 
-// knownAlready gives the verdict on a message whose id is held, or has ended of late.
-func (r *Router) knownAlready(m Message) (v Verdict, known bool) {
-	h := r.ids[m.ID]
-	delivered, past := r.past.delivered[m.ID]
-	if !past && r.cfg.EndedBefore != nil {
-		delivered, past = r.cfg.EndedBefore(m.ID)
+// checkDuplicate returns the verdict on a message whose id is held or has ended recently.
+func (r *Router) checkDuplicate(message Message) (verdict Verdict, known bool) {
+	held := r.messagesByID[message.ID]
+	delivered, ended := r.ended.delivered[message.ID]
+	if !ended && r.cfg.EndedBefore != nil {
+		delivered, ended = r.cfg.EndedBefore(message.ID)
 	}
 	switch {
-	case h == nil && !past:
+	case held == nil && !ended:
 		return Verdict{}, false
-	case m.Long != nil: // its answer is owed to whoever handed it in first
-		v = Verdict{Kind: AlreadyEnded}
-	case h != nil: // handed in twice
-		h.repeated = true
-		v = Verdict{Kind: AlreadyAccepted, record: h.record, mark: h.mark, seq: h.seq}
+	case message.Long != nil: // only the first submission gets the result
+		verdict = Verdict{Kind: AlreadyEnded}
+	case held != nil: // submitted twice
+		held.duplicateAnswered = true
+		verdict = Verdict{Kind: AlreadyAccepted, recordNumber: held.acceptRecord, logPosition: held.logPosition, seq: held.seq}
 	case delivered:
-		v = Verdict{Kind: AlreadyAccepted}
+		verdict = Verdict{Kind: AlreadyAccepted}
 	default:
-		v = Verdict{Kind: AlreadyEnded}
+		verdict = Verdict{Kind: AlreadyEnded}
 	}
-	r.counters.Repeated++
-	return v, true
+	r.counters.Duplicates++
+	return verdict, true
 }
 
-// refuseUnheard gives the verdict on a message that is not even decided on: it names what there is not, or there is no room for it.
-func (r *Router) refuseUnheard(m Message) (v Verdict, refused bool) {
-	_, classed := r.classes[m.Class]
+// refuseBeforeDecision returns the verdict on a message that the module is not asked about: its class or destination is
+// unknown, or there is no room for it.
+func (r *Router) refuseBeforeDecision(message Message) (verdict Verdict, refused bool) {
+	_, knownClass := r.deliveryTimeouts[message.Class]
 	switch {
-	case !classed:
-		v = r.refuse(m, &r.counters.Unreadable, "unknown class")
-		v.Kind = UnknownClass
-	case len(r.groups) > 0 && !r.groups[m.Destination]:
-		v = r.refuse(m, &r.counters.Unreadable, "unknown destination")
-		v.Kind = UnknownDestination
-	case r.cfg.Limiter != nil && !r.cfg.Limiter.Allows(m.Class):
-		v = r.refuse(m, &r.counters.OverRate, "over rate")
-	case m.Long != nil && !r.admitLong():
-		v = r.refuse(m, &r.counters.LongRefused, "long messages")
-	case m.Long == nil && len(r.ids)-r.longs >= r.cfg.Settings.MostHeld:
-		v = r.refuse(m, &r.counters.TurnedAway, "most held")
-	case r.cfg.Steering != nil && !r.cfg.Steering.Admit(m.Destination, m.Class):
-		v = r.refuse(m, &r.counters.NoPlace, "no place")
+	case !knownClass:
+		verdict = r.refuse(message, &r.counters.Invalid, "unknown class")
+		verdict.Kind = UnknownClass
+	case len(r.knownDestinations) > 0 && !r.knownDestinations[message.Destination]:
+		verdict = r.refuse(message, &r.counters.Invalid, "unknown destination")
+		verdict.Kind = UnknownDestination
+	case r.cfg.Limiter != nil && !r.cfg.Limiter.Allows(message.Class):
+		verdict = r.refuse(message, &r.counters.OverRateLimit, "class rate limit")
+	case message.Long != nil && !r.admitLong():
+		verdict = r.refuse(message, &r.counters.LongRefused, "long message limits")
+	case message.Long == nil && len(r.messagesByID)-r.longCount >= r.cfg.Settings.MostHeld:
+		verdict = r.refuse(message, &r.counters.OverMaxHeld, "most-held reached")
+	case r.cfg.Steering != nil && !r.cfg.Steering.Admit(message.Destination, message.Class):
+		verdict = r.refuse(message, &r.counters.NoZone, "no zone has room")
 	default:
 		return Verdict{}, false
 	}
-	return v, true
+	return verdict, true
 }
 
-// refuse counts a message that is not taken on, and tells of it.
-func (r *Router) refuse(m Message, counter *int64, reason string) Verdict {
+// refuse counts and samples a refused message.
+func (r *Router) refuse(message Message, counter *int64, reason string) Verdict {
 	*counter++
-	r.sampleRefused(m, reason)
-	return Verdict{Kind: Refused, RetryAfter: pushBack}
+	r.sampleRefused(message, reason)
+	return Verdict{Kind: Refused, RetryAfter: fullRetryAfter}
 }
 
-// answeredAtOnce looks for the module's answer to a message among its actions, and gives it with the other actions.
-func (r *Router) answeredAtOnce(h *held, actions []mb.Action) (v Verdict, others []mb.Action, answered bool) {
+// immediateAnswer extracts the module's refusal or failure of a message from the actions, and returns it with the other
+// actions.
+func (r *Router) immediateAnswer(held *heldMessage, actions []mb.Action) (verdict Verdict, others []mb.Action, answered bool) {
 	for i, a := range actions {
 		switch a := a.(type) {
 		case mb.Refuse:
-			if uint64(a.ID) != h.seq {
+			if uint64(a.ID) != held.seq {
 				continue
 			}
-			r.counters.RefusedAtOnce++
-			v = Verdict{Kind: Refused, RetryAfter: a.RetryAfter}
+			r.counters.RefusedImmediately++
+			verdict = Verdict{Kind: Refused, RetryAfter: a.RetryAfter}
 		case mb.Fail:
-			if uint64(a.ID) != h.seq {
+			if uint64(a.ID) != held.seq {
 				continue
 			}
-			r.counters.FailedAtOnce++
-			v = Verdict{Kind: Failed}
+			r.counters.FailedImmediately++
+			verdict = Verdict{Kind: Failed}
 		default:
 			continue
 		}
-		return v, append(actions[:i:i], actions[i+1:]...), true
+		return verdict, append(actions[:i:i], actions[i+1:]...), true
 	}
 	return Verdict{}, actions, false
 }
 
-// revoke takes a message back from the module that was decided on and could not be journalled: no call of it may leave, and the one
-// that was decided on gives its slot back.
-func (r *Router) revoke(h *held, actions []mb.Action) {
+// revoke removes a message from the module that was decided on but could not be journalled. No call of it may start,
+// and a call that was already decided on releases its slot.
+func (r *Router) revoke(held *heldMessage, actions []mb.Action) {
 	var others []mb.Action
-	events := []mb.Event{mb.MessageCancelled{ID: mb.MessageID(h.seq)}}
+	events := []mb.Event{mb.MessageCancelled{ID: mb.MessageID(held.seq)}}
 	for _, a := range actions {
 		send, sends := a.(mb.Send)
-		if !sends || uint64(send.ID) != h.seq {
+		if !sends || uint64(send.ID) != held.seq {
 			others = append(others, a)
 			continue
 		}
-		events = append(events, mb.Answer{ID: send.ID, Attempt: h.attempts, Endpoint: send.Endpoint, Outcome: mb.NotSent, Settled: true})
+		events = append(events, mb.Answer{ID: send.ID, Attempt: held.attempts, Endpoint: send.Endpoint, Outcome: mb.NotSent, Settled: true})
 	}
 	r.perform(others)
 	r.decide(events...)
 }
 
-// hold books a message that is journalled.
-func (r *Router) hold(h *held, entry *wal.Message) {
-	r.counters.Taken++
-	if r.bookLong(h, 1); h.Long != nil {
-		r.counters.LongTaken++
-	}
-	h.Body, h.onDisk, h.record = entry.Body, entry.OnDisk, r.cfg.Log.Last()
-	r.messages[h.seq], r.ids[h.ID] = h, h
+// hold registers a message that is in the journal.
+func (r *Router) hold(held *heldMessage, entry *wal.Message) {
+	r.counters.Accepted++
+	if r.countLong(held, 1); held.Long != nil {
+		r.counters.LongAccepted++
+	}
+	held.Body, held.bodyOnDisk, held.acceptRecord = entry.Body, entry.OnDisk, r.cfg.Log.Last()
+	r.messages[held.seq], r.messagesByID[held.ID] = held, held
 	if r.cfg.Replication != nil {
-		h.mark = r.cfg.Replication.LogPosition()
+		held.logPosition = r.cfg.Replication.LogPosition()
 	}
 }
--- a/internal/routing/calls.go
+++ b/internal/routing/calls.go
@@ -11,293 +11,296 @@
 	"mulleinbeam/internal/routing/wal"
 )
 
-// Calls that are out. The router's goroutine only, but for what a call's own goroutine does in between.
+// Outgoing calls. The functions below run on the router's goroutine only, except where a call's own goroutine is named.
 
-// attempt is a call that is out, from its Send until its connection has nothing of it any more.
-type attempt struct {
-	msg       *held
-	number    int
-	endpoint  string
-	sentAt    time.Time
-	cutAt     time.Time
-	begun     bool          // its first byte may have been written
-	cleared   time.Duration // that it took until that was allowed: the journal's time and the replicas', not the endpoint's
-	mark      uint64        // of that, in what goes to others
-	cancelled bool
-	stuck     bool          // the module called it off: it had no answer for far too long
-	delayed   time.Duration // that its first byte waited for the journal
-	ctx       context.Context
-	cancel    context.CancelFunc
+// outgoingCall is a call from its Send action until its connection carries nothing of it any more.
+type outgoingCall struct {
+	message          *heldMessage
+	number           int
+	endpoint         string
+	sentAt           time.Time
+	cutAt            time.Time
+	begun            bool          // its first byte may have been written
+	permissionTime   time.Duration // time spent in waiting for the journal and the replicas, which is not the endpoint's
+	startPosition    uint64        // position of the start record in the replicated log
+	cancelled        bool
+	timedOutByModule bool          // the module cancelled it after too long without an answer
+	journalDelay     time.Duration // time that the first byte waited for the journal to be writable
+	ctx              context.Context
+	cancel           context.CancelFunc
 }
 
-// requestTravel is how long a client's request may have taken until it was read here. A message's time counts from its sending, which
-// this side does not see: its deadline here may be later than its client's by so much.
-const requestTravel = 10 * time.Millisecond
+// maxRequestTransit bounds the time between the client's sending of a request and its arrival here. A message's time to
+// live counts from the sending, which is not visible on this side: the deadline computed here may be later than the
+// client's by this much.
+const maxRequestTransit = 10 * time.Millisecond
 
-// lastAnswer is until when an answer is waited for. One that came in the last moments before the deadline could be too late for the
-// client already, and the message would then end without anybody being told; so a call is abandoned before that, and its message's end
-// is reported. Of a message that has hardly any time left a half remains.
-func lastAnswer(now, deadline time.Time) time.Time {
-	return deadline.Add(-min(requestTravel, max(0, deadline.Sub(now)/2)))
+// answerDeadline returns the time until which an answer is waited for. An answer in the last moments before the
+// deadline may be too late for the client, and the message would then end without a report. The call is therefore
+// abandoned a little earlier and the end reported. If hardly any time is left, half of it is used.
+func answerDeadline(now, deadline time.Time) time.Time {
+	return deadline.Add(-min(maxRequestTransit, max(0, deadline.Sub(now)/2)))
 }
 
 func (r *Router) send(a mb.Send) {
-	h := r.messages[uint64(a.ID)]
-	if h == nil || r.over { // it is for the next life to send
+	held := r.messages[uint64(a.ID)]
+	if held == nil || r.stopped { // the next process sends it
 		return
 	}
-	if h.call != nil {
-		r.cfg.Logger.Error().Str("part", "module").Msg("a second call of a message was not made")
+	if held.call != nil {
+		r.cfg.Logger.Error().Str("part", "module").Msg("the module asked for a second concurrent call of a message, which was not made")
 		return
 	}
 	now := time.Now()
-	c := &attempt{msg: h, number: h.attempts, endpoint: string(a.Endpoint), sentAt: now, cutAt: lastAnswer(now, h.deadline)}
-	if cut := r.clock(a.CutAt); a.CutAt > 0 && cut.Before(c.cutAt) {
-		c.cutAt = cut
+	call := &outgoingCall{message: held, number: held.attempts, endpoint: string(a.Endpoint), sentAt: now, cutAt: answerDeadline(now, held.deadline)}
+	if moduleDeadline := r.wallClock(a.CutAt); a.CutAt > 0 && moduleDeadline.Before(call.cutAt) {
+		call.cutAt = moduleDeadline
 	}
-	h.call = c
-	h.attempts++
-	r.calls++
-	if h.Long != nil {
+	held.call = call
+	held.attempts++
+	r.callsOut++
+	if held.Long != nil {
 		r.longCalls++
 	}
-	r.counters.Sends++
-	ctx, cancel := context.WithDeadline(r.ctx, c.cutAt)
-	c.ctx, c.cancel = ctx, cancel
-	call := Attempt{
-		ID: h.ID, Key: h.Key, Body: h.Body, Endpoint: c.endpoint, Address: r.endpoints[c.endpoint].Address, Deadline: c.cutAt,
+	r.counters.Calls++
+	ctx, cancel := context.WithDeadline(r.callContext, call.cutAt)
+	call.ctx, call.cancel = ctx, cancel
+	attempt := Attempt{
+		ID: held.ID, Key: held.Key, Body: held.Body, Endpoint: call.endpoint, Address: r.endpoints[call.endpoint].Address, Deadline: call.cutAt,
 		NewConnection: a.NewConnection,
-		Begin:         func() bool { return r.clear(c) },
+		Begin:         func() bool { return r.timedPermitStart(call) },
 	}
-	if h.Long != nil {
-		call.BodySource = h.Long.BodySource
-		call.RecordDelivery = func() bool {
-			record, served := ask(r, func() uint64 { r.settle(c); return r.cfg.Log.Last() })
+	if held.Long != nil {
+		attempt.BodySource = held.Long.BodySource
+		attempt.RecordDelivery = func() bool {
+			record, served := execute(r, func() uint64 { r.recordDelivery(call); return r.cfg.Log.Last() })
 			if served {
-				_ = r.cfg.Log.Commit(record) // it is delivered, whatever this says
+				_ = r.cfg.Log.Commit(record) // it is delivered even if the commit fails
 			}
 			return served
 		}
 	}
-	if !r.mayGo(r.endpoints[c.endpoint]) {
-		r.counters.HeldBack++
+	if !r.reserveCall(r.endpoints[call.endpoint]) {
+		r.counters.CallsSuppressed++
 		cancel()
-		r.tasks.Go(func() error { r.post(func() { r.answered(c, Result{Outcome: mb.NotSent}) }); return nil })
+		r.callTasks.Go(func() error { r.post(func() { r.callEnded(call, Result{Outcome: mb.NotSent}) }); return nil })
 		return
 	}
-	r.tasks.Go(func() error {
+	r.callTasks.Go(func() error {
 		defer cancel()
-		if h.onDisk {
-			body, err := r.readBody(ctx, h.seq)
+		if held.bodyOnDisk {
+			body, err := r.readBody(ctx, held.seq)
 			if err != nil {
-				r.post(func() { r.unreadable(c, err) })
+				r.post(func() { r.bodyUnreadable(call, err) })
 				return nil
 			}
-			call.Body = body
+			attempt.Body = body
 		}
-		result := r.cfg.Caller.Call(ctx, call)
-		r.post(func() { r.answered(c, result) })
+		result := r.cfg.Caller.Call(ctx, attempt)
+		r.post(func() { r.callEnded(call, result) })
 		return nil
 	})
 }
 
-// clear lets a call's first byte go, and notes how long that took where that is told apart.
-func (r *Router) clear(c *attempt) bool {
+// timedPermitStart calls permitStart and, with a Steering, adds the time it took to the call's permissionTime.
+func (r *Router) timedPermitStart(call *outgoingCall) bool {
 	if r.cfg.Steering == nil {
-		return r.letGo(c)
+		return r.permitStart(call)
 	}
-	asked := time.Now()
-	allowed := r.letGo(c)
-	c.cleared += time.Since(asked)
+	started := time.Now()
+	allowed := r.permitStart(call)
+	call.permissionTime += time.Since(started)
 	return allowed
 }
 
-// permission is what begin says of a call's first byte.
+// permission is the decision on whether a call's first byte may be written.
 type permission int
 
 const (
 	forbidden permission = iota
 	allowed
-	unrecorded // not now: the journal can't be written, and no later life would know of the call
+	unrecorded // retry later: the start cannot be journalled, and a later process would not know of the call
 )
 
-// letGo lets a call's first byte go, in its own goroutine. Its start outlasts what the journal's durability says by then;
-// where that took its time, all is looked at again.
-func (r *Router) letGo(c *attempt) bool {
-	record, may := r.awaitBegin(c)
-	strict := r.cfg.Replication != nil && r.cfg.Replication.ReplicatesStarts(c.msg.Class)
-	if !may || !r.cfg.Log.Waits() && !strict {
-		return may
+// permitStart decides whether a call's first byte may be written. It runs on the call's own goroutine. By its return
+// the start record is as durable as the journal's settings promise; if that took time, all conditions are checked
+// again.
+func (r *Router) permitStart(call *outgoingCall) bool {
+	record, mayStart := r.awaitStartRecord(call)
+	replicateStart := r.cfg.Replication != nil && r.cfg.Replication.ReplicatesStarts(call.message.Class)
+	if !mayStart || !r.cfg.Log.Waits() && !replicateStart {
+		return mayStart
 	}
 	if r.cfg.Log.Commit(record) != nil {
 		return false
 	}
-	if strict { // whoever takes over has to know that it may have run
-		if _, err := r.cfg.Replication.WaitReplicated(c.mark, c.msg.Class); err != nil {
+	if replicateStart { // a forwarder that takes over has to know that the message may have run
+		if _, err := r.cfg.Replication.WaitReplicated(call.startPosition, call.message.Class); err != nil {
 			return false
 		}
 	}
-	_, may = r.awaitBegin(c)
-	return may
+	_, mayStart = r.awaitStartRecord(call)
+	return mayStart
 }
 
-// awaitBegin asks whether a call's first byte may go, again and again while the journal can't be written. It gives the number of the
-// latest record by then.
-func (r *Router) awaitBegin(c *attempt) (record uint64, may bool) {
+// awaitStartRecord asks begin whether a call's first byte may be written, and retries while the journal cannot be
+// written. It returns the number of the latest record by then.
+func (r *Router) awaitStartRecord(call *outgoingCall) (record uint64, mayStart bool) {
 	for {
-		answer, _ := ask(r, func() permission {
-			may := r.begin(c)
+		answer, _ := execute(r, func() permission {
+			decision := r.begin(call)
 			record = r.cfg.Log.Last()
-			return may
+			return decision
 		})
 		if answer != unrecorded {
 			return record, answer == allowed
 		}
 		select {
-		case <-time.After(journalRetry):
-			c.delayed += journalRetry
-		case <-c.ctx.Done():
+		case <-time.After(journalRetryInterval):
+			call.journalDelay += journalRetryInterval
+		case <-call.ctx.Done():
 			return 0, false
 		}
 	}
 }
 
 const (
-	bodyRetryFor = 3 * time.Second // how long a message's body is tried to be read from the disk, by one call or by several
-	bodyRetry    = 10 * time.Millisecond
+	bodyReadTimeout   = 3 * time.Second // retries of a failed read of a message's body, over all of its calls
+	bodyRetryInterval = 10 * time.Millisecond
 )
 
-// readBody reads a body that is only on the disk. A read that fails is tried again for a while.
+// readBody reads a body that is kept on disk only, and retries failed reads for bodyReadTimeout.
 func (r *Router) readBody(ctx context.Context, seq uint64) ([]byte, error) {
 	began := time.Now()
 	for {
 		body, err := r.cfg.Log.Body(seq)
-		if err == nil || !ofDisk(err) || time.Since(began) > bodyRetryFor {
+		if err == nil || !isDiskError(err) || time.Since(began) > bodyReadTimeout {
 			return body, err
 		}
 		select {
-		case <-time.After(bodyRetry):
+		case <-time.After(bodyRetryInterval):
 		case <-ctx.Done():
 			return nil, err
 		}
 	}
 }
 
-// ofDisk tells an error of the disk, which may pass, from one of what was read.
-func ofDisk(err error) bool {
-	number := syscall.Errno(0)
-	return errors.As(err, &number)
+// isDiskError reports whether an error comes from the disk, and may pass, rather than from the data read.
+func isDiskError(err error) bool {
+	errno := syscall.Errno(0)
+	return errors.As(err, &errno)
 }
 
-// unreadable ends a message whose body can't be read back: no later call could be made either. While the disk fails, and that only began,
-// the message goes on, and only its call ends.
-func (r *Router) unreadable(c *attempt, err error) {
-	h := c.msg
-	if h.unreadSince.IsZero() {
-		h.unreadSince = c.sentAt
+// bodyUnreadable ends a message whose body cannot be read, since no later call could be made either. A disk error ends
+// only the call until bodyReadTimeout has passed.
+func (r *Router) bodyUnreadable(call *outgoingCall, err error) {
+	held := call.message
+	if held.unreadableSince.IsZero() {
+		held.unreadableSince = call.sentAt
 	}
-	if ofDisk(err) && time.Since(h.unreadSince) < bodyRetryFor {
-		r.journal(h.ID, err)
-		r.answered(c, Result{Outcome: mb.NotSent})
+	if isDiskError(err) && time.Since(held.unreadableSince) < bodyReadTimeout {
+		r.noteJournalError(held.ID, err)
+		r.callEnded(call, Result{Outcome: mb.NotSent})
 		return
 	}
-	r.counters.Lost++
-	r.trouble().Uint64("message", h.seq).Str("request", h.ID).Err(err).Msg("body not readable, message ended")
-	e := wal.Refused
-	if h.mayRun {
-		e = wal.Failed
+	r.counters.BodiesLost++
+	r.journalWarning().Uint64("message", held.seq).Str("request", held.ID).Err(err).Msg("body not readable, message ended")
+	ending := wal.Refused
+	if held.mayHaveRun {
+		ending = wal.Failed
 	}
-	r.finish(h, e, pushBack)
-	r.answered(c, Result{Outcome: mb.NotSent})
+	r.finishWithReport(held, ending, fullRetryAfter)
+	r.callEnded(call, Result{Outcome: mb.NotSent})
 }
 
-// begin lets a call's first byte go. Between the module's send and this moment the list may have changed, the message
-// may have ended, its time or its window may be up, or a wait may have been told.
-func (r *Router) begin(c *attempt) permission {
-	p, listed := r.endpoints[c.endpoint]
+// begin decides whether a call's first byte may be written, and journals the start. Since the module's Send the list
+// may have changed, the message may have ended, its deadline or its window for repeats may have passed, or a
+// retry-after may have arrived.
+func (r *Router) begin(call *outgoingCall) permission {
+	endpoint, listed := r.endpoints[call.endpoint]
 	switch {
-	case r.over, c.msg.ended, c.cancelled, !time.Now().Before(c.cutAt):
-		r.sample("call held back", "over", c.msg)
+	case r.stopped, call.message.ended, call.cancelled, !time.Now().Before(call.cutAt):
+		r.sample("call not started", "ended or cancelled", call.message)
 		return forbidden
-	case !r.acts(c.msg):
-		return r.holdBack(c, "lease")
-	case !listed, p.State != mb.Serving, p.Destination != c.msg.Destination:
-		return r.holdBack(c, "list")
-	case !r.decider.MayBegin(r.now(), mb.MessageID(c.msg.seq)):
-		return r.holdBack(c, "wait or window")
+	case !r.mayActFor(call.message):
+		return r.suppressCall(call, "lease")
+	case !listed, endpoint.State != mb.Serving, endpoint.Destination != call.message.Destination:
+		return r.suppressCall(call, "list")
+	case !r.decider.MayBegin(r.now(), mb.MessageID(call.message.seq)):
+		return r.suppressCall(call, "retry-after or repeat window")
 	}
-	if c.begun { // on another connection now, with nothing written yet
+	if call.begun { // retried on another connection, with nothing written yet
 		return allowed
 	}
-	if r.cfg.Steering != nil && !r.cfg.Steering.Allows(p.Destination, p.Zone) {
-		return r.holdBack(c, "place")
+	if r.cfg.Steering != nil && !r.cfg.Steering.Allows(endpoint.Destination, endpoint.Zone) {
+		return r.suppressCall(call, "zone")
 	}
-	if err := r.cfg.Log.Started(c.msg.seq, time.Now(), p.Zone); err != nil {
-		r.journal(c.msg.ID, err)
+	if err := r.cfg.Log.Started(call.message.seq, time.Now(), endpoint.Zone); err != nil {
+		r.noteJournalError(call.message.ID, err)
 		return unrecorded
 	}
-	if c.begun = true; r.cfg.Replication != nil {
-		c.mark = r.cfg.Replication.LogPosition()
+	if call.begun = true; r.cfg.Replication != nil {
+		call.startPosition = r.cfg.Replication.LogPosition()
 	}
 	return allowed
 }
 
-// holdBack keeps a call's first byte back.
-func (r *Router) holdBack(c *attempt, reason string) permission {
-	r.counters.HeldBack++
-	r.sample("call held back", reason, c.msg)
+// suppressCall counts and samples a call that must not start.
+func (r *Router) suppressCall(call *outgoingCall, reason string) permission {
+	r.counters.CallsSuppressed++
+	r.sample("call not started", reason, call.message)
 	return forbidden
 }
 
-// answered books the end of a call.
-func (r *Router) answered(c *attempt, result Result) {
-	h := c.msg
-	h.call = nil
-	r.calls--
-	if h.Long != nil {
+// callEnded processes the end of a call.
+func (r *Router) callEnded(call *outgoingCall, result Result) {
+	held := call.message
+	held.call = nil
+	r.callsOut--
+	if held.Long != nil {
 		r.longCalls--
 	}
-	out := result.Outcome
-	if out == mb.TimedOut && c.cancelled {
-		out = mb.Cancelled
+	outcome := result.Outcome
+	if outcome == mb.TimedOut && call.cancelled {
+		outcome = mb.Cancelled
 	}
-	if !c.begun && (out == mb.TimedOut || out == mb.Cancelled || out == mb.Reset) {
-		out = mb.ConnectFailed
+	if !call.begun && (outcome == mb.TimedOut || outcome == mb.Cancelled || outcome == mb.Reset) {
+		outcome = mb.ConnectFailed
 	}
-	r.counters.outcome(out)
-	r.sampleCall(c, out)
-	r.steered(c, out)
-	if l := result.Limit; r.cfg.Steering != nil && l != nil && l.Rate > 0 && !math.IsInf(l.Rate, 1) {
-		r.cfg.Steering.LimitReported(h.Destination, r.endpoints[c.endpoint].Zone, l.Rate)
+	r.counters.outcome(outcome)
+	r.sampleCall(call, outcome)
+	r.reportToSteering(call, outcome)
+	if limit := result.Limit; r.cfg.Steering != nil && limit != nil && limit.Rate > 0 && !math.IsInf(limit.Rate, 1) {
+		r.cfg.Steering.LimitReported(held.Destination, r.endpoints[call.endpoint].Zone, limit.Rate)
 	}
-	h.last = out
-	never := out == mb.Refused || out == mb.ConnectFailed || out == mb.NotSent
-	if c.begun {
-		h.mayRun = h.mayRun || !never
-		r.journal(h.ID, r.cfg.Log.Outcome(h.seq, !never))
+	held.latestOutcome = outcome
+	notRun := outcome == mb.Refused || outcome == mb.ConnectFailed || outcome == mb.NotSent
+	if call.begun {
+		held.mayHaveRun = held.mayHaveRun || !notRun
+		r.noteJournalError(held.ID, r.cfg.Log.Outcome(held.seq, !notRun))
 	}
-	over := out == mb.OK || result.Final
-	if over {
-		r.end(h, wal.Over, 0)
-		if h.Long != nil {
-			r.overLong(h, out == mb.OK)
+	final := outcome == mb.OK || result.Final
+	if final {
+		r.end(held, wal.Over, 0)
+		if held.Long != nil {
+			r.completeLong(held, outcome == mb.OK)
 		}
 	}
-	if h.ended {
-		delete(r.messages, h.seq)
-	} else if m := r.cfg.Log.Message(h.seq); h.returns && m != nil {
-		h.away, h.returns = false, false
-		defer r.submitAgain(m, h)
+	if held.ended {
+		delete(r.messages, held.seq)
+	} else if record := r.cfg.Log.Message(held.seq); held.resubmitAfterCall && record != nil {
+		held.suspended, held.resubmitAfterCall = false, false
+		defer r.resubmit(record, held)
 	}
-	if r.endpoints[c.endpoint].State != mb.Serving || r.endpoints[c.endpoint].Address == "" {
-		r.cfg.Caller.CloseIdle(c.endpoint) // it was listed so while this call was out
+	if r.endpoints[call.endpoint].State != mb.Serving || r.endpoints[call.endpoint].Address == "" {
+		r.cfg.Caller.CloseIdle(call.endpoint) // the list took the endpoint out of service while this call was out
 	}
-	if r.cfg.Steering != nil && result.RetryAfter > 0 { // its places are judged apart, and wait together
-		r.decider.ApplyRetryAfter(r.now(), mb.DestinationID(h.Destination), result.RetryAfter)
+	if r.cfg.Steering != nil && result.RetryAfter > 0 { // zones are judged separately, but a retry-after applies to the whole destination
+		r.decider.ApplyRetryAfter(r.now(), mb.DestinationID(held.Destination), result.RetryAfter)
 	}
 	r.decide(mb.Answer{
-		ID: mb.MessageID(h.seq), Attempt: c.number, Endpoint: mb.EndpointID(c.endpoint), Outcome: out,
-		Latency: time.Since(c.sentAt) - c.delayed, Settled: over || h.ended, RetryAfter: result.RetryAfter, Limit: result.Limit,
+		ID: mb.MessageID(held.seq), Attempt: call.number, Endpoint: mb.EndpointID(call.endpoint), Outcome: outcome,
+		Latency: time.Since(call.sentAt) - call.journalDelay, Settled: final || held.ended, RetryAfter: result.RetryAfter, Limit: result.Limit,
 		ReusedConn: result.ReusedConnection, BodyConsumed: result.BodyConsumed,
 	})
 }
--- a/internal/routing/configuration.go
+++ b/internal/routing/configuration.go
@@ -7,22 +7,23 @@
 	mb "mulleinbeam"
 )
 
-// Destinations whose endpoints a fleet has configured, beside those that discovery lists. Without a Configure nothing here is used.
+// Destinations whose endpoints are configured for the fleet instead of discovered. Unused until Configure is called.
 
-// Limiter bounds what is taken on of a class. Its methods are called by the router's goroutine and must not wait.
+// Limiter limits the messages that are accepted per class. The router's goroutine calls its methods, which must not
+// block.
 type Limiter interface {
-	// Allows counts a message of a class that is handed in, and says whether it may be taken on.
+	// Allows counts a submitted message of the class and reports whether it may be accepted.
 	Allows(class string) bool
 }
 
-// HasClass says whether messages of a class are taken on here at all.
+// HasClass reports whether messages of the class are accepted at all.
 func (r *Router) HasClass(name string) bool {
-	_, known := r.classes[name] // never changed
+	_, known := r.deliveryTimeouts[name] // the map never changes after New
 	return known
 }
 
-// Configure has destinations go by these endpoints, whatever discovery lists for them; one with none goes by discovery again. Others stay as they
-// are. Calls go by it from here on.
+// Configure replaces the discovered endpoints of the given destinations by these. A destination without any uses
+// discovery again; destinations that are not given stay as they are. Later calls follow the change.
 func (r *Router) Configure(destinations map[int64][]Endpoint) {
 	if len(destinations) == 0 {
 		return
@@ -32,18 +33,19 @@
 			r.overlay = newOverlay(r.endpoints)
 		}
 		if changes := r.overlay.configure(destinations); len(changes) > 0 {
-			r.learnEndpoints(EndpointList{Endpoints: changes})
+			r.applyEndpoints(EndpointList{Endpoints: changes})
 		}
 	})
 }
 
-// overlay joins what discovery lists with what is configured. An endpoint that is configured is as that says. One that is listed counts unless its
-// destination is configured, or its name is a configured endpoint's. It is pure, and not safe for concurrent use.
+// overlay merges discovered and configured endpoints. A configured endpoint wins. A discovered one is used unless its
+// destination is configured or its name is that of a configured endpoint. An overlay does no input or output and is not
+// safe for concurrent use.
 type overlay struct {
 	listed       map[string]Endpoint   // by name
-	listedIn     map[int64]int         // listed endpoints, by destination
-	configured   map[string][]Endpoint // by name, in the order of their destinations: the first counts
-	destinations map[int64][]Endpoint  // that are configured
+	listedIn     map[int64]int         // number of listed endpoints, by destination
+	configured   map[string][]Endpoint // by name, ordered by destination: the first one is used
+	destinations map[int64][]Endpoint  // configured destinations
 }
 
 func newOverlay(listed map[string]Endpoint) *overlay {
@@ -51,12 +53,12 @@
 		listed: map[string]Endpoint{}, listedIn: map[int64]int{}, configured: map[string][]Endpoint{}, destinations: map[int64][]Endpoint{},
 	}
 	for _, e := range listed {
-		o.note(e)
+		o.setListed(e)
 	}
 	return o
 }
 
-// effective is the endpoint of a name that counts; false is none.
+// effective returns the endpoint to use for a name, and false if there is none.
 func (o *overlay) effective(name string) (Endpoint, bool) {
 	if list := o.configured[name]; len(list) > 0 {
 		return list[0], true
@@ -68,8 +70,8 @@
 	return e, true
 }
 
-// note takes one endpoint of discovery's list.
-func (o *overlay) note(e Endpoint) {
+// setListed applies one entry of discovery's list.
+func (o *overlay) setListed(e Endpoint) {
 	if before, known := o.listed[e.Name]; known {
 		delete(o.listed, e.Name)
 		if o.listedIn[before.Destination]--; o.listedIn[before.Destination] == 0 {
@@ -82,11 +84,11 @@
 	}
 }
 
-// change applies a change to the overlay and gives what has become of some names.
-func (o *overlay) change(names map[string]bool, apply func()) (changes []Endpoint) {
+// changesFrom applies a change to the overlay and returns the resulting changes to the endpoints with the given names.
+func (o *overlay) changesFrom(names map[string]bool, apply func()) (changes []Endpoint) {
 	before := make(map[string]Endpoint, len(names))
 	for name := range names {
-		if e, some := o.effective(name); some {
+		if e, found := o.effective(name); found {
 			before[name] = e
 		}
 	}
@@ -105,45 +107,45 @@
 	return changes
 }
 
-// configure changes configured destinations, and gives the endpoints that have changed by that. All but listed endpoints of these destinations,
-// which are searched for, costs by what changes.
+// configure changes the configured destinations and returns the endpoints that changed. Its cost follows the size of
+// the change, except that discovered endpoints of these destinations are found by a search of the whole list.
 func (o *overlay) configure(destinations map[int64][]Endpoint) (changes []Endpoint) {
-	names, search := map[string]bool{}, false
-	for group, endpoints := range destinations {
-		for _, list := range [][]Endpoint{endpoints, o.destinations[group]} {
+	names, searchListed := map[string]bool{}, false
+	for destination, endpoints := range destinations {
+		for _, list := range [][]Endpoint{endpoints, o.destinations[destination]} {
 			for _, e := range list {
 				names[e.Name] = true
 			}
 		}
-		search = search || o.listedIn[group] > 0
+		searchListed = searchListed || o.listedIn[destination] > 0
 	}
-	if search {
+	if searchListed {
 		for name, e := range o.listed {
-			if _, concerned := destinations[e.Destination]; concerned {
+			if _, affected := destinations[e.Destination]; affected {
 				names[name] = true
 			}
 		}
 	}
-	return o.change(names, func() {
-		for group, endpoints := range destinations {
-			o.set(group, endpoints)
+	return o.changesFrom(names, func() {
+		for destination, endpoints := range destinations {
+			o.setConfigured(destination, endpoints)
 		}
 	})
 }
 
-// set replaces a destination's configured endpoints; none is that it is not configured.
-func (o *overlay) set(group int64, endpoints []Endpoint) {
-	for _, e := range o.destinations[group] {
-		rest := slices.DeleteFunc(o.configured[e.Name], func(x Endpoint) bool { return x.Destination == group })
+// setConfigured replaces the configured endpoints of a destination; an empty list removes its configuration.
+func (o *overlay) setConfigured(destination int64, endpoints []Endpoint) {
+	for _, e := range o.destinations[destination] {
+		rest := slices.DeleteFunc(o.configured[e.Name], func(x Endpoint) bool { return x.Destination == destination })
 		if o.configured[e.Name] = rest; len(rest) == 0 {
 			delete(o.configured, e.Name)
 		}
 	}
-	delete(o.destinations, group)
+	delete(o.destinations, destination)
 	if len(endpoints) == 0 {
 		return
 	}
-	o.destinations[group] = endpoints
+	o.destinations[destination] = endpoints
 	for _, e := range endpoints {
 		list := append(o.configured[e.Name], e)
 		slices.SortFunc(list, func(a, b Endpoint) int { return cmp.Compare(a.Destination, b.Destination) })
@@ -151,31 +153,31 @@
 	}
 }
 
-// list takes what discovery says, and gives what the router is to learn of it.
-func (o *overlay) list(d EndpointList) EndpointList {
-	names := make(map[string]bool, len(d.Endpoints))
-	for _, e := range d.Endpoints {
+// applyDiscovery applies a list from discovery and returns the resulting list for the router.
+func (o *overlay) applyDiscovery(list EndpointList) EndpointList {
+	names := make(map[string]bool, len(list.Endpoints))
+	for _, e := range list.Endpoints {
 		names[e.Name] = true
 	}
 	apply := func() {
-		if d.Whole || d.Saved {
+		if list.Whole || list.Saved {
 			clear(o.listed)
 			clear(o.listedIn)
 		}
-		for _, e := range d.Endpoints {
-			o.note(e)
+		for _, e := range list.Endpoints {
+			o.setListed(e)
 		}
 	}
-	if !d.Whole && !d.Saved {
-		return EndpointList{Endpoints: o.change(names, apply)}
+	if !list.Whole && !list.Saved {
+		return EndpointList{Endpoints: o.changesFrom(names, apply)}
 	}
 	apply()
-	out := EndpointList{Whole: d.Whole, Saved: d.Saved}
+	out := EndpointList{Whole: list.Whole, Saved: list.Saved}
 	for name := range o.configured {
 		names[name] = true
 	}
 	for name := range names {
-		if e, some := o.effective(name); some {
+		if e, found := o.effective(name); found {
 			out.Endpoints = append(out.Endpoints, e)
 		}
 	}
--- a/internal/routing/configuration_test.go
+++ b/internal/routing/configuration_test.go
@@ -48,7 +48,7 @@
 						delete(listed, e.Name)
 					}
 				}
-				learn(o.list(d))
+				learn(o.applyDiscovery(d))
 			} else {
 				change := map[int64][]Endpoint{}
 				for _, group := range rapid.SliceOfNDistinct(rapid.Int64Range(1, 3), 1, 2, rapid.ID[int64]).Draw(t, "destinations") {
@@ -148,7 +148,7 @@
 			t.Errorf("%s: %+v", step.id, v)
 		}
 	}
-	if c := r.Counters(); c.OverRate != 1 || c.Held != 1 {
+	if c := r.Counters(); c.OverRateLimit != 1 || c.Held != 1 {
 		t.Errorf("counters %+v", c)
 	}
 }
--- a/internal/routing/faults_test.go
+++ b/internal/routing/disk_faults_test.go
@@ -90,14 +90,14 @@
 	}
 	disk.off.Store(true)
 	s.results <- Result{Outcome: mb.Failed}
-	await(t, r, "given up", func(c Counters) bool { return c.GivenUp == 1 })
+	await(t, r, "given up", func(c Counters) bool { return c.Abandoned == 1 })
 }
 
 // Guards against an end that is reported while its record only waits in memory: killed then, the next life would call the message.
 func TestAnEndIsReportedOnceItIsWritten(t *testing.T) {
 	r, s, disk, _ := newRouterOnSwitch(t, t.TempDir(), func(*Config) {})
 	fails(t, r, s, disk, message("m"))
-	await(t, r, "writes are tried again", func(c Counters) bool { return c.Waiting > 0 })
+	await(t, r, "writes are tried again", func(c Counters) bool { return c.PendingRecords > 0 })
 	if len(s.notices) != 0 {
 		t.Fatal("reported, and not written")
 	}
@@ -105,7 +105,7 @@
 	if n := <-s.notices; n.ID != "m" {
 		t.Errorf("reported %+v", n)
 	}
-	await(t, r, "all is written", func(c Counters) bool { return c.Waiting == 0 })
+	await(t, r, "all is written", func(c Counters) bool { return c.PendingRecords == 0 })
 }
 
 // Guards against a message that never ends because the disk stays away: at its deadline, behind which no life would send it again, its
@@ -119,7 +119,7 @@
 	if n := <-s.notices; n.ID != "m" || time.Now().Before(deadline) {
 		t.Errorf("reported %+v, %v before the deadline", n, time.Until(deadline))
 	}
-	if got := r.Counters(); got.ToldUnwritten != 1 || got.Waiting == 0 {
+	if got := r.Counters(); got.ReportedUnwritten != 1 || got.PendingRecords == 0 {
 		t.Errorf("counters %+v", got)
 	}
 }
@@ -134,7 +134,7 @@
 	disk.off.Store(true)
 	began := make(chan bool, 1)
 	go func() { began <- c.Begin() }()
-	await(t, r, "the start was tried", func(c Counters) bool { return c.Unwritten > 1 })
+	await(t, r, "the start was tried", func(c Counters) bool { return c.WriteFailures > 1 })
 	if len(began) != 0 {
 		t.Error("a call began without its record, or was given up")
 	}
@@ -143,7 +143,7 @@
 		t.Error("the call did not begin once its start was written")
 	}
 	s.results <- Result{Outcome: mb.OK}
-	await(t, r, "delivered", func(c Counters) bool { return c.Delivered == 1 && c.Sends == 1 })
+	await(t, r, "delivered", func(c Counters) bool { return c.Delivered == 1 && c.Calls == 1 })
 }
 
 // Guards against a message that is taken on again while the end of an earlier one with its id is not written: a later life would have
@@ -156,7 +156,7 @@
 	<-s.calls
 	disk.off.Store(true)
 	r.CancelMessage("m")
-	await(t, r, "withdrawn", func(c Counters) bool { return c.Withdrawn == 1 })
+	await(t, r, "withdrawn", func(c Counters) bool { return c.MessagesCancelled == 1 })
 	if got := r.Accept(message("m")); got.Kind != Refused {
 		t.Errorf("verdict %+v", got)
 	}
@@ -192,5 +192,5 @@
 		t.Errorf("called with %q", c.Body)
 	}
 	s.results <- Result{Outcome: mb.OK}
-	await(t, r, "delivered", func(c Counters) bool { return c.Delivered == 1 && c.Lost == 0 })
+	await(t, r, "delivered", func(c Counters) bool { return c.Delivered == 1 && c.BodiesLost == 0 })
 }
--- a/internal/routing/lasting_test.go
+++ b/internal/routing/durability_test.go
@@ -75,7 +75,7 @@
 	go func() { begun <- c.Begin() }()
 	<-g.tried
 	go func() { verdicts <- r.Accept(message("m")) }() // again, before the first is answered
-	for r.Counters().Repeated == 0 {                   // the router's goroutine answers
+	for r.Counters().Duplicates == 0 {                 // the router's goroutine answers
 	}
 	select {
 	case v := <-verdicts:
@@ -113,7 +113,7 @@
 		t.Error("a call began to an endpoint that drains")
 	}
 	s.results <- Result{Outcome: mb.NotSent}
-	for r.Counters().Moot == 0 {
+	for r.Counters().NotSent == 0 {
 	}
 }
 
@@ -151,7 +151,7 @@
 	g.shut()
 	s.results <- Result{Outcome: mb.Reset}
 	<-g.tried
-	for r.Counters().GivenUp == 0 {
+	for r.Counters().Abandoned == 0 {
 	}
 	select {
 	case n := <-s.notices:
@@ -187,7 +187,7 @@
 	if n := <-s.notices; n.ID != "spoilt" || !n.Returned || n.RetryAfter <= 0 {
 		t.Errorf("notice %+v", n)
 	}
-	if got := r.Counters(); got.Lost != 1 || got.Held != 0 || len(s.calls) != 0 {
+	if got := r.Counters(); got.BodiesLost != 1 || got.Held != 0 || len(s.calls) != 0 {
 		t.Errorf("counters %+v", got)
 	}
 }
--- a/internal/routing/held.go
+++ b/internal/routing/held.go
@@ -8,148 +8,150 @@
 	"mulleinbeam/internal/routing/wal"
 )
 
-// What the router holds: messages from their accept, or their resumption, to their end. The router's goroutine only.
+// Held messages, from their acceptance or resumption to their end. The functions below run on the router's goroutine
+// only.
 
-// held is a message that is taken on, or that still has a call out.
-type held struct {
+// heldMessage is a message that has not ended, or that still has a call out.
+type heldMessage struct {
 	Message
-	seq         uint64
-	onDisk      bool      // its Body is read from the journal for each call
-	unreadSince time.Time // a call could not read it first
-	record      uint64    // of its accept; 0 is one of an earlier life
-	mark        uint64    // and its place in what goes to others
-	deadline    time.Time
-	attempts    int
-	call        *attempt // the attempt that is out
-	ended       bool
-	mayRun      bool        // an attempt may have run
-	repeated    bool        // somebody who handed it in again is told that it is taken on
-	last        mb.Outcome  // of its latest attempt
-	cut         bool        // a long one of an earlier life
-	apart       bool        // taken on while this life may not act for others' copies: nobody else has it
-	away        bool        // not with the module: this life may not act for it, or not yet
-	returns     bool        // it goes back to the module with the end of its call
-	adopting    bool        // of another life, which is not this forwarder's to act for yet
-	dropped     atomic.Bool // its notice is somebody else's
+	seq               uint64
+	bodyOnDisk        bool      // the body is read from the journal for each call
+	unreadableSince   time.Time // start of the first call that could not read the body
+	acceptRecord      uint64    // number of the accept record; 0 for a message of an earlier process
+	logPosition       uint64    // position of the accept record in the replicated log
+	deadline          time.Time
+	attempts          int
+	call              *outgoingCall // the call that is out, if any
+	ended             bool
+	mayHaveRun        bool        // an attempt may have run
+	duplicateAnswered bool        // a repeated submission was answered with AlreadyAccepted
+	latestOutcome     mb.Outcome  // of the latest attempt
+	longInterrupted   bool        // a long message of an earlier process, whose body is lost
+	unreplicated      bool        // accepted while this process had no lease: no other forwarder has a copy
+	suspended         bool        // withheld from the module, since this process may not act for it (yet)
+	resubmitAfterCall bool        // goes back to the module when its call ends
+	adopting          bool        // taken over from another process, and not activated yet
+	reportDropped     atomic.Bool // another forwarder sends the report
 }
 
-// resume takes up what an earlier life left: its notices, and its messages with their past. The module gets all of them at once:
-// it looks at all it holds each time, and a start must not take the square of that.
+// resume restores the messages of an earlier process and its unacknowledged reports. The module receives all messages
+// in one batch: it examines all held messages at each event, so single submissions would make a start quadratic.
 func (r *Router) resume() {
 	live := r.cfg.Log.Live()
-	var again []mb.Event
-	for _, m := range live {
-		h := r.heldFrom(m)
-		if m.Ending == wal.Closed {
-			r.past.add(h.ID, false, true, h.seq)
+	var resubmissions []mb.Event
+	for _, message := range live {
+		held := r.heldFrom(message)
+		if message.Ending == wal.Closed {
+			r.ended.add(held.ID, false, true, held.seq)
 			continue
 		}
-		if m.Ending != wal.Unended {
-			if h.ended = true; h.cut {
-				r.past.add(h.ID, false, true, 0)
+		if message.Ending != wal.Unended {
+			if held.ended = true; held.longInterrupted {
+				r.ended.add(held.ID, false, true, 0)
 			}
 			if r.cfg.Replication != nil {
-				r.waiting[h.seq] = h // whoever may have taken over from that life may have told of it
+				r.undecidedReports[held.seq] = held // a forwarder that took over from that process may have reported it
 				continue
 			}
-			r.notify(h, m.Ending == wal.Refused, m.RetryAfter)
+			r.report(held, message.Ending == wal.Refused, message.RetryAfter)
 			continue
 		}
-		r.messages[h.seq], r.ids[h.ID] = h, h
+		r.messages[held.seq], r.messagesByID[held.ID] = held, held
 		r.counters.Resumed++
-		if h.away = r.cfg.Replication != nil; !h.away {
-			again = append(again, r.resubmission(m, h))
+		if held.suspended = r.cfg.Replication != nil; !held.suspended {
+			resubmissions = append(resubmissions, r.resubmission(message, held))
 		}
 	}
-	if len(again) > 0 {
-		r.decide(again...)
+	if len(resubmissions) > 0 {
+		r.decide(resubmissions...)
 	}
 	if len(live) > 0 {
-		r.cfg.Logger.Info().Int64("messages", r.counters.Resumed).Int("notices", len(live)-int(r.counters.Resumed)-r.past.closed).
-			Msg("resumed what an earlier life had left")
+		r.cfg.Logger.Info().Int64("messages", r.counters.Resumed).Int("notices", len(live)-int(r.counters.Resumed)-r.ended.closed).
+			Msg("resumed messages of an earlier process")
 	}
 }
 
-func (r *Router) heldFrom(m *wal.Message) *held {
-	deadline := m.Deadline
-	if most := time.Now().Add(max(r.longest, r.cfg.Long.MaxTimeLeft)); deadline.After(most) { // the clock was set back
-		deadline = most
+func (r *Router) heldFrom(message *wal.Message) *heldMessage {
+	deadline := message.Deadline
+	if latest := time.Now().Add(max(r.longestTimeout, r.cfg.Long.MaxTimeLeft)); deadline.After(latest) { // the clock was set back
+		deadline = latest
 	}
-	return &held{
-		Message: Message{ID: m.ID, Key: m.Key, Class: m.Class, Destination: m.Destination, Body: m.Body},
-		seq:     m.Seq, deadline: deadline, attempts: m.Attempts, onDisk: m.OnDisk, cut: m.Long, mayRun: m.MayRun,
+	return &heldMessage{
+		Message: Message{ID: message.ID, Key: message.Key, Class: message.Class, Destination: message.Destination, Body: message.Body},
+		seq:     message.Seq, deadline: deadline, attempts: message.Attempts, bodyOnDisk: message.OnDisk, longInterrupted: message.Long, mayHaveRun: message.MayRun,
 	}
 }
 
-func (r *Router) submission(h *held, left time.Duration) mb.Submit {
+func (r *Router) submission(held *heldMessage, timeLeft time.Duration) mb.Submit {
 	return mb.Submit{
-		ID: mb.MessageID(h.seq), Class: h.Class, TimeLeft: left, Destination: mb.DestinationID(h.Destination),
-		Long: h.Long != nil,
+		ID: mb.MessageID(held.seq), Class: held.Class, TimeLeft: timeLeft, Destination: mb.DestinationID(held.Destination),
+		Long: held.Long != nil,
 	}
 }
 
-// forget drops the ids of messages that ended so long ago that nobody can mean them any more.
-func (r *Router) forget() {
-	for _, seq := range r.past.expire(r.longest, max(r.longest, r.cfg.Long.MaxTimeLeft)) {
-		r.journal("", r.cfg.Log.End(seq, wal.Over, 0))
+// expireEndedIDs forgets the ids of messages that ended so long ago that no client can repeat them.
+func (r *Router) expireEndedIDs() {
+	for _, seq := range r.ended.expire(r.longestTimeout, max(r.longestTimeout, r.cfg.Long.MaxTimeLeft)) {
+		r.noteJournalError("", r.cfg.Log.End(seq, wal.Over, 0))
 	}
 }
 
-// finish ends a message by a notice.
-func (r *Router) finish(h *held, e wal.Ending, retry time.Duration) {
-	if h.ended {
+// finishWithReport ends a message with a delivery report, or with an answer to the client of a long message.
+func (r *Router) finishWithReport(held *heldMessage, ending wal.Ending, retryAfter time.Duration) {
+	if held.ended {
 		return
 	}
-	r.end(h, e, retry)
-	if h.Long != nil {
-		r.finishLong(h, e, retry)
+	r.end(held, ending, retryAfter)
+	if held.Long != nil {
+		r.finishLong(held, ending, retryAfter)
 		return
 	}
-	r.notify(h, e == wal.Refused, retry)
+	r.report(held, ending == wal.Refused, retryAfter)
 }
 
-// end books and journals a message's end; it stays known while a call is out.
-func (r *Router) end(h *held, e wal.Ending, retry time.Duration) {
-	if h.ended {
+// end registers and journals the end of a message, which stays in r.messages while a call is out.
+func (r *Router) end(held *heldMessage, ending wal.Ending, retryAfter time.Duration) {
+	if held.ended {
 		return
 	}
-	h.ended = true
-	delete(r.ids, h.ID)
-	r.past.add(h.ID, e == wal.Over, h.Long != nil || h.cut, 0)
-	r.bookLong(h, -1)
-	if h.call == nil {
-		delete(r.messages, h.seq)
+	held.ended = true
+	delete(r.messagesByID, held.ID)
+	r.ended.add(held.ID, ending == wal.Over, held.Long != nil || held.longInterrupted, 0)
+	r.countLong(held, -1)
+	if held.call == nil {
+		delete(r.messages, held.seq)
 	}
-	r.journal(h.ID, r.cfg.Log.End(h.seq, e, retry))
+	r.noteJournalError(held.ID, r.cfg.Log.End(held.seq, ending, retryAfter))
 }
 
-func (r *Router) notify(h *held, back bool, retry time.Duration) {
-	if back {
-		r.counters.HandedBack++
-		r.sample("message handed back", h.lastOutcome(), h)
+func (r *Router) report(held *heldMessage, returned bool, retryAfter time.Duration) {
+	if returned {
+		r.counters.Returned++
+		r.sample("message returned", held.lastOutcomeName(), held)
 	} else {
-		r.counters.GivenUp++
-		r.sample("message given up", h.lastOutcome(), h)
+		r.counters.Abandoned++
+		r.sample("message abandoned", held.lastOutcomeName(), held)
 	}
-	r.notices++
-	n := DeliveryReport{ID: h.ID, Returned: back, RetryAfter: retry, Done: func() {
+	r.pendingReports++
+	report := DeliveryReport{ID: held.ID, Returned: returned, RetryAfter: retryAfter, Done: func() {
 		r.post(func() {
-			if h.dropped.Load() {
+			if held.reportDropped.Load() {
 				return
 			}
-			delete(r.noticed, h.seq)
-			r.notices--
+			delete(r.unacknowledged, held.seq)
+			r.pendingReports--
 			r.counters.Acknowledged++
-			r.told(h)
+			r.journalReported(held)
 		})
 	}}
 	if r.cfg.Replication != nil {
-		r.noticed[h.seq] = h
-		if !h.apart {
-			n.MaySend = r.mayTell(h)
+		r.unacknowledged[held.seq] = held
+		if !held.unreplicated {
+			report.MaySend = r.maySendReport(held)
 		}
 	}
-	// Told before it is journalled, a kill could have the message live again behind its end. Behind its deadline it would not be sent
-	// again, and an end that is never told is worse.
-	r.afterRecords(h, h.deadline, false, func() { r.cfg.Notifier.Notify(n) })
+	// If the report were sent before the end is journalled, a kill could revive the message after its reported end.
+	// After its deadline it would not be sent again, and a missing report is worse, so the report is sent then in any
+	// case.
+	r.reportAfterRecords(held, held.deadline, false, func() { r.cfg.Notifier.Notify(report) })
 }
--- a/internal/routing/journal.go
+++ b/internal/routing/journal.go
@@ -9,26 +9,26 @@
 	"github.com/rs/zerolog"
 )
 
-// What the router does while its journal cannot be written. The router's goroutine only.
+// Operation while the journal cannot be written. The functions below run on the router's goroutine only.
 
 const (
-	// journalRetry is the pause between two tries to write what waits.
-	journalRetry = 10 * time.Millisecond
-	// outageQuiet is how long nothing has failed when an outage of the journal is logged as over.
+	// journalRetryInterval is the pause between two attempts to write pending records.
+	journalRetryInterval = 10 * time.Millisecond
+	// outageQuiet is the time without failures after which an outage of the journal is logged as over.
 	outageQuiet = time.Second
-	// longEndWait is how long the client of a long message waits for the record of its end. No later life sends one again, so that
-	// nothing but the same end can follow.
-	longEndWait = 2 * time.Second
+	// longEndRecordWait bounds how long the client of a long message waits for the record of its end. Without the
+	// record a restart can only end the message the same way, since no later process sends it again.
+	longEndRecordWait = 2 * time.Second
 )
 
-// outage is a time in which records could not be written, now and then or all the time. The zero value is none.
+// outage is a period with write failures, intermittent or continuous. The zero value is no outage.
 type outage struct {
-	began, latest time.Time // failures
+	began, latest time.Time // first and latest failure
 	failures      int
 }
 
-// failed books a failure; first says that an outage begins with it.
-func (o *outage) failed(now time.Time) (first bool) {
+// recordFailure counts a failure and reports whether it begins an outage.
+func (o *outage) recordFailure(now time.Time) (first bool) {
 	if o.failures++; o.failures == 1 {
 		o.began = now
 	}
@@ -36,100 +36,105 @@
 	return o.failures == 1
 }
 
-// over says whether an outage has ended: nothing has failed for a while.
-func (o *outage) over(now time.Time) bool { return o.failures > 0 && now.Sub(o.latest) >= outageQuiet }
+// hasEnded reports whether no write has failed for outageQuiet.
+func (o *outage) hasEnded(now time.Time) bool {
+	return o.failures > 0 && now.Sub(o.latest) >= outageQuiet
+}
 
-// trouble begins a line of the log on the journal.
-func (r *Router) trouble() *zerolog.Event { return r.cfg.Logger.Warn().Str("part", "journal") }
+// journalWarning starts a warning of the part journal.
+func (r *Router) journalWarning() *zerolog.Event { return r.cfg.Logger.Warn().Str("part", "journal") }
 
-// journal books how the writing of a message's record has gone, and logs the first failure of an outage. A message that could not be
-// journalled is refused and a call not made; what ends attempts and messages is written later.
-func (r *Router) journal(id string, err error) {
+// noteJournalError counts a record that could not be written and logs the first failure of an outage. A message whose
+// record fails is refused and a call does not start; the ends of attempts and messages are written later.
+func (r *Router) noteJournalError(id string, err error) {
 	if err == nil {
 		return
 	}
-	r.counters.Unwritten++
-	if !r.outage.failed(time.Now()) {
+	r.counters.WriteFailures++
+	if !r.outage.recordFailure(time.Now()) {
 		return
 	}
-	line := r.trouble().Err(err).Str("request", id)
-	if number := syscall.Errno(0); errors.As(err, &number) {
-		line = line.Int("errno", int(number))
+	event := r.journalWarning().Err(err).Str("request", id)
+	if errno := syscall.Errno(0); errors.As(err, &errno) {
+		event = event.Int("errno", int(errno))
 	}
-	line.Msg("record not written")
+	event.Msg("record not written")
 }
 
-// retryJournal writes what waits, and ends an outage that is over.
+// retryJournal writes pending records, logs the end of an outage, and sends the deferred reports that are due.
 func (r *Router) retryJournal() {
-	defer func() { r.journalTried = time.Now() }()
+	defer func() { r.lastJournalTry = time.Now() }()
 	if r.cfg.Log.Waiting() > 0 {
 		if err := r.cfg.Log.Flush(); err != nil {
-			r.outage.failed(time.Now())
+			r.outage.recordFailure(time.Now())
 		}
 	}
 	now := time.Now()
-	if r.outage.over(now) && r.cfg.Log.Waiting() == 0 {
+	if r.outage.hasEnded(now) && r.cfg.Log.Waiting() == 0 {
 		r.cfg.Logger.Info().Str("part", "journal").Int("records", r.outage.failures).
 			Stringer("lasted", r.outage.latest.Sub(r.outage.began).Round(time.Millisecond)).Msg("records are written again")
 		r.outage = outage{}
 	}
-	for seq, p := range r.promises {
-		if p.told.Load() {
-			delete(r.promises, seq)
-		} else if !now.Before(p.latest) {
-			delete(r.promises, seq)
-			r.counters.ToldUnwritten++
-			r.cfg.Sampler.Note("end told before it is journalled", "deadline", func(e *zerolog.Event) { e.Uint64("message", seq) })
-			p.keep()
+	for seq, p := range r.deferredReports {
+		if p.sent.Load() {
+			delete(r.deferredReports, seq)
+		} else if !now.Before(p.deadline) {
+			delete(r.deferredReports, seq)
+			r.counters.ReportedUnwritten++
+			r.cfg.Sampler.Note("end reported before it is journalled", "deadline", func(e *zerolog.Event) { e.Uint64("message", seq) })
+			p.sendOnce()
 		}
 	}
 }
 
-// journalDue is how long the journal can be left alone.
-func (r *Router) journalDue() time.Duration {
+// untilJournalRetry returns the time until retryJournal is needed.
+func (r *Router) untilJournalRetry() time.Duration {
 	switch {
-	case r.cfg.Log.Waiting() > 0 || len(r.promises) > 0:
-		return max(0, time.Until(r.journalTried.Add(journalRetry)))
+	case r.cfg.Log.Waiting() > 0 || len(r.deferredReports) > 0:
+		return max(0, time.Until(r.lastJournalTry.Add(journalRetryInterval)))
 	case r.outage.failures > 0:
 		return max(0, outageQuiet-time.Since(r.outage.latest))
 	}
 	return time.Hour
 }
 
-// promise is the end of a message that is not told before its records are written, so that no later life goes on with it.
-type promise struct {
-	latest time.Time // when it is told all the same
-	anyway bool      // also with the end of this process
-	tell   func()
-	told   atomic.Bool
+// deferredReport reports the end of a message once its records are written, so that no later process continues the
+// message after its reported end.
+type deferredReport struct {
+	deadline       time.Time // sent then, even without records
+	withoutRecords bool      // also sent if the process ends before the records are written
+	send           func()
+	sent           atomic.Bool
 }
 
-// keep tells the end, unless that has been done.
-func (p *promise) keep() {
-	if p.told.CompareAndSwap(false, true) {
-		p.tell()
+// sendOnce sends the report unless it has been sent.
+func (p *deferredReport) sendOnce() {
+	if p.sent.CompareAndSwap(false, true) {
+		p.send()
 	}
 }
 
-// afterRecords has an end told once a message's records are written, and at the latest at a time at which a later life would not send
-// the message again whatever it finds. anyway has it told as well when the journal's durability can't be had any more.
-func (r *Router) afterRecords(h *held, latest time.Time, anyway bool, tell func()) {
-	p := &promise{latest: latest, anyway: anyway, tell: tell}
-	r.cfg.Log.AfterRecords(h.seq, func(err error) {
-		if err == nil || anyway {
-			p.keep()
+// reportAfterRecords calls send once a message's records are written, at the latest at the deadline, after which no
+// later process would send the message again. If withoutRecords is set, send is also called when the journal can no
+// longer make the records durable.
+func (r *Router) reportAfterRecords(held *heldMessage, deadline time.Time, withoutRecords bool, send func()) {
+	p := &deferredReport{deadline: deadline, withoutRecords: withoutRecords, send: send}
+	r.cfg.Log.AfterRecords(held.seq, func(err error) {
+		if err == nil || withoutRecords {
+			p.sendOnce()
 		}
 	})
-	if !p.told.Load() {
-		r.promises[h.seq] = p
+	if !p.sent.Load() {
+		r.deferredReports[held.seq] = p
 	}
 }
 
-// keepLast tells, at the end of this process, the ends that would be told without their records; the others are the next life's to tell.
-func (r *Router) keepLast() {
-	for _, p := range r.promises {
-		if p.anyway {
-			p.keep()
+// sendUnrecordedReports sends, at the end of the process, the reports that do not need their records; the next process
+// sends the others.
+func (r *Router) sendUnrecordedReports() {
+	for _, p := range r.deferredReports {
+		if p.withoutRecords {
+			p.sendOnce()
 		}
 	}
 }
--- a/internal/routing/long.go
+++ b/internal/routing/long.go
@@ -8,127 +8,131 @@
 	"mulleinbeam/internal/routing/wal"
 )
 
-// Long marks a message whose body is passed on as it comes. Nothing of the body is held or journalled, so no later life
-// can send it: a restart ends it.
+// Long marks a message whose body is streamed from the client to the endpoint. The body is neither held nor journalled,
+// so a later process cannot send it: a restart ends the message.
 type Long struct {
-	BodySource any // what the caller takes the body from, and passes the answer to
-	// OnEnd is told, once, how the message ended, which outlasts what the journal's durability says; it must not wait.
+	BodySource any // the Caller reads the body from it, and writes the answer to it
+	// OnEnd is called once with the result, which is by then as durable as the journal's settings promise. It must not
+	// block.
 	OnEnd func(LongResult)
 }
 
 // LongResult is the end of a long message.
 type LongResult struct {
-	Kind       VerdictKind   // Known: delivered; Refused or Failed
-	RetryAfter time.Duration // with Refused: when to come again
+	Kind       VerdictKind   // AlreadyAccepted if delivered, otherwise Refused or Failed
+	RetryAfter time.Duration // with Refused: when the client may try again
 	MayHaveRun bool          // with Refused or Failed
 	TimedOut   bool          // with Failed
-	// ClientAnswered must be called, unless it is nil: whether the client has its answer. If it has not, a notice ends the message.
+	// ClientAnswered must be called, unless it is nil, with whether the client received its answer. If not, a delivery
+	// report is sent.
 	ClientAnswered func(bool)
 }
 
-// LongLimits bound the messages whose bodies are passed on. The zero value takes none.
+// LongLimits limits long messages. The zero value accepts none.
 type LongLimits struct {
 	MaxMessages int           // held or out at once
 	Slots       int           // calls out at once
-	MaxTimeLeft time.Duration // how long one may live
+	MaxTimeLeft time.Duration // maximum time until the deadline
 }
 
-// toldFor is how long the end of this life waits for clients to be told of their long messages' ends. It ends before
-// the kill that follows a stop.
-const toldFor = 300 * time.Millisecond
+// answerGrace bounds how long the end of the process waits until clients are told how their long messages ended. It has
+// to pass before the kill that follows a stop.
+const answerGrace = 300 * time.Millisecond
 
-// mostClosed bounds the ids of ended long messages that the journal keeps.
-const mostClosed = 512
+// maxClosedIDs bounds the ids of ended long messages that are kept in the journal.
+const maxClosedIDs = 512
 
-// AcceptLong decides on a long message, whose Body is left empty. When it says Taken, the message is journalled, and its end
-// is told to Long.Ended.
+// AcceptLong decides on a long message, whose Body is empty. If the verdict is Accepted, the message is in the journal,
+// and its end is passed to Long.OnEnd.
 func (r *Router) AcceptLong(m Message) Verdict { return r.Accept(m) }
 
-// admitLong says whether there is room for one more long message; beyond that it is told when to come again.
+// admitLong reports whether there is room for one more long message; otherwise it is refused with a retry-after.
 func (r *Router) admitLong() bool {
-	return r.longs < r.cfg.Long.MaxMessages && r.longCalls < r.cfg.Long.Slots && r.stopAt.IsZero()
+	return r.longCount < r.cfg.Long.MaxMessages && r.longCalls < r.cfg.Long.Slots && r.stopAt.IsZero()
 }
 
-// bookLong counts a long message as held from its accept to its end.
-func (r *Router) bookLong(h *held, n int) {
-	if h.Long != nil {
-		r.longs += n
+// countLong adds n to the number of long messages if the message is one.
+func (r *Router) countLong(held *heldMessage, n int) {
+	if held.Long != nil {
+		r.longCount += n
 	}
 }
 
-// settle books a delivery that an endpoint has told of, before the client can hear of it.
-func (r *Router) settle(c *attempt) {
-	if !c.msg.ended {
-		r.end(c.msg, wal.Over, 0)
+// recordDelivery journals a delivery reported by an endpoint, before the client can learn of it.
+func (r *Router) recordDelivery(call *outgoingCall) {
+	if !call.message.ended {
+		r.end(call.message, wal.Over, 0)
 	}
 }
 
-// finishLong tells a long message's client of its end. The end is journalled by now; should this life end before the
-// client is told, the next one's notice tells it.
-func (r *Router) finishLong(h *held, e wal.Ending, retry time.Duration) {
-	end := LongResult{Kind: Failed, RetryAfter: retry, MayHaveRun: h.mayRun, TimedOut: h.timeUp()}
-	if e == wal.Refused {
-		if end.Kind = Refused; retry <= 0 {
-			end.RetryAfter = pushBack
+// finishLong tells the client of a long message how it ended. The end is journalled by now; if this process ends before
+// the client is told, the next one sends a delivery report.
+func (r *Router) finishLong(held *heldMessage, ending wal.Ending, retryAfter time.Duration) {
+	result := LongResult{Kind: Failed, RetryAfter: retryAfter, MayHaveRun: held.mayHaveRun, TimedOut: held.timedOut()}
+	if ending == wal.Refused {
+		if result.Kind = Refused; retryAfter <= 0 {
+			result.RetryAfter = fullRetryAfter
 		}
 	}
-	r.untold++
-	end.ClientAnswered = func(told bool) {
+	r.unansweredLongs++
+	result.ClientAnswered = func(answered bool) {
 		r.post(func() {
-			if r.untold--; told {
+			if r.unansweredLongs--; answered {
 				r.counters.LongAnswered++
-				r.told(h)
+				r.journalReported(held)
 			} else {
-				r.notify(h, e == wal.Refused, retry)
+				r.report(held, ending == wal.Refused, retryAfter)
 			}
 		})
 	}
-	r.afterRecords(h, time.Now().Add(longEndWait), true, func() { h.Long.OnEnd(end) })
+	r.reportAfterRecords(held, time.Now().Add(longEndRecordWait), true, func() { held.Long.OnEnd(result) })
 }
 
-// timeUp says that a message was given up because its time, or that of an attempt, was over.
-func (h *held) timeUp() bool {
-	return !time.Now().Before(h.deadline) || h.attempts > 0 && (h.last == mb.TimedOut || h.last == mb.Cancelled)
+// timedOut reports whether the deadline of the message, or of its latest attempt, has passed.
+func (held *heldMessage) timedOut() bool {
+	return !time.Now().Before(held.deadline) || held.attempts > 0 && (held.latestOutcome == mb.TimedOut || held.latestOutcome == mb.Cancelled)
 }
 
-// told journals that a message's end was told. A long one that may have run and must not run again leaves its id there, so
-// that a later life does not take it on either.
-func (r *Router) told(h *held) {
-	long := h.Long != nil || h.cut
-	keep := long && h.mayRun && r.past.closed < mostClosed && slices.ContainsFunc(r.cfg.Settings.Classes, func(c mb.Class) bool {
-		return c.Name == h.Class && c.Effect != mb.Safe
+// journalReported journals that the end of a message was reported. For a long message that may have run and must not
+// run again, the journal keeps the id, so that a later process does not accept it again.
+func (r *Router) journalReported(held *heldMessage) {
+	long := held.Long != nil || held.longInterrupted
+	keepID := long && held.mayHaveRun && r.ended.closed < maxClosedIDs && slices.ContainsFunc(r.cfg.Settings.Classes, func(c mb.Class) bool {
+		return c.Name == held.Class && c.Effect != mb.Safe
 	})
-	if !keep {
-		r.journal(h.ID, r.cfg.Log.End(h.seq, wal.Over, 0))
+	if !keepID {
+		r.noteJournalError(held.ID, r.cfg.Log.End(held.seq, wal.Over, 0))
 		return
 	}
-	if r.past.close(h.ID, h.seq) {
-		r.journal(h.ID, r.cfg.Log.End(h.seq, wal.Closed, 0))
+	if r.ended.closeLong(held.ID, held.seq) {
+		r.noteJournalError(held.ID, r.cfg.Log.End(held.seq, wal.Closed, 0))
 		return
 	}
-	r.journal(h.ID, r.cfg.Log.End(h.seq, wal.Over, 0)) // its id's time is over by now
+	r.noteJournalError(held.ID, r.cfg.Log.End(held.seq, wal.Over, 0)) // its id has expired by now
 }
 
-// overLong tells a long message's client that nothing more is owed: it was delivered, or nobody wants it.
-func (r *Router) overLong(h *held, delivered bool) {
-	end := LongResult{Kind: AlreadyAccepted}
+// completeLong tells the client of a long message that no further attempt is made: it was delivered, or is no
+// longer wanted.
+func (r *Router) completeLong(held *heldMessage, delivered bool) {
+	result := LongResult{Kind: AlreadyAccepted}
 	if !delivered {
-		end = LongResult{Kind: Failed, MayHaveRun: h.mayRun, TimedOut: true}
+		result = LongResult{Kind: Failed, MayHaveRun: held.mayHaveRun, TimedOut: true}
 	}
-	r.cfg.Log.AfterCommit(func(error) { h.Long.OnEnd(end) })
+	r.cfg.Log.AfterCommit(func(error) { held.Long.OnEnd(result) })
 }
 
-// endLongs ends the long messages that wait for a call when this life is over; those out have been cancelled.
-func (r *Router) endLongs() {
-	for _, h := range r.ids {
-		if h.Long == nil || h.call != nil {
+// endWaitingLongs ends the long messages that wait for a call at the end of the process; calls that are out have been
+// cancelled.
+func (r *Router) endWaitingLongs() {
+	for _, held := range r.messagesByID {
+		if held.Long == nil || held.call != nil {
 			continue
 		}
-		e := wal.Refused
-		if h.mayRun {
-			e = wal.Failed
+		ending := wal.Refused
+		if held.mayHaveRun {
+			ending = wal.Failed
 		}
-		r.finish(h, e, lateRefusal)
-		r.decide(mb.MessageCancelled{ID: mb.MessageID(h.seq)})
+		r.finishWithReport(held, ending, shutdownRetryAfter)
+		r.decide(mb.MessageCancelled{ID: mb.MessageID(held.seq)})
 	}
 }
--- a/internal/routing/long_test.go
+++ b/internal/routing/long_test.go
@@ -31,7 +31,7 @@
 	if call.BodySource != "m" || call.Body != nil || !call.Begin() || !call.RecordDelivery() {
 		t.Errorf("call %+v", call)
 	}
-	if live, _ := ask(r, func() int { return len(journal.Live()) }); live != 0 || len(ends) != 0 {
+	if live, _ := execute(r, func() int { return len(journal.Live()) }); live != 0 || len(ends) != 0 {
 		t.Errorf("%d live messages when the client hears, %d ends", live, len(ends))
 	}
 	s.results <- Result{Outcome: mb.OK, BodyConsumed: true}
@@ -112,7 +112,7 @@
 	if diff := cmp.Diff(map[string]bool{"begun": false, "held": true, "ended": false}, got); diff != "" {
 		t.Error(diff)
 	}
-	if c := r.Counters(); c.LongCut != 2 || c.Sends != 0 || c.LongHeld != 0 {
+	if c := r.Counters(); c.LongInterrupted != 2 || c.Calls != 0 || c.LongHeld != 0 {
 		t.Errorf("counters %+v", c)
 	}
 	end()
--- a/internal/routing/shared_test.go
+++ b/internal/routing/replication_test.go
@@ -10,14 +10,14 @@
 )
 
 // strictGuard lets everything go; its classes are strict or not.
-type strictGuard bool
+type fakeReplication bool
 
-func (strictGuard) MayAct() bool                                { return true }
-func (strictGuard) LogPosition() uint64                         { return 0 }
-func (strictGuard) WaitReplicated(uint64, string) (bool, error) { return false, nil }
-func (strictGuard) Replicated(uint64, string) bool              { return true }
-func (strictGuard) CanAccept(string) bool                       { return true }
-func (g strictGuard) ReplicatesStarts(string) bool              { return bool(g) }
+func (fakeReplication) MayAct() bool                                { return true }
+func (fakeReplication) LogPosition() uint64                         { return 0 }
+func (fakeReplication) WaitReplicated(uint64, string) (bool, error) { return false, nil }
+func (fakeReplication) Replicated(uint64, string) bool              { return true }
+func (fakeReplication) CanAccept(string) bool                       { return true }
+func (g fakeReplication) ReplicatesStarts(string) bool              { return bool(g) }
 
 // A copy of a message of a strict class that says of no call was never called. One of another class may have been called without any copy
 // that says so: whoever takes it over sends it again only where a repeat does no harm. Two regions that were cut from each other sent an
@@ -40,7 +40,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r, s, _ := runGuarded(t, journal, strictGuard(c.strict))
+			r, s, _ := runReplicated(t, journal, fakeReplication(c.strict))
 			m := &wal.Message{
 				Seq: 1, ID: "m", Key: "k", Class: c.class, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte("b"),
 			}
@@ -71,7 +71,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, _, _ := runGuarded(t, journal, strictGuard(true))
+	r, _, _ := runReplicated(t, journal, fakeReplication(true))
 	var messages []*wal.Message
 	for i := range 100 {
 		messages = append(messages, &wal.Message{
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	clockStart   = time.Second     // the module takes a reading of zero for "never"
-	pastRoom     = 24 * time.Hour  // of the module's clock, before a life that recalls an earlier one
-	pushBack     = time.Second     // when to come again to a forwarder that is full, beside the module's say
-	eventRoom    = 256             // events waiting for the router's goroutine
-	lateRefusal  = 3 * time.Second // when to come again to a forwarder that is going down
-	timersAtOnce = 16
+	clockStart         = time.Second     // start of the module's clock, which takes zero for "never"
+	pastClockRange     = 24 * time.Hour  // range of the module's clock before the start of this process, for events restored from an earlier one
+	fullRetryAfter     = time.Second     // retry-after of messages refused for lack of room, where the module gives none
+	eventQueueSize     = 256             // events waiting for the router's goroutine
+	shutdownRetryAfter = 3 * time.Second // retry-after of messages refused during shutdown
+	timerBatchCapacity = 16
 )
 
-// Config is what a Router starts with.
+// Config configures a Router.
 type Config struct {
 	Settings     mb.Settings
 	Seed         uint64
@@ -31,18 +31,19 @@
 	Caller       Caller
 	Notifier     Notifier
 	Logger       zerolog.Logger
-	Sampler      *oplog.Sampler // of what becomes of single requests; nil tells of none
-	DrainTimeout time.Duration  // after the stop: how long calls may be out, at the most
-	ClientGrace  time.Duration  // after the stop: how long clients may still come, and are answered
+	Sampler      *oplog.Sampler // samples the log lines on single requests; nil logs none
+	DrainTimeout time.Duration  // maximum time that calls may stay out after the stop
+	ClientGrace  time.Duration  // how long after the stop clients may still connect, and are answered
 	Long         LongLimits
-	Learned      *mb.LearnedState // what an earlier life had learned; nil is nothing
-	// EndedBefore says whether a message of that id has ended in an earlier life, and whether it was delivered; nil knows of none.
+	Learned      *mb.LearnedState // state learned by an earlier process; nil for none
+	// EndedBefore reports whether the message with the id ended in an earlier process, and whether it was delivered;
+	// nil knows of none.
 	EndedBefore func(id string) (delivered, known bool)
-	// Replication stands before those who keep copies of what is held here; nil: nobody does.
+	// Replication copies held messages to other forwarders; nil if messages are not replicated.
 	Replication Replication
-	// Steering says where calls may go; nil: everywhere.
+	// Steering restricts the zones that calls may go to; nil for no restriction.
 	Steering Steering
-	// Limiter bounds what is taken on of a class; nil: nothing does.
+	// Limiter limits the messages accepted per class; nil for no limit.
 	Limiter Limiter
 }
 
@@ -51,173 +52,175 @@
 	cookie uint64
 }
 
-// Router owns everything about the messages that this forwarder holds. Its methods may be called from any goroutine;
-// what they do happens in Run's.
+// Router owns all state of the messages that this forwarder holds. Its methods may be called from any goroutine; the
+// work is done by the goroutine of Run.
 type Router struct {
-	cfg          Config
-	decider      *mb.Decider
-	startedAt    time.Time
-	events       chan func()
-	done         chan struct{}
-	classes      map[string]time.Duration // how long a message may live
-	endpoints    map[string]Endpoint
-	groups       map[int64]bool    // destinations ever listed
-	overlay      *overlay          // nil: nothing is configured, the list alone counts
-	access       map[string]Access // endpoints that the module was told of as other than Free; see Steering
-	messages     map[uint64]*held
-	ids          map[string]*held // by the clients' id, until the end
-	past         pastIDs
-	waiting      map[uint64]*held // ended in an earlier life; whether this one tells of it is not known yet
-	noticed      map[uint64]*held // ended, and not acknowledged; kept only where others hold copies
-	longest      time.Duration    // of any class
-	longs        int              // long messages held or out
-	longCalls    int              // of these, those out
-	untold       int              // ends of long messages of which the client has not been told
-	calls        int
-	notices      int // not acknowledged yet
-	timers       []timer
-	stopAt       time.Time // the end of this life, once it is told
-	over         bool      // no call may begin any more
-	counters     Counters
-	outage       outage              // of the journal
-	journalTried time.Time           // when what waits was last tried, also while events keep coming
-	promises     map[uint64]*promise // ends that are not told yet, by message
-	tasks        errgroup.Group      // calls that are out
-	ctx          context.Context
+	cfg               Config
+	decider           *mb.Decider
+	startedAt         time.Time
+	events            chan func()
+	done              chan struct{}
+	deliveryTimeouts  map[string]time.Duration // by class
+	endpoints         map[string]Endpoint
+	knownDestinations map[int64]bool    // destinations that were ever listed
+	overlay           *overlay          // nil while no destination is configured
+	restrictedAccess  map[string]Access // endpoints that were given to the module with an access other than Free; see Steering
+	messages          map[uint64]*heldMessage
+	messagesByID      map[string]*heldMessage // by the client's message id, until the message ends
+	ended             endedIDs
+	undecidedReports  map[uint64]*heldMessage // ended in an earlier process; not decided yet whether this one sends their reports
+	unacknowledged    map[uint64]*heldMessage // reported and not acknowledged; only used with replication
+	longestTimeout    time.Duration           // longest of deliveryTimeouts
+	longCount         int                     // long messages that are held or out
+	longCalls         int                     // long messages that are out
+	unansweredLongs   int                     // ended long messages whose clients have not been answered yet
+	callsOut          int
+	pendingReports    int // not acknowledged yet
+	timers            []timer
+	stopAt            time.Time // end of the shutdown, once it has begun
+	stopped           bool      // no call may start any more
+	counters          Counters
+	outage            outage                     // of the journal
+	lastJournalTry    time.Time                  // last time that pending records were tried; events do not reset it
+	deferredReports   map[uint64]*deferredReport // reports that wait for their records, by message
+	callTasks         errgroup.Group             // goroutines of the calls that are out
+	callContext       context.Context
 }
 
-// New prepares a router: it learns the known list and resumes what an earlier life had taken on. Sends begin with Run.
+// New creates a router. Run then reads the initial list, resumes the messages of an earlier process and starts sending.
 func New(cfg Config) (*Router, error) {
-	cfg.Settings.SeparateZones = cfg.Settings.SeparateZones || cfg.Steering != nil // a zone that is lost says nothing of the others
+	cfg.Settings.SeparateZones = cfg.Settings.SeparateZones || cfg.Steering != nil // the failure of one zone says nothing about the others
 	decider, err := mb.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("routing: %w", err)
 	}
 	r := &Router{
-		cfg: cfg, decider: decider, startedAt: time.Now(), events: make(chan func(), eventRoom),
-		done: make(chan struct{}), classes: map[string]time.Duration{}, endpoints: map[string]Endpoint{},
-		groups: map[int64]bool{}, access: map[string]Access{}, messages: map[uint64]*held{}, ids: map[string]*held{},
-		past: pastIDs{delivered: map[string]bool{}}, waiting: map[uint64]*held{}, noticed: map[uint64]*held{},
-		promises: map[uint64]*promise{},
+		cfg: cfg, decider: decider, startedAt: time.Now(), events: make(chan func(), eventQueueSize),
+		done: make(chan struct{}), deliveryTimeouts: map[string]time.Duration{}, endpoints: map[string]Endpoint{},
+		knownDestinations: map[int64]bool{}, restrictedAccess: map[string]Access{}, messages: map[uint64]*heldMessage{}, messagesByID: map[string]*heldMessage{},
+		ended: endedIDs{delivered: map[string]bool{}}, undecidedReports: map[uint64]*heldMessage{}, unacknowledged: map[uint64]*heldMessage{},
+		deferredReports: map[uint64]*deferredReport{},
 	}
-	if cfg.Learned != nil { // the past that the module is told of lies before its clock's beginning, else
-		r.startedAt = r.startedAt.Add(-pastRoom)
+	if cfg.Learned != nil { // otherwise the restored state would lie before the start of the module's clock
+		r.startedAt = r.startedAt.Add(-pastClockRange)
 	}
 	for _, c := range cfg.Settings.Classes {
-		r.classes[c.Name] = c.DeliveryTimeout
-		r.longest = max(r.longest, c.DeliveryTimeout)
+		r.deliveryTimeouts[c.Name] = c.DeliveryTimeout
+		r.longestTimeout = max(r.longestTimeout, c.DeliveryTimeout)
 	}
 	return r, nil
 }
 
-// Run is the router's goroutine. It resumes the journal's messages, calls ready, and serves events until ctx ends and
-// the stop's drain is over.
+// Run runs the router. It resumes the messages in the journal, calls ready, and serves events until ctx is done and the
+// shutdown has ended.
 func (r *Router) Run(ctx context.Context, ready func()) error {
 	defer close(r.done)
 	callCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	r.ctx = callCtx
+	r.callContext = callCtx
 	if r.cfg.Learned != nil {
 		r.decider.Restore(r.now(), *r.cfg.Learned)
 	}
-	r.learn(r.cfg.InitialList)
+	r.updateEndpoints(r.cfg.InitialList)
 	r.resume()
 	ready()
-	wake := time.NewTimer(time.Hour)
-	defer wake.Stop()
-	stop := ctx.Done()
+	wakeup := time.NewTimer(time.Hour)
+	defer wakeup.Stop()
+	stopRequested := ctx.Done()
 	for {
-		wake.Reset(r.untilNext())
+		wakeup.Reset(r.untilNextWakeup())
 		select {
-		case f := <-r.events:
-			f()
-		case <-wake.C:
-			r.fire()
+		case event := <-r.events:
+			event()
+		case <-wakeup.C:
+			r.fireTimers()
 			r.retryJournal()
-		case <-stop:
-			stop = nil
-			r.close(r.cfg.DrainTimeout)
+		case <-stopRequested:
+			stopRequested = nil
+			r.beginShutdown(r.cfg.DrainTimeout)
 		}
 		if r.drained() {
 			break
 		}
 	}
-	r.over = true
-	cancel() // what is out now would be out when the process is killed
-	r.endLongs()
-	finished := make(chan struct{})
-	go func() { defer close(finished); _ = r.tasks.Wait() }()
+	r.stopped = true
+	cancel() // calls still out now would be cut when the process is killed
+	r.endWaitingLongs()
+	callsDone := make(chan struct{})
+	go func() { defer close(callsDone); _ = r.callTasks.Wait() }()
 	for {
 		select {
-		case f := <-r.events:
-			f()
-		case <-finished:
-			r.keepLast()
+		case event := <-r.events:
+			event()
+		case <-callsDone:
+			r.sendUnrecordedReports()
 			r.drainEvents()
 			return nil
 		}
 	}
 }
 
-// drainEvents serves what is left after the last call: its outcome, and whether clients of long messages were told.
+// drainEvents serves the events that remain after the last call: its outcome, and whether clients of long messages were
+// answered.
 func (r *Router) drainEvents() {
-	late := time.NewTimer(toldFor)
-	defer late.Stop()
+	timeout := time.NewTimer(answerGrace)
+	defer timeout.Stop()
 	for {
 		select {
-		case f := <-r.events:
-			f()
+		case event := <-r.events:
+			event()
 			continue
 		default:
 		}
-		if r.untold == 0 {
+		if r.unansweredLongs == 0 {
 			return
 		}
 		select {
-		case f := <-r.events:
-			f()
-		case <-late.C:
+		case event := <-r.events:
+			event()
+		case <-timeout.C:
 			return
 		}
 	}
 }
 
-// close begins the end of this life.
-func (r *Router) close(in time.Duration) {
+// beginShutdown starts the shutdown, which takes at most the given time.
+func (r *Router) beginShutdown(in time.Duration) {
 	r.stopAt = time.Now().Add(in)
-	r.cfg.Logger.Info().Int("held", len(r.ids)).Int("calls", r.calls).Stringer("within", in).Msg("stopping")
+	r.cfg.Logger.Info().Int("held", len(r.messagesByID)).Int("calls", r.callsOut).Stringer("within", in).Msg("stopping")
 	r.decide(mb.Shutdown{In: in})
 }
 
-// drained says whether this life may end: clients have stopped coming, and nothing is held, out or still to be told.
+// drained reports whether the shutdown is over: clients have stopped coming and no message, call, report or record is
+// pending, or the time is up.
 func (r *Router) drained() bool {
 	if r.stopAt.IsZero() {
 		return false
 	}
 	left := time.Until(r.stopAt)
-	nothing := r.calls == 0 && len(r.ids) == 0 && r.notices == 0 && r.cfg.Log.Waiting() == 0
-	return left <= 0 || left < r.cfg.DrainTimeout-r.cfg.ClientGrace && nothing
+	idle := r.callsOut == 0 && len(r.messagesByID) == 0 && r.pendingReports == 0 && r.cfg.Log.Waiting() == 0
+	return left <= 0 || left < r.cfg.DrainTimeout-r.cfg.ClientGrace && idle
 }
 
-// post hands an event to the router's goroutine; it is dropped once that has ended.
-func (r *Router) post(f func()) bool {
+// post queues an event for the router's goroutine. It returns false if the router has stopped.
+func (r *Router) post(event func()) bool {
 	select {
-	case r.events <- f:
+	case r.events <- event:
 		return true
 	case <-r.done:
 		return false
 	}
 }
 
-// ask hands in an event and waits for its answer.
-func ask[T any](r *Router, f func() T) (T, bool) {
+// execute runs f on the router's goroutine and returns its result, or false if the router has stopped.
+func execute[T any](r *Router, f func() T) (T, bool) {
 	answer := make(chan T, 1)
 	if r.post(func() { answer <- f() }) {
 		select {
 		case v := <-answer:
 			return v, true
 		case <-r.done:
-			select { // it may have been the last one served
+			select { // f may have been the last event served
 			case v := <-answer:
 				return v, true
 			default:
@@ -228,52 +231,53 @@
 	return none, false
 }
 
-// Accept decides on a message that is handed in; when it says Taken, the message is journalled and outlasts what the
-// journal's durability says.
+// Accept decides on a submitted message. If the verdict is Accepted, the message is in the journal, as durable as the
+// journal's settings promise.
 func (r *Router) Accept(m Message) Verdict {
-	v, ok := ask(r, func() Verdict { return r.take(m) })
+	v, ok := execute(r, func() Verdict { return r.accept(m) })
 	if !ok {
-		return Verdict{Kind: Stopped, RetryAfter: lateRefusal}
+		return Verdict{Kind: Stopped, RetryAfter: shutdownRetryAfter}
 	}
-	if v.Kind != Accepted && v.Kind != AlreadyAccepted || v.record == 0 {
+	if v.Kind != Accepted && v.Kind != AlreadyAccepted || v.recordNumber == 0 {
 		return v
 	}
-	if err := r.cfg.Log.Commit(v.record); err != nil { // no call of it has left, and none will
+	if err := r.cfg.Log.Commit(v.recordNumber); err != nil { // no call of the message has started, and none will
 		if v.Kind == Accepted {
 			r.CancelMessage(m.ID)
 		}
-		return Verdict{Kind: Refused, RetryAfter: lateRefusal}
+		return Verdict{Kind: Refused, RetryAfter: shutdownRetryAfter}
 	}
-	if r.cfg.Replication != nil && v.mark > 0 {
-		return r.confirmTaken(m, v)
+	if r.cfg.Replication != nil && v.logPosition > 0 {
+		return r.confirmReplicated(m, v)
 	}
 	return v
 }
 
-// CancelMessage drops a message whose client could not be told that it was taken on: to the client it counts for
-// nothing, and it will be handed in again. If it has been by then, and that was told to be known, it stays.
+// CancelMessage drops a message whose client could not be told that it was accepted. The client regards it as not
+// accepted and submits it again. If that has already happened and the repeat was answered with AlreadyAccepted, the
+// message stays.
 func (r *Router) CancelMessage(id string) {
 	r.post(func() {
-		if h := r.ids[id]; h != nil && !h.repeated {
-			r.counters.Withdrawn++
-			r.sample("message withdrawn", "client not told", h)
-			r.journal(h.ID, r.cfg.Log.Withdraw(h.seq))
-			r.end(h, wal.Over, 0)
-			r.past.drop(id)
-			r.decide(mb.MessageCancelled{ID: mb.MessageID(h.seq)})
+		if held := r.messagesByID[id]; held != nil && !held.duplicateAnswered {
+			r.counters.MessagesCancelled++
+			r.sample("message cancelled", "client not answered", held)
+			r.noteJournalError(held.ID, r.cfg.Log.Withdraw(held.seq))
+			r.end(held, wal.Over, 0)
+			r.ended.forget(id)
+			r.decide(mb.MessageCancelled{ID: mb.MessageID(held.seq)})
 		}
 	})
 }
 
-// Learn tells of discovery's list.
-func (r *Router) Learn(d EndpointList) { r.post(func() { r.learn(d) }) }
+// Learn passes on a list of endpoints from discovery.
+func (r *Router) Learn(list EndpointList) { r.post(func() { r.updateEndpoints(list) }) }
 
-// Counters gives the counters as they are now.
+// Counters returns the current counters.
 func (r *Router) Counters() Counters {
-	c, ok := ask(r, func() Counters {
-		r.counters.Held, r.counters.CallsOut = len(r.ids), r.calls
-		r.counters.Waiting = r.cfg.Log.Waiting()
-		r.counters.LongHeld, r.counters.LongOut = r.longs-r.longCalls, r.longCalls
+	c, ok := execute(r, func() Counters {
+		r.counters.Held, r.counters.CallsOut = len(r.messagesByID), r.callsOut
+		r.counters.PendingRecords = r.cfg.Log.Waiting()
+		r.counters.LongHeld, r.counters.LongCallsOut = r.longCount-r.longCalls, r.longCalls
 		return r.counters
 	})
 	if !ok {
@@ -282,25 +286,26 @@
 	return c
 }
 
-// Learned gives what was learned up to now, and the ids of messages that have ended of late, oldest first of each kind.
-func (r *Router) Learned() (l mb.LearnedState, ids []EndedID) {
-	take := func() bool {
-		l, ids = r.decider.Snapshot(r.now()), r.past.list()
+// Learned returns the state learned so far and the ids of recently ended messages, oldest first for short and for long
+// messages.
+func (r *Router) Learned() (learned mb.LearnedState, ids []EndedID) {
+	read := func() bool {
+		learned, ids = r.decider.Snapshot(r.now()), r.ended.list()
 		return true
 	}
-	if _, served := ask(r, take); !served {
-		take() // the goroutine that owned them has ended
+	if _, served := execute(r, read); !served {
+		read() // the goroutine that owned them has ended
 	}
-	return l, ids
+	return learned, ids
 }
 
-// ---- the router's goroutine only, from here on ----
+// The functions below run on the router's goroutine only.
 
 func (r *Router) now() time.Duration { return clockStart + time.Since(r.startedAt) }
 
-func (r *Router) clock(at time.Duration) time.Time { return r.startedAt.Add(at - clockStart) }
+func (r *Router) wallClock(at time.Duration) time.Time { return r.startedAt.Add(at - clockStart) }
 
-// decide feeds the module and carries out what it says.
+// decide passes events to the module and carries out the actions it returns.
 func (r *Router) decide(events ...mb.Event) { r.perform(r.decider.Handle(r.now(), events)) }
 
 func (r *Router) perform(actions []mb.Action) {
@@ -309,17 +314,17 @@
 		case mb.Send:
 			r.send(a)
 		case mb.Refuse:
-			if h := r.messages[uint64(a.ID)]; h != nil {
-				r.finish(h, wal.Refused, a.RetryAfter)
+			if held := r.messages[uint64(a.ID)]; held != nil {
+				r.finishWithReport(held, wal.Refused, a.RetryAfter)
 			}
 		case mb.Fail:
-			if h := r.messages[uint64(a.ID)]; h != nil {
-				r.finish(h, wal.Failed, 0)
+			if held := r.messages[uint64(a.ID)]; held != nil {
+				r.finishWithReport(held, wal.Failed, 0)
 			}
 		case mb.Cancel:
-			if h := r.messages[uint64(a.ID)]; h != nil && h.call != nil && h.call.number == a.Attempt {
-				h.call.cancelled, h.call.stuck = true, true
-				h.call.cancel()
+			if held := r.messages[uint64(a.ID)]; held != nil && held.call != nil && held.call.number == a.Attempt {
+				held.call.cancelled, held.call.timedOutByModule = true, true
+				held.call.cancel()
 			}
 		case mb.CloseIdle:
 			r.cfg.Caller.CloseIdle(string(a.Endpoint))
@@ -327,14 +332,14 @@
 			r.timers = append(r.timers, timer{time.Now().Add(a.After), a.Cookie})
 		case mb.Log:
 			r.cfg.Logger.Info().Str("part", "module").Msg(a.Text)
-		case mb.Probe, mb.Subscribe: // probing is ruled out; discovery's watch always runs
+		case mb.Probe, mb.Subscribe: // probing is not used, and discovery is always watched
 		}
 	}
 }
 
-// untilNext is the time to the next timer, to the journal's next try, or to the end of this life.
-func (r *Router) untilNext() time.Duration {
-	next := time.Now().Add(r.journalDue())
+// untilNextWakeup returns the time until the next timer, journal retry or step of the shutdown.
+func (r *Router) untilNextWakeup() time.Duration {
+	next := time.Now().Add(r.untilJournalRetry())
 	for _, t := range r.timers {
 		if t.at.Before(next) {
 			next = t.at
@@ -350,10 +355,10 @@
 	return max(0, time.Until(next))
 }
 
-// fire feeds the timers that are due.
-func (r *Router) fire() {
+// fireTimers passes expired timers to the module.
+func (r *Router) fireTimers() {
 	now := time.Now()
-	due := make([]mb.Event, 0, timersAtOnce)
+	due := make([]mb.Event, 0, timerBatchCapacity)
 	rest := r.timers[:0]
 	for _, t := range r.timers {
 		if t.at.After(now) {
@@ -368,50 +373,50 @@
 	}
 }
 
-// learn takes what discovery says.
-func (r *Router) learn(d EndpointList) {
+// updateEndpoints applies a list from discovery.
+func (r *Router) updateEndpoints(list EndpointList) {
 	if r.overlay != nil {
-		if d = r.overlay.list(d); !d.Whole && !d.Saved && len(d.Endpoints) == 0 {
+		if list = r.overlay.applyDiscovery(list); !list.Whole && !list.Saved && len(list.Endpoints) == 0 {
 			return
 		}
 	}
-	r.learnEndpoints(d)
+	r.applyEndpoints(list)
 }
 
-// learnEndpoints takes what counts of it, or of the configuration.
-func (r *Router) learnEndpoints(d EndpointList) {
+// applyEndpoints applies a list that already takes the configured endpoints into account.
+func (r *Router) applyEndpoints(list EndpointList) {
 	scope := mb.ListChanges
 	switch {
-	case d.Saved:
+	case list.Saved:
 		scope = mb.ListSaved
-	case d.Whole:
+	case list.Whole:
 		scope = mb.ListWhole
 	}
-	if scope != mb.ListChanges { // what is not in it is gone
-		listed := make(map[string]bool, len(d.Endpoints))
-		for _, p := range d.Endpoints {
-			listed[p.Name] = true
+	if scope != mb.ListChanges { // endpoints missing from a complete list are removed
+		listed := make(map[string]bool, len(list.Endpoints))
+		for _, endpoint := range list.Endpoints {
+			listed[endpoint.Name] = true
 		}
 		for name := range r.endpoints {
 			if !listed[name] {
 				r.cfg.Caller.CloseIdle(name)
 				delete(r.endpoints, name)
-				delete(r.access, name)
+				delete(r.restrictedAccess, name)
 			}
 		}
 	}
-	entries := make([]mb.Entry, 0, len(d.Endpoints))
-	for _, p := range d.Endpoints {
-		if old, ok := r.endpoints[p.Name]; p.State != mb.Serving || ok && old.Address != p.Address {
-			r.cfg.Caller.CloseIdle(p.Name)
+	entries := make([]mb.Entry, 0, len(list.Endpoints))
+	for _, endpoint := range list.Endpoints {
+		if old, ok := r.endpoints[endpoint.Name]; endpoint.State != mb.Serving || ok && old.Address != endpoint.Address {
+			r.cfg.Caller.CloseIdle(endpoint.Name)
 		}
-		if p.State == mb.Deleted {
-			delete(r.endpoints, p.Name)
+		if endpoint.State == mb.Deleted {
+			delete(r.endpoints, endpoint.Name)
 		} else {
-			r.endpoints[p.Name] = p
-			r.groups[p.Destination] = true
+			r.endpoints[endpoint.Name] = endpoint
+			r.knownDestinations[endpoint.Destination] = true
 		}
-		entries = append(entries, r.entry(p))
+		entries = append(entries, r.memberEntry(endpoint))
 	}
 	r.decide(mb.EndpointUpdate{Scope: scope, Entries: entries})
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,6 +1,7 @@
-// Package routing runs the decision module in real time. One goroutine, the Router's, owns the Decider, the messages
-// held, the calls out, the timers, the journal and the counters: events go in, actions come out. It knows no wire
-// format; what speaks one is put before it (Take, Learn) and behind it (Caller, Notifier).
+// Package routing runs the decision module in real time. A single goroutine, started by Router.Run, owns the Decider,
+// the held messages, the outgoing calls, the timers, the journal and the counters: it receives events and carries out
+// the actions that the module returns. The package knows no wire format; code that speaks one calls Router.Accept and
+// Router.Learn, or implements Caller and Notifier.
 package routing
 
 import (
@@ -10,41 +11,41 @@
 	mb "mulleinbeam"
 )
 
-// Message is what a client hands in.
+// Message is a message as a client submits it.
 type Message struct {
 	ID, Key     string
 	Class       string
 	Destination int64
 	TimeLeft    time.Duration // how long it may still be delivered
 	Body        []byte
-	Long        *Long // its body is passed on; nil for one that is held
+	Long        *Long // set if the body is streamed instead of stored
 }
 
-// Verdict is the answer to a message that was handed in.
+// Verdict is the answer to a submitted message.
 type Verdict struct {
-	Kind       VerdictKind
-	RetryAfter time.Duration // with Refused: when to come again
-	record     uint64        // with Taken and Known: what has to be durable before it is told,
-	mark, seq  uint64        // and what others have to hold
+	Kind             VerdictKind
+	RetryAfter       time.Duration // with Refused: when the client may try again
+	recordNumber     uint64        // with Accepted and AlreadyAccepted: journal record that has to be durable before the answer
+	logPosition, seq uint64        // position in the replicated log, and the message's sequence number
 }
 
-// VerdictKind says what became of a message that was handed in.
+// VerdictKind is the kind of a Verdict.
 type VerdictKind int
 
-// The verdicts. Unknown classes and destinations are the client's error.
+// Verdict kinds. UnknownClass and UnknownDestination are client errors.
 const (
 	Accepted        VerdictKind = iota
-	AlreadyAccepted             // taken on before under this id, and held or delivered
-	AlreadyEnded                // taken on before under this id, and given up or handed back
+	AlreadyAccepted             // accepted earlier under this id, and held or delivered
+	AlreadyEnded                // accepted earlier under this id, and abandoned or returned
 	Refused
 	Failed
 	UnknownClass
 	UnknownDestination
-	Stopped     // the router has ended
-	Unconfirmed // taken on, perhaps, and perhaps held by others: nothing can be told
+	Stopped     // the router has stopped
+	Unconfirmed // possibly accepted and replicated: no answer would be safe
 )
 
-// Endpoint is one endpoint as discovery lists it.
+// Endpoint is an endpoint as discovery or the configuration lists it.
 type Endpoint struct {
 	Name, Address string
 	Zone, Kind    string
@@ -53,56 +54,58 @@
 	State         mb.Readiness
 }
 
-// EndpointList is a list of endpoints: the whole one, or the entries that changed.
+// EndpointList is a complete list of endpoints, or the entries that changed.
 type EndpointList struct {
 	Whole     bool
-	Saved     bool // the list as it was last held, perhaps out of date
+	Saved     bool // the last known list, possibly out of date
 	Endpoints []Endpoint
 }
 
-// Attempt is one attempt: a message on its way to an endpoint.
+// Attempt is one attempt to deliver a message to an endpoint.
 type Attempt struct {
 	ID, Key       string
 	Body          []byte
 	Endpoint      string
 	Address       string
 	Deadline      time.Time // the attempt is abandoned then
-	NewConnection bool      // on a new connection
-	BodySource    any       // of a long message: Long.Source; there is no Body then
-	// RecordDelivery must be asked, for a long message, once its delivery is known and before its client can hear of that.
+	NewConnection bool      // whether it needs a new connection
+	BodySource    any       // Long.BodySource of a long message, whose Body is empty
+	// RecordDelivery journals the delivery of a long message. The Caller calls it once the delivery is known and before
+	// the client can learn of it.
 	RecordDelivery func() bool
-	// Begin must be asked just before the first byte is written; false forbids it.
+	// Begin must be called just before the first byte is written; false forbids writing it.
 	Begin func() bool
 }
 
 // Result is how an attempt ended.
 type Result struct {
 	Outcome          mb.Outcome
-	RetryAfter       time.Duration   // with Full: the wait told, zero if none
-	Limit            *mb.LimitReport // what the endpoint told of its limit, if anything
-	Final            bool            // the message is over: nothing more is owed
-	ReusedConnection bool            // it went on a connection that had carried a call before
-	BodyConsumed     bool            // of a long message: its body is gone, and no further attempt can be made
+	RetryAfter       time.Duration   // with Full: the delay that the endpoint asked for, zero if none
+	Limit            *mb.LimitReport // limit reported by the endpoint, if any
+	Final            bool            // no further attempt is needed
+	ReusedConnection bool            // the connection had carried a call before
+	BodyConsumed     bool            // the body of a long message is lost, so no further attempt is possible
 }
 
-// Caller makes calls. Call returns when the attempt has ended and nothing of it is on a connection any more; when
-// ctx ends before that, it gives the attempt up.
+// Caller makes calls. Call returns when the attempt has ended and its connection carries nothing of it any more; if ctx
+// ends first, it abandons the attempt.
 type Caller interface {
 	Call(ctx context.Context, call Attempt) Result
 	// CloseIdle closes the idle connections to an endpoint.
 	CloseIdle(endpoint string)
 }
 
-// DeliveryReport tells the platform how a message ended that was taken on and not delivered.
+// DeliveryReport tells the platform how an accepted message ended that was not delivered.
 type DeliveryReport struct {
 	ID         string
-	Returned   bool // it may be handed in again, after RetryAfter
+	Returned   bool // the client may submit it again, after RetryAfter
 	RetryAfter time.Duration
-	// MaySend says, just before the notice is sent, whether it may be, and whether it never will: others who hold copies of the
-	// message may have taken it over. Nil is always.
+	// MaySend is called just before the report is sent. It returns whether the report may be sent now, and whether it
+	// must never be sent because another forwarder took the message over. If MaySend is nil, the report may always be
+	// sent.
 	MaySend func() (now, never bool)
-	Done    func() // to be called once the platform has acknowledged it
+	Done    func() // must be called once the platform has acknowledged the report
 }
 
-// Notifier passes notices on until they are acknowledged; Notify does not wait for that.
+// Notifier sends delivery reports until they are acknowledged. Notify does not wait for that.
 type Notifier interface{ Notify(DeliveryReport) }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -56,11 +56,11 @@
 // runRouter runs a router on a journal, which it closes at the end.
 func runRouter(t *testing.T, journal *wal.Log) (r *Router, s script, end func()) {
 	t.Helper()
-	return runGuarded(t, journal, nil)
+	return runReplicated(t, journal, nil)
 }
 
 // runGuarded does so with a guard; nil is none.
-func runGuarded(t *testing.T, journal *wal.Log, guard Replication) (r *Router, s script, end func()) {
+func runReplicated(t *testing.T, journal *wal.Log, guard Replication) (r *Router, s script, end func()) {
 	t.Helper()
 	return runConfig(t, journal, func(c *Config) { c.Replication = guard })
 }
@@ -116,7 +116,7 @@
 	if got := r.Accept(message("m")); got.Kind != Refused || got.RetryAfter <= 0 {
 		t.Errorf("verdict %+v", got)
 	}
-	if got := r.Counters(); len(s.calls) != 0 || got.Sends != 0 || got.Held != 0 {
+	if got := r.Counters(); len(s.calls) != 0 || got.Calls != 0 || got.Held != 0 {
 		t.Errorf("counters %+v", got)
 	}
 }
@@ -247,7 +247,7 @@
 	}
 	r.CancelMessage("repeated")
 	r.CancelMessage("alone")
-	if c := r.Counters(); c.Held != 1 || c.Withdrawn != 1 {
+	if c := r.Counters(); c.Held != 1 || c.MessagesCancelled != 1 {
 		t.Errorf("counters %+v", c)
 	}
 	if c := <-s.calls; c.ID != "repeated" {
@@ -276,7 +276,7 @@
 	s.results <- Result{Outcome: mb.OK}
 	for r.Counters().Delivered == 0 { // asks the router's goroutine each time
 	}
-	if got := r.Counters(); got.Unconnected != 1 || got.Reset != 1 || got.Acknowledged != 1 || got.Held != 0 {
+	if got := r.Counters(); got.ConnectFailed != 1 || got.Reset != 1 || got.Acknowledged != 1 || got.Held != 0 {
 		t.Errorf("counters %+v", got)
 	}
 }
@@ -292,15 +292,15 @@
 		r.Accept(m)
 		(<-s.calls).Begin()
 		n := <-s.notices
-		if n.ID != "m" || n.Returned || time.Since(taken) > m.TimeLeft-requestTravel {
+		if n.ID != "m" || n.Returned || time.Since(taken) > m.TimeLeft-maxRequestTransit {
 			t.Errorf("%+v after %v", n, time.Since(taken))
 		}
 	})
 	now := time.Now()
 	for left, want := range map[time.Duration]time.Duration{
-		time.Minute: time.Minute - requestTravel, requestTravel: requestTravel / 2, time.Millisecond: time.Millisecond / 2, 0: 0, -time.Second: -time.Second,
+		time.Minute: time.Minute - maxRequestTransit, maxRequestTransit: maxRequestTransit / 2, time.Millisecond: time.Millisecond / 2, 0: 0, -time.Second: -time.Second,
 	} {
-		if got := lastAnswer(now, now.Add(left)).Sub(now); got != want {
+		if got := answerDeadline(now, now.Add(left)).Sub(now); got != want {
 			t.Errorf("%v left: answers are waited for for %v, wanted %v", left, got, want)
 		}
 	}
--- a/internal/routing/sample.go
+++ b/internal/routing/sample.go
@@ -6,45 +6,45 @@
 	mb "mulleinbeam"
 )
 
-// Lines of the log on single requests, now and then. The router's goroutine only.
+// Sampled log lines on single requests. The functions below run on the router's goroutine only.
 
-// sample tells what has become of a message, and why.
-func (r *Router) sample(what, reason string, h *held) {
-	r.cfg.Sampler.Note(what, reason, func(e *zerolog.Event) {
-		e.Str("request", h.ID).Str("class", h.Class).Int64("destination", h.Destination).Int("attempts", h.attempts).Bool("may_have_run", h.mayRun)
+// sample logs the event of a message, with the reason.
+func (r *Router) sample(event, reason string, held *heldMessage) {
+	r.cfg.Sampler.Note(event, reason, func(e *zerolog.Event) {
+		e.Str("request", held.ID).Str("class", held.Class).Int64("destination", held.Destination).Int("attempts", held.attempts).Bool("may_have_run", held.mayHaveRun)
 	})
 }
 
-// sampleRefused tells of a message that was not taken on.
-func (r *Router) sampleRefused(m Message, reason string) {
+// sampleRefused logs a refused message.
+func (r *Router) sampleRefused(message Message, reason string) {
 	r.cfg.Sampler.Note("message refused", reason, func(e *zerolog.Event) {
-		e.Str("request", m.ID).Str("class", m.Class).Int64("destination", m.Destination)
+		e.Str("request", message.ID).Str("class", message.Class).Int64("destination", message.Destination)
 	})
 }
 
-// sampleCall tells of a call that has ended, unless it delivered.
-func (r *Router) sampleCall(c *attempt, out mb.Outcome) {
-	if out == mb.OK {
+// sampleCall logs a call that ended without delivery.
+func (r *Router) sampleCall(call *outgoingCall, outcome mb.Outcome) {
+	if outcome == mb.OK {
 		return
 	}
-	r.cfg.Sampler.Note("call ended", outcomeNames[out], func(e *zerolog.Event) {
-		e.Str("request", c.msg.ID).Str("endpoint", c.endpoint).Int("attempt", c.number).Bool("begun", c.begun)
+	r.cfg.Sampler.Note("call ended", outcomeNames[outcome], func(e *zerolog.Event) {
+		e.Str("request", call.message.ID).Str("endpoint", call.endpoint).Int("attempt", call.number).Bool("begun", call.begun)
 	})
 }
 
-// outcomeNames are the outcomes as the counters name them.
+// outcomeNames are the outcomes under the names that the counters have in the log.
 var outcomeNames = map[mb.Outcome]string{
 	mb.OK: "ok", mb.Failed: "error", mb.Refused: "full", mb.TimedOut: "timed_out", mb.ConnectFailed: "connect_failed", mb.Reset: "reset",
 	mb.Cancelled: "cancelled", mb.NotSent: "moot",
 }
 
-// lastOutcome names how a message's latest call ended, of one that is not delivered.
-func (h *held) lastOutcome() string {
+// lastOutcomeName names the outcome of the latest call of an undelivered message.
+func (held *heldMessage) lastOutcomeName() string {
 	switch {
-	case h.attempts == 0:
-		return "untried"
-	case h.last == mb.OK: // none in this life
-		return "earlier life"
+	case held.attempts == 0:
+		return "never attempted"
+	case held.latestOutcome == mb.OK: // no call in this process
+		return "earlier process"
 	}
-	return outcomeNames[h.last]
+	return outcomeNames[held.latestOutcome]
 }
