--- a/internal/routing/accept.go
+++ b/internal/routing/accept.go
@@ -21,10 +21,12 @@
 		return verdict
 	}
 	unreplicated := r.cfg.Replication != nil && !r.cfg.Replication.MayAct()
-	if r.cfg.Replication != nil && (unreplicated && message.Long != nil || !r.cfg.Replication.CanAccept(message.Class)) { // it could not be replicated, or not be sent
+	// Refuse a message that could not be replicated, or not be sent.
+	if r.cfg.Replication != nil && (unreplicated && message.Long != nil || !r.cfg.Replication.CanAccept(message.Class)) {
 		return r.refuse(message, &r.counters.NoReplica, "no replica")
 	}
-	if err := r.cfg.Log.Flush(); err != nil { // no record can be written, so the message is refused before it is decided on
+	// While no record can be written, refuse messages before they are decided on.
+	if err := r.cfg.Log.Flush(); err != nil {
 		r.noteJournalError(message.ID, err)
 		return r.refuse(message, &r.counters.NoRoom, "journal not written")
 	}
--- a/internal/routing/calls.go
+++ b/internal/routing/calls.go
@@ -21,7 +21,7 @@
 	sentAt           time.Time
 	cutAt            time.Time
 	begun            bool          // its first byte may have been written
-	permissionTime   time.Duration // time spent in waiting for the journal and the replicas, which is not the endpoint's
+	permissionTime   time.Duration // waiting for the journal and the replicas, not for the endpoint
 	startPosition    uint64        // position of the start record in the replicated log
 	cancelled        bool
 	timedOutByModule bool          // the module cancelled it after too long without an answer
@@ -295,7 +295,8 @@
 	if r.endpoints[call.endpoint].State != mb.Serving || r.endpoints[call.endpoint].Address == "" {
 		r.cfg.Caller.CloseIdle(call.endpoint) // the list took the endpoint out of service while this call was out
 	}
-	if r.cfg.Steering != nil && result.RetryAfter > 0 { // zones are judged separately, but a retry-after applies to the whole destination
+	// Zones are judged separately, but a retry-after applies to the whole destination.
+	if r.cfg.Steering != nil && result.RetryAfter > 0 {
 		r.decider.ApplyRetryAfter(r.now(), mb.DestinationID(held.Destination), result.RetryAfter)
 	}
 	r.decide(mb.Answer{
--- a/internal/routing/configuration_test.go
+++ b/internal/routing/configuration_test.go
@@ -13,11 +13,12 @@
 	"mulleinbeam/internal/routing/wal"
 )
 
-// Whatever discovery lists and operators configure, in any order: what the router has learned is what counts by then.
+// For any order of lists from discovery and configuration changes, the endpoints that the router knows are those that
+// apply.
 func TestOverlay(t *testing.T) {
 	endpoint := rapid.Custom(func(t *rapid.T) Endpoint {
 		return Endpoint{
-			Name: rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "name"), Destination: rapid.Int64Range(1, 3).Draw(t, "group"),
+			Name: rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "name"), Destination: rapid.Int64Range(1, 3).Draw(t, "destination"),
 			Address: rapid.SampledFrom([]string{"h:1", "h:2"}).Draw(t, "address"),
 			State:   rapid.SampledFrom([]mb.Readiness{mb.Serving, mb.Draining, mb.Deleted}).Draw(t, "state"),
 		}
@@ -51,14 +52,14 @@
 				learn(o.applyDiscovery(d))
 			} else {
 				change := map[int64][]Endpoint{}
-				for _, group := range rapid.SliceOfNDistinct(rapid.Int64Range(1, 3), 1, 2, rapid.ID[int64]).Draw(t, "destinations") {
-					change[group] = nil
+				for _, destination := range rapid.SliceOfNDistinct(rapid.Int64Range(1, 3), 1, 2, rapid.ID[int64]).Draw(t, "destinations") {
+					change[destination] = nil
 					for _, e := range rapid.SliceOfNDistinct(endpoint, 0, 3, func(e Endpoint) string { return e.Name }).Draw(t, "configured") {
-						e.State, e.Destination = mb.Serving, group
-						change[group] = append(change[group], e)
+						e.State, e.Destination = mb.Serving, destination
+						change[destination] = append(change[destination], e)
 					}
-					if destinations[group] = change[group]; len(change[group]) == 0 {
-						delete(destinations, group)
+					if destinations[destination] = change[destination]; len(change[destination]) == 0 {
+						delete(destinations, destination)
 					}
 				}
 				learn(EndpointList{Endpoints: o.configure(change)})
@@ -69,8 +70,8 @@
 					want[name] = e
 				}
 			}
-			for group := int64(3); group > 0; group-- { // a name of two is the first's
-				for _, e := range destinations[group] {
+			for destination := int64(3); destination > 0; destination-- { // of two destinations, the lower wins
+				for _, e := range destinations[destination] {
 					want[e.Name] = e
 				}
 			}
@@ -81,8 +82,8 @@
 	})
 }
 
-// Calls go to configured endpoints from the moment on at which they are; what discovery says of that destination meanwhile counts once they are
-// configured no more.
+// Calls go to configured endpoints as soon as they are configured. Endpoints that discovery lists for that destination
+// meanwhile are used again once the configuration is removed.
 func TestConfiguredEndpointsReplaceListedOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, s, _ := newRouter(t) // discovery lists a
@@ -123,22 +124,23 @@
 	})
 }
 
-// oneOf allows one message of each class.
-type oneOf map[string]bool
+// onePerClass allows one message of each class.
+type onePerClass map[string]bool
 
-func (o oneOf) Allows(class string) bool {
+func (o onePerClass) Allows(class string) bool {
 	allowed := !o[class]
 	o[class] = true
 	return allowed
 }
 
-// A message above its class's rate is refused with a time to come again; one that is held already is known all the same.
-func TestAClassAboveItsRateIsRefused(t *testing.T) {
+// A message above the rate limit of its class is refused with a retry-after; one that is already held is reported as
+// accepted.
+func TestClassOverRateLimitIsRefused(t *testing.T) {
 	journal, err := wal.Open(t.TempDir(), wal.Options{Most: 3e6}, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, _, _ := runConfig(t, journal, func(c *Config) { c.Limiter = oneOf{} })
+	r, _, _ := runConfig(t, journal, func(c *Config) { c.Limiter = onePerClass{} })
 	for _, step := range []struct {
 		id   string
 		want VerdictKind
--- a/internal/routing/counters.go
+++ b/internal/routing/counters.go
@@ -10,21 +10,21 @@
 type Counters struct {
 	Requests, Accepted, Duplicates                 int64 // submitted; accepted; repeated under a known id
 	RefusedImmediately, FailedImmediately          int64 // by the module, before acceptance
-	OverMaxHeld, NoRoom, Invalid                   int64 // over the most-held setting; no room in the journal; unknown class or destination
+	OverMaxHeld, NoRoom, Invalid                   int64 // over most-held; no journal room; unknown class or destination
 	MessagesCancelled, Resumed                     int64 // client gone before its 202; restored from an earlier process
 	BodiesLost                                     int64 // body not readable from the journal any more
 	Calls, CallsSuppressed                         int64 // calls; calls stopped before their first byte
 	Delivered, Errors, RefusedByEndpoint, TimedOut int64 // call outcomes
 	ConnectFailed, Reset, Cancelled, NotSent       int64
 	Returned, Abandoned, Acknowledged              int64 // delivery reports
-	LongAccepted, LongRefused, LongAnswered        int64 // long messages: accepted; refused for lack of room; failed or refused in the answer to the client
+	LongAccepted, LongRefused, LongAnswered        int64 // accepted; no room; ended by an answer without delivery
 	LongInterrupted                                int64 // long messages of an earlier process, ended at the start
-	TakenOver, LostToTakeover                      int64 // messages taken over from other processes; own messages that others took over
+	TakenOver, LostToTakeover                      int64 // taken over from other processes; lost to them
 	NoZone                                         int64 // refused, since the plan has no room for them in any zone
 	OverRateLimit                                  int64 // refused, since the rate limit of their class is used up
 	Unreplicated, NoReplica                        int64 // accepted without a replica; refused for lack of a replica
 	WriteFailures                                  int64 // records that could not be written at once
-	ReportedUnwritten                              int64 // ends reported at the message's deadline, before they were journalled
+	ReportedUnwritten                              int64 // ends reported at the deadline, not journalled yet
 	PendingRecords                                 int   // records waiting to be written, now
 	Held, CallsOut                                 int   // now
 	LongHeld, LongCallsOut                         int   // now
--- a/internal/routing/durability_test.go
+++ b/internal/routing/durability_test.go
@@ -12,15 +12,15 @@
 	"mulleinbeam/internal/routing/wal/store"
 )
 
-// gate holds syncs up, or fails them.
-type gate struct {
+// syncGate delays syncs, or makes them fail.
+type syncGate struct {
 	mu     sync.Mutex
 	err    error
 	closed chan struct{} // nil: open
-	tried  chan struct{} // one for each sync that found it closed
+	tried  chan struct{} // receives once for each sync that found the gate closed
 }
 
-func (g *gate) check(op fsys.Op, _ string, n int) (int, error) {
+func (g *syncGate) check(op fsys.Op, _ string, n int) (int, error) {
 	g.mu.Lock()
 	closed := g.closed
 	g.mu.Unlock()
@@ -37,23 +37,23 @@
 	return n, nil
 }
 
-func (g *gate) shut() {
+func (g *syncGate) shut() {
 	g.mu.Lock()
 	g.closed = make(chan struct{})
 	g.mu.Unlock()
 }
 
-func (g *gate) open(err error) {
+func (g *syncGate) open(err error) {
 	g.mu.Lock()
 	close(g.closed)
 	g.closed, g.err = nil, err
 	g.mu.Unlock()
 }
 
-// newLasting runs a router on a journal whose syncs the test holds up.
-func newLasting(t *testing.T, o wal.Options) (*Router, script, *gate, *fsys.Faults) {
+// newGatedRouter runs a router on a journal whose syncs the test delays.
+func newGatedRouter(t *testing.T, o wal.Options) (*Router, fakeTransport, *syncGate, *fsys.Faults) {
 	t.Helper()
-	dir, g := t.TempDir(), &gate{tried: make(chan struct{}, 64)}
+	dir, g := t.TempDir(), &syncGate{tried: make(chan struct{}, 64)}
 	faults := &fsys.Faults{FS: fsys.Dir(dir)}
 	o.Most, o.FS = 3e6, faults
 	journal, err := wal.Open(dir, o, func(string) {})
@@ -65,23 +65,24 @@
 	return r, s, g, faults
 }
 
-// Neither the answer to a client nor a call's first byte comes before its record is durable; the router goes on meanwhile.
-func TestNothingIsToldBeforeItLasts(t *testing.T) {
-	r, s, g, _ := newLasting(t, wal.Options{Durability: store.Batch})
+// Neither the answer to a client nor a call's first byte may precede the sync of its record; the router serves other
+// events meanwhile.
+func TestNoAnswerBeforeRecordIsDurable(t *testing.T) {
+	r, s, g, _ := newGatedRouter(t, wal.Options{Durability: store.Batch})
 	g.shut()
 	verdicts, begun := make(chan Verdict, 2), make(chan bool, 1)
 	go func() { verdicts <- r.Accept(message("m")) }()
 	c := <-s.calls
 	go func() { begun <- c.Begin() }()
 	<-g.tried
-	go func() { verdicts <- r.Accept(message("m")) }() // again, before the first is answered
+	go func() { verdicts <- r.Accept(message("m")) }() // repeated before the first is answered
 	for r.Counters().Duplicates == 0 {                 // the router's goroutine answers
 	}
 	select {
 	case v := <-verdicts:
-		t.Errorf("answered before it lasts: %+v", v)
+		t.Errorf("answered before the record is durable: %+v", v)
 	case ok := <-begun:
-		t.Errorf("begun before it lasts: %v", ok)
+		t.Errorf("begun before the record is durable: %v", ok)
 	default:
 	}
 	g.open(nil)
@@ -95,9 +96,9 @@
 	}
 }
 
-// A drain that comes while a call's start waits for the disk is heeded.
-func TestListIsLookedAtAgainBehindTheSync(t *testing.T) {
-	r, s, g, _ := newLasting(t, wal.Options{Durability: store.Batch})
+// An endpoint that starts draining while a call's start record is synced does not get the call.
+func TestListIsCheckedAfterSync(t *testing.T) {
+	r, s, g, _ := newGatedRouter(t, wal.Options{Durability: store.Batch})
 	if v := r.Accept(message("m")); v.Kind != Accepted {
 		t.Fatal(v)
 	}
@@ -107,7 +108,7 @@
 	go func() { begun <- c.Begin() }()
 	<-g.tried
 	r.Learn(EndpointList{Endpoints: []Endpoint{{Name: "a", Address: "a:1", Destination: 7, State: mb.Draining}}})
-	r.Counters() // behind the list
+	r.Counters() // served after the list
 	g.open(nil)
 	if <-begun {
 		t.Error("a call began to an endpoint that drains")
@@ -117,9 +118,9 @@
 	}
 }
 
-// When a sync fails the client is refused with a time to come again, and no call of the message leaves.
-func TestNothingLeavesWithoutTheSync(t *testing.T) {
-	r, s, g, _ := newLasting(t, wal.Options{Durability: store.Batch})
+// After a failed sync the client is refused with a retry-after, and no call of the message starts.
+func TestNoCallAfterFailedSync(t *testing.T) {
+	r, s, g, _ := newGatedRouter(t, wal.Options{Durability: store.Batch})
 	g.shut()
 	verdict, begun := make(chan Verdict, 1), make(chan bool, 1)
 	go func() { verdict <- r.Accept(message("m")) }()
@@ -131,7 +132,7 @@
 		t.Errorf("verdict %+v", v)
 	}
 	if <-begun {
-		t.Error("a call of it began")
+		t.Error("a call of the message began")
 	}
 	s.results <- Result{Outcome: mb.NotSent}
 	for r.Counters().Held > 0 {
@@ -141,9 +142,10 @@
 	}
 }
 
-// A notice waits for its end's record: else a power cut could have the message live again behind it.
-func TestNoticeWaitsForTheSync(t *testing.T) {
-	r, s, g, _ := newLasting(t, wal.Options{Durability: store.Batch})
+// A delivery report waits for the sync of the end's record: otherwise a power cut could revive the message after its
+// report.
+func TestReportWaitsForSync(t *testing.T) {
+	r, s, g, _ := newGatedRouter(t, wal.Options{Durability: store.Batch})
 	r.Accept(message("m"))
 	if c := <-s.calls; !c.Begin() {
 		t.Fatal("the call did not begin")
@@ -154,25 +156,25 @@
 	for r.Counters().Abandoned == 0 {
 	}
 	select {
-	case n := <-s.notices:
-		t.Errorf("told before it lasts: %+v", n)
+	case n := <-s.reports:
+		t.Errorf("reported before the record is durable: %+v", n)
 	default:
 	}
 	g.open(nil)
-	if n := <-s.notices; n.ID != "m" || n.Returned {
-		t.Errorf("notice %+v", n)
+	if n := <-s.reports; n.ID != "m" || n.Returned {
+		t.Errorf("report %+v", n)
 	}
 }
 
-// A body that is only on the disk goes out as it came; one that can't be read any more ends its message at once.
+// A body kept on disk is sent unchanged; one that cannot be read any more ends its message at once.
 func TestBodiesFromDisk(t *testing.T) {
-	r, s, _, faults := newLasting(t, wal.Options{Memory: 1})
+	r, s, _, faults := newGatedRouter(t, wal.Options{Memory: 1})
 	m := message("m")
 	m.Body = bytes.Repeat([]byte("body\x00\xff"), 5000)
 	r.Accept(m)
 	c := <-s.calls
 	if !bytes.Equal(c.Body, m.Body) {
-		t.Errorf("%d bytes of %d went out", len(c.Body), len(m.Body))
+		t.Errorf("%d bytes of %d were sent", len(c.Body), len(m.Body))
 	}
 	c.Begin()
 	s.results <- Result{Outcome: mb.OK}
@@ -182,10 +184,10 @@
 		}
 		return n, nil
 	})
-	m.ID = "spoilt"
+	m.ID = "unreadable"
 	r.Accept(m)
-	if n := <-s.notices; n.ID != "spoilt" || !n.Returned || n.RetryAfter <= 0 {
-		t.Errorf("notice %+v", n)
+	if n := <-s.reports; n.ID != "unreadable" || !n.Returned || n.RetryAfter <= 0 {
+		t.Errorf("report %+v", n)
 	}
 	if got := r.Counters(); got.BodiesLost != 1 || got.Held != 0 || len(s.calls) != 0 {
 		t.Errorf("counters %+v", got)
--- a/internal/routing/ended_ids.go
+++ b/internal/routing/ended_ids.go
@@ -9,8 +9,8 @@
 	Age       time.Duration
 }
 
-// endedRecord is the id of an ended message. It is kept for the longest time that any message may have, so that a repeated
-// submission is not taken for a new message.
+// endedRecord is the id of an ended message. It is kept for the longest delivery timeout, so that a repeated submission
+// is not taken for a new message.
 type endedRecord struct {
 	id      string
 	endedAt time.Time
--- a/internal/routing/held.go
+++ b/internal/routing/held.go
@@ -73,7 +73,8 @@
 
 func (r *Router) heldFrom(message *wal.Message) *heldMessage {
 	deadline := message.Deadline
-	if latest := time.Now().Add(max(r.longestTimeout, r.cfg.Long.MaxTimeLeft)); deadline.After(latest) { // the clock was set back
+	// A later deadline means that the clock was set back.
+	if latest := time.Now().Add(max(r.longestTimeout, r.cfg.Long.MaxTimeLeft)); deadline.After(latest) {
 		deadline = latest
 	}
 	return &heldMessage{
--- a/internal/routing/long_test.go
+++ b/internal/routing/long_test.go
@@ -11,7 +11,7 @@
 	"mulleinbeam/internal/routing/wal"
 )
 
-// longMessage is one whose ends come in the channel.
+// longMessage returns a long message and the channel that receives its results.
 func longMessage(id string) (Message, <-chan LongResult) {
 	ends := make(chan LongResult, 4)
 	return Message{
@@ -19,8 +19,8 @@
 	}, ends
 }
 
-// A delivery is journalled as over before its client can hear of it, and told once.
-func TestLongDeliveryIsBookedFirst(t *testing.T) {
+// A delivery is journalled before the client can learn of it, and its result is passed on once.
+func TestLongDeliveryIsJournalledFirst(t *testing.T) {
 	dir := t.TempDir()
 	r, s, journal, end := newRouterIn(t, dir)
 	m, ends := longMessage("m")
@@ -32,25 +32,25 @@
 		t.Errorf("call %+v", call)
 	}
 	if live, _ := execute(r, func() int { return len(journal.Live()) }); live != 0 || len(ends) != 0 {
-		t.Errorf("%d live messages when the client hears, %d ends", live, len(ends))
+		t.Errorf("%d live messages when the client learns of the delivery, %d results", live, len(ends))
 	}
 	s.results <- Result{Outcome: mb.OK, BodyConsumed: true}
 	if e := <-ends; e.Kind != AlreadyAccepted || e.ClientAnswered != nil {
-		t.Errorf("end %+v", e)
+		t.Errorf("result %+v", e)
 	}
 	if v := r.AcceptLong(m); v.Kind != AlreadyEnded {
-		t.Errorf("handed in again: %+v", v)
+		t.Errorf("submitted again: %+v", v)
 	}
 	end()
-	if len(ends) != 0 || len(s.notices) != 0 {
-		t.Errorf("%d further ends, %d notices", len(ends), len(s.notices))
+	if len(ends) != 0 || len(s.reports) != 0 {
+		t.Errorf("%d further results, %d reports", len(ends), len(s.reports))
 	}
 }
 
-// A client that was told gets no notice, one that was not gets one; either way the id of what may have run is known
-// beyond a restart, and nothing is sent again.
-func TestLongEndsAreToldOnce(t *testing.T) {
-	for _, told := range []bool{true, false} {
+// A client that received its answer gets no delivery report, one that did not gets one. In both cases the id of a
+// message that may have run stays known after a restart, and nothing is sent again.
+func TestLongEndsAreReportedOnce(t *testing.T) {
+	for _, answered := range []bool{true, false} {
 		dir := t.TempDir()
 		r, s, _, end := newRouterIn(t, dir)
 		m, ends := longMessage("m")
@@ -59,30 +59,30 @@
 		s.results <- Result{Outcome: mb.Reset, BodyConsumed: true}
 		e := <-ends
 		if diff := cmp.Diff(LongResult{Kind: Failed, MayHaveRun: true}, LongResult{Kind: e.Kind, MayHaveRun: e.MayHaveRun, TimedOut: e.TimedOut}); diff != "" {
-			t.Errorf("told %v:\n%s", told, diff)
+			t.Errorf("answered %v:\n%s", answered, diff)
 		}
-		e.ClientAnswered(told)
-		if !told {
-			n := <-s.notices
+		e.ClientAnswered(answered)
+		if !answered {
+			n := <-s.reports
 			if n.ID != "m" || n.Returned {
-				t.Errorf("notice %+v", n)
+				t.Errorf("report %+v", n)
 			}
 			n.Done()
 		}
 		end()
-		if len(s.notices) != 0 {
-			t.Errorf("told %v: %d further notices", told, len(s.notices))
+		if len(s.reports) != 0 {
+			t.Errorf("answered %v: %d further reports", answered, len(s.reports))
 		}
 		r, s, _, _ = newRouterIn(t, dir)
-		if v := r.AcceptLong(m); v.Kind != AlreadyEnded || len(s.calls) != 0 || len(s.notices) != 0 {
-			t.Errorf("told %v, in the next life: %+v, %d calls, %d notices", told, v, len(s.calls), len(s.notices))
+		if v := r.AcceptLong(m); v.Kind != AlreadyEnded || len(s.calls) != 0 || len(s.reports) != 0 {
+			t.Errorf("answered %v, after the restart: %+v, %d calls, %d reports", answered, v, len(s.calls), len(s.reports))
 		}
 	}
 }
 
-// What a killed life had under way is ended at the next start: given up if it may have run, handed back if it had not
-// begun; and only once.
-func TestLongMessagesOfAnEarlierLife(t *testing.T) {
+// Long messages that a killed process left are ended once at the next start: abandoned if they may have run, returned
+// if no call had begun.
+func TestLongMessagesAfterRestart(t *testing.T) {
 	dir := t.TempDir()
 	journal, err := wal.Open(dir, wal.Options{Most: 3e6}, func(string) {})
 	if err != nil {
@@ -101,11 +101,11 @@
 			_ = journal.End(m.Seq, wal.Failed, 0)
 		}
 	}
-	journal.Close() // as a kill would
+	journal.Close() // as after a kill
 	r, s, _, end := newRouterIn(t, dir)
 	got := map[string]bool{}
 	for range 3 {
-		n := <-s.notices
+		n := <-s.reports
 		got[n.ID] = n.Returned
 		n.Done()
 	}
@@ -119,43 +119,43 @@
 	r, s, _, _ = newRouterIn(t, dir)
 	for _, id := range []string{"begun", "ended"} {
 		if m, _ := longMessage(id); r.AcceptLong(m).Kind != AlreadyEnded {
-			t.Errorf("%s was taken on again", id)
+			t.Errorf("%s was accepted again", id)
 		}
 	}
-	if len(s.notices) != 0 || len(s.calls) != 0 {
-		t.Errorf("%d notices, %d calls", len(s.notices), len(s.calls))
+	if len(s.reports) != 0 || len(s.calls) != 0 {
+		t.Errorf("%d reports, %d calls", len(s.reports), len(s.calls))
 	}
 }
 
-// Long messages have bounds of their own, and a stop ends them with their answer.
-func TestLongBoundsAndStop(t *testing.T) {
+// Long messages have limits of their own, and a shutdown ends them with an answer.
+func TestLongLimitsAndShutdown(t *testing.T) {
 	r, s, journal, end := newRouterIn(t, t.TempDir())
 	m, ends := longMessage("out")
 	r.AcceptLong(m)
 	call := <-s.calls
 	call.Begin()
 	if other, _ := longMessage("beyond"); r.AcceptLong(other).Kind != Refused {
-		t.Error("a second one was taken with one slot")
+		t.Error("a second long message was accepted with one slot")
 	}
 	for i := range 9 {
 		if v := r.Accept(message(string(rune('a' + i)))); v.Kind != Accepted {
 			t.Errorf("short message %d: %+v", i, v)
 		}
 	}
-	told := make(chan LongResult, 1)
+	answered := make(chan LongResult, 1)
 	go func() {
 		e := <-ends
 		e.ClientAnswered(true)
-		told <- e
+		answered <- e
 	}()
 	end()
-	if e := <-told; e.Kind != Failed || !e.MayHaveRun || !e.TimedOut {
-		t.Errorf("end %+v", e)
+	if e := <-answered; e.Kind != Failed || !e.MayHaveRun || !e.TimedOut {
+		t.Errorf("result %+v", e)
 	}
 	if left := journal.Live(); slices.ContainsFunc(left, func(m *wal.Message) bool { return m.ID == "out" && m.Ending != wal.Closed }) {
 		t.Errorf("journal %+v", left)
 	}
 	if late, _ := longMessage("late"); r.AcceptLong(late).Kind != Stopped {
-		t.Error("taken on after the end")
+		t.Error("accepted after the stop")
 	}
 }
--- a/internal/routing/replication.go
+++ b/internal/routing/replication.go
@@ -128,7 +128,8 @@
 // resubmission returns a message with its history as an event of the module.
 func (r *Router) resubmission(message *wal.Message, held *heldMessage) mb.Submit {
 	submit := r.submission(held, time.Until(held.deadline))
-	if submit.Long, submit.BodyConsumed, submit.Resumed = message.Long, message.Long, true; message.Long { // its body was lost with the earlier process
+	// The body of a long message was lost with the earlier process.
+	if submit.Long, submit.BodyConsumed, submit.Resumed = message.Long, message.Long, true; message.Long {
 		r.counters.LongInterrupted++
 	}
 	held.mayHaveRun = held.mayHaveRun || message.MayRun
@@ -220,7 +221,8 @@
 	own.Owner, own.Life = owner, incarnation
 	own.Settle() // a call that was out has ended by now, and may have run
 	if !r.cfg.Replication.ReplicatesStarts(own.Class) {
-		own.AssumeRun(time.Now().Add(-pastClockRange)) // its calls started without a replicated record, at an unknown time
+		// The calls of the message started without a replicated record, at an unknown time.
+		own.AssumeRun(time.Now().Add(-pastClockRange))
 	}
 	return &own
 }
--- a/internal/routing/replication_test.go
+++ b/internal/routing/replication_test.go
@@ -9,7 +9,7 @@
 	"mulleinbeam/internal/routing/wal"
 )
 
-// strictGuard lets everything go; its classes are strict or not.
+// fakeReplication permits everything; its value is the answer of ReplicatesStarts.
 type fakeReplication bool
 
 func (fakeReplication) MayAct() bool                                { return true }
@@ -19,21 +19,21 @@
 func (fakeReplication) CanAccept(string) bool                       { return true }
 func (g fakeReplication) ReplicatesStarts(string) bool              { return bool(g) }
 
-// A copy of a message of a strict class that says of no call was never called. One of another class may have been called without any copy
-// that says so: whoever takes it over sends it again only where a repeat does no harm. Two regions that were cut from each other sent an
-// unsafe message twice: its first owner had called it in the moment of the cut.
-func TestTakingOverWhatMayHaveBeenCalledUnrecorded(t *testing.T) {
+// A replica of a message whose class replicates starts, and that records no call, was never called. In another class a
+// call may have begun without a record, so that a takeover may send the message again only if repeats are harmless.
+// Guards against two regions sending an unsafe message twice, the first in the moment of the partition between them.
+func TestTakeoverOfPossiblyUnrecordedCalls(t *testing.T) {
 	for name, c := range map[string]struct {
 		class  string
 		strict bool
 		called bool
 	}{
-		"strict, unsafe":     {"unsafe", true, true},
-		"strict, keyed":      {"keyed", true, true},
-		"strict, safe":       {"safe", true, true},
-		"not strict, unsafe": {"unsafe", false, false},
-		"not strict, keyed":  {"keyed", false, false},
-		"not strict, safe":   {"safe", false, true},
+		"starts replicated, unsafe":     {"unsafe", true, true},
+		"starts replicated, keyed":      {"keyed", true, true},
+		"starts replicated, safe":       {"safe", true, true},
+		"starts not replicated, unsafe": {"unsafe", false, false},
+		"starts not replicated, keyed":  {"keyed", false, false},
+		"starts not replicated, safe":   {"safe", false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			journal, err := wal.Open(t.TempDir(), wal.Options{Most: 3e6}, func(string) {})
@@ -48,15 +48,15 @@
 				t.Fatal(err)
 			}
 			if n := r.Activate("other", 1, true); n != 1 {
-				t.Fatalf("%d messages taken over", n)
+				t.Fatalf("%d messages activated", n)
 			}
 			select {
 			case <-s.calls:
 				if !c.called {
-					t.Error("it was called, perhaps for a second time")
+					t.Error("the message was called, possibly for a second time")
 				}
 				s.results <- Result{}
-			case n := <-s.notices:
+			case n := <-s.reports:
 				if c.called || n.ID != "m" || n.Returned {
 					t.Errorf("%+v", n)
 				}
@@ -65,8 +65,8 @@
 	}
 }
 
-// Guards against a takeover without room that leaves a part of it in the journal.
-func TestATakeoverWithoutRoomLeavesNothing(t *testing.T) {
+// Guards against a takeover without room that leaves some of its messages in the journal.
+func TestTakeoverWithoutRoomLeavesNothing(t *testing.T) {
 	journal, err := wal.Open(t.TempDir(), wal.Options{Most: 400_000}, func(string) {})
 	if err != nil {
 		t.Fatal(err)
@@ -80,7 +80,7 @@
 	}
 	for range 3 {
 		if _, err := r.Adopt("other", 1, messages, nil); !errors.Is(err, wal.ErrFull) {
-			t.Fatalf("taken over without room: %v", err)
+			t.Fatalf("adopted without room: %v", err)
 		}
 	}
 	r.Inspect(func(log *wal.Log) {
@@ -89,9 +89,9 @@
 		}
 	})
 	if _, err := r.Adopt("other", 1, messages[:10], nil); err != nil {
-		t.Errorf("taken over with room: %v", err)
+		t.Errorf("adopted with room: %v", err)
 	}
 	if n := r.Activate("other", 1, false); n != 10 {
-		t.Errorf("%d messages taken over", n)
+		t.Errorf("%d messages activated", n)
 	}
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -15,8 +15,8 @@
 
 const (
 	clockStart         = time.Second     // start of the module's clock, which takes zero for "never"
-	pastClockRange     = 24 * time.Hour  // range of the module's clock before the start of this process, for events restored from an earlier one
-	fullRetryAfter     = time.Second     // retry-after of messages refused for lack of room, where the module gives none
+	pastClockRange     = 24 * time.Hour  // range of the module's clock for restored events of earlier processes
+	fullRetryAfter     = time.Second     // retry-after of messages refused for lack of room
 	eventQueueSize     = 256             // events waiting for the router's goroutine
 	shutdownRetryAfter = 3 * time.Second // retry-after of messages refused during shutdown
 	timerBatchCapacity = 16
@@ -64,11 +64,11 @@
 	endpoints         map[string]Endpoint
 	knownDestinations map[int64]bool    // destinations that were ever listed
 	overlay           *overlay          // nil while no destination is configured
-	restrictedAccess  map[string]Access // endpoints that were given to the module with an access other than Free; see Steering
+	restrictedAccess  map[string]Access // endpoints whose access is not Free, by name
 	messages          map[uint64]*heldMessage
 	messagesByID      map[string]*heldMessage // by the client's message id, until the message ends
 	ended             endedIDs
-	undecidedReports  map[uint64]*heldMessage // ended in an earlier process; not decided yet whether this one sends their reports
+	undecidedReports  map[uint64]*heldMessage // ended earlier; undecided whether to report them
 	unacknowledged    map[uint64]*heldMessage // reported and not acknowledged; only used with replication
 	longestTimeout    time.Duration           // longest of deliveryTimeouts
 	longCount         int                     // long messages that are held or out
@@ -89,7 +89,8 @@
 
 // New creates a router. Run then reads the initial list, resumes the messages of an earlier process and starts sending.
 func New(cfg Config) (*Router, error) {
-	cfg.Settings.SeparateZones = cfg.Settings.SeparateZones || cfg.Steering != nil // the failure of one zone says nothing about the others
+	// The failure of one zone says nothing about the others.
+	cfg.Settings.SeparateZones = cfg.Settings.SeparateZones || cfg.Steering != nil
 	decider, err := mb.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("routing: %w", err)
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -25,7 +25,7 @@
 type Verdict struct {
 	Kind             VerdictKind
 	RetryAfter       time.Duration // with Refused: when the client may try again
-	recordNumber     uint64        // with Accepted and AlreadyAccepted: journal record that has to be durable before the answer
+	recordNumber     uint64        // with Accepted and AlreadyAccepted: must be durable before the answer
 	logPosition, seq uint64        // position in the replicated log, and the message's sequence number
 }
 
@@ -56,7 +56,7 @@
 
 // EndpointList is a complete list of endpoints, or the entries that changed.
 type EndpointList struct {
-	Whole     bool
+	Whole     bool // a complete list
 	Saved     bool // the last known list, possibly out of date
 	Endpoints []Endpoint
 }
@@ -73,14 +73,14 @@
 	// RecordDelivery journals the delivery of a long message. The Caller calls it once the delivery is known and before
 	// the client can learn of it.
 	RecordDelivery func() bool
-	// Begin must be called just before the first byte is written; false forbids writing it.
+	// The Caller must call Begin just before the first byte is written; false forbids writing it.
 	Begin func() bool
 }
 
 // Result is how an attempt ended.
 type Result struct {
 	Outcome          mb.Outcome
-	RetryAfter       time.Duration   // with Full: the delay that the endpoint asked for, zero if none
+	RetryAfter       time.Duration   // with Refused: the delay that the endpoint asked for, zero if none
 	Limit            *mb.LimitReport // limit reported by the endpoint, if any
 	Final            bool            // no further attempt is needed
 	ReusedConnection bool            // the connection had carried a call before
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -14,14 +14,14 @@
 	"mulleinbeam/internal/routing/wal"
 )
 
-// script is an caller and a notifier that tell the test what they are given.
-type script struct {
+// fakeTransport is a Caller and a Notifier that passes what it receives to the test.
+type fakeTransport struct {
 	calls   chan Attempt
 	results chan Result
-	notices chan DeliveryReport
+	reports chan DeliveryReport
 }
 
-func (s script) Call(ctx context.Context, c Attempt) Result {
+func (s fakeTransport) Call(ctx context.Context, c Attempt) Result {
 	s.calls <- c
 	select {
 	case r := <-s.results:
@@ -31,19 +31,19 @@
 	}
 }
 
-func (s script) CloseIdle(string) {}
+func (s fakeTransport) CloseIdle(string) {}
 
-func (s script) Notify(n DeliveryReport) { s.notices <- n }
+func (s fakeTransport) Notify(n DeliveryReport) { s.reports <- n }
 
-// newRouter runs a router with one endpoint, "a" of destination 7, on a journal in a folder of its own.
-func newRouter(t *testing.T) (*Router, script, *wal.Log) {
+// newRouter runs a router with one endpoint, "a" of destination 7, on a journal in a new folder.
+func newRouter(t *testing.T) (*Router, fakeTransport, *wal.Log) {
 	t.Helper()
 	r, s, journal, _ := newRouterIn(t, t.TempDir())
 	return r, s, journal
 }
 
-// newRouterIn does so in a folder that may hold a journal, and with long messages allowed; end ends it.
-func newRouterIn(t *testing.T, dir string) (r *Router, s script, journal *wal.Log, end func()) {
+// newRouterIn runs a router on the journal in a folder, with long messages allowed; end stops it.
+func newRouterIn(t *testing.T, dir string) (r *Router, s fakeTransport, journal *wal.Log, end func()) {
 	t.Helper()
 	journal, err := wal.Open(dir, wal.Options{Most: 3e6}, func(string) {})
 	if err != nil {
@@ -53,31 +53,31 @@
 	return r, s, journal, end
 }
 
-// runRouter runs a router on a journal, which it closes at the end.
-func runRouter(t *testing.T, journal *wal.Log) (r *Router, s script, end func()) {
+// runRouter runs a router on a journal and closes the journal at the end.
+func runRouter(t *testing.T, journal *wal.Log) (r *Router, s fakeTransport, end func()) {
 	t.Helper()
 	return runReplicated(t, journal, nil)
 }
 
-// runGuarded does so with a guard; nil is none.
-func runReplicated(t *testing.T, journal *wal.Log, guard Replication) (r *Router, s script, end func()) {
+// runReplicated runs a router with a Replication, or nil for none.
+func runReplicated(t *testing.T, journal *wal.Log, replication Replication) (r *Router, s fakeTransport, end func()) {
 	t.Helper()
-	return runConfig(t, journal, func(c *Config) { c.Replication = guard })
+	return runConfig(t, journal, func(c *Config) { c.Replication = replication })
 }
 
-// runSteered does so with a steering, nil for none, and endpoints.
-func runSteered(t *testing.T, journal *wal.Log, guard Replication, steering Steering, endpoints ...Endpoint) (r *Router, s script, end func()) {
+// runSteered runs a router with a Steering, or nil for none, and a list of endpoints.
+func runSteered(t *testing.T, journal *wal.Log, replication Replication, steering Steering, endpoints ...Endpoint) (r *Router, s fakeTransport, end func()) {
 	t.Helper()
 	return runConfig(t, journal, func(c *Config) {
-		c.Replication, c.Steering = guard, steering
+		c.Replication, c.Steering = replication, steering
 		c.InitialList.Endpoints = endpoints
 	})
 }
 
-// runConfig does so with what change makes of the configuration.
-func runConfig(t *testing.T, journal *wal.Log, change func(*Config)) (r *Router, s script, end func()) {
+// runConfig runs a router with a changed configuration.
+func runConfig(t *testing.T, journal *wal.Log, change func(*Config)) (r *Router, s fakeTransport, end func()) {
 	t.Helper()
-	s = script{make(chan Attempt, 8), make(chan Result, 8), make(chan DeliveryReport, 8)}
+	s = fakeTransport{make(chan Attempt, 8), make(chan Result, 8), make(chan DeliveryReport, 8)}
 	config := Config{
 		Settings: mb.Settings{
 			Forwarders: 1, Slots: 4, LongSlots: 1, MostHeld: 10, MaxAttempts: 6, MaxRetryAfter: time.Second,
@@ -109,8 +109,8 @@
 	return Message{ID: id, Class: "unsafe", Destination: 7, TimeLeft: time.Minute, Body: []byte("b")}
 }
 
-// A message whose accept can't be journalled is refused, and no call of it leaves.
-func TestNothingLeavesWithoutTheJournal(t *testing.T) {
+// A message whose accept record cannot be written is refused, and no call of it starts.
+func TestNoCallWithoutAcceptRecord(t *testing.T) {
 	r, s, journal := newRouter(t)
 	journal.Close()
 	if got := r.Accept(message("m")); got.Kind != Refused || got.RetryAfter <= 0 {
@@ -121,12 +121,12 @@
 	}
 }
 
-// Between a send and its first byte the list may change: then the call does not begin, and counts as never sent.
-func TestListIsLookedAtAgainBeforeTheFirstByte(t *testing.T) {
+// If the list changes between a Send and its first byte, the call does not begin and counts as never sent.
+func TestListIsCheckedBeforeFirstByte(t *testing.T) {
 	for name, change := range map[string]Endpoint{
-		"drains":        {Name: "a", Address: "a:1", Destination: 7, State: mb.Draining},
-		"is gone":       {Name: "a", Address: "a:1", Destination: 7, State: mb.Deleted},
-		"changes group": {Name: "a", Address: "a:1", Destination: 8},
+		"drains":              {Name: "a", Address: "a:1", Destination: 7, State: mb.Draining},
+		"is gone":             {Name: "a", Address: "a:1", Destination: 7, State: mb.Deleted},
+		"changes destination": {Name: "a", Address: "a:1", Destination: 8},
 	} {
 		r, s, _ := newRouter(t)
 		if got := r.Accept(message("m")); got.Kind != Accepted {
@@ -141,9 +141,10 @@
 	}
 }
 
-// A repeat that is sent within its window, on a connection that comes up only behind it, does not begin: the endpoint would
-// take it for a new message. It was fleets' rule of duplicates that this broke, where connects took their whole second.
-func TestAConnectionThatComesUpBehindTheWindowCarriesNoRepeat(t *testing.T) {
+// A repeat that is decided on within the message's window, but whose connection is up only after it, must not begin:
+// the endpoint would take it for a new message. Guards against duplicates where connections take up to their full
+// second.
+func TestNoRepeatOnConnectionAfterWindow(t *testing.T) {
 	for _, took := range []time.Duration{500 * time.Millisecond, 1700 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			r, s, _ := newRouter(t)
@@ -155,7 +156,7 @@
 			}
 			s.results <- Result{Outcome: mb.Reset}
 			repeat := <-s.calls
-			time.Sleep(took) // on the test's own clock
+			time.Sleep(took) // fake time
 			if began, want := repeat.Begin(), took < time.Second; began != want {
 				t.Errorf("connected after %v, the repeat began: %v", took, began)
 			}
@@ -164,17 +165,18 @@
 	}
 }
 
-// The window for repeats counts over lives, from the first byte that may have run: inside it a message goes again, behind it
-// nothing does. A clock that was set back meanwhile opens no window anew, and makes no message live longer.
-func TestTheWindowCountsOverLives(t *testing.T) {
+// The window for repeats starts with the first byte of the first attempt that may have run, and spans restarts: a
+// message is sent again only within it. If the clock was set back meanwhile, no window reopens and no message lives
+// longer.
+func TestRepeatWindowSpansRestarts(t *testing.T) {
 	for name, c := range map[string]struct {
-		ran   time.Duration // before the start
-		until time.Duration // behind it
-		goes  bool
+		ran     time.Duration // before the start
+		until   time.Duration // after the start
+		repeats bool
 	}{
-		"inside":              {200 * time.Millisecond, time.Minute, true},
-		"behind":              {1400 * time.Millisecond, time.Minute, false}, // less than its margin is left
-		"the clock went back": {-time.Hour, time.Hour, false},
+		"within the window": {200 * time.Millisecond, time.Minute, true},
+		"after the window":  {1400 * time.Millisecond, time.Minute, false}, // less than the safety margin is left
+		"clock set back":    {-time.Hour, time.Hour, false},
 	} {
 		dir := t.TempDir()
 		journal, err := wal.Open(dir, wal.Options{Most: 3e6}, func(string) {})
@@ -189,17 +191,17 @@
 		if err := journal.Started(m.Seq, now.Add(-c.ran), "z"); err != nil {
 			t.Fatal(err)
 		}
-		journal.Close() // as a kill would
+		journal.Close() // as after a kill
 		_, s, _, end := newRouterIn(t, dir)
 		select {
 		case call := <-s.calls:
-			if !c.goes || call.Deadline.After(now.Add(2*time.Minute)) {
-				t.Errorf("%s: it went again, to be cut at %v", name, call.Deadline)
+			if !c.repeats || call.Deadline.After(now.Add(2*time.Minute)) {
+				t.Errorf("%s: sent again, with deadline %v", name, call.Deadline)
 			}
 			s.results <- Result{Outcome: mb.OK, Final: true}
-		case n := <-s.notices:
-			if c.goes || n.Returned {
-				t.Errorf("%s: it ended, handed back: %v", name, n.Returned)
+		case n := <-s.reports:
+			if c.repeats || n.Returned {
+				t.Errorf("%s: ended, returned: %v", name, n.Returned)
 			}
 			n.Done()
 		}
@@ -207,37 +209,39 @@
 	}
 }
 
-// What a restart finds goes to the module at once, however much it is: a look at all that is held for each of them would take the
-// square of it before the forwarder is ready. So the first call is for what is worth most of all, not for the first of them.
-func TestAStartHandsAllOverAtOnce(t *testing.T) {
+// A start submits all messages of the journal to the module in one batch: examining all held messages for each of them
+// would take quadratic time before the forwarder is ready. So the first call is for the message of the highest worth,
+// not for the first in the journal.
+func TestStartSubmitsAllMessagesAtOnce(t *testing.T) {
 	dir := t.TempDir()
 	journal, err := wal.Open(dir, wal.Options{Most: 3e6}, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, id := range []string{"nearly over", "nearly over as well", "fresh"} {
-		left := 4 * time.Second
+	for _, id := range []string{"nearly expired", "nearly expired as well", "fresh"} {
+		timeLeft := 4 * time.Second
 		if id == "fresh" {
-			left = time.Minute
+			timeLeft = time.Minute
 		}
-		m := &wal.Message{Seq: journal.Next(), Deadline: time.Now().Add(left), Destination: 7, ID: id, Class: "unsafe", Body: []byte("b")}
+		m := &wal.Message{Seq: journal.Next(), Deadline: time.Now().Add(timeLeft), Destination: 7, ID: id, Class: "unsafe", Body: []byte("b")}
 		if err := journal.Accept(m); err != nil {
 			t.Fatal(err)
 		}
 	}
-	journal.Close() // as a kill would
+	journal.Close() // as after a kill
 	_, s, _, _ := newRouterIn(t, dir)
 	if c := <-s.calls; c.ID != "fresh" {
-		t.Errorf("%s goes first", c.ID)
+		t.Errorf("%s was sent first", c.ID)
 	}
 	s.results <- Result{Outcome: mb.OK, Final: true}
 }
 
-// A client whose connection broke under its request hands that in again, and is told that it is known, before the first answer is
-// found to reach nobody: the message stays, since somebody was told. One that nobody was told of is dropped.
-func TestARepeatThatIsToldOutlastsTheFirstsWithdrawal(t *testing.T) {
+// A client whose connection broke submits its message again and is told that it is known, before the first answer turns
+// out to be undeliverable. The message stays, because its client got an answer; a message without any answer is
+// dropped.
+func TestAnsweredRepeatSurvivesCancellation(t *testing.T) {
 	r, s, _ := newRouter(t)
-	for _, id := range []string{"repeated", "alone"} {
+	for _, id := range []string{"repeated", "unrepeated"} {
 		if got := r.Accept(message(id)); got.Kind != Accepted {
 			t.Fatalf("verdict %+v", got)
 		}
@@ -246,32 +250,33 @@
 		t.Errorf("the repeat: %+v", got)
 	}
 	r.CancelMessage("repeated")
-	r.CancelMessage("alone")
+	r.CancelMessage("unrepeated")
 	if c := r.Counters(); c.Held != 1 || c.MessagesCancelled != 1 {
 		t.Errorf("counters %+v", c)
 	}
 	if c := <-s.calls; c.ID != "repeated" {
-		t.Errorf("%s goes", c.ID)
+		t.Errorf("%s was sent", c.ID)
 	}
 	s.results <- Result{Outcome: mb.OK, Final: true}
 }
 
-// An unsafe message whose call was reset is given up by a notice at once; one that never began is held.
-func TestEndings(t *testing.T) {
+// An unsafe message whose call was reset after its start is abandoned with a report at once; one whose call never began
+// stays held.
+func TestResetAbandonsUnsafeMessage(t *testing.T) {
 	r, s, _ := newRouter(t)
 	r.Accept(message("ran"))
 	if c := <-s.calls; !c.Begin() {
 		t.Fatal("the call did not begin")
 	}
 	s.results <- Result{Outcome: mb.Reset}
-	n := <-s.notices
+	n := <-s.reports
 	if diff := cmp.Diff([]any{"ran", false}, []any{n.ID, n.Returned}); diff != "" {
 		t.Error(diff)
 	}
 	n.Done()
 	r.Accept(message("never"))
 	<-s.calls
-	s.results <- Result{Outcome: mb.Reset} // it may say so, but nothing was let go
+	s.results <- Result{Outcome: mb.Reset} // reported as a reset, but no byte was permitted
 	(<-s.calls).Begin()
 	s.results <- Result{Outcome: mb.OK}
 	for r.Counters().Delivered == 0 { // asks the router's goroutine each time
@@ -281,27 +286,27 @@
 	}
 }
 
-// A message's time counts from its client's sending, and an answer that comes as it ends may be too late for the client. So a call without
-// an answer is abandoned a little earlier, and the message's end is reported within its time.
-func TestACallEndsBeforeItsMessagesTime(t *testing.T) {
+// A message's time counts from its sending by the client, and an answer just before the deadline may be too late for
+// the client. So a call without an answer is abandoned a little earlier, and the end is reported before the deadline.
+func TestCallEndsBeforeMessageDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, s, _ := newRouter(t)
 		m := message("m")
 		m.TimeLeft = time.Second
-		taken := time.Now()
+		acceptedAt := time.Now()
 		r.Accept(m)
 		(<-s.calls).Begin()
-		n := <-s.notices
-		if n.ID != "m" || n.Returned || time.Since(taken) > m.TimeLeft-maxRequestTransit {
-			t.Errorf("%+v after %v", n, time.Since(taken))
+		n := <-s.reports
+		if n.ID != "m" || n.Returned || time.Since(acceptedAt) > m.TimeLeft-maxRequestTransit {
+			t.Errorf("%+v after %v", n, time.Since(acceptedAt))
 		}
 	})
 	now := time.Now()
-	for left, want := range map[time.Duration]time.Duration{
+	for timeLeft, want := range map[time.Duration]time.Duration{
 		time.Minute: time.Minute - maxRequestTransit, maxRequestTransit: maxRequestTransit / 2, time.Millisecond: time.Millisecond / 2, 0: 0, -time.Second: -time.Second,
 	} {
-		if got := answerDeadline(now, now.Add(left)).Sub(now); got != want {
-			t.Errorf("%v left: answers are waited for for %v, wanted %v", left, got, want)
+		if got := answerDeadline(now, now.Add(timeLeft)).Sub(now); got != want {
+			t.Errorf("%v left: waits %v for an answer, want %v", timeLeft, got, want)
 		}
 	}
 }
--- a/internal/routing/steering_test.go
+++ b/internal/routing/steering_test.go
@@ -12,31 +12,31 @@
 	"mulleinbeam/internal/routing/wal"
 )
 
-// zones is a Steering that gives access by zone.
-type zones struct {
-	mu     sync.Mutex
-	access map[string]Access
-	took   []time.Duration // of calls, as it was told
+// zoneSteering is a Steering with an access per zone.
+type zoneSteering struct {
+	mu        sync.Mutex
+	access    map[string]Access
+	durations []time.Duration // reported durations of calls
 }
 
-func (z *zones) set(zone string, access Access) {
+func (z *zoneSteering) set(zone string, access Access) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.access[zone] = access
 }
 
-func (z *zones) Access(_ int64, zone string) Access {
+func (z *zoneSteering) Access(_ int64, zone string) Access {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	return z.access[zone]
 }
 
-func (z *zones) Allows(destination int64, zone string) bool {
+func (z *zoneSteering) Allows(destination int64, zone string) bool {
 	return z.Access(destination, zone) != Barred
 }
 
-// ReserveCall uses a trial up: the next one has to be allowed again.
-func (z *zones) ReserveCall(_ int64, zone string) bool {
+// ReserveCall uses up a trial: the next one has to be allowed again.
+func (z *zoneSteering) ReserveCall(_ int64, zone string) bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	access := z.access[zone]
@@ -46,23 +46,24 @@
 	return access != Barred
 }
 
-func (z *zones) Admit(int64, string) bool { return true }
-func (z *zones) CallEnded(_ int64, _ string, _ mb.Outcome, took time.Duration) {
+func (z *zoneSteering) Admit(int64, string) bool { return true }
+func (z *zoneSteering) CallEnded(_ int64, _ string, _ mb.Outcome, took time.Duration) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.took = append(z.took, took)
+	z.durations = append(z.durations, took)
 }
 
-func (z *zones) LimitReported(int64, string, float64) {}
+func (z *zoneSteering) LimitReported(int64, string, float64) {}
 
-// A zone that is to be tried gets the next call, one, though another would have it; then calls go where they are free to go.
-func TestATrialIsTheNextCall(t *testing.T) {
+// A zone under trial gets exactly the next call, even if another zone would be preferred; later calls go where access
+// is free.
+func TestTrialIsNextCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		journal, err := wal.Open(t.TempDir(), wal.Options{Most: 3e6}, func(string) {})
 		if err != nil {
 			t.Fatal(err)
 		}
-		steering := &zones{access: map[string]Access{}}
+		steering := &zoneSteering{access: map[string]Access{}}
 		r, s, end := runSteered(t, journal, nil, steering,
 			Endpoint{Name: "a", Address: "a:1", Destination: 7, Zone: "z0", Weight: 50}, Endpoint{Name: "b", Address: "b:1", Destination: 7, Zone: "z1", Weight: 50})
 		defer end()
@@ -77,7 +78,7 @@
 			}
 			call := <-s.calls
 			if call.Endpoint != step.want {
-				t.Errorf("step %d: a call goes to %s, want %s", i, call.Endpoint, step.want)
+				t.Errorf("step %d: call to %s, want %s", i, call.Endpoint, step.want)
 			}
 			s.results <- Result{Outcome: mb.OK}
 			synctest.Wait()
@@ -85,7 +86,7 @@
 	})
 }
 
-// slowReplica takes its time to hold a record.
+// slowReplica takes the given time to replicate a record.
 type slowReplica struct{ takes time.Duration }
 
 func (s slowReplica) MayAct() bool                   { return true }
@@ -94,32 +95,32 @@
 func (s slowReplica) LogPosition() uint64            { return 1 }
 func (s slowReplica) Replicated(uint64, string) bool { return true }
 func (s slowReplica) WaitReplicated(uint64, string) (bool, error) {
-	time.Sleep(s.takes) // on the test's own clock
+	time.Sleep(s.takes) // fake time
 	return false, nil
 }
 
-// What a call waits for its replicas is not the time of the endpoint that it goes to.
-func TestReplicasTimeIsNotTheEndpoints(t *testing.T) {
+// The time that a call waits for its replicas does not count as the endpoint's time.
+func TestReplicationTimeIsNotCallTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		journal, err := wal.Open(t.TempDir(), wal.Options{Most: 3e6}, func(string) {})
 		if err != nil {
 			t.Fatal(err)
 		}
-		steering := &zones{access: map[string]Access{}}
+		steering := &zoneSteering{access: map[string]Access{}}
 		r, s, end := runSteered(t, journal, slowReplica{300 * time.Millisecond}, steering, Endpoint{Name: "a", Address: "a:1", Destination: 7, Zone: "z0", Weight: 50})
 		defer end()
 		r.Continue(func(*wal.Message) bool { return true })
-		go r.Accept(message("m")) // it answers once the replicas have the message; the call is on its way before
+		go r.Accept(message("m")) // returns once the message is replicated, after its call has left
 		call := <-s.calls
-		time.Sleep(20 * time.Millisecond) // until it is connected
+		time.Sleep(20 * time.Millisecond) // time to connect
 		if !call.Begin() {
 			t.Fatal("the call did not begin")
 		}
-		time.Sleep(40 * time.Millisecond) // until it is answered
+		time.Sleep(40 * time.Millisecond) // time to answer
 		s.results <- Result{Outcome: mb.OK}
 		synctest.Wait()
-		if want := []time.Duration{60 * time.Millisecond}; !slices.Equal(steering.took, want) {
-			t.Errorf("the endpoint took %v, want %v", steering.took, want)
+		if want := []time.Duration{60 * time.Millisecond}; !slices.Equal(steering.durations, want) {
+			t.Errorf("the endpoint took %v, want %v", steering.durations, want)
 		}
 	})
 }
