--- a/internal/cluster/changelog/changelog_test.go
+++ b/internal/cluster/changelog/changelog_test.go
@@ -12,35 +12,35 @@
 
 func recordSize(r Record[int]) int { return len(r.Key) + 8 }
 
-// history is a log together with what was so at each revision.
-type history struct {
+// testLog is a log with the expected state at each revision.
+type testLog struct {
 	*Log[int]
-	states map[uint64]map[string]int
-	now    map[string]int
+	stateAt map[uint64]map[string]int
+	current map[string]int
 }
 
-func newHistory(floor uint64, mostDeleted int) *history {
-	return &history{NewLog(max(1, floor), floor, mostDeleted, recordSize), map[uint64]map[string]int{max(1, floor): {}}, map[string]int{}}
+func newTestLog(floor uint64, maxTombstones int) *testLog {
+	return &testLog{NewLog(max(1, floor), floor, maxTombstones, recordSize), map[uint64]map[string]int{max(1, floor): {}}, map[string]int{}}
 }
 
-// change puts or deletes a key at the next revision, skipping some.
-func (h *history) change(key string, value int, deleted bool, skip uint64) {
+// change sets or deletes a key at a later revision, leaving out skip revisions.
+func (h *testLog) change(key string, value int, deleted bool, skip uint64) {
 	revision := h.Revision() + 1 + skip
 	if deleted {
-		delete(h.now, key)
+		delete(h.current, key)
 		value = 0
 	} else {
-		h.now[key] = value
+		h.current[key] = value
 	}
 	if err := h.Put(Record[int]{key, revision, deleted, value}); err != nil {
 		panic(err)
 	}
 	for r := h.Revision() - skip; r <= revision; r++ {
-		h.states[r] = maps.Clone(h.now)
+		h.stateAt[r] = maps.Clone(h.current)
 	}
 }
 
-// selected is what a selector gives of a state.
+// selected returns the part of a state that a selector matches.
 func selected(state map[string]int, s Selector) map[string]int {
 	out := map[string]int{}
 	for key, v := range state {
@@ -63,23 +63,24 @@
 	{All: true}, {Prefixes: []string{"a/"}}, {Keys: []string{"b/1", "b/2"}}, {Prefixes: []string{"b/"}, Keys: []string{"a/0"}}, {},
 }
 
-// However changes come, and whatever becomes of answers (lost, doubled, late, out of order, cut into pieces, taken up at another source that
-// may be behind), a replica is at every moment exactly what was selected as of its revision, which never goes backwards; and once
-// answers get through it has all. Deletions are forgotten all the time, and selectors change in the middle of snapshots.
-func TestReplicasSeeOnlyWhatWasSo(t *testing.T) {
+// Guards against replicas that show a state that never existed. Batches may be lost, duplicated, delayed, reordered
+// or split, and a read may continue at another source, which may be behind. At each moment the view must be exactly
+// the selected state at its revision, which must not decrease, and once batches arrive the replica must catch up.
+// Tombstones expire all the time, and selectors change during snapshots.
+func TestReplicaViewIsConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		source := newHistory(uint64(rapid.IntRange(0, 5).Draw(t, "floor")), rapid.IntRange(1, 4).Draw(t, "deletions"))
+		source := newTestLog(uint64(rapid.IntRange(0, 5).Draw(t, "floor")), rapid.IntRange(1, 4).Draw(t, "deletions"))
 		mirrors := []*Mirror[int]{NewMirror(2, recordSize), NewMirror(3, recordSize)}
 		replica := NewReplica[int](selectors[0])
 		selector := selectors[0]
-		var late []Batch[int]
-		read := func(who int, cursor Cursor, s Selector) (Batch[int], error) {
-			most := rapid.IntRange(1, 60).Draw(t, "piece")
-			if who == 0 {
-				return source.Read(cursor, s, most)
+		var received []Batch[int]
+		read := func(sourceIndex int, cursor Cursor, s Selector) (Batch[int], error) {
+			maxBytes := rapid.IntRange(1, 60).Draw(t, "max bytes")
+			if sourceIndex == 0 {
+				return source.Read(cursor, s, maxBytes)
 			}
-			if m := mirrors[who-1]; m.Ready() {
-				return m.Log().Read(cursor, s, most)
+			if m := mirrors[sourceIndex-1]; m.Ready() {
+				return m.Log().Read(cursor, s, maxBytes)
 			}
 			return Batch[int]{}, ErrBehind
 		}
@@ -87,14 +88,14 @@
 			before := replica.Revision()
 			change, err := replica.Apply(b)
 			if errors.Is(err, ErrMalformed) {
-				t.Fatalf("a log's answer is taken for malformed: %+v at %+v", b, replica.Cursor())
+				t.Fatalf("batch of a log is rejected as malformed: %+v at %+v", b, replica.Cursor())
 			}
 			if replica.Revision() < before {
-				t.Fatalf("revision %d behind %d", replica.Revision(), before)
+				t.Fatalf("revision went back to %d from %d", replica.Revision(), before)
 			}
 			if change != nil {
-				if diff := cmp.Diff(selected(source.states[replica.Revision()], selector), viewOf(replica)); diff != "" {
-					t.Fatalf("at revision %d by %+v:\n%s", replica.Revision(), selector, diff)
+				if diff := cmp.Diff(selected(source.stateAt[replica.Revision()], selector), viewOf(replica)); diff != "" {
+					t.Fatalf("at revision %d with selector %+v:\n%s", replica.Revision(), selector, diff)
 				}
 			}
 		}
@@ -105,7 +106,7 @@
 			},
 			"mirror": func(t *rapid.T) {
 				m := mirrors[rapid.IntRange(0, 1).Draw(t, "which")]
-				b, err := source.Read(m.Cursor(), m.Selector(), rapid.IntRange(1, 60).Draw(t, "piece"))
+				b, err := source.Read(m.Cursor(), m.Selector(), rapid.IntRange(1, 60).Draw(t, "max bytes"))
 				if err == nil {
 					_, err = m.Apply(b)
 				}
@@ -113,19 +114,19 @@
 					t.Fatal(err)
 				}
 			},
-			"restart a mirror": func(t *rapid.T) { mirrors[rapid.IntRange(0, 1).Draw(t, "which")] = NewMirror(2, recordSize) },
-			"ask": func(t *rapid.T) {
+			"restart mirror": func(t *rapid.T) { mirrors[rapid.IntRange(0, 1).Draw(t, "which")] = NewMirror(2, recordSize) },
+			"read": func(t *rapid.T) {
 				b, err := read(rapid.IntRange(0, 2).Draw(t, "source"), replica.Cursor(), replica.Selector())
 				if err != nil {
-					return // behind, or not ready
+					return // source is behind or not ready
 				}
-				if late = append(late, b); rapid.Bool().Draw(t, "arrives") {
+				if received = append(received, b); rapid.Bool().Draw(t, "arrives") {
 					apply(b)
 				}
 			},
-			"late answer": func(t *rapid.T) {
-				if len(late) > 0 {
-					apply(rapid.SampledFrom(late).Draw(t, "answer"))
+			"delayed batch": func(t *rapid.T) {
+				if len(received) > 0 {
+					apply(rapid.SampledFrom(received).Draw(t, "batch"))
 				}
 			},
 			"select": func(t *rapid.T) {
@@ -140,17 +141,18 @@
 			}
 			apply(b)
 		}
-		if diff := cmp.Diff(selected(source.now, selector), viewOf(replica)); diff != "" {
+		if diff := cmp.Diff(selected(source.current, selector), viewOf(replica)); diff != "" {
 			t.Fatal(diff)
 		}
 	})
 }
 
-// Ten thousand changes at once: who is behind gets each key once, in pieces, and a deletion that was forgotten means a snapshot.
-func TestAWatcherThatIsFarBehind(t *testing.T) {
-	source := newHistory(0, 100)
+// A watcher that is 10,000 changes behind reads each key once, in several batches. If a tombstone has expired
+// meanwhile, it gets a snapshot.
+func TestWatcherFarBehind(t *testing.T) {
+	source := newTestLog(0, 100)
 	replica := NewReplica[int](Selector{All: true})
-	source.change("gone", 1, false, 0)
+	source.change("deleted", 1, false, 0)
 	catchUp(t, source, replica)
 	for i := range 10_000 {
 		source.change(fmt.Sprint("k", i%200), i, false, 0)
@@ -158,19 +160,19 @@
 	if records, reset := catchUp(t, source, replica); records != 200 || reset {
 		t.Errorf("%d records, snapshot %v", records, reset)
 	}
-	source.change("gone", 0, true, 0)
+	source.change("deleted", 0, true, 0)
 	for i := range 101 {
 		source.change(fmt.Sprint("k", i), 0, true, 0)
 	}
 	if records, reset := catchUp(t, source, replica); records != 99 || !reset {
-		t.Errorf("behind a forgotten deletion: %d records, snapshot %v", records, reset)
+		t.Errorf("after an expired tombstone: %d records, snapshot %v", records, reset)
 	}
-	if diff := cmp.Diff(source.now, viewOf(replica)); diff != "" {
+	if diff := cmp.Diff(source.current, viewOf(replica)); diff != "" {
 		t.Error(diff)
 	}
 }
 
-func catchUp(t *testing.T, source *history, replica *Replica[int]) (records int, reset bool) {
+func catchUp(t *testing.T, source *testLog, replica *Replica[int]) (records int, reset bool) {
 	t.Helper()
 	for {
 		b, err := source.Read(replica.Cursor(), replica.Selector(), 100)
@@ -187,64 +189,65 @@
 	}
 }
 
-// The rest of an answer comes from a source that is behind the one which gave its first piece: there a key that has moved on meanwhile
-// still has its place in the part that was read already. Such a source is refused, or the key's change would be missed.
-func TestTheRestOfAnAnswerComesFromNoOlderSource(t *testing.T) {
-	older, newer := newHistory(0, 10), newHistory(0, 10)
-	for _, h := range []*history{older, newer} {
-		h.change("moves", 1, false, 0)
-		h.change("stays", 1, false, 0)
+// Guards against lost changes when a read continues at a source that is older than the one it was started at: a key
+// that has changed in between is still at its old revision there, in the range that was already read. Such a source
+// must return ErrBehind.
+func TestReadDoesNotContinueAtOlderSource(t *testing.T) {
+	older, newer := newTestLog(0, 10), newTestLog(0, 10)
+	for _, h := range []*testLog{older, newer} {
+		h.change("changing", 1, false, 0)
+		h.change("unchanged", 1, false, 0)
 		h.change("last", 1, false, 0)
 	}
-	newer.change("moves", 2, false, 0)
+	newer.change("changing", 2, false, 0)
 	replica := NewReplica[int](Selector{All: true})
-	piece, err := newer.Read(replica.Cursor(), replica.Selector(), 1)
-	if err != nil || !piece.More {
-		t.Fatalf("%+v, %v", piece, err)
+	first, err := newer.Read(replica.Cursor(), replica.Selector(), 1)
+	if err != nil || !first.More {
+		t.Fatalf("%+v, %v", first, err)
 	}
-	if _, err := replica.Apply(piece); err != nil {
+	if _, err := replica.Apply(first); err != nil {
 		t.Fatal(err)
 	}
-	if rest, err := older.Read(replica.Cursor(), replica.Selector(), 100); !errors.Is(err, ErrBehind) {
-		t.Errorf("the older source gives %+v, %v", rest, err)
+	if remaining, err := older.Read(replica.Cursor(), replica.Selector(), 100); !errors.Is(err, ErrBehind) {
+		t.Errorf("older source returned %+v, %v", remaining, err)
 	}
 	catchUp(t, newer, replica)
-	if diff := cmp.Diff(newer.now, viewOf(replica)); diff != "" {
+	if diff := cmp.Diff(newer.current, viewOf(replica)); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// A source that is behind gives nothing, and an answer that no log gives changes nothing.
-func TestWhatIsNotTaken(t *testing.T) {
-	source := newHistory(0, 10)
+// A source that is behind returns ErrBehind, and a malformed batch changes nothing.
+func TestRejectedBatchesAndChanges(t *testing.T) {
+	source := newTestLog(0, 10)
 	for i := range 5 {
 		source.change(fmt.Sprint("k", i), i, false, 0)
 	}
 	replica := NewReplica[int](Selector{All: true})
 	catchUp(t, source, replica)
-	older := newHistory(0, 10)
+	older := newTestLog(0, 10)
 	older.change("k", 1, false, 0)
 	if _, err := older.Read(replica.Cursor(), replica.Selector(), 100); !errors.Is(err, ErrBehind) {
-		t.Errorf("an older source: %v", err)
+		t.Errorf("older source: %v", err)
 	}
 	if err := source.Put(Record[int]{Key: "k", Revision: 2}); !errors.Is(err, ErrOrder) {
-		t.Errorf("a change of the past: %v", err)
+		t.Errorf("change at an earlier revision: %v", err)
 	}
 	source.change("k1", 7, false, 0)
-	good, err := source.Read(replica.Cursor(), replica.Selector(), 100)
+	valid, err := source.Read(replica.Cursor(), replica.Selector(), 100)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, spoil := range map[string]func(*Batch[int]){
-		"a revision of the past": func(b *Batch[int]) { b.Records[0].Revision = 1 },
-		"a revision to come":     func(b *Batch[int]) { b.Records[0].Revision = 99 },
-		"an end before its time": func(b *Batch[int]) { b.To.Revision, b.To.ViewRevision = 1, 1 },
-		"pieces without a piece": func(b *Batch[int]) { b.More, b.Records = true, nil },
-		"another selection":      func(b *Batch[int]) { b.To.SelectorGeneration++ },
+	for name, corrupt := range map[string]func(*Batch[int]){
+		"revision too low":     func(b *Batch[int]) { b.Records[0].Revision = 1 },
+		"revision too high":    func(b *Batch[int]) { b.Records[0].Revision = 99 },
+		"end revision too low": func(b *Batch[int]) { b.To.Revision, b.To.ViewRevision = 1, 1 },
+		"no records but more":  func(b *Batch[int]) { b.More, b.Records = true, nil },
+		"other selector":       func(b *Batch[int]) { b.To.SelectorGeneration++ },
 	} {
-		b := good
-		b.Records = append([]Record[int](nil), good.Records...)
-		spoil(&b)
+		b := valid
+		b.Records = append([]Record[int](nil), valid.Records...)
+		corrupt(&b)
 		if _, err := replica.Apply(b); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s: %v", name, err)
 		}
--- a/internal/cluster/changelog/replica.go
+++ b/internal/cluster/changelog/replica.go
@@ -6,143 +6,146 @@
 	"slices"
 )
 
-// The reasons for which a batch changes nothing.
+// Errors of batches that are not applied.
 var (
-	ErrStale     = errors.New("changelog: the answer is not to what was last asked for")
-	ErrMalformed = errors.New("changelog: the answer contradicts itself")
+	ErrStale     = errors.New("changelog: batch does not continue from the current cursor")
+	ErrMalformed = errors.New("changelog: malformed batch")
 )
 
-// Replica is a watcher's view of the selected part of a log. It is always the whole of what was selected as of one revision, which never
-// goes backwards: pieces of an answer are held until the last has come. Answers that are lost, doubled, late or out of order change nothing;
-// the same question can be asked again, of any source. Its methods are not safe for concurrent use.
+// Replica is a watcher's view of the selected part of a log. It always shows all selected keys as of one revision,
+// which never decreases: the batches of a sequence are held back until the last one has arrived. Batches that are
+// lost, duplicated, delayed or reordered change nothing, and a read can be repeated at any source. Its methods are
+// not safe for concurrent use.
 type Replica[V any] struct {
-	selector Selector
-	cursor   Cursor
-	view     map[string]Record[V]
-	pieces   []Record[V]
-	reset    bool // the pieces are a snapshot's
+	selector       Selector
+	cursor         Cursor
+	view           map[string]Record[V]
+	pendingRecords []Record[V] // of an incomplete sequence of batches
+	reset          bool        // pendingRecords belong to a snapshot
 }
 
-// NewReplica watches what a selector says, and has nothing yet.
+// NewReplica returns an empty replica that watches the keys of a selector.
 func NewReplica[V any](s Selector) *Replica[V] {
 	return &Replica[V]{selector: s, view: map[string]Record[V]{}}
 }
 
-// Cursor is what a source is asked with.
+// Cursor returns the cursor for the next read from a source.
 func (r *Replica[V]) Cursor() Cursor { return r.cursor }
 
-// Selector is what is watched.
+// Selector returns the selector in use.
 func (r *Replica[V]) Selector() Selector { return r.selector }
 
-// Revision is that of the view; 0 is none yet.
+// Revision returns the revision of the view; 0 if there is none yet.
 func (r *Replica[V]) Revision() uint64 { return r.cursor.ViewRevision }
 
-// Select changes what is watched. The view stays as it is until a snapshot by the new selector is whole.
+// Select changes the selector. The view stays as it is until a snapshot for the new selector is complete.
 func (r *Replica[V]) Select(s Selector) {
 	r.selector = s
 	r.cursor = Cursor{SelectorGeneration: r.cursor.SelectorGeneration + 1, ViewRevision: r.cursor.ViewRevision, Restart: true}
-	r.pieces, r.reset = nil, false
+	r.pendingRecords, r.reset = nil, false
 }
 
-// Get gives a key's value.
-func (r *Replica[V]) Get(key string) (v V, known bool) {
-	record, known := r.view[key]
-	return record.Value, known
+// Get returns the value of a key.
+func (r *Replica[V]) Get(key string) (v V, found bool) {
+	record, found := r.view[key]
+	return record.Value, found
 }
 
-// Records are those of the view, in no order.
+// Records returns the records of the view, in no particular order.
 func (r *Replica[V]) Records() []Record[V] { return slices.Collect(maps.Values(r.view)) }
 
-// Change is what became of a view.
+// Change describes how a view has changed.
 type Change[V any] struct {
-	Whole   bool        // the view is a new one, of which Records is all
-	Records []Record[V] // else those that have changed, deletions among them
+	Whole   bool        // the view was replaced; Records is all of it
+	Records []Record[V] // otherwise the changed records, including deletions
 }
 
-// Apply takes an answer. A change is given once the last piece has come; nil is none. An error says that nothing was changed.
+// Apply adds a batch. It returns the change once the last batch of a sequence has arrived, and nil before. If it
+// returns an error, nothing has changed.
 func (r *Replica[V]) Apply(b Batch[V]) (*Change[V], error) {
 	switch {
 	case b.From != r.cursor:
 		return nil, ErrStale
-	case !b.coherent():
+	case !b.wellFormed():
 		return nil, ErrMalformed
 	case !b.More && b.To.Revision < r.cursor.ViewRevision || b.Reset && max(b.To.SnapshotRevision, b.To.Revision) < r.cursor.ViewRevision:
 		return nil, ErrBehind
 	}
 	if b.Reset {
-		r.pieces, r.reset = nil, true
+		r.pendingRecords, r.reset = nil, true
 	}
-	r.pieces = append(r.pieces, b.Records...)
+	r.pendingRecords = append(r.pendingRecords, b.Records...)
 	if r.cursor = b.To; b.More {
 		return nil, nil
 	}
-	change := &Change[V]{Whole: r.reset, Records: r.pieces}
+	change := &Change[V]{Whole: r.reset, Records: r.pendingRecords}
 	if r.reset {
-		r.view = make(map[string]Record[V], len(r.pieces))
+		r.view = make(map[string]Record[V], len(r.pendingRecords))
 	}
-	for _, record := range r.pieces {
+	for _, record := range r.pendingRecords {
 		if record.Deleted {
 			delete(r.view, record.Key)
 		} else {
 			r.view[record.Key] = record
 		}
 	}
-	r.pieces, r.reset = nil, false
+	r.pendingRecords, r.reset = nil, false
 	return change, nil
 }
 
-// coherent says whether a batch can be what a log gives.
-func (b Batch[V]) coherent() bool {
-	begin := b.From.Revision
+// wellFormed reports whether a log could have returned the batch.
+func (b Batch[V]) wellFormed() bool {
+	start := b.From.Revision
 	if b.Reset {
-		begin = 0
+		start = 0
 	}
-	ends := b.To.SelectorGeneration == b.From.SelectorGeneration && !b.To.Restart
+	valid := b.To.SelectorGeneration == b.From.SelectorGeneration && !b.To.Restart
 	if b.More {
-		ends = ends && len(b.Records) > 0 && b.To.Revision == b.Records[len(b.Records)-1].Revision && b.To.ViewRevision == b.From.ViewRevision
+		valid = valid && len(b.Records) > 0 && b.To.Revision == b.Records[len(b.Records)-1].Revision && b.To.ViewRevision == b.From.ViewRevision
 	} else {
-		ends = ends && b.To.ViewRevision == b.To.Revision && b.To.SnapshotRevision == 0
+		valid = valid && b.To.ViewRevision == b.To.Revision && b.To.SnapshotRevision == 0
 	}
-	latest := begin
+	previous := start
 	for i, r := range b.Records {
-		if i == 0 && r.Revision <= begin || r.Revision < latest {
+		if i == 0 && r.Revision <= start || r.Revision < previous {
 			return false
 		}
-		latest = r.Revision
+		previous = r.Revision
 	}
-	return ends && latest <= b.To.Revision && begin <= b.To.Revision
+	return valid && previous <= b.To.Revision && start <= b.To.Revision
 }
 
-// Mirror is a replica of a whole log that serves watchers itself, with the same revisions. Until its first snapshot is whole it has
-// nothing to give.
+// Mirror is a replica of a whole log that serves watchers itself, with the same revisions. It can't serve until its
+// first snapshot is complete.
 type Mirror[V any] struct {
-	replica     *Replica[V]
-	log         *Log[V]
-	mostDeleted int
-	size        func(Record[V]) int
+	replica       *Replica[V]
+	log           *Log[V]
+	maxTombstones int
+	size          func(Record[V]) int
 }
 
-// NewMirror has nothing yet.
-func NewMirror[V any](mostDeleted int, size func(Record[V]) int) *Mirror[V] {
-	return &Mirror[V]{replica: NewReplica[V](Selector{All: true, Mirror: true}), mostDeleted: mostDeleted, size: size}
+// NewMirror returns an empty mirror. It keeps up to maxTombstones tombstones; size returns the size of a record in a
+// batch.
+func NewMirror[V any](maxTombstones int, size func(Record[V]) int) *Mirror[V] {
+	return &Mirror[V]{replica: NewReplica[V](Selector{All: true, Mirror: true}), maxTombstones: maxTombstones, size: size}
 }
 
-// Cursor and Selector are what its source is asked with.
+// Cursor returns the cursor for the next read from the source.
 func (m *Mirror[V]) Cursor() Cursor { return m.replica.Cursor() }
 
-// Selector is everything.
+// Selector returns the selector for reads from the source; it selects all keys.
 func (m *Mirror[V]) Selector() Selector { return m.replica.Selector() }
 
-// Ready says whether it can serve.
+// Ready reports whether the mirror can serve.
 func (m *Mirror[V]) Ready() bool { return m.log != nil }
 
-// Log is what it serves from; nil until it is ready.
+// Log returns the log that serves watchers; nil until the mirror is ready.
 func (m *Mirror[V]) Log() *Log[V] { return m.log }
 
-// Get gives a key's value.
-func (m *Mirror[V]) Get(key string) (v V, known bool) { return m.replica.Get(key) }
+// Get returns the value of a key.
+func (m *Mirror[V]) Get(key string) (v V, found bool) { return m.replica.Get(key) }
 
-// Apply takes an answer of its source.
+// Apply adds a batch from the source.
 func (m *Mirror[V]) Apply(b Batch[V]) (*Change[V], error) {
 	change, err := m.replica.Apply(b)
 	if err != nil || change == nil {
@@ -150,7 +153,7 @@
 	}
 	revision := m.replica.Revision()
 	if change.Whole || m.log == nil {
-		log, err := Restore(change.Records, revision, b.Floor, m.mostDeleted, m.size)
+		log, err := Restore(change.Records, revision, b.Floor, m.maxTombstones, m.size)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/cluster/entry/active.go
+++ b/internal/cluster/entry/active.go
@@ -8,55 +8,56 @@
 	"slices"
 )
 
-// Refusal says why a forwarder has not put an entry into force.
+// Refusal is a committed entry that a forwarder has not applied, with the reason.
 type Refusal struct {
 	Key string `json:"key"`
 	Why string `json:"why"`
 }
 
-// Changes are what an update has put into force, and what it has taken out of it.
+// Changes lists the entries that an update has applied or removed.
 type Changes struct {
-	Set     []Entry // in the order of their keys
-	Removed []Entry // as they were
+	Set     []Entry // sorted by key
+	Removed []Entry // with the content that was in force, in no order
 }
 
-// Empty says that there are none.
+// Empty reports whether the update has changed nothing.
 func (c Changes) Empty() bool { return len(c.Set)+len(c.Removed) == 0 }
 
-// Active is the configuration that is in force at one forwarder. The zero value has nothing in force. It is not safe for concurrent use.
+// Active is the configuration in force at one forwarder. The zero value is an empty configuration. It is not safe for
+// concurrent use.
 type Active struct {
-	committed map[string]*committed
-	inForce   map[string]Entry
-	refused   map[string]string // why, by key
-	claims    map[string]int    // how many committed entries name an endpoint
-	doubled   int               // endpoints that more than one of them names
-	round     uint64            // counts updates
+	committed       map[string]*committedEntry
+	inForce         map[string]Entry
+	refused         map[string]string // reason by key
+	endpointUses    map[string]int    // number of committed entries that name an endpoint, by endpoint
+	sharedEndpoints int               // number of endpoints named by more than one committed entry
+	generation      uint64            // number of updates so far
 }
 
-// committed is an entry as it was decided.
-type committed struct {
-	content []byte
-	entry   Entry
-	err     error  // it can't be decoded
-	round   uint64 // of the latest update in which it was there
+// committedEntry is a committed entry with the result of decoding it.
+type committedEntry struct {
+	content    []byte
+	entry      Entry
+	decodeErr  error  // set if the content can't be decoded
+	generation uint64 // the latest update that contained the entry
 }
 
-// Update puts the committed entries, by key, into force. An entry that can't be decoded, that names an endpoint of another destination, or that
-// allowed refuses, leaves the one before under its key in force; an entry that is not committed any more is in force no longer. Refusals are in
-// the order of their keys.
+// Update applies the committed entries, given by key. If an entry can't be decoded, names an endpoint of another
+// destination or is rejected by check, the previous entry under its key stays in force. An entry that is no longer
+// committed is removed. Refusals are sorted by key.
 //
-// Work goes by what has changed, but for a comparison of all contents.
-func (a *Active) Update(entries iter.Seq2[string, []byte], allowed func(Entry) error) (changes Changes, refused []Refusal) {
+// Apart from comparing all contents, the cost depends on the number of changed entries.
+func (a *Active) Update(entries iter.Seq2[string, []byte], check func(Entry) error) (changes Changes, refused []Refusal) {
 	if a.committed == nil {
-		a.committed, a.inForce = map[string]*committed{}, map[string]Entry{}
-		a.refused, a.claims = map[string]string{}, map[string]int{}
-	}
-	conflicts := a.doubled > 0
-	fresh := a.take(entries)
-	changes.Removed = a.drop()
-	candidates := fresh
-	if conflicts || a.doubled > 0 { // who may have an endpoint depends on all who name it
-		candidates = maps.Clone(fresh)
+		a.committed, a.inForce = map[string]*committedEntry{}, map[string]Entry{}
+		a.refused, a.endpointUses = map[string]string{}, map[string]int{}
+	}
+	hadSharedEndpoints := a.sharedEndpoints > 0
+	updated := a.recordCommitted(entries)
+	changes.Removed = a.removeUncommitted()
+	candidates := updated
+	if hadSharedEndpoints || a.sharedEndpoints > 0 { // which entry owns a shared endpoint depends on all entries that name it
+		candidates = maps.Clone(updated)
 		for key := range a.committed {
 			candidates[key] = true
 		}
@@ -67,7 +68,7 @@
 	}
 	owners := map[string]int64{}
 	for _, key := range slices.Sorted(maps.Keys(candidates)) {
-		if a.judge(key, fresh[key], owners, allowed) {
+		if a.applyEntry(key, updated[key], owners, check) {
 			changes.Set = append(changes.Set, a.inForce[key])
 		}
 	}
@@ -77,35 +78,35 @@
 	return changes, refused
 }
 
-// take notes what is committed, and gives the keys whose content has changed.
-func (a *Active) take(entries iter.Seq2[string, []byte]) (fresh map[string]bool) {
-	a.round++
-	fresh = map[string]bool{}
+// recordCommitted stores the committed entries and returns the keys whose content has changed.
+func (a *Active) recordCommitted(entries iter.Seq2[string, []byte]) (updated map[string]bool) {
+	a.generation++
+	updated = map[string]bool{}
 	for key, content := range entries {
-		before := a.committed[key]
-		if before != nil && bytes.Equal(before.content, content) {
-			before.round = a.round
+		previous := a.committed[key]
+		if previous != nil && bytes.Equal(previous.content, content) {
+			previous.generation = a.generation
 			continue
 		}
-		if before != nil {
-			a.claim(before.entry, -1)
+		if previous != nil {
+			a.countEndpoints(previous.entry, -1)
 		}
-		now := &committed{content: content, round: a.round}
-		now.entry, now.err = Decode(key, content)
-		a.claim(now.entry, 1)
-		a.committed[key] = now
-		fresh[key] = true
+		current := &committedEntry{content: content, generation: a.generation}
+		current.entry, current.decodeErr = Decode(key, content)
+		a.countEndpoints(current.entry, 1)
+		a.committed[key] = current
+		updated[key] = true
 	}
-	return fresh
+	return updated
 }
 
-// drop forgets what is committed no longer, and gives what of it was in force.
-func (a *Active) drop() (removed []Entry) {
+// removeUncommitted deletes entries that are no longer committed and returns those that were in force.
+func (a *Active) removeUncommitted() (removed []Entry) {
 	for key, c := range a.committed {
-		if c.round == a.round {
+		if c.generation == a.generation {
 			continue
 		}
-		a.claim(c.entry, -1)
+		a.countEndpoints(c.entry, -1)
 		delete(a.committed, key)
 		delete(a.refused, key)
 		if e, had := a.inForce[key]; had {
@@ -116,58 +117,60 @@
 	return removed
 }
 
-// claim counts the endpoints that an entry names, or counts them no longer.
-func (a *Active) claim(e Entry, by int) {
+// countEndpoints adds delta to the use count of each endpoint that an entry names.
+func (a *Active) countEndpoints(e Entry, delta int) {
 	if e.Destination == nil {
 		return
 	}
 	for _, endpoint := range e.Destination.Endpoints {
-		before := a.claims[endpoint.Name]
-		now := before + by
-		if a.claims[endpoint.Name] = now; now == 0 {
-			delete(a.claims, endpoint.Name)
+		oldCount := a.endpointUses[endpoint.Name]
+		newCount := oldCount + delta
+		if a.endpointUses[endpoint.Name] = newCount; newCount == 0 {
+			delete(a.endpointUses, endpoint.Name)
 		}
 		switch {
-		case before == 1 && now == 2:
-			a.doubled++
-		case before == 2 && now == 1:
-			a.doubled--
+		case oldCount == 1 && newCount == 2:
+			a.sharedEndpoints++
+		case oldCount == 2 && newCount == 1:
+			a.sharedEndpoints--
 		}
 	}
 }
 
-// judge puts a committed entry into force or notes why not, and says whether anything else is in force now. Owners are the destinations of endpoints,
-// by the entries judged before it in the order of keys: all forwarders refuse the same one of two.
-func (a *Active) judge(key string, fresh bool, owners map[string]int64, allowed func(Entry) error) (changed bool) {
-	c := a.committed[key]
+// applyEntry applies a committed entry or records why it is refused, and reports whether the entry in force has
+// changed. owners holds the destination of each endpoint, from the entries applied before it. Keys are applied in
+// sorted order, so all forwarders refuse the same one of two conflicting entries.
+func (a *Active) applyEntry(key string, updated bool, owners map[string]int64, check func(Entry) error) (changed bool) {
+	candidate := a.committed[key]
 	_, wasRefused := a.refused[key]
-	err := c.err
+	err := candidate.decodeErr
 	if err == nil {
-		err = own(owners, c.entry)
+		err = claimEndpoints(owners, candidate.entry)
 	}
-	if err == nil && (fresh || wasRefused) {
-		err = allowed(c.entry)
+	if err == nil && (updated || wasRefused) {
+		err = check(candidate.entry)
 	}
 	if err != nil {
 		a.refused[key] = err.Error()
 		return false
 	}
 	delete(a.refused, key)
-	if !fresh && !wasRefused {
+	if !updated && !wasRefused {
 		return false
 	}
-	a.inForce[key] = c.entry
+	a.inForce[key] = candidate.entry
 	return true
 }
 
-// own notes whose endpoints an entry names. A name is one destination's.
-func own(owners map[string]int64, e Entry) error {
+// claimEndpoints records the destination of each endpoint that an entry names. An endpoint name belongs to at most
+// one destination.
+func claimEndpoints(owners map[string]int64, e Entry) error {
 	if e.Destination == nil {
 		return nil
 	}
 	for _, endpoint := range e.Destination.Endpoints {
-		if owner, taken := owners[endpoint.Name]; taken {
-			return fmt.Errorf("%w: endpoint %q is one of destination %d", ErrInvalid, endpoint.Name, owner)
+		if owner, found := owners[endpoint.Name]; found {
+			return fmt.Errorf("%w: endpoint %q belongs to destination %d", ErrInvalid, endpoint.Name, owner)
 		}
 	}
 	for _, endpoint := range e.Destination.Endpoints {
@@ -176,7 +179,7 @@
 	return nil
 }
 
-// Entries are those in force, in the order of their keys.
+// Entries returns the entries in force, sorted by key.
 func (a *Active) Entries() []Entry {
 	out := make([]Entry, 0, len(a.inForce))
 	for _, key := range slices.Sorted(maps.Keys(a.inForce)) {
--- a/internal/cluster/entry/entry.go
+++ b/internal/cluster/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry defines the configuration entries that a fleet decides in common: destinations with their endpoints, and limits of classes.
-// An entry is checked before it is committed and again by every forwarder that puts it into force. The package is pure: no clock, no socket,
-// no goroutine.
+// Package entry defines the configuration entries that a fleet shares: destinations with their endpoints, and rate
+// limits of classes. An entry is checked before it is committed and again by each forwarder that applies it. The
+// package is pure: it uses no clock, socket or goroutine.
 package entry
 
 import (
@@ -15,13 +15,13 @@
 	"unicode"
 )
 
-// Entry is one configuration entry; exactly one of its fields is set.
+// Entry is a configuration entry. Exactly one of its fields is set.
 type Entry struct {
 	Destination *Destination `json:"destination,omitempty"`
 	Class       *Class       `json:"class,omitempty"`
 }
 
-// Destination is a destination whose endpoints are configured. They replace those that discovery lists for it.
+// Destination is a destination with configured endpoints, which replace those that discovery lists for it.
 type Destination struct {
 	Number    int64      `json:"number"`
 	Endpoints []Endpoint `json:"endpoints"`
@@ -33,22 +33,22 @@
 	Address  string  `json:"address"` // host:port
 	Zone     string  `json:"zone,omitempty"`
 	Kind     string  `json:"kind,omitempty"`
-	Capacity float64 `json:"capacity"`           // calls a second that it takes from all forwarders together
-	Draining bool    `json:"draining,omitempty"` // calls that are out go on, and no new ones are made
+	Capacity float64 `json:"capacity"`           // calls per second that it accepts from all forwarders together
+	Draining bool    `json:"draining,omitempty"` // calls in progress continue, but no new ones are sent
 }
 
-// Class limits the messages of a class.
+// Class limits the rate of messages of a class.
 type Class struct {
 	Name string  `json:"name"`
-	Rate float64 `json:"rate"` // messages a second that one forwarder takes on; what is above is refused with a time to come again
+	Rate float64 `json:"rate"` // messages per second that one forwarder accepts; messages above it are refused with a retry-after
 }
 
-// Bounds of an entry.
+// Limits of an entry.
 const (
-	MaxBytes     = 16 << 10 // encoded
+	MaxBytes     = 16 << 10 // encoded size
 	maxEndpoints = 256
-	maxName      = 128
-	maxRate      = 1e7 // calls or messages a second
+	maxNameBytes = 128
+	maxRate      = 1e7 // calls or messages per second
 )
 
 const (
@@ -56,13 +56,13 @@
 	classPrefix       = "class/"
 )
 
-// ErrInvalid is wrapped by every error that says why an entry can't be used.
-var ErrInvalid = errors.New("entry: not usable")
+// ErrInvalid is wrapped by every error that reports an invalid entry.
+var ErrInvalid = errors.New("entry: invalid entry")
 
-// InvalidError tells which field of an entry can't be used. Field is a path as in a settings file, such as endpoint.address.
+// InvalidError reports which field of an entry is invalid. Field is named as in a settings file.
 type InvalidError struct {
 	Field   string
-	Index   int // of the endpoint; -1 is none
+	Index   int // of the endpoint; -1 if the field is not part of an endpoint
 	Problem string
 }
 
@@ -73,10 +73,10 @@
 	return fmt.Sprintf("entry: %s: %s", e.Field, e.Problem)
 }
 
-// Unwrap is ErrInvalid.
+// Unwrap returns ErrInvalid.
 func (e *InvalidError) Unwrap() error { return ErrInvalid }
 
-// Key names the entry; an entry that is set replaces the one with its key.
+// Key returns the key of the entry. Setting an entry replaces the one with the same key.
 func (e Entry) Key() string {
 	switch {
 	case e.Destination != nil:
@@ -87,19 +87,19 @@
 	return ""
 }
 
-// DestinationKey is the key of a destination's entry.
+// DestinationKey returns the key of a destination's entry.
 func DestinationKey(number int64) string {
 	return destinationPrefix + strconv.FormatInt(number, 10)
 }
 
-// ClassKey is the key of a class's entry.
+// ClassKey returns the key of a class's entry.
 func ClassKey(name string) string { return classPrefix + name }
 
-// Check says why an entry can't be used, as an *Invalid; nil is none.
+// Check validates the entry. An error is an *InvalidError.
 func (e Entry) Check() error {
 	switch {
 	case (e.Destination == nil) == (e.Class == nil):
-		return &InvalidError{Field: "kind", Index: -1, Problem: "it is neither a destination nor a class, or both"}
+		return &InvalidError{Field: "kind", Index: -1, Problem: "must be either a destination or a class"}
 	case e.Destination != nil:
 		return e.Destination.check()
 	}
@@ -107,21 +107,21 @@
 }
 
 func (c Class) check() error {
-	if what := badName(c.Name); what != "" {
-		return &InvalidError{Field: "class", Index: -1, Problem: what}
+	if problem := nameProblem(c.Name); problem != "" {
+		return &InvalidError{Field: "class", Index: -1, Problem: problem}
 	}
-	if what := badRate(c.Rate); what != "" {
-		return &InvalidError{Field: "rate", Index: -1, Problem: what}
+	if problem := rateProblem(c.Rate); problem != "" {
+		return &InvalidError{Field: "rate", Index: -1, Problem: problem}
 	}
 	return nil
 }
 
 func (d Destination) check() error {
 	if d.Number <= 0 {
-		return &InvalidError{Field: "destination", Index: -1, Problem: fmt.Sprintf("%d is no number of a destination", d.Number)}
+		return &InvalidError{Field: "destination", Index: -1, Problem: fmt.Sprintf("%d is not a valid destination number", d.Number)}
 	}
 	if len(d.Endpoints) == 0 || len(d.Endpoints) > maxEndpoints {
-		return &InvalidError{Field: "endpoint", Index: -1, Problem: fmt.Sprintf("%d of them; from 1 to %d are possible", len(d.Endpoints), maxEndpoints)}
+		return &InvalidError{Field: "endpoint", Index: -1, Problem: fmt.Sprintf("%d endpoints; must be from 1 to %d", len(d.Endpoints), maxEndpoints)}
 	}
 	seen := make(map[string]bool, len(d.Endpoints))
 	for i, endpoint := range d.Endpoints {
@@ -129,7 +129,7 @@
 			return err
 		}
 		if seen[endpoint.Name] {
-			return &InvalidError{Field: "name", Index: i, Problem: fmt.Sprintf("%q is named twice", endpoint.Name)}
+			return &InvalidError{Field: "name", Index: i, Problem: fmt.Sprintf("duplicate name %q", endpoint.Name)}
 		}
 		seen[endpoint.Name] = true
 	}
@@ -137,42 +137,42 @@
 }
 
 func (e Endpoint) check(index int) error {
-	bad := func(field, what string) error { return &InvalidError{Field: field, Index: index, Problem: what} }
-	if what := badName(e.Name); what != "" {
-		return bad("name", what)
+	invalid := func(field, problem string) error { return &InvalidError{Field: field, Index: index, Problem: problem} }
+	if problem := nameProblem(e.Name); problem != "" {
+		return invalid("name", problem)
 	}
-	if host, port, err := net.SplitHostPort(e.Address); err != nil || host == "" || port == "" || len(e.Address) > maxName {
-		return bad("address", fmt.Sprintf("%q is no host:port", e.Address))
+	if host, port, err := net.SplitHostPort(e.Address); err != nil || host == "" || port == "" || len(e.Address) > maxNameBytes {
+		return invalid("address", fmt.Sprintf("%q is not a host:port address", e.Address))
 	}
 	for field, text := range map[string]string{"zone": e.Zone, "kind": e.Kind} {
-		if what := badName(text); text != "" && what != "" {
-			return bad(field, what)
+		if problem := nameProblem(text); text != "" && problem != "" {
+			return invalid(field, problem)
 		}
 	}
-	if what := badRate(e.Capacity); what != "" {
-		return bad("capacity", what)
+	if problem := rateProblem(e.Capacity); problem != "" {
+		return invalid("capacity", problem)
 	}
 	return nil
 }
 
-// badName says why a name can't be used; "" is nothing.
-func badName(name string) string {
-	unusable := func(r rune) bool { return unicode.IsSpace(r) || !unicode.IsPrint(r) }
-	if name == "" || len(name) > maxName || strings.ContainsFunc(name, unusable) {
-		return fmt.Sprintf("%q is no name: 1 to %d bytes without spaces", name, maxName)
+// nameProblem describes why a name is invalid; "" if it is valid.
+func nameProblem(name string) string {
+	disallowed := func(r rune) bool { return unicode.IsSpace(r) || !unicode.IsPrint(r) }
+	if name == "" || len(name) > maxNameBytes || strings.ContainsFunc(name, disallowed) {
+		return fmt.Sprintf("%q is not a valid name: must have 1 to %d bytes and no spaces or unprintable characters", name, maxNameBytes)
 	}
 	return ""
 }
 
-// badRate says why a rate can't be used; "" is nothing.
-func badRate(rate float64) string {
+// rateProblem describes why a rate is invalid; "" if it is valid.
+func rateProblem(rate float64) string {
 	if !(rate > 0 && rate <= maxRate) || math.IsNaN(rate) {
-		return fmt.Sprintf("%v; above 0 and up to %g a second is possible", rate, float64(maxRate))
+		return fmt.Sprintf("%v; must be above 0 and at most %g per second", rate, float64(maxRate))
 	}
 	return ""
 }
 
-// Encode gives the bytes that are committed. An entry that is too large, or that Check refuses, is an error.
+// Encode returns the bytes to commit. It fails if Check does or if the entry is too large.
 func (e Entry) Encode() ([]byte, error) {
 	if err := e.Check(); err != nil {
 		return nil, err
@@ -182,16 +182,16 @@
 		return nil, fmt.Errorf("entry: %w", err)
 	}
 	if len(content) > MaxBytes {
-		return nil, &InvalidError{Field: "size", Index: -1, Problem: fmt.Sprintf("%d bytes; %d are the most", len(content), MaxBytes)}
+		return nil, &InvalidError{Field: "size", Index: -1, Problem: fmt.Sprintf("%d bytes; must be at most %d", len(content), MaxBytes)}
 	}
 	return content, nil
 }
 
-// Decode reads and checks what was committed under a key. An entry with a field that is not known here, as one of a later version may have, is an
-// error: half of it in force would not be what the operator asked for.
+// Decode parses and checks an entry committed under a key. Unknown fields, which an entry of a later version may
+// have, are an error: applying only part of an entry would not be what the operator asked for.
 func Decode(key string, content []byte) (Entry, error) {
 	if len(content) > MaxBytes {
-		return Entry{}, &InvalidError{Field: "size", Index: -1, Problem: fmt.Sprintf("%d bytes; %d are the most", len(content), MaxBytes)}
+		return Entry{}, &InvalidError{Field: "size", Index: -1, Problem: fmt.Sprintf("%d bytes; must be at most %d", len(content), MaxBytes)}
 	}
 	var e Entry
 	decoder := json.NewDecoder(bytes.NewReader(content))
@@ -200,13 +200,13 @@
 		return Entry{}, fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
 	if decoder.More() {
-		return Entry{}, fmt.Errorf("%w: something follows the entry", ErrInvalid)
+		return Entry{}, fmt.Errorf("%w: unexpected data after the entry", ErrInvalid)
 	}
 	if err := e.Check(); err != nil {
 		return Entry{}, err
 	}
 	if e.Key() != key {
-		return Entry{}, fmt.Errorf("%w: the entry of %q is under the key %q", ErrInvalid, e.Key(), key)
+		return Entry{}, fmt.Errorf("%w: entry with key %q is stored under key %q", ErrInvalid, e.Key(), key)
 	}
 	return e, nil
 }
