--- a/internal/cluster/relay/core.go
+++ b/internal/cluster/relay/core.go
@@ -1,12 +1,14 @@
-// Package relay carries members' requests to the voters of the control plane, and what is decided back to the members. A relay has no state
-// that lasts: it holds a mirror of the change log, sends the lease renewals of all its members as one batch, and answers watches from the
-// mirror. It can be stopped and replaced at any moment.
+// Package relay forwards requests of members to the voters of the control plane, and committed changes to the
+// members. A relay has no durable state: it mirrors the change log, sends the lease renewals of all its members as
+// one batch, and answers watches from the mirror. It can be stopped and replaced at any time.
 //
-// A relay cannot lengthen a lease. A member counts its lease from its own sending of the renewal that is answered, and knows the answer by
-// the renewal's number; the leader counts it from when the batch came, which is later. So a relay that stops, or sends or answers late, twice
-// or in another order, can only shorten a lease. Neither can it take a member back: a mirror that is behind a watcher gives it nothing.
+// A relay can't extend a lease. A member counts its lease from the time at which it sent the renewal, and matches the
+// answer by the renewal's sequence number; the leader counts it from the arrival of the batch, which is later. A
+// relay that stops, or that delays, duplicates or reorders messages, can therefore only shorten a lease. Nor can it
+// make a member go back to an earlier revision: a mirror that is behind a watcher sends it no changes.
 //
-// Core is the state machine: events in, requests and replies out, without a clock, a socket or a goroutine. Server drives it.
+// Core is the state machine: events in, requests and replies out, without a clock, socket or goroutine. Server drives
+// it.
 package relay
 
 import (
@@ -14,60 +16,60 @@
 	"mulleinbeam/internal/cluster/controlplane"
 )
 
-// Ticket names a member's renewal to whoever waits for its reply.
+// Ticket identifies a member's renewal until it is answered.
 type Ticket uint64
 
-// Reply answers the renewal of a ticket.
+// Reply is the response to the renewal with a ticket.
 type Reply struct {
 	Ticket   Ticket
 	Response controlplane.Response
 }
 
-// mostBatch bounds the lives in one request to the voters.
-const mostBatch = 4096
+// maxBatchRenewals limits the renewals in one request to the voters.
+const maxBatchRenewals = 4096
 
-// Counters are what a relay has done so far.
+// Counters are the statistics of a relay.
 type Counters struct {
-	Renewals  uint64 // of members
-	Batches   uint64 // that were answered
-	Failed    uint64 // that were not, or found no leader
-	Replaced  uint64 // renewals that a later one of the same life has replaced before they were sent
-	Malformed uint64 // answers of voters that contradicted themselves
+	Renewals  uint64 // received from members
+	Batches   uint64 // answered by the voters
+	Failed    uint64 // batches without an answer, or for which there was no leader
+	Replaced  uint64 // renewals superseded before they were sent by a later one of the same incarnation
+	Malformed uint64 // malformed changes in answers of voters
 }
 
-// renewal is a member's request whose reply is owed.
+// renewal is a member's renewal request that is still to be answered.
 type renewal struct {
-	ticket   Ticket
-	life     controlplane.Incarnation
-	sequence uint64
-	watch    *controlplane.Watch
+	ticket      Ticket
+	incarnation controlplane.Incarnation
+	sequence    uint64
+	watch       *controlplane.Watch
 }
 
-// Core is a relay's state machine. Its methods are not safe for concurrent use.
+// Core is the state machine of a relay. Its methods are not safe for concurrent use.
 type Core struct {
-	mirror   *changelog.Mirror[controlplane.Item]
-	waiting  []renewal                        // for the next batch, in the order of their coming
-	place    map[controlplane.Incarnation]int // of a life's renewal among those
-	sent     []renewal                        // in the batch under way
-	batch    uint64                           // number of the latest one
-	underWay bool
-	more     bool   // the latest answer was a piece
-	leader   string // as the latest answer says
-	counters Counters
+	mirror        *changelog.Mirror[controlplane.Item]
+	pending       []renewal                        // for the next batch, in order of arrival
+	pendingIndex  map[controlplane.Incarnation]int // index in pending, by incarnation
+	inFlight      []renewal                        // renewals of the batch in flight
+	batchSequence uint64                           // sequence number of the latest batch
+	batchInFlight bool
+	moreChanges   bool   // the voters have more changes to read
+	leader        string // as of the latest answer
+	counters      Counters
 }
 
-// NewCore knows nothing yet.
+// NewCore returns a core with an empty mirror.
 func NewCore() *Core {
-	return &Core{mirror: controlplane.NewMirror(), place: map[controlplane.Incarnation]int{}}
+	return &Core{mirror: controlplane.NewMirror(), pendingIndex: map[controlplane.Incarnation]int{}}
 }
 
-// Counters are what it has done so far.
+// Counters returns the statistics so far.
 func (c *Core) Counters() Counters { return c.counters }
 
-// Ready says whether it has the whole of what is decided; until then it serves nobody.
+// Ready reports whether the mirror is complete. Until then the relay serves no member.
 func (c *Core) Ready() bool { return c.mirror.Ready() }
 
-// Revision is that of the mirror; 0 is none yet.
+// Revision returns the revision of the mirror; 0 if it is not ready.
 func (c *Core) Revision() uint64 {
 	if !c.Ready() {
 		return 0
@@ -75,44 +77,44 @@
 	return c.mirror.Log().Revision()
 }
 
-// Voters are those that have been decided on since the group began; none is those that it began with.
+// Voters returns the committed voters; none if they have not changed since the consensus group was created.
 func (c *Core) Voters() []controlplane.Voter { return controlplane.VotersIn(c.mirror) }
 
-// refusal sends a member elsewhere.
-func refusal() controlplane.Response {
+// noLeaderResponse makes a member try another relay or voter.
+func noLeaderResponse() controlplane.Response {
 	return controlplane.Response{Refused: controlplane.ErrNoLeader.Error()}
 }
 
-// Renew takes a member's renewal. Its reply comes with the answer to a batch, or at once where a later renewal of the same life makes it
-// needless, or this relay cannot serve.
-func (c *Core) Renew(t Ticket, req controlplane.Request) (replies []Reply) {
+// Renew adds a renewal of a member. Its reply comes with the answer to a batch, or at once if a later renewal of the
+// same incarnation supersedes it or the mirror is not ready.
+func (c *Core) Renew(ticket Ticket, req controlplane.Request) (replies []Reply) {
 	if !c.Ready() {
-		return []Reply{{t, refusal()}}
+		return []Reply{{ticket, noLeaderResponse()}}
 	}
 	c.counters.Renewals++
-	r := renewal{t, *req.Renew, req.Sequence, req.Watch}
-	i, known := c.place[r.life]
-	if !known {
-		c.place[r.life] = len(c.waiting)
-		c.waiting = append(c.waiting, r)
+	r := renewal{ticket, *req.Renew, req.Sequence, req.Watch}
+	i, found := c.pendingIndex[r.incarnation]
+	if !found {
+		c.pendingIndex[r.incarnation] = len(c.pending)
+		c.pending = append(c.pending, r)
 		return nil
 	}
-	earlier := c.waiting[i]
-	c.waiting[i] = r
+	replaced := c.pending[i]
+	c.pending[i] = r
 	c.counters.Replaced++
-	return []Reply{{earlier.ticket, refusal()}}
+	return []Reply{{replaced.ticket, noLeaderResponse()}}
 }
 
-// Read answers a member that asks for nothing but what is decided.
+// Read answers a member that only reads committed changes.
 func (c *Core) Read(watch *controlplane.Watch) controlplane.Response {
 	if !c.Ready() || watch != nil && watch.Cursor.RequiredRevision() > c.Revision() {
-		return refusal()
+		return noLeaderResponse()
 	}
-	return c.answer(controlplane.Response{Version: c.Revision()}, watch)
+	return c.addWatchChanges(controlplane.Response{Version: c.Revision()}, watch)
 }
 
-// answer adds what every answer has.
-func (c *Core) answer(r controlplane.Response, watch *controlplane.Watch) controlplane.Response {
+// addWatchChanges adds the leader and the changes for a watch to a response.
+func (c *Core) addWatchChanges(r controlplane.Response, watch *controlplane.Watch) controlplane.Response {
 	r.Leader = c.leader
 	if watch != nil {
 		r.Changes = controlplane.ChangesFor(c.mirror.Log(), *watch)
@@ -120,65 +122,65 @@
 	return r
 }
 
-// More says that the voters have more of what is decided, which is to be asked for at once.
-func (c *Core) More() bool { return c.more }
+// More reports whether the voters have more changes, which are to be read at once.
+func (c *Core) More() bool { return c.moreChanges }
 
-// Batch gives what to ask the voters now: the renewals that wait, and what has been decided since. There is one at a time; Answered or Failed
-// has to follow.
-func (c *Core) Batch() (req controlplane.Request, some bool) {
-	if c.underWay {
+// Batch returns the next request to the voters, with the pending renewals and the cursor of the mirror. ok is false
+// while a batch is in flight; each batch must be followed by Answered or Failed.
+func (c *Core) Batch() (req controlplane.Request, ok bool) {
+	if c.batchInFlight {
 		return req, false
 	}
-	c.batch++
-	c.underWay = true
-	n := min(len(c.waiting), mostBatch)
-	c.sent = c.waiting[:n:n]
-	c.waiting = c.waiting[n:]
-	clear(c.place)
-	for i, r := range c.waiting {
-		c.place[r.life] = i
+	c.batchSequence++
+	c.batchInFlight = true
+	n := min(len(c.pending), maxBatchRenewals)
+	c.inFlight = c.pending[:n:n]
+	c.pending = c.pending[n:]
+	clear(c.pendingIndex)
+	for i, r := range c.pending {
+		c.pendingIndex[r.incarnation] = i
 	}
-	for _, r := range c.sent {
-		req.Batch = append(req.Batch, r.life)
+	for _, r := range c.inFlight {
+		req.Batch = append(req.Batch, r.incarnation)
 	}
-	req.Sequence = c.batch
+	req.Sequence = c.batchSequence
 	req.Watch = &controlplane.Watch{Cursor: c.mirror.Cursor(), Selector: c.mirror.Selector()}
 	return req, true
 }
 
-// Answered takes the voters' answer to a batch. One to another batch than that under way changes nothing.
-func (c *Core) Answered(r controlplane.Response) []Reply {
-	if !c.underWay || r.Sequence != c.batch {
+// Answered handles the voters' answer to a batch. It ignores an answer to any other batch than the one in flight.
+func (c *Core) Answered(answer controlplane.Response) []Reply {
+	if !c.batchInFlight || answer.Sequence != c.batchSequence {
 		return nil
 	}
-	if r.Refused != "" || len(c.sent) > 0 && !r.Granted {
+	if answer.Refused != "" || len(c.inFlight) > 0 && !answer.Granted {
 		return c.Failed()
 	}
-	c.underWay = false
+	c.batchInFlight = false
 	c.counters.Batches++
-	if r.Leader != "" {
-		c.leader = r.Leader
-	}
-	c.learn(r.Changes)
-	ended := make(map[controlplane.Incarnation]bool, len(r.Fenced))
-	for _, life := range r.Fenced {
-		ended[life] = true
-	}
-	replies := make([]Reply, 0, len(c.sent))
-	for _, m := range c.sent {
-		out := controlplane.Response{Granted: !ended[m.life], Sequence: m.sequence, Version: r.Version}
-		if !out.Granted {
-			out.Refused = controlplane.ErrFenced.Error()
+	if answer.Leader != "" {
+		c.leader = answer.Leader
+	}
+	c.applyChanges(answer.Changes)
+	fenced := make(map[controlplane.Incarnation]bool, len(answer.Fenced))
+	for _, incarnation := range answer.Fenced {
+		fenced[incarnation] = true
+	}
+	replies := make([]Reply, 0, len(c.inFlight))
+	for _, sent := range c.inFlight {
+		response := controlplane.Response{Granted: !fenced[sent.incarnation], Sequence: sent.sequence, Version: answer.Version}
+		if !response.Granted {
+			response.Refused = controlplane.ErrFenced.Error()
 		}
-		replies = append(replies, Reply{m.ticket, c.answer(out, m.watch)})
+		replies = append(replies, Reply{sent.ticket, c.addWatchChanges(response, sent.watch)})
 	}
-	c.sent = nil
+	c.inFlight = nil
 	return replies
 }
 
-// learn takes what has been decided since.
-func (c *Core) learn(changes *controlplane.Changes) {
-	c.more = false
+// applyChanges adds committed changes to the mirror.
+func (c *Core) applyChanges(changes *controlplane.Changes) {
+	c.moreChanges = false
 	if changes == nil {
 		return
 	}
@@ -186,19 +188,20 @@
 		c.counters.Malformed++
 		return
 	}
-	c.more = changes.More
+	c.moreChanges = changes.More
 }
 
-// Failed notes that nobody has answered the batch under way: whether its leases were booked is unknown, so its members are sent elsewhere.
+// Failed records that the batch in flight got no answer. Whether its leases were granted is unknown, so its members
+// are told to try elsewhere.
 func (c *Core) Failed() (replies []Reply) {
-	if !c.underWay {
+	if !c.batchInFlight {
 		return nil
 	}
-	c.underWay, c.more = false, false
+	c.batchInFlight, c.moreChanges = false, false
 	c.counters.Failed++
-	for _, m := range c.sent {
-		replies = append(replies, Reply{m.ticket, refusal()})
+	for _, sent := range c.inFlight {
+		replies = append(replies, Reply{sent.ticket, noLeaderResponse()})
 	}
-	c.sent = nil
+	c.inFlight = nil
 	return replies
 }
--- a/internal/cluster/relay/core_test.go
+++ b/internal/cluster/relay/core_test.go
@@ -9,84 +9,85 @@
 	"mulleinbeam/internal/cluster/controlplane"
 )
 
-// decisions is a change log as voters have it.
-type decisions struct {
+// voterLog is the change log of a voter.
+type voterLog struct {
 	*changelog.Log[controlplane.Item]
 }
 
-func newDecisions() decisions {
-	return decisions{changelog.NewLog(1, 0, 8, func(controlplane.Change) int { return 100 })}
+func newVoterLog() voterLog {
+	return voterLog{changelog.NewLog(1, 0, 8, func(controlplane.Change) int { return 100 })}
 }
 
-// decide changes a member, or removes it.
-func (d decisions) decide(t interface{ Fatal(...any) }, name string, m *controlplane.Member) {
-	change := controlplane.Change{Key: controlplane.MemberKey(name), Revision: d.Revision() + 1, Deleted: m == nil, Value: controlplane.Item{Member: m}}
-	if err := d.Put(change); err != nil {
+// commit sets a member, or deletes it if m is nil.
+func (log voterLog) commit(t interface{ Fatal(...any) }, name string, m *controlplane.Member) {
+	change := controlplane.Change{Key: controlplane.MemberKey(name), Revision: log.Revision() + 1, Deleted: m == nil, Value: controlplane.Item{Member: m}}
+	if err := log.Put(change); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// answer is a voter's to a batch, which grants all but some.
-func (d decisions) answer(req controlplane.Request, ended ...controlplane.Incarnation) controlplane.Response {
+// respond returns the response of a voter to a batch, granting all leases but those of fenced incarnations.
+func (log voterLog) respond(req controlplane.Request, fenced ...controlplane.Incarnation) controlplane.Response {
 	return controlplane.Response{
-		Leader: "n0", Granted: len(req.Batch) > 0, Sequence: req.Sequence, Version: d.Revision(), Fenced: ended, Changes: controlplane.ChangesFor(d.Log, *req.Watch),
+		Leader: "n0", Granted: len(req.Batch) > 0, Sequence: req.Sequence, Version: log.Revision(), Fenced: fenced, Changes: controlplane.ChangesFor(log.Log, *req.Watch),
 	}
 }
 
-// readyCore has all that is decided.
-func readyCore(t *testing.T, d decisions) *Core {
+// readyCore returns a core with the complete change log.
+func readyCore(t *testing.T, log voterLog) *Core {
 	t.Helper()
 	c := NewCore()
 	for more := true; more; more = c.More() {
-		req, some := c.Batch()
-		if !some || len(req.Batch) > 0 {
-			t.Fatalf("%v, %+v", some, req)
+		req, ok := c.Batch()
+		if !ok || len(req.Batch) > 0 {
+			t.Fatalf("%v, %+v", ok, req)
 		}
-		c.Answered(d.answer(req))
+		c.Answered(log.respond(req))
 	}
-	if !c.Ready() || c.Revision() != d.Revision() {
-		t.Fatalf("ready %v at %d of %d", c.Ready(), c.Revision(), d.Revision())
+	if !c.Ready() || c.Revision() != log.Revision() {
+		t.Fatalf("ready %v at revision %d, want %d", c.Ready(), c.Revision(), log.Revision())
 	}
 	return c
 }
 
-func renewalOf(life controlplane.Incarnation, sequence uint64) controlplane.Request {
-	return controlplane.Request{Renew: &life, Sequence: sequence, Watch: controlplane.NewView().Watch()}
+func renewalOf(incarnation controlplane.Incarnation, sequence uint64) controlplane.Request {
+	return controlplane.Request{Renew: &incarnation, Sequence: sequence, Watch: controlplane.NewView().Watch()}
 }
 
 var a1, b1 = controlplane.Incarnation{Name: "a", Number: 1}, controlplane.Incarnation{Name: "b", Number: 1}
 
-// Renewals that came while a batch was out go in the next, each is answered by its own number, and with what has been decided.
-func TestRenewalsShareABatch(t *testing.T) {
-	d := newDecisions()
-	c := readyCore(t, d)
+// Renewals that arrive while a batch is in flight are sent with the next one. Each is answered with its own sequence
+// number and the changes committed since.
+func TestRenewalsAreBatched(t *testing.T) {
+	log := newVoterLog()
+	c := readyCore(t, log)
 	c.Renew(1, renewalOf(a1, 5))
 	first, _ := c.Batch()
 	c.Renew(2, renewalOf(b1, 9))
-	if _, some := c.Batch(); some {
-		t.Error("two batches at once")
+	if _, ok := c.Batch(); ok {
+		t.Error("second batch while one is in flight")
 	}
-	d.decide(t, "a", &controlplane.Member{Life: 1, Alive: true})
-	replies := c.Answered(d.answer(first))
+	log.commit(t, "a", &controlplane.Member{Life: 1, Alive: true})
+	replies := c.Answered(log.respond(first))
 	if len(replies) != 1 || replies[0].Ticket != 1 || !replies[0].Response.Granted || replies[0].Response.Sequence != 5 || replies[0].Response.Leader != "n0" {
 		t.Errorf("%+v", replies)
 	}
-	if changes := replies[0].Response.Changes; changes == nil || changes.To.Revision != d.Revision() || len(changes.Records) != 1 {
+	if changes := replies[0].Response.Changes; changes == nil || changes.To.Revision != log.Revision() || len(changes.Records) != 1 {
 		t.Errorf("%+v", changes)
 	}
 	second, _ := c.Batch()
-	replies = c.Answered(d.answer(second, b1))
+	replies = c.Answered(log.respond(second, b1))
 	if len(replies) != 1 || replies[0].Response.Granted || replies[0].Response.Refused != controlplane.ErrFenced.Error() || replies[0].Response.Sequence != 9 {
 		t.Errorf("%+v", replies)
 	}
 }
 
-// An answer that is doubled, late, or to another batch changes nothing; nor does one that nobody waits for.
+// A duplicated or delayed answer, or one to another batch, changes nothing.
 func TestAnswersToOtherBatches(t *testing.T) {
-	d := newDecisions()
-	c := readyCore(t, d)
+	log := newVoterLog()
+	c := readyCore(t, log)
 	if c.Answered(controlplane.Response{Granted: true}) != nil {
-		t.Error("an answer to nothing")
+		t.Error("answer without a batch was accepted")
 	}
 	c.Renew(1, renewalOf(a1, 1))
 	first, _ := c.Batch()
@@ -95,23 +96,23 @@
 	}
 	c.Renew(2, renewalOf(a1, 2))
 	second, _ := c.Batch()
-	if got := c.Answered(d.answer(first)); got != nil {
-		t.Errorf("the answer to the first batch told %+v", got)
+	if got := c.Answered(log.respond(first)); got != nil {
+		t.Errorf("answer to the first batch returned %+v", got)
 	}
-	if got := c.Answered(d.answer(second)); len(got) != 1 || got[0].Ticket != 2 {
+	if got := c.Answered(log.respond(second)); len(got) != 1 || got[0].Ticket != 2 {
 		t.Errorf("%+v", got)
 	}
-	if got := c.Answered(d.answer(second)); got != nil {
-		t.Errorf("the same answer again told %+v", got)
+	if got := c.Answered(log.respond(second)); got != nil {
+		t.Errorf("duplicated answer returned %+v", got)
 	}
 	if c.Failed() != nil || c.Counters().Failed != 1 {
 		t.Errorf("%+v", c.Counters())
 	}
 }
 
-// Whoever has nothing, or less than a member has, sends it elsewhere.
-func TestARelayThatIsBehind(t *testing.T) {
-	d := newDecisions()
+// A relay whose mirror is incomplete, or behind the member, sends no changes and tells the member to try elsewhere.
+func TestRelayBehindMember(t *testing.T) {
+	log := newVoterLog()
 	empty := NewCore()
 	if got := empty.Renew(1, renewalOf(a1, 1)); len(got) != 1 || got[0].Response.Granted || got[0].Response.Refused != controlplane.ErrNoLeader.Error() {
 		t.Errorf("%+v", got)
@@ -119,72 +120,72 @@
 	if got := empty.Read(nil); got.Refused == "" {
 		t.Errorf("%+v", got)
 	}
-	c := readyCore(t, d)
-	ahead := &controlplane.Watch{Cursor: changelog.Cursor{ViewRevision: 100, Revision: 100}, Selector: controlplane.SelectAll}
-	if got := c.Read(ahead); got.Refused == "" || got.Changes != nil {
+	c := readyCore(t, log)
+	aheadWatch := &controlplane.Watch{Cursor: changelog.Cursor{ViewRevision: 100, Revision: 100}, Selector: controlplane.SelectAll}
+	if got := c.Read(aheadWatch); got.Refused == "" || got.Changes != nil {
 		t.Errorf("%+v", got)
 	}
 	req := renewalOf(a1, 1)
-	req.Watch = ahead
+	req.Watch = aheadWatch
 	c.Renew(1, req)
 	batch, _ := c.Batch()
-	if got := c.Answered(d.answer(batch)); len(got) != 1 || !got[0].Response.Granted || got[0].Response.Changes != nil {
+	if got := c.Answered(log.respond(batch)); len(got) != 1 || !got[0].Response.Granted || got[0].Response.Changes != nil {
 		t.Errorf("%+v", got)
 	}
 }
 
-// What a voter answers that contradicts itself is counted and changes nothing; leases were granted all the same.
+// A malformed answer of a voter is counted and does not change the mirror; the leases are still granted.
 func TestMalformedAnswers(t *testing.T) {
-	d := newDecisions()
-	c := readyCore(t, d)
+	log := newVoterLog()
+	c := readyCore(t, log)
 	c.Renew(1, renewalOf(a1, 1))
 	batch, _ := c.Batch()
-	answer := d.answer(batch)
+	answer := log.respond(batch)
 	answer.Changes = &controlplane.Changes{From: batch.Watch.Cursor, To: changelog.Cursor{ViewRevision: 3, Revision: 9}}
-	if got := c.Answered(answer); len(got) != 1 || !got[0].Response.Granted || c.Counters().Malformed != 1 || c.Revision() != d.Revision() {
+	if got := c.Answered(answer); len(got) != 1 || !got[0].Response.Granted || c.Counters().Malformed != 1 || c.Revision() != log.Revision() {
 		t.Errorf("%+v, %+v", got, c.Counters())
 	}
-	d.decide(t, "a", &controlplane.Member{Life: 1})
+	log.commit(t, "a", &controlplane.Member{Life: 1})
 	batch, _ = c.Batch()
-	if c.Answered(d.answer(batch)); c.Revision() != d.Revision() {
-		t.Errorf("at %d of %d", c.Revision(), d.Revision())
+	if c.Answered(log.respond(batch)); c.Revision() != log.Revision() {
+		t.Errorf("at revision %d, want %d", c.Revision(), log.Revision())
 	}
 }
 
-// A member that asks again and again fills no more than its own place, and a batch is bounded.
-func TestWhatWaitsIsBounded(t *testing.T) {
-	c := readyCore(t, newDecisions())
+// A member that renews repeatedly replaces its own pending renewal, and the size of a batch is limited.
+func TestPendingRenewalsAreBounded(t *testing.T) {
+	c := readyCore(t, newVoterLog())
 	for i := range 10 {
 		got := c.Renew(Ticket(i), renewalOf(a1, uint64(i)))
 		if i > 0 && (len(got) != 1 || got[0].Ticket != Ticket(i-1)) {
 			t.Errorf("%+v", got)
 		}
 	}
-	for i := range mostBatch {
+	for i := range maxBatchRenewals {
 		c.Renew(Ticket(100+i), renewalOf(controlplane.Incarnation{Name: fmt.Sprint(i), Number: 1}, 1))
 	}
 	first, _ := c.Batch()
 	c.Failed()
 	second, _ := c.Batch()
-	if len(first.Batch) != mostBatch || len(second.Batch) != 1 || c.Counters().Replaced != 9 {
+	if len(first.Batch) != maxBatchRenewals || len(second.Batch) != 1 || c.Counters().Replaced != 9 {
 		t.Errorf("%d, %d, %+v", len(first.Batch), len(second.Batch), c.Counters())
 	}
 }
 
-// A relay learns who the voters are by now, as of the beginning there are none but its own settings'.
-func TestARelayKnowsTheVoters(t *testing.T) {
-	d := newDecisions()
-	c := readyCore(t, d)
+// A relay learns of a change of the voters from the log. Until there is one, only its configured voters are known.
+func TestVotersFromLog(t *testing.T) {
+	log := newVoterLog()
+	c := readyCore(t, log)
 	if got := c.Voters(); got != nil {
 		t.Errorf("%v", got)
 	}
 	want := []controlplane.Voter{{Name: "n3", Address: "a:1"}}
-	change := controlplane.Change{Key: "voters", Revision: d.Revision() + 1, Value: controlplane.Item{Voters: &controlplane.Voters{List: want, Version: 2}}}
-	if err := d.Put(change); err != nil {
+	change := controlplane.Change{Key: "voters", Revision: log.Revision() + 1, Value: controlplane.Item{Voters: &controlplane.Voters{List: want, Version: 2}}}
+	if err := log.Put(change); err != nil {
 		t.Fatal(err)
 	}
 	batch, _ := c.Batch()
-	if c.Answered(d.answer(batch)); !slices.Equal(c.Voters(), want) {
+	if c.Answered(log.respond(batch)); !slices.Equal(c.Voters(), want) {
 		t.Errorf("%v", c.Voters())
 	}
 }
--- a/internal/cluster/relay/reports.go
+++ b/internal/cluster/relay/reports.go
@@ -7,39 +7,39 @@
 	"mulleinbeam/internal/cluster/controlplane"
 )
 
-// reportKeep is how long a member's report counts without another: some renewals. One that has gone to another relay is counted there as well
-// for so long.
-const reportKeep = 2 * time.Second
+// reportTTL is how long a member's report counts; it spans several renewals. For that time, a member that has changed
+// its relay is counted at both.
+const reportTTL = 2 * time.Second
 
-// reports is what a relay's members say of the configuration that is in force there. It is not safe for concurrent use.
-type reports struct {
-	latest map[controlplane.Incarnation]report
+// memberReports holds the configuration reports of the members of a relay. It is not safe for concurrent use.
+type memberReports struct {
+	byIncarnation map[controlplane.Incarnation]memberReport
 }
 
-// report is one member's.
-type report struct {
+// memberReport is the latest report of one member.
+type memberReport struct {
 	controlplane.ConfigReport
-	at time.Duration
+	receivedAt time.Duration
 }
 
-// take takes a member's report.
-func (r *reports) take(now time.Duration, life controlplane.Incarnation, said controlplane.ConfigReport) {
-	if r.latest == nil {
-		r.latest = map[controlplane.Incarnation]report{}
+// record stores the report of a member.
+func (r *memberReports) record(now time.Duration, incarnation controlplane.Incarnation, report controlplane.ConfigReport) {
+	if r.byIncarnation == nil {
+		r.byIncarnation = map[controlplane.Incarnation]memberReport{}
 	}
-	r.latest[life] = report{said.Bounded(), now}
+	r.byIncarnation[incarnation] = memberReport{report.Bounded(), now}
 }
 
-// summary adds up what was said of late; nil is nothing.
-func (r *reports) summary(now time.Duration) *controlplane.ConfigSummary {
-	maps.DeleteFunc(r.latest, func(_ controlplane.Incarnation, said report) bool { return now-said.at > reportKeep })
-	if len(r.latest) == 0 {
+// summary sums up the reports that have not expired; nil if there are none.
+func (r *memberReports) summary(now time.Duration) *controlplane.ConfigSummary {
+	maps.DeleteFunc(r.byIncarnation, func(_ controlplane.Incarnation, report memberReport) bool { return now-report.receivedAt > reportTTL })
+	if len(r.byIncarnation) == 0 {
 		return nil
 	}
-	all := make(map[controlplane.Incarnation]controlplane.ConfigReport, len(r.latest))
-	for life, said := range r.latest {
-		all[life] = said.ConfigReport
+	reports := make(map[controlplane.Incarnation]controlplane.ConfigReport, len(r.byIncarnation))
+	for incarnation, report := range r.byIncarnation {
+		reports[incarnation] = report.ConfigReport
 	}
-	sum := controlplane.Summarize(all)
-	return &sum
+	summary := controlplane.Summarize(reports)
+	return &summary
 }
--- a/internal/cluster/relay/server.go
+++ b/internal/cluster/relay/server.go
@@ -17,44 +17,44 @@
 	"mulleinbeam/internal/cluster/links"
 )
 
-// Config is a relay's.
+// Config is the configuration of a relay.
 type Config struct {
-	Listen string // host:port that members dial
+	Listen string // host:port to listen at, for members
 	Voters []controlplane.Voter
 	Logger zerolog.Logger
 }
 
 const (
-	batchEvery   = 20 * time.Millisecond  // between the beginnings of two batches, at the least
-	pollEvery    = 100 * time.Millisecond // the same while no member asks
-	batchFor     = time.Second            // how long the voters' answer to a batch is waited for
-	answerFor    = 300 * time.Millisecond // how long a member's renewal waits: less than the member's own patience
-	commandFor   = 700 * time.Millisecond // the same of its commands
-	reportEvery  = time.Minute
-	mostCommands = 64 // under way at once; others are sent elsewhere
+	batchInterval    = 20 * time.Millisecond  // minimum time between the starts of two batches
+	pollInterval     = 100 * time.Millisecond // maximum time between the starts of two batches, if no member renews
+	batchTimeout     = time.Second            // how long to wait for the answer of the voters
+	renewalTimeout   = 300 * time.Millisecond // how long a member's renewal waits for its reply; shorter than the member's own timeout
+	commandTimeout   = 700 * time.Millisecond // the same for commands of members
+	countersInterval = time.Minute
+	maxCommands      = 64 // limit of concurrent commands; others are told to try elsewhere
 )
 
-// Server drives a Core. Its methods may be called from any goroutine.
+// Server runs a Core. Its methods may be called from any goroutine.
 type Server struct {
-	cfg      Config
-	listener net.Listener
-	peers    *links.Peers
-	client   *controlplane.Client
-	wake     chan struct{}
-	commands chan struct{} // one for each under way
-
-	mu      sync.Mutex
-	core    *Core
-	ticket  Ticket
-	replies map[Ticket]chan controlplane.Response
-	voters  []controlplane.Voter // that the client was told of
-	reports reports
-
-	token string // tells this process from other relays
-	began time.Time
+	cfg             Config
+	listener        net.Listener
+	peers           *links.Peers
+	client          *controlplane.Client
+	wake            chan struct{}
+	runningCommands chan struct{} // one token per command in progress
+
+	mu            sync.Mutex
+	core          *Core
+	lastTicket    Ticket
+	replyChannels map[Ticket]chan controlplane.Response
+	knownVoters   []controlplane.Voter // last given to the client
+	reports       memberReports
+
+	token     string // identifies this process among the relays
+	startedAt time.Time
 }
 
-// Open listens; nothing runs yet. An address in use is an error.
+// Open starts listening. The server serves once Run is called.
 func Open(cfg Config) (*Server, error) {
 	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
@@ -63,20 +63,20 @@
 	peers := &links.Peers{}
 	return &Server{
 		cfg: cfg, listener: listener, peers: peers, client: controlplane.NewClient(cfg.Voters, peers.At, "", nil), wake: make(chan struct{}, 1),
-		commands: make(chan struct{}, mostCommands), core: NewCore(), replies: map[Ticket]chan controlplane.Response{},
-		token: fmt.Sprintf("relay %016x", rand.Uint64()), began: time.Now(),
+		runningCommands: make(chan struct{}, maxCommands), core: NewCore(), replyChannels: map[Ticket]chan controlplane.Response{},
+		token: fmt.Sprintf("relay %016x", rand.Uint64()), startedAt: time.Now(),
 	}, nil
 }
 
-// Address is where it listens.
+// Address returns the address at which the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Run serves until ctx ends.
+// Run serves until ctx is done.
 func (s *Server) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return links.Serve(s.listener, map[string]any{"Council": RPC{s, ctx}}) })
-	group.Go(func() error { s.ask(ctx); return nil })
-	group.Go(func() error { s.report(ctx); return nil })
+	group.Go(func() error { s.sendBatches(ctx); return nil })
+	group.Go(func() error { s.logCounters(ctx); return nil })
 	group.Go(func() error {
 		<-ctx.Done()
 		err := s.listener.Close()
@@ -92,18 +92,18 @@
 	return nil
 }
 
-// ask sends one batch behind the other.
-func (s *Server) ask(ctx context.Context) {
+// sendBatches sends batches to the voters, one at a time.
+func (s *Server) sendBatches(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := time.Now()
-		more := s.askOnce(ctx)
+		more := s.sendBatch(ctx)
 		if more {
 			continue
 		}
-		poll := time.NewTimer(time.Until(began.Add(pollEvery)))
+		poll := time.NewTimer(time.Until(began.Add(pollInterval)))
 		select {
 		case <-s.wake:
-			gap := time.NewTimer(time.Until(began.Add(batchEvery)))
+			gap := time.NewTimer(time.Until(began.Add(batchInterval)))
 			select {
 			case <-gap.C:
 			case <-ctx.Done():
@@ -116,91 +116,92 @@
 	}
 }
 
-// askOnce sends a batch and gives its replies; true says that there is more to ask for at once.
-func (s *Server) askOnce(ctx context.Context) (more bool) {
+// sendBatch sends a batch and delivers its replies. It reports whether there is more to read at once.
+func (s *Server) sendBatch(ctx context.Context) (more bool) {
 	s.mu.Lock()
-	req, some := s.core.Batch()
+	req, ok := s.core.Batch()
 	if len(req.Batch) > 0 {
-		req.Relay, req.Summary = s.token, s.reports.summary(time.Since(s.began))
+		req.Relay, req.Summary = s.token, s.reports.summary(time.Since(s.startedAt))
 	}
 	s.mu.Unlock()
-	if !some {
+	if !ok {
 		return false
 	}
-	call, cancel := context.WithTimeout(ctx, batchFor)
-	r, err := s.client.Do(call, req)
+	callCtx, cancel := context.WithTimeout(ctx, batchTimeout)
+	r, err := s.client.Do(callCtx, req)
 	cancel()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	was := s.core.Ready()
+	wasReady := s.core.Ready()
 	if err != nil {
-		s.reply(s.core.Failed())
+		s.deliverReplies(s.core.Failed())
 	} else {
-		s.reply(s.core.Answered(r))
+		s.deliverReplies(s.core.Answered(r))
 	}
-	if voters := s.core.Voters(); !slices.Equal(voters, s.voters) {
-		s.voters = voters
+	if voters := s.core.Voters(); !slices.Equal(voters, s.knownVoters) {
+		s.knownVoters = voters
 		s.client.UpdateVoters(voters)
 	}
-	if !was && s.core.Ready() {
-		s.cfg.Logger.Info().Str("part", "relay").Uint64("revision", s.core.Revision()).Msg("has all that is decided, and serves")
+	if !wasReady && s.core.Ready() {
+		s.cfg.Logger.Info().Str("part", "relay").Uint64("revision", s.core.Revision()).Msg("control plane state is complete, serving members")
 	}
 	return s.core.More()
 }
 
-// reply hands replies to those who wait for them; s.mu is held. One that nobody waits for any more is dropped.
-func (s *Server) reply(replies []Reply) {
+// deliverReplies sends replies to the waiting requests and drops those whose request has timed out. s.mu must be
+// held.
+func (s *Server) deliverReplies(replies []Reply) {
 	for _, r := range replies {
-		if to := s.replies[r.Ticket]; to != nil {
-			to <- r.Response // it has room for one
-			delete(s.replies, r.Ticket)
+		if channel := s.replyChannels[r.Ticket]; channel != nil {
+			channel <- r.Response // buffered
+			delete(s.replyChannels, r.Ticket)
 		}
 	}
 }
 
-// renew waits for the reply to a member's renewal.
+// renew handles a member's renewal and waits for its reply.
 func (s *Server) renew(ctx context.Context, req controlplane.Request) controlplane.Response {
 	s.mu.Lock()
-	s.ticket++
-	mine := s.ticket
-	answer := make(chan controlplane.Response, 1)
-	s.replies[mine] = answer
-	s.reply(s.core.Renew(mine, req))
+	s.lastTicket++
+	ticket := s.lastTicket
+	reply := make(chan controlplane.Response, 1)
+	s.replyChannels[ticket] = reply
+	s.deliverReplies(s.core.Renew(ticket, req))
 	if req.Report != nil {
-		s.reports.take(time.Since(s.began), *req.Renew, *req.Report)
+		s.reports.record(time.Since(s.startedAt), *req.Renew, *req.Report)
 	}
 	s.mu.Unlock()
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
-	late := time.NewTimer(answerFor)
-	defer late.Stop()
+	timeout := time.NewTimer(renewalTimeout)
+	defer timeout.Stop()
 	select {
-	case r := <-answer:
+	case r := <-reply:
 		return r
-	case <-late.C:
+	case <-timeout.C:
 	case <-ctx.Done():
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.replies, mine)
-	return refusal()
+	delete(s.replyChannels, ticket)
+	return noLeaderResponse()
 }
 
-// command carries a command, or an operator's question, to the leader. What has been decided is told from the mirror.
-func (s *Server) command(ctx context.Context, req controlplane.Request) controlplane.Response {
+// forwardCommand sends a command or a rollout request to the leader. Committed changes come from the mirror.
+func (s *Server) forwardCommand(ctx context.Context, req controlplane.Request) controlplane.Response {
 	select {
-	case s.commands <- struct{}{}:
-		defer func() { <-s.commands }()
+	case s.runningCommands <- struct{}{}:
+		defer func() { <-s.runningCommands }()
 	default:
-		return refusal()
+		return noLeaderResponse()
 	}
-	call, cancel := context.WithTimeout(ctx, commandFor)
+	callCtx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	r, err := s.client.Do(call, controlplane.Request{Command: req.Command, Rollout: req.Rollout})
+	r, err := s.client.Do(callCtx, controlplane.Request{Command: req.Command, Rollout: req.Rollout})
 	if err != nil {
-		return refusal()
+		return noLeaderResponse()
 	}
 	r.Leader = s.client.Leader()
 	if req.Watch != nil {
@@ -211,9 +212,9 @@
 	return r
 }
 
-// report logs the counters now and then.
-func (s *Server) report(ctx context.Context) {
-	every := time.NewTicker(reportEvery)
+// logCounters logs the counters periodically.
+func (s *Server) logCounters(ctx context.Context) {
+	every := time.NewTicker(countersInterval)
 	defer every.Stop()
 	for {
 		select {
@@ -229,23 +230,23 @@
 	}
 }
 
-// RPC is what members call; it is registered under the voters' name, so that members ask both alike.
+// RPC is the service for members. It is registered under the name that voters use, so that members call both alike.
 type RPC struct {
-	s   *Server
-	ctx context.Context // of the server's Run
+	server *Server
+	ctx    context.Context // context of the server's Run
 }
 
 // Ask answers a request.
-func (c RPC) Ask(req controlplane.Request, out *controlplane.Response) error {
+func (c RPC) Ask(req controlplane.Request, response *controlplane.Response) error {
 	switch {
 	case req.Command != nil, req.Rollout:
-		*out = c.s.command(c.ctx, req)
+		*response = c.server.forwardCommand(c.ctx, req)
 	case req.Renew != nil:
-		*out = c.s.renew(c.ctx, req)
+		*response = c.server.renew(c.ctx, req)
 	default:
-		c.s.mu.Lock()
-		defer c.s.mu.Unlock()
-		*out = c.s.core.Read(req.Watch)
+		c.server.mu.Lock()
+		defer c.server.mu.Unlock()
+		*response = c.server.core.Read(req.Watch)
 	}
 	return nil
 }
--- a/internal/cluster/relay/server_test.go
+++ b/internal/cluster/relay/server_test.go
@@ -16,24 +16,24 @@
 	"mulleinbeam/internal/routing/wal/fsys"
 )
 
-// serve runs something on a link until the test ends.
+// serve calls run, and at the end of the test cancels its context and waits for it.
 func serve(t *testing.T, run func(ctx context.Context) error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- run(ctx) }()
+	done := make(chan error, 1)
+	go func() { done <- run(ctx) }()
 	t.Cleanup(func() {
 		cancel()
-		if err := <-ended; err != nil {
+		if err := <-done; err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-// refusedKey is that of an entry which voters refuse.
+// refusedKey is the key of an entry that voters refuse.
 const refusedKey = "class/unusable"
 
-// newVoter runs the only voter of a control plane.
+// newVoter starts the only voter of a control plane.
 func newVoter(t *testing.T) controlplane.Voter {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,7 +54,7 @@
 	server := controlplane.NewServer(core, store, timing, zerolog.Nop())
 	server.CheckEntry = func(key string, _ []byte) error {
 		if key == refusedKey {
-			return errors.New("not usable")
+			return errors.New("invalid entry")
 		}
 		return nil
 	}
@@ -76,13 +76,13 @@
 	return controlplane.Relay{Address: s.Address()}
 }
 
-// A member that knows relays alone joins, holds its lease and learns what is decided; when its relay's address stands empty it goes to
-// another, and with none left to the voters.
-func TestAMemberBehindRelays(t *testing.T) {
+// A member that only knows relays joins, renews its lease and receives committed changes. If its relay is
+// unreachable, it switches to another, and if all are, to the voters.
+func TestMemberBehindRelays(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	t.Run("world", func(t *testing.T) {
+	t.Run("members", func(t *testing.T) {
 		voter := newVoter(t)
-		gone := func() controlplane.Relay {
+		unreachable := func() controlplane.Relay {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -91,19 +91,19 @@
 			return controlplane.Relay{Address: l.Addr().String()}
 		}
 		for name, relays := range map[string][]controlplane.Relay{
-			"one": {newRelay(t, voter)}, "first gone": {gone(), newRelay(t, voter)}, "all gone": {gone(), gone()},
+			"one": {newRelay(t, voter)}, "first unreachable": {unreachable(), newRelay(t, voter)}, "all unreachable": {unreachable(), unreachable()},
 		} {
 			peers := &links.Peers{}
 			defer peers.Close()
 			client := controlplane.NewClient([]controlplane.Voter{voter}, peers.At, "", nil)
 			client.UseRelays(relays)
-			member(t, client, name)
+			runMember(t, client, name)
 		}
 	})
 }
 
-// member joins, renews and follows until it knows of itself.
-func member(t *testing.T, client *controlplane.Client, name string) {
+// runMember joins a member and renews its lease until its view contains the member.
+func runMember(t *testing.T, client *controlplane.Client, name string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
@@ -113,11 +113,11 @@
 		t.Fatalf("%s: %+v, %v", name, r, err)
 	}
 	if client.Leader() != "n0" {
-		t.Errorf("%s: %q leads, by the answer to a command", name, client.Leader())
+		t.Errorf("%s: leader %q in the answer to a command", name, client.Leader())
 	}
-	life, lease := controlplane.Incarnation{Name: name, Number: 1}, controlplane.Lease{Length: time.Minute}
+	incarnation, lease := controlplane.Incarnation{Name: name, Number: 1}, controlplane.Lease{Length: time.Minute}
 	for granted := false; !granted || view.State().Members[name] == nil; {
-		req := lease.Renewal(0, life)
+		req := lease.Renewal(0, incarnation)
 		req.Watch = view.Watch()
 		if r, err = client.Do(ctx, req); err != nil {
 			t.Fatalf("%s: %v", name, err)
@@ -128,20 +128,20 @@
 		_, granted = lease.Granted(r)
 	}
 	if client.Leader() != "n0" {
-		t.Errorf("%s: %q leads", name, client.Leader())
+		t.Errorf("%s: leader %q", name, client.Leader())
 	}
 	req := lease.Renewal(0, controlplane.Incarnation{Name: name, Number: 7})
 	if r, err = client.Do(ctx, req); err != nil || r.Granted || r.Refused != controlplane.ErrFenced.Error() {
-		t.Errorf("%s: a life that never was: %+v, %v", name, r, err)
+		t.Errorf("%s: unknown incarnation: %+v, %v", name, r, err)
 	}
 }
 
-// Without a voter a relay answers, within a member's patience, that there is no leader.
-func TestARelayWithoutVoters(t *testing.T) {
-	gone := controlplane.Voter{Name: "n0", Address: "127.0.0.1:1"}
+// A relay that reaches no voter answers that there is no leader, and does so before the member times out.
+func TestRelayWithoutVoters(t *testing.T) {
+	unreachable := controlplane.Voter{Name: "n0", Address: "127.0.0.1:1"}
 	peers := &links.Peers{}
 	defer peers.Close()
-	peer := peers.At(newRelay(t, gone).Address)
+	peer := peers.At(newRelay(t, unreachable).Address)
 	for _, req := range []controlplane.Request{{}, renewalOf(a1, 1), {Command: &controlplane.Command{Kind: controlplane.Drain}}} {
 		var r controlplane.Response
 		if err := peer.Call(t.Context(), "Council.Ask", req, &r); err != nil || r.Refused != controlplane.ErrNoLeader.Error() {
@@ -150,8 +150,8 @@
 	}
 }
 
-// An operator behind a relay commits an entry and hears how far it is in force, by the relay's own sums; what a voter refuses is not committed.
-// A member whose relay is of a version that sums nothing up counts as not heard.
+// An operator behind a relay commits an entry and can see its rollout from the summaries of the relays. An entry that
+// the voters refuse is not committed. Members of a relay whose version sends no summary would not be counted.
 func TestConfigurationThroughARelay(t *testing.T) {
 	voter := newVoter(t)
 	peers := &links.Peers{}
@@ -162,7 +162,7 @@
 		if name != "c" {
 			clients[name].UseRelays([]controlplane.Relay{newRelay(t, voter)})
 		}
-		member(t, clients[name], name)
+		runMember(t, clients[name], name)
 	}
 	operator := clients["a"]
 	configure := func(from uint64, key string) controlplane.Response {
@@ -174,24 +174,24 @@
 		}
 		return r
 	}
-	if r := configure(0, refusedKey); !strings.Contains(r.Refused, "not usable") {
-		t.Errorf("an unusable entry: %+v", r)
+	if r := configure(0, refusedKey); !strings.Contains(r.Refused, "invalid entry") {
+		t.Errorf("invalid entry: %+v", r)
 	}
 	committed := configure(0, "class/safe")
 	if committed.Refused != "" {
 		t.Fatal(committed.Refused)
 	}
 	if r := configure(0, "class/safe"); r.Refused != controlplane.ErrConflict.Error() {
-		t.Errorf("a second operator: %+v", r)
+		t.Errorf("conflicting change: %+v", r)
 	}
-	refusal := controlplane.RefusedEntry{Key: "class/safe", Why: "no such class"}
+	refusedEntry := controlplane.RefusedEntry{Key: "class/safe", Why: "no such class"}
 	lease := controlplane.Lease{Length: time.Minute}
 	var got controlplane.Rollout
 	for got.Summary.Current(committed.Version) < 3 {
 		for name, client := range clients {
 			req := lease.Renewal(0, controlplane.Incarnation{Name: name, Number: 1})
 			if req.Report = (&controlplane.ConfigReport{Revision: committed.Version}); name == "b" {
-				req.Report.Refused = []controlplane.RefusedEntry{refusal}
+				req.Report.Refused = []controlplane.RefusedEntry{refusedEntry}
 			}
 			if _, err := client.Do(t.Context(), req); err != nil {
 				t.Fatal(err)
@@ -206,23 +206,23 @@
 	if got.Revision != committed.Version || got.Members != 3 || got.Summary.Members() != 3 || got.Summary.Refusing != 1 {
 		t.Errorf("%+v", got)
 	}
-	if list := got.Summary.Refusals; len(list) != 1 || list[0].Life.Name != "b" || list[0].Key != refusal.Key || list[0].Why != refusal.Why {
+	if list := got.Summary.Refusals; len(list) != 1 || list[0].Life.Name != "b" || list[0].Key != refusedEntry.Key || list[0].Why != refusedEntry.Why {
 		t.Errorf("refusals: %+v", list)
 	}
 }
 
-// A member that has gone to another relay, or has ended, is counted no longer.
-func TestReportsAreForgotten(t *testing.T) {
-	var r reports
+// The report of a member that has switched to another relay, or has ended, expires.
+func TestReportsExpire(t *testing.T) {
+	var r memberReports
 	if r.summary(0) != nil {
-		t.Error("a summary of nobody")
+		t.Error("summary without reports")
 	}
-	r.take(0, a1, controlplane.ConfigReport{Revision: 3})
-	r.take(reportKeep, b1, controlplane.ConfigReport{Revision: 4})
-	if sum := r.summary(reportKeep); sum.Members() != 2 || sum.Current(4) != 1 {
+	r.record(0, a1, controlplane.ConfigReport{Revision: 3})
+	r.record(reportTTL, b1, controlplane.ConfigReport{Revision: 4})
+	if sum := r.summary(reportTTL); sum.Members() != 2 || sum.Current(4) != 1 {
 		t.Errorf("%+v", sum)
 	}
-	if sum := r.summary(reportKeep + 1); sum.Members() != 1 || sum.Current(4) != 1 {
+	if sum := r.summary(reportTTL + 1); sum.Members() != 1 || sum.Current(4) != 1 {
 		t.Errorf("%+v", sum)
 	}
 }
