--- a/internal/cluster/relay/server.go
+++ b/internal/cluster/relay/server.go
@@ -40,7 +40,7 @@
 	listener        net.Listener
 	peers           *links.Peers
 	client          *controlplane.Client
-	wake            chan struct{}
+	wake            chan struct{} // a renewal is pending
 	runningCommands chan struct{} // one token per command in progress
 
 	mu            sync.Mutex
@@ -54,7 +54,7 @@
 	startedAt time.Time
 }
 
-// Open starts listening. The server serves once Run is called.
+// Open starts listening, and fails if the address is in use. The server serves once Run is called.
 func Open(cfg Config) (*Server, error) {
 	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
