--- a/internal/protocol/body.go
+++ b/internal/protocol/body.go
@@ -6,99 +6,99 @@
 	"strconv"
 )
 
-// Framing says how the end of a body is told (RFC 9112, section 6.3).
+// Framing is how the end of a body is determined (RFC 9112, section 6.3).
 type Framing int
 
-// The framings.
+// The values of Framing.
 const (
 	ByLength   Framing = iota // Content-Length
 	Chunked                   // Transfer-Encoding: chunked
-	UntilClose                // an answer's body that lasts until its connection ends
+	UntilClose                // a response body that extends to the end of the connection
 )
 
 const (
-	mostTrailer  = 4 << 10 // bytes of all trailer lines together
-	mostTrailers = 32      // lines of them
-	sizeDigits   = 15      // hexadecimal digits of a chunk's size; more can't be meant
+	maxTrailerBytes    = 4 << 10 // bytes of all trailer lines of a body
+	maxTrailerLines    = 32      // trailer lines of a body
+	maxChunkSizeDigits = 15      // hexadecimal digits of a chunk size, so that it fits an int64
 )
 
 type bodyPhase int
 
 const (
-	bodyData    bodyPhase = iota // content, of a length or of a chunk
-	bodyDataEnd                  // the line end behind a chunk's content
-	bodySize                     // a chunk's size line
-	bodyTrailer                  // a line behind the last chunk
-	bodyWhole
+	bodyData      bodyPhase = iota // content of a ByLength body or of a chunk
+	bodyDataEnd                    // the line end after a chunk's content
+	bodyChunkSize                  // the size line of a chunk
+	bodyTrailer                    // a trailer line after the last chunk
+	bodyComplete
 )
 
-// Body reads a body piece by piece: the streaming form of what Parser draws together. It is fed the connection's bytes
-// behind the head and keeps none of its content.
+// Body decodes a body incrementally, where Parser buffers it whole. It is fed the bytes that follow the head on the
+// connection and keeps none of the content.
 type Body struct {
-	framing  Framing
-	phase    bodyPhase
-	most     int64 // of content
-	left     int64 // of the length, or of the chunk
-	content  int64 // so far
-	line     [mostChunk + 2]byte
-	lineLen  int // of a line that is not whole yet
-	trailers []byte
-	trailing int // lines of them
+	framing      Framing
+	phase        bodyPhase
+	maxContent   int64 // limit on contentBytes
+	remaining    int64 // bytes left of the ByLength body or of the current chunk
+	contentBytes int64 // content bytes decoded so far
+	line         [maxChunkLineBytes + 2]byte
+	lineLen      int // bytes of the incomplete line in line
+	trailers     []byte
+	trailerLines int // number of lines in trailers
 }
 
-// NewBody reads a body of most bytes of content at the most; length counts with ByLength only.
-func NewBody(f Framing, length, most int64) (*Body, error) {
-	b := &Body{framing: f, most: most}
+// NewBody returns a decoder for a body of up to maxContent bytes of content. The length is used with ByLength only.
+func NewBody(framing Framing, length, maxContent int64) (*Body, error) {
+	b := &Body{framing: framing, maxContent: maxContent}
 	switch {
-	case f == Chunked:
-		b.phase = bodySize
-	case f == ByLength && length > most:
+	case framing == Chunked:
+		b.phase = bodyChunkSize
+	case framing == ByLength && length > maxContent:
 		return nil, ErrBodySize
-	case f == ByLength:
-		if b.left = length; length == 0 {
-			b.phase = bodyWhole
+	case framing == ByLength:
+		if b.remaining = length; length == 0 {
+			b.phase = bodyComplete
 		}
 	}
 	return b, nil
 }
 
-// Complete says that the body's end was read.
-func (b *Body) Complete() bool { return b.phase == bodyWhole }
+// Complete reports whether the end of the body was reached.
+func (b *Body) Complete() bool { return b.phase == bodyComplete }
 
-// ContentBytes is how many bytes of content were read.
-func (b *Body) ContentBytes() int64 { return b.content }
+// ContentBytes returns the number of content bytes decoded so far.
+func (b *Body) ContentBytes() int64 { return b.contentBytes }
 
-// Remaining is how many bytes of a body of told length are still to come; 0 with other framings.
+// Remaining returns the number of bytes still to come of a ByLength body; it is 0 with other framings.
 func (b *Body) Remaining() int64 {
 	if b.framing != ByLength {
 		return 0
 	}
-	return b.left
+	return b.remaining
 }
 
-// Skip tells that n bytes of a body of told length, Left at the most, were moved on unseen.
+// Skip records that n bytes of a ByLength body, Remaining at most, were forwarded without being decoded.
 func (b *Body) Skip(n int64) {
-	b.content += n
-	if b.left -= n; b.left == 0 {
-		b.phase = bodyWhole
+	b.contentBytes += n
+	if b.remaining -= n; b.remaining == 0 {
+		b.phase = bodyComplete
 	}
 }
 
-// Trailers are the lines behind the last chunk, each with its line end.
+// Trailers returns the trailer lines after the last chunk, each with its line end.
 func (b *Body) Trailers() []byte { return b.trailers }
 
-// Decode reads raw bytes and moves the content among them to their front: raw[:content] is content, raw[used:] is not
-// the body's. All of raw is used until the body is whole. An error is final.
+// Decode decodes raw bytes in place: on return raw[:content] holds the content, and raw[used:] does not belong to the
+// body. All of raw is used unless the body is complete. An error is final.
 func (b *Body) Decode(raw []byte) (content, used int, err error) {
-	for used < len(raw) && b.phase != bodyWhole {
+	for used < len(raw) && b.phase != bodyComplete {
 		switch b.phase {
 		case bodyData:
 			n := len(raw) - used
 			if b.framing != UntilClose {
-				n = int(min(int64(n), b.left))
-				b.left -= int64(n)
+				n = int(min(int64(n), b.remaining))
+				b.remaining -= int64(n)
 			}
-			if b.content += int64(n); b.content > b.most {
+			if b.contentBytes += int64(n); b.contentBytes > b.maxContent {
 				return content, used, ErrBodySize
 			}
 			if content != used {
@@ -106,9 +106,9 @@
 			}
 			content, used = content+n, used+n
 			switch {
-			case b.left > 0 || b.framing == UntilClose:
+			case b.remaining > 0 || b.framing == UntilClose:
 			case b.framing == ByLength:
-				b.phase = bodyWhole
+				b.phase = bodyComplete
 			default:
 				b.phase = bodyDataEnd
 			}
@@ -120,7 +120,7 @@
 			if line == nil {
 				return content, used, nil
 			}
-			if err := b.takeLine(line); err != nil {
+			if err := b.handleLine(line); err != nil {
 				return content, used, err
 			}
 		}
@@ -128,68 +128,68 @@
 	return content, used, nil
 }
 
-// Finish tells that the connection has ended; false says that the body is not whole.
+// Finish records the end of the connection and reports whether the body is complete.
 func (b *Body) Finish() bool {
 	if b.framing == UntilClose && b.phase == bodyData {
-		b.phase = bodyWhole
+		b.phase = bodyComplete
 	}
-	return b.phase == bodyWhole
+	return b.phase == bodyComplete
 }
 
-// readLine collects one line, without its line end; nil asks for more bytes.
+// readLine collects one line and returns it without its line end, or nil if more bytes are needed.
 func (b *Body) readLine(raw []byte) (used int, line []byte, err error) {
-	room := b.line[b.lineLen:]
-	at := bytes.IndexByte(raw, '\n')
-	n := at + 1
-	if at < 0 {
+	free := b.line[b.lineLen:]
+	lineFeed := bytes.IndexByte(raw, '\n')
+	n := lineFeed + 1
+	if lineFeed < 0 {
 		n = len(raw)
 	}
-	if n > len(room) {
-		return 0, nil, fmt.Errorf("%w: line in a body too long", ErrMalformed)
+	if n > len(free) {
+		return 0, nil, fmt.Errorf("%w: line in chunked body too long", ErrMalformed)
 	}
-	b.lineLen += copy(room, raw[:n])
-	if at < 0 {
+	b.lineLen += copy(free, raw[:n])
+	if lineFeed < 0 {
 		return n, nil, nil
 	}
 	line, b.lineLen = b.line[:b.lineLen], 0
 	line, ok := bytes.CutSuffix(line, []byte("\r\n"))
-	if !ok || !isText(line) { // a bare line feed, too: others may read it as no line end
-		return n, nil, fmt.Errorf("%w: line in a body", ErrMalformed)
+	if !ok || !isText(line) { // also rejects a bare LF: other parsers may not take it for a line end
+		return n, nil, fmt.Errorf("%w: invalid line in chunked body", ErrMalformed)
 	}
 	return n, line, nil
 }
 
-// takeLine goes on with a whole line.
-func (b *Body) takeLine(line []byte) error {
+// handleLine processes a complete line.
+func (b *Body) handleLine(line []byte) error {
 	switch b.phase {
 	case bodyDataEnd:
 		if len(line) != 0 {
-			return fmt.Errorf("%w: chunk end", ErrMalformed)
+			return fmt.Errorf("%w: missing line end after chunk", ErrMalformed)
 		}
-		b.phase = bodySize
-	case bodySize:
+		b.phase = bodyChunkSize
+	case bodyChunkSize:
 		size, _, _ := bytes.Cut(line, []byte(";"))
-		n, ok := hexNumber(bytes.Trim(size, " \t"))
+		n, ok := parseHex(bytes.Trim(size, " \t"))
 		switch {
 		case !ok:
-			return fmt.Errorf("%w: chunk size", ErrMalformed)
-		case n > b.most-b.content:
+			return fmt.Errorf("%w: invalid chunk size", ErrMalformed)
+		case n > b.maxContent-b.contentBytes:
 			return ErrBodySize
 		case n == 0:
 			b.phase = bodyTrailer
 		default:
-			b.phase, b.left = bodyData, n
+			b.phase, b.remaining = bodyData, n
 		}
 	case bodyTrailer:
 		if len(line) == 0 {
-			b.phase = bodyWhole
+			b.phase = bodyComplete
 			return nil
 		}
 		name, _, ok := bytes.Cut(line, []byte(":"))
-		if !ok || !isToken(name) || framingField(name) {
-			return fmt.Errorf("%w: trailer", ErrMalformed)
+		if !ok || !isToken(name) || forbiddenInTrailer(name) {
+			return fmt.Errorf("%w: invalid trailer", ErrMalformed)
 		}
-		if b.trailing++; b.trailing > mostTrailers || len(b.trailers)+len(line) > mostTrailer {
+		if b.trailerLines++; b.trailerLines > maxTrailerLines || len(b.trailers)+len(line) > maxTrailerBytes {
 			return fmt.Errorf("%w: trailers too large", ErrMalformed)
 		}
 		b.trailers = append(append(b.trailers, line...), "\r\n"...)
@@ -197,9 +197,9 @@
 	return nil
 }
 
-// framingField names the fields that must not stand behind a body (RFC 9110, section 6.5.1): whoever merged them into
-// the head would read another message.
-func framingField(name []byte) bool {
+// forbiddenInTrailer reports whether a field must not be sent as a trailer (RFC 9110, section 6.5.1): a recipient that
+// merges trailers into the header would read a different message.
+func forbiddenInTrailer(name []byte) bool {
 	for _, f := range []string{"Content-Length", "Transfer-Encoding", "Host", "Connection", "Trailer", "X-Request-ID", "Idempotency-Key"} {
 		if equalFold(name, f) {
 			return true
@@ -208,14 +208,14 @@
 	return false
 }
 
-// hexNumber reads a chunk's size.
-func hexNumber(b []byte) (int64, bool) {
-	if len(b) == 0 || len(b) > sizeDigits {
+// parseHex parses a chunk size.
+func parseHex(b []byte) (int64, bool) {
+	if len(b) == 0 || len(b) > maxChunkSizeDigits {
 		return 0, false
 	}
 	n := int64(0)
 	for _, c := range b {
-		switch c = lower(c); {
+		switch c = toLower(c); {
 		case '0' <= c && c <= '9':
 			n = n<<4 | int64(c-'0')
 		case 'a' <= c && c <= 'f':
@@ -227,68 +227,68 @@
 	return n, true
 }
 
-// AppendChunkHead writes the line in front of a chunk of n bytes; behind them stands a line end.
+// AppendChunkHead appends the size line of a chunk of n bytes. The caller writes the line end after the chunk.
 func AppendChunkHead(b []byte, n int) []byte {
 	return append(strconv.AppendInt(b, int64(n), 16), "\r\n"...)
 }
 
-// AppendLastChunk writes the end of a chunked body.
+// AppendLastChunk appends the last chunk and the trailers of a chunked body.
 func AppendLastChunk(b, trailers []byte) []byte {
 	return append(append(append(b, "0\r\n"...), trailers...), "\r\n"...)
 }
 
-// Framing tells how the body of the message that Next gave last is framed, and its length with ByLength.
-func (p *Parser) Framing() (Framing, int64) { return p.framing, int64(p.need) }
+// Framing returns the framing of the body of the message that Next returned last, and its length with ByLength.
+func (p *Parser) Framing() (Framing, int64) { return p.framing, int64(p.remaining) }
 
-// passedOn are the fields of an endpoint's answer that its client gets: what describes the body.
-var passedOn = []string{"Content-Type", "Content-Encoding", "Content-Language", "Content-Disposition", "Last-Modified", "ETag"}
+// forwardedFields lists the fields of an endpoint's answer that are forwarded to the client: those describing the body.
+var forwardedFields = []string{"Content-Type", "Content-Encoding", "Content-Language", "Content-Disposition", "Last-Modified", "ETag"}
 
-// AppendDelivered writes the head of the answer that tells a client of a delivery. m is the endpoint's answer whose body
-// follows; nil stands for one that could not be read behind its first line.
-func AppendDelivered(b []byte, m *Message, f Framing, length int64, last bool) []byte {
+// AppendDelivered appends the head of the response that reports a delivery to a client. The answer is the endpoint's,
+// whose body follows; nil stands for one that could not be parsed after its status line.
+func AppendDelivered(b []byte, answer *Message, framing Framing, length int64, closeConn bool) []byte {
 	b = append(b, "HTTP/1.1 200 OK"...)
-	if m == nil {
+	if answer == nil {
 		b = append(b, "\r\nX-Answer-Spoilt: 1"...)
 	} else {
-		for _, name := range passedOn {
-			if v := m.Get(name); v != nil {
-				b = append(append(append(append(b, "\r\n"...), name...), ": "...), v...)
+		for _, name := range forwardedFields {
+			if value := answer.Get(name); value != nil {
+				b = append(append(append(append(b, "\r\n"...), name...), ": "...), value...)
 			}
 		}
 	}
-	switch f {
+	switch framing {
 	case ByLength:
 		b = strconv.AppendInt(append(b, "\r\nContent-Length: "...), length, 10)
 	case Chunked:
 		b = append(b, "\r\nTransfer-Encoding: chunked"...)
 	case UntilClose:
-		last = true
+		closeConn = true
 	}
-	if last {
+	if closeConn {
 		b = append(b, "\r\nConnection: close"...)
 	}
 	return append(b, "\r\n\r\n"...)
 }
 
-// StreamHead is the head of a call whose body is passed on behind it.
+// StreamHead is the head of a call whose body is streamed after it.
 type StreamHead struct {
 	Call
 	Framing Framing
 	Length  int64 // with ByLength
 }
 
-// AppendStreamHead writes it.
-func AppendStreamHead(b []byte, p StreamHead) []byte {
-	b = append(append(b, "POST /v1/messages HTTP/1.1\r\nHost: "...), p.Host...)
-	b = appendTimeout(b, p.Timeout)
-	if p.Framing == Chunked {
+// AppendStreamHead appends the head of a streamed call.
+func AppendStreamHead(b []byte, head StreamHead) []byte {
+	b = append(append(b, "POST /v1/messages HTTP/1.1\r\nHost: "...), head.Host...)
+	b = appendTimeout(b, head.Timeout)
+	if head.Framing == Chunked {
 		b = append(b, "\r\nTransfer-Encoding: chunked"...)
 	} else {
-		b = strconv.AppendInt(append(b, "\r\nContent-Length: "...), p.Length, 10)
+		b = strconv.AppendInt(append(b, "\r\nContent-Length: "...), head.Length, 10)
 	}
-	b = append(append(b, "\r\nX-Request-ID: "...), p.ID...)
-	if p.Key != "" {
-		b = append(append(b, "\r\nIdempotency-Key: "...), p.Key...)
+	b = append(append(b, "\r\nX-Request-ID: "...), head.ID...)
+	if head.Key != "" {
+		b = append(append(b, "\r\nIdempotency-Key: "...), head.Key...)
 	}
 	return append(b, "\r\n\r\n"...)
 }
--- a/internal/protocol/body_test.go
+++ b/internal/protocol/body_test.go
@@ -11,8 +11,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// decode feeds raw in pieces of a size and gives content, what stands behind the body, and how it ended.
-func decode(b *Body, raw []byte, size int) (content, behind []byte, err error) {
+// decode feeds a Body with raw in pieces of a size. It returns the content, the bytes after the body, and the error.
+func decode(b *Body, raw []byte, size int) (content, rest []byte, err error) {
 	for len(raw) > 0 && !b.Complete() {
 		piece := bytes.Clone(raw[:min(size, len(raw))])
 		n, used, err := b.Decode(piece)
@@ -28,8 +28,9 @@
 	return content, raw, nil
 }
 
-// However the bytes are cut, a body reads the same, its end is found to the byte, and trailers are kept.
-func TestBodyInAnyPieces(t *testing.T) {
+// However the input is split into reads, a body must decode to the same content, end at the same byte and keep its
+// trailers.
+func TestBodySplitAnywhere(t *testing.T) {
 	const chunked = "3\r\nabc\r\n00A;x=\"y\" \r\n0123456789\r\n0\r\nX-A: 1\r\nX-B: 2\r\n\r\n"
 	for name, c := range map[string]struct {
 		framing   Framing
@@ -57,16 +58,16 @@
 	}
 	b, _ := NewBody(UntilClose, 0, 100)
 	if content, _, err := decode(b, []byte("abc"), 2); string(content) != "abc" || err != nil || b.Complete() || !b.Finish() || !b.Complete() {
-		t.Errorf("to the end: %q, %v", content, err)
+		t.Errorf("until close: %q, %v", content, err)
 	}
 	b, _ = NewBody(Chunked, 0, 100)
 	if _, _, err := decode(b, []byte("3\r\nabc\r\n"), 3); err != nil || b.Finish() {
-		t.Errorf("cut between chunks: %v, whole %v", err, b.Complete())
+		t.Errorf("truncated between chunks: %v, complete %v", err, b.Complete())
 	}
 }
 
-// What two parsers could read in two ways is read in none.
-func TestBodiesThatAreNone(t *testing.T) {
+// A body that another parser could interpret differently must be rejected.
+func TestMalformedBodies(t *testing.T) {
 	for name, c := range map[string]struct {
 		raw  string
 		want error
@@ -75,17 +76,17 @@
 		"sign":                {"+3\r\nabc\r\n", ErrMalformed},
 		"prefix":              {"0x3\r\nabc\r\n", ErrMalformed},
 		"overflow":            {"10000000000000000\r\n", ErrMalformed},
-		"beyond the most":     {"65\r\n", ErrBodySize},
-		"sum beyond the most": {"60\r\n" + strings.Repeat("x", 0x60) + "\r\n5\r\n", ErrBodySize},
+		"above the limit":     {"65\r\n", ErrBodySize},
+		"sum above the limit": {"60\r\n" + strings.Repeat("x", 0x60) + "\r\n5\r\n", ErrBodySize},
 		"bare line feed":      {"3\nabc\r\n", ErrMalformed},
 		"bare return":         {"3\r;\r\nabc\r\n", ErrMalformed},
 		"chunk too short":     {"2\r\nabc\r\n", ErrMalformed},
-		"endless extension":   {"3;" + strings.Repeat("x", mostChunk) + "\r\n", ErrMalformed},
+		"endless extension":   {"3;" + strings.Repeat("x", maxChunkLineBytes) + "\r\n", ErrMalformed},
 		"trailer: no colon":   {"0\r\nabc\r\n\r\n", ErrMalformed},
 		"trailer: length":     {"0\r\ncontent-length: 1\r\n\r\n", ErrMalformed},
 		"trailer: id":         {"0\r\nX-Request-ID: 1\r\n\r\n", ErrMalformed},
 		"trailer: folded":     {"0\r\nX: 1\r\n 2\r\n\r\n", ErrMalformed},
-		"too many trailers":   {"0\r\n" + strings.Repeat("X: 1\r\n", mostTrailers+1), ErrMalformed},
+		"too many trailers":   {"0\r\n" + strings.Repeat("X: 1\r\n", maxTrailerLines+1), ErrMalformed},
 		"trailers too large":  {"0\r\n" + strings.Repeat("X: "+strings.Repeat("y", 200)+"\r\n", 22), ErrMalformed},
 	} {
 		for _, size := range []int{1, 7, 1 << 20} {
@@ -94,34 +95,34 @@
 				t.Fatal(err)
 			}
 			if _, _, err := decode(b, []byte(c.raw), size); !errors.Is(err, c.want) || b.Complete() {
-				t.Errorf("%s in pieces of %d: %v, whole %v", name, size, err, b.Complete())
+				t.Errorf("%s in pieces of %d: %v, complete %v", name, size, err, b.Complete())
 			}
 		}
 	}
 	if _, err := NewBody(ByLength, 101, 100); !errors.Is(err, ErrBodySize) {
-		t.Errorf("a length beyond the most: %v", err)
+		t.Errorf("a length above the limit: %v", err)
 	}
 }
 
-// The parser hands long messages out with their heads and leaves the rest to Body, whatever had come by then; short ones
-// are drawn together as ever.
-func TestParserHandsLongMessagesOut(t *testing.T) {
+// The parser must return a long message as soon as its head is parsed and leave the remainder to Body, however much was
+// buffered by then; short messages must still be returned whole.
+func TestParserStreamsLongMessages(t *testing.T) {
 	filler := strings.Repeat("0123456789abcdef", 8)
 	for name, c := range map[string]struct {
 		head, body string
 		long       bool
 	}{
-		"short":           {"Content-Length: 16\r\n", filler[:16], false},
-		"long":            {"Content-Length: 128\r\n", filler, true},
-		"short chunks":    {"Transfer-Encoding: chunked\r\n", "8\r\n" + filler[:8] + "\r\n8\r\n" + filler[8:16] + "\r\n0\r\n\r\n", false},
-		"one long chunk":  {"Transfer-Encoding: chunked\r\n", "80\r\n" + filler + "\r\n0\r\n\r\n", true},
-		"chunks grow":     {"Transfer-Encoding: chunked\r\n", "8\r\n" + filler[:8] + "\r\n78\r\n" + filler[8:] + "\r\n0\r\n\r\n", true},
-		"awaited, chunks": {"Expect: 100-continue\r\nTransfer-Encoding: chunked\r\n", "8\r\n" + filler[:8] + "\r\n0\r\n\r\n", true},
+		"short":          {"Content-Length: 16\r\n", filler[:16], false},
+		"long":           {"Content-Length: 128\r\n", filler, true},
+		"short chunks":   {"Transfer-Encoding: chunked\r\n", "8\r\n" + filler[:8] + "\r\n8\r\n" + filler[8:16] + "\r\n0\r\n\r\n", false},
+		"one long chunk": {"Transfer-Encoding: chunked\r\n", "80\r\n" + filler + "\r\n0\r\n\r\n", true},
+		"chunks grow":    {"Transfer-Encoding: chunked\r\n", "8\r\n" + filler[:8] + "\r\n78\r\n" + filler[8:] + "\r\n0\r\n\r\n", true},
+		"expect, chunks": {"Expect: 100-continue\r\nTransfer-Encoding: chunked\r\n", "8\r\n" + filler[:8] + "\r\n0\r\n\r\n", true},
 	} {
 		want := filler
 		if strings.Contains(name, "short") {
 			want = filler[:16]
-		} else if strings.HasPrefix(name, "awaited") {
+		} else if strings.HasPrefix(name, "expect") {
 			want = filler[:8]
 		}
 		raw := []byte("POST /api HTTP/1.1\r\n" + c.head + "\r\n" + c.body)
@@ -133,7 +134,7 @@
 			for m == nil {
 				n := copy(p.Space(), rest[:min(size, len(rest))])
 				if p.Commit(n); n == 0 {
-					t.Fatalf("%s in pieces of %d: nothing came of it", name, size)
+					t.Fatalf("%s in pieces of %d: no message after the whole input", name, size)
 				}
 				rest = rest[n:]
 				var err error
@@ -152,7 +153,7 @@
 				}
 				content, _, err := decode(body, append(bytes.Clone(came), rest...), size)
 				if got = append(got, content...); err != nil || !body.Complete() || body.ContentBytes() != int64(len(want)) {
-					t.Fatalf("%s in pieces of %d: %v, whole %v, %d bytes", name, size, err, body.Complete(), body.ContentBytes())
+					t.Fatalf("%s in pieces of %d: %v, complete %v, %d bytes", name, size, err, body.Complete(), body.ContentBytes())
 				}
 			}
 			if string(got) != want {
@@ -160,15 +161,15 @@
 			}
 		}
 	}
-	p := NewRequestParser(32) // and none where that is not asked for
+	p := NewRequestParser(32) // without Stream, a long message must be rejected
 	p.Commit(copy(p.Space(), "POST /api HTTP/1.1\r\nContent-Length: 33\r\n\r\n"))
 	if _, err := p.Next(); !errors.Is(err, ErrBodySize) {
-		t.Errorf("off: %v", err)
+		t.Errorf("without Stream: %v", err)
 	}
 }
 
-// FuzzBody feeds any bytes in any pieces: nothing panics, the pieces change nothing, and whatever is taken for whole is
-// what the standard library reads there too.
+// FuzzBody feeds arbitrary bytes in pieces: nothing may panic, the result must not depend on the pieces, and what decodes
+// as a complete body must decode to the same content with the standard library.
 func FuzzBody(f *testing.F) {
 	for _, seed := range []string{"3\r\nabc\r\n0\r\n\r\n", "a;b=c\r\n0123456789\r\n0\r\nX: y\r\n\r\nGET", "0\r\n\r\n", "ffffffffff\r\n"} {
 		f.Add([]byte(seed), 3)
@@ -177,18 +178,18 @@
 		if size <= 0 {
 			size = 1 + len(raw)
 		}
-		one, _ := NewBody(Chunked, 0, 1<<20)
-		whole, behind, err := decode(one, raw, len(raw)+1)
-		many, _ := NewBody(Chunked, 0, 1<<20)
-		parts, behindParts, errParts := decode(many, raw, size)
-		if !bytes.Equal(whole, parts) || one.Complete() != many.Complete() || (err == nil) != (errParts == nil) ||
-			err == nil && !bytes.Equal(behind, behindParts) {
-			t.Fatalf("in one piece %q, %v; in pieces of %d %q, %v", whole, err, size, parts, errParts)
+		single, _ := NewBody(Chunked, 0, 1<<20)
+		content, rest, err := decode(single, raw, len(raw)+1)
+		split, _ := NewBody(Chunked, 0, 1<<20)
+		splitContent, splitRest, splitErr := decode(split, raw, size)
+		if !bytes.Equal(content, splitContent) || single.Complete() != split.Complete() || (err == nil) != (splitErr == nil) ||
+			err == nil && !bytes.Equal(rest, splitRest) {
+			t.Fatalf("in one piece %q, %v; in pieces of %d %q, %v", content, err, size, splitContent, splitErr)
 		}
-		if one.Complete() {
+		if single.Complete() {
 			got, err := io.ReadAll(httputil.NewChunkedReader(bytes.NewReader(raw)))
-			if err != nil || !bytes.Equal(got, whole) {
-				t.Fatalf("read as %q; the standard library reads %q, %v", whole, got, err)
+			if err != nil || !bytes.Equal(got, content) {
+				t.Fatalf("read as %q; the standard library reads %q, %v", content, got, err)
 			}
 		}
 	})
--- a/internal/protocol/list.go
+++ b/internal/protocol/list.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Endpoint is one line of discovery's list.
+// Endpoint is one entry of discovery's endpoint list.
 type Endpoint struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -18,38 +18,38 @@
 	Weight  float64 `json:"weight"`
 }
 
-// Status is what the list says of an endpoint.
+// Status is the state of an endpoint in discovery's list.
 type Status string
 
-// The states of an endpoint; Deleted stands only among changes.
+// The states of an endpoint; Deleted occurs only in a list of changes.
 const (
 	Serving  Status = "SERVING"
 	Draining Status = "DRAINING"
 	Deleted  Status = "DELETED"
 )
 
-// List is the list of endpoints, or the entries of it that changed.
+// List is discovery's list of endpoints: a full snapshot or the entries that changed.
 type List struct {
 	Index     int64      `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
-// ParseList reads discovery's list.
+// ParseList parses discovery's list.
 func ParseList(body []byte) (List, error) {
-	var d List
-	if err := json.Unmarshal(body, &d); err != nil {
-		return d, fmt.Errorf("%w: list: %w", ErrMalformed, err)
+	var list List
+	if err := json.Unmarshal(body, &list); err != nil {
+		return list, fmt.Errorf("%w: list: %w", ErrMalformed, err)
 	}
-	for _, p := range d.Endpoints {
-		if p.Name == "" || p.Status != Serving && p.Status != Draining && p.Status != Deleted {
-			return d, fmt.Errorf("%w: list: endpoint %q with status %q", ErrMalformed, p.Name, p.Status)
+	for _, endpoint := range list.Endpoints {
+		if endpoint.Name == "" || endpoint.Status != Serving && endpoint.Status != Draining && endpoint.Status != Deleted {
+			return list, fmt.Errorf("%w: list: endpoint %q with status %q", ErrMalformed, endpoint.Name, endpoint.Status)
 		}
 	}
-	return d, nil
+	return list, nil
 }
 
-// AppendWatch writes the request for what is newer than a version; a version below zero asks for the whole list.
+// AppendWatch appends the long-poll request for changes since a version; a version below zero requests the whole list.
 func AppendWatch(b []byte, host string, since int64, wait time.Duration) []byte {
 	b = append(b, "GET /v1/servers"...)
 	if since >= 0 {
@@ -61,28 +61,28 @@
 	return append(append(append(b, " HTTP/1.1\r\nHost: "...), host...), "\r\n\r\n"...)
 }
 
-// DeliveryReport is the end of a message that was taken on and not delivered.
+// DeliveryReport reports the outcome of a message that was accepted and not delivered.
 type DeliveryReport struct {
 	ID         string
-	Returned   bool // refused: it may be handed in again, after RetryAfter if that is set
+	Returned   bool // the message was refused and may be submitted again, after RetryAfter if that is set
 	RetryAfter time.Duration
 }
 
-// AppendReport writes the request that tells the platform of notices, one JSON object a line.
-func AppendReport(b []byte, host string, notices []DeliveryReport) ([]byte, error) {
+// AppendReport appends the request that sends delivery reports to the platform, one JSON object per line.
+func AppendReport(b []byte, host string, reports []DeliveryReport) ([]byte, error) {
 	var body []byte
-	for _, n := range notices {
+	for _, report := range reports {
 		line := struct {
 			Message string `json:"message"`
 			Outcome string `json:"outcome"`
 			Retry   int64  `json:"retry_in_ms,omitempty"`
-		}{Message: n.ID, Outcome: "given_up"}
-		if n.Returned {
-			line.Outcome, line.Retry = "handed_back", n.RetryAfter.Milliseconds()
+		}{Message: report.ID, Outcome: "given_up"}
+		if report.Returned {
+			line.Outcome, line.Retry = "handed_back", report.RetryAfter.Milliseconds()
 		}
 		text, err := json.Marshal(line)
 		if err != nil {
-			return nil, fmt.Errorf("protocol: notice: %w", err)
+			return nil, fmt.Errorf("protocol: encoding delivery report: %w", err)
 		}
 		body = append(append(body, text...), '\n')
 	}
--- a/internal/protocol/message.go
+++ b/internal/protocol/message.go
@@ -1,6 +1,6 @@
-// Package protocol holds the forwarder's wire formats: HTTP/1.1 heads and bodies, the clients' and endpoints'
-// messages in them, discovery's list and the platform's notices. Everything here is fed bytes and gives bytes; it
-// knows no socket and no clock, so that a transport of any kind can drive it.
+// Package protocol implements the forwarder's wire formats: HTTP/1.1 heads and bodies, the requests and responses of
+// clients and endpoints, discovery's list and the platform's delivery reports. It consumes and produces bytes and uses
+// no sockets and no clock, so that any transport can drive it.
 package protocol
 
 import (
@@ -10,18 +10,18 @@
 	"strconv"
 )
 
-// Bounds of what a peer may send.
+// Limits on what a peer may send.
 const (
-	MaxHeadBytes = 16 << 10 // bytes of a head
-	MaxBodyBytes = 64 << 10 // bytes of a message's body
-	mostLines    = 100      // lines of a head
-	mostChunk    = 256      // bytes of a chunk's size line, or of a trailer line
-	firstRoom    = 2 << 10  // bytes a parser starts with
+	MaxHeadBytes       = 16 << 10 // bytes of a head
+	MaxBodyBytes       = 64 << 10 // bytes of a message body
+	maxHeadLines       = 100      // header lines of a head
+	maxChunkLineBytes  = 256      // bytes of a chunk size line or of a trailer line
+	initialBufferBytes = 2 << 10  // initial size of a parser's buffer
 
-	mostInterim = 16 // answers with 1xx in front of one
+	maxInterimAnswers = 16 // 1xx answers before the final one
 )
 
-// The errors of a message that can't be read. A Refusal's status follows from them.
+// The parse errors. ParseErrorRefusal maps them to a status.
 var (
 	ErrMalformed = errors.New("protocol: malformed message")
 	ErrHeadSize  = errors.New("protocol: head too large")
@@ -29,19 +29,19 @@
 	ErrEncoding  = errors.New("protocol: transfer encoding not supported")
 )
 
-// Field is one line of a head.
+// Field is one header field.
 type Field struct{ Name, Value []byte }
 
-// Message is one that was read whole. Its slices lie in the parser's buffer and hold until the parser moves on.
+// Message is a parsed message. Its slices point into the parser's buffer and are valid until Space, Next or Reset.
 type Message struct {
 	Start  [3][]byte // method, target and version, or version, status and reason
 	Fields []Field
 	Body   []byte
-	Close  bool // the connection ends with it
-	Long   bool // Body is only what came with the head; Parser.Rest gives what goes on
+	Close  bool // the connection is closed after the message
+	Long   bool // Body holds only what was buffered with the head; Parser.Rest returns the remainder
 }
 
-// Get is the value of a head's field; nil if there is none.
+// Get returns the value of a header field, or nil if there is none.
 func (m *Message) Get(name string) []byte {
 	for _, f := range m.Fields {
 		if equalFold(f.Name, name) {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// Status is the code of an answer.
+// Status returns the status code of an answer.
 func (m *Message) Status() int {
 	n, err := strconv.Atoi(string(m.Start[1]))
 	if err != nil {
@@ -63,90 +63,89 @@
 type phase int
 
 const (
-	inHead  phase = iota
-	inBody        // of a told length
-	inChunk       // before a chunk's size line
-	inData        // within a chunk and its line end
-	inTail        // after the last chunk
-	toEnd         // an answer's body that lasts until the connection ends
+	inHead           phase = iota
+	inBody                 // a body of known length
+	inChunkSize            // before a chunk's size line
+	inChunkData            // within a chunk or its line end
+	inTrailers             // after the last chunk
+	inBodyUntilClose       // an answer's body that extends to the end of the connection
 )
 
-// Parser reads the messages of one connection. Its driver reads into Space, tells Commit how much came, and takes
-// messages from Next until there are none. Heads are parsed where they lie; chunked bodies are drawn together in
-// place.
+// Parser parses the messages of one connection. Its driver reads into Space, passes the number of bytes to Commit, and
+// calls Next until it returns nil. Heads are parsed in place; chunked bodies are joined in place.
 type Parser struct {
-	answers  bool // reads answers, not requests
-	mostBody int
-	buf      []byte
-	r, w     int // what is unread: buf[r:w]
-	phase    phase
-	scanned  int // bytes of the head already searched for its end
-	head     int // the head's length, its empty line included
-	body     int // the body's bytes read into place
-	need     int // what is left of the body, or of the chunk with its line end
-	long     Streaming
-	framing  Framing
-	interim  int // answers with 1xx in front of the one that is read
-	expects  bool
-	msg      Message
-	err      error
+	readsAnswers    bool // parses answers instead of requests
+	maxBody         int
+	buf             []byte
+	start, end      int // buf[start:end] is unparsed
+	phase           phase
+	scanned         int // bytes already searched for the end of the head
+	headLen         int // length of the head, including its empty line
+	bodyLen         int // bytes of the body that are in place
+	remaining       int // bytes left of the body, or of the chunk and its line end
+	streaming       Streaming
+	framing         Framing
+	interimAnswers  int // 1xx answers before the current one
+	expectsContinue bool
+	msg             Message
+	err             error
 }
 
-// Streaming says which messages Next gives with their heads alone, the rest of their bodies being read piece by piece.
+// Streaming selects the messages that Next returns as soon as the head is parsed; their bodies are read with Body.
 type Streaming int
 
-// The kinds of messages that are not drawn together.
+// The values of Streaming.
 const (
 	StreamNone     Streaming = iota
-	StreamLong               // requests whose body is longer than the most, or is awaited and of no told length
+	StreamLong               // requests whose body exceeds the limit, and chunked ones with Expect: 100-continue
 	StreamAnswered           // answers with 200
 )
 
-// Stream sets which messages are not drawn together. A length that no body may have is still an error.
-func (p *Parser) Stream(s Streaming) { p.long = s }
+// Stream sets which messages are streamed instead of buffered. An invalid length is still an error.
+func (p *Parser) Stream(s Streaming) { p.streaming = s }
 
-// NewRequestParser reads requests with bodies of most bytes at the most.
-func NewRequestParser(most int) *Parser { return &Parser{mostBody: most} }
+// NewRequestParser returns a parser of requests with bodies of up to maxBody bytes.
+func NewRequestParser(maxBody int) *Parser { return &Parser{maxBody: maxBody} }
 
-// NewAnswerParser reads answers with bodies of most bytes at the most.
-func NewAnswerParser(most int) *Parser { return &Parser{mostBody: most, answers: true} }
+// NewAnswerParser returns a parser of answers with bodies of up to maxBody bytes.
+func NewAnswerParser(maxBody int) *Parser { return &Parser{maxBody: maxBody, readsAnswers: true} }
 
-// Idle says that nothing of a next message has come yet.
-func (p *Parser) Idle() bool { return p.phase == inHead && p.r == p.w && p.err == nil }
+// Idle reports whether no byte of the next message was received yet.
+func (p *Parser) Idle() bool { return p.phase == inHead && p.start == p.end && p.err == nil }
 
-// Space is where the next bytes go; it is never empty.
+// Space returns the buffer for the next bytes; it is never empty.
 func (p *Parser) Space() []byte {
-	if p.r > 0 && p.phase == inHead { // a message was taken: what is left moves to the front
-		p.w = copy(p.buf, p.buf[p.r:p.w])
-		p.r = 0
+	if p.start > 0 && p.phase == inHead { // a message was consumed: move the unparsed bytes to the front
+		p.end = copy(p.buf, p.buf[p.start:p.end])
+		p.start = 0
 	}
-	if p.w == len(p.buf) {
-		grown := make([]byte, max(firstRoom, 2*len(p.buf)))
-		copy(grown, p.buf[:p.w])
+	if p.end == len(p.buf) {
+		grown := make([]byte, max(initialBufferBytes, 2*len(p.buf)))
+		copy(grown, p.buf[:p.end])
 		p.buf = grown
-		p.relocate()
+		p.reparseHead()
 	}
-	return p.buf[p.w:]
+	return p.buf[p.end:]
 }
 
-// Shrink gives up the room that a large message took; the parser has to be idle.
+// Shrink releases the buffer of a large message if the parser is idle.
 func (p *Parser) Shrink() {
-	if len(p.buf) > firstRoom && p.Idle() {
-		p.buf, p.r, p.w = nil, 0, 0
+	if len(p.buf) > initialBufferBytes && p.Idle() {
+		p.buf, p.start, p.end = nil, 0, 0
 	}
 }
 
-// Commit tells how many bytes were put into Space.
-func (p *Parser) Commit(n int) { p.w += n }
+// Commit records that n bytes were written into Space.
+func (p *Parser) Commit(n int) { p.end += n }
 
-// relocate parses a head again after its buffer has moved.
-func (p *Parser) relocate() {
+// reparseHead parses the head again after the buffer was reallocated.
+func (p *Parser) reparseHead() {
 	if p.phase != inHead {
-		_, _ = p.parseHead(p.buf[p.r : p.r+p.head]) // it was read before
+		_, _ = p.parseHead(p.buf[p.start : p.start+p.headLen]) // the head was valid before
 	}
 }
 
-// Next gives the next whole message, or nil if more bytes are needed. An error is final.
+// Next returns the next complete message, or nil if more bytes are needed. An error is final.
 func (p *Parser) Next() (*Message, error) {
 	if p.err != nil {
 		return nil, p.err
@@ -156,43 +155,44 @@
 	return m, err
 }
 
-// Finish tells that no more bytes come. Where the connection has ended, an answer whose body lasts until then is whole.
+// Finish records that no more bytes follow. If the connection was closed, an answer whose body extends to the end of the
+// connection is complete and is returned.
 func (p *Parser) Finish(closed bool) *Message {
-	if !closed || p.err != nil || p.phase != toEnd {
+	if !closed || p.err != nil || p.phase != inBodyUntilClose {
 		return nil
 	}
-	p.body = p.w - p.r - p.head
-	m := p.finish(p.w)
+	p.bodyLen = p.end - p.start - p.headLen
+	m := p.completeMessage(p.end)
 	m.Close = true
 	return m
 }
 
-// Status is what the first line says of an answer that has begun, also of one that can't be read further; 0 until that
-// line is there.
+// Status returns the status code of the answer being parsed, even if its remainder is malformed. It is 0 until the status
+// line is complete.
 func (p *Parser) Status() int {
 	if p.phase == inHead {
-		line, _, ok := bytes.Cut(p.buf[p.r:p.w], []byte("\r\n"))
-		if !ok || p.startLine(line) != nil {
+		line, _, ok := bytes.Cut(p.buf[p.start:p.end], []byte("\r\n"))
+		if !ok || p.parseStartLine(line) != nil {
 			return 0
 		}
 	}
 	return p.msg.Status()
 }
 
-// Reset makes the parser ready for another connection.
+// Reset prepares the parser for another connection.
 func (p *Parser) Reset() {
 	buf := p.buf
-	if len(buf) > firstRoom {
+	if len(buf) > initialBufferBytes {
 		buf = nil
 	}
-	*p = Parser{answers: p.answers, mostBody: p.mostBody, long: p.long, buf: buf, msg: Message{Fields: p.msg.Fields[:0]}}
+	*p = Parser{readsAnswers: p.readsAnswers, maxBody: p.maxBody, streaming: p.streaming, buf: buf, msg: Message{Fields: p.msg.Fields[:0]}}
 }
 
-// Continue says, once, that a peer waits to be told to go on with its body.
+// Continue reports, once per message, that the peer waits for a 100 Continue response before sending its body.
 func (p *Parser) Continue() bool {
-	expects := p.phase != inHead && p.w == p.r+p.head && p.expects
-	p.expects = false
-	return expects
+	waiting := p.phase != inHead && p.end == p.start+p.headLen && p.expectsContinue
+	p.expectsContinue = false
+	return waiting
 }
 
 func (p *Parser) next() (*Message, error) {
@@ -203,25 +203,25 @@
 			if !ok || err != nil {
 				return nil, err
 			}
-			if p.streams() {
-				return p.longMessage(), nil
+			if p.streamsBody() {
+				return p.streamedMessage(), nil
 			}
-			if p.need > p.mostBody {
+			if p.remaining > p.maxBody {
 				return nil, ErrBodySize
 			}
 		case inBody:
-			if p.w-p.r-p.head < p.need {
+			if p.end-p.start-p.headLen < p.remaining {
 				return nil, nil
 			}
-			p.body = p.need
-			return p.finish(p.r + p.head + p.need), nil
-		case toEnd:
-			if p.w-p.r-p.head > p.mostBody {
+			p.bodyLen = p.remaining
+			return p.completeMessage(p.start + p.headLen + p.remaining), nil
+		case inBodyUntilClose:
+			if p.end-p.start-p.headLen > p.maxBody {
 				return nil, ErrBodySize
 			}
 			return nil, nil
 		default:
-			m, more, err := p.chunk()
+			m, more, err := p.decodeChunk()
 			if m != nil || more || err != nil {
 				return m, err
 			}
@@ -229,89 +229,90 @@
 	}
 }
 
-// finish hands a message out; the unread bytes start at end.
-func (p *Parser) finish(end int) *Message {
-	at := p.r + p.head
-	p.msg.Body = p.buf[at : at+p.body : at+p.body]
-	p.r, p.phase, p.scanned, p.head, p.body, p.need = end, inHead, 0, 0, 0, 0
+// completeMessage returns the parsed message; the unparsed bytes start at next.
+func (p *Parser) completeMessage(next int) *Message {
+	bodyStart := p.start + p.headLen
+	p.msg.Body = p.buf[bodyStart : bodyStart+p.bodyLen : bodyStart+p.bodyLen]
+	p.start, p.phase, p.scanned, p.headLen, p.bodyLen, p.remaining = next, inHead, 0, 0, 0, 0
 	return &p.msg
 }
 
-// findHead looks for a whole head and starts on its body.
+// findHead searches for a complete head, parses it and sets the phase for its body.
 func (p *Parser) findHead() (bool, error) {
-	for p.scanned == 0 && p.r < p.w && (p.buf[p.r] == '\r' || p.buf[p.r] == '\n') && !p.answers {
-		p.r++ // empty lines before a request are passed over
+	for p.scanned == 0 && p.start < p.end && (p.buf[p.start] == '\r' || p.buf[p.start] == '\n') && !p.readsAnswers {
+		p.start++ // skip empty lines before a request
 	}
-	unread := p.buf[p.r:p.w]
-	from := max(0, p.scanned-3)
-	at := bytes.Index(unread[from:], []byte("\r\n\r\n"))
-	if at < 0 {
+	unread := p.buf[p.start:p.end]
+	searchFrom := max(0, p.scanned-3)
+	index := bytes.Index(unread[searchFrom:], []byte("\r\n\r\n"))
+	if index < 0 {
 		if p.scanned = len(unread); p.scanned > MaxHeadBytes {
 			return false, ErrHeadSize
 		}
 		return false, nil
 	}
-	p.head = from + at + 4
-	if p.head > MaxHeadBytes {
+	p.headLen = searchFrom + index + 4
+	if p.headLen > MaxHeadBytes {
 		return false, ErrHeadSize
 	}
-	next, err := p.parseHead(unread[:p.head])
+	nextPhase, err := p.parseHead(unread[:p.headLen])
 	if err != nil {
 		return false, err
 	}
-	if status := p.msg.Status(); p.answers && status < 200 { // interim: the answer proper follows
-		if p.interim++; p.interim > mostInterim || status < 100 || status == 101 {
-			return false, fmt.Errorf("%w: interim answers", ErrMalformed)
+	if status := p.msg.Status(); p.readsAnswers && status < 200 { // interim: the final answer follows
+		if p.interimAnswers++; p.interimAnswers > maxInterimAnswers || status < 100 || status == 101 {
+			return false, fmt.Errorf("%w: too many or unsupported interim answers", ErrMalformed)
 		}
-		p.r += p.head
-		p.scanned, p.head = 0, 0
+		p.start += p.headLen
+		p.scanned, p.headLen = 0, 0
 		return p.findHead()
 	}
-	p.interim = 0
-	p.phase = next
+	p.interimAnswers = 0
+	p.phase = nextPhase
 	return true, nil
 }
 
-// streams says that the body of the message whose head was read is not to be drawn together.
-func (p *Parser) streams() bool {
-	switch p.long {
+// streamsBody reports whether the message whose head was parsed is returned without buffering its body.
+func (p *Parser) streamsBody() bool {
+	switch p.streaming {
 	case StreamLong:
-		return p.need > p.mostBody || p.framing == Chunked && p.expects
+		return p.remaining > p.maxBody || p.framing == Chunked && p.expectsContinue
 	case StreamAnswered:
 		return p.msg.Status() == 200
 	}
 	return false
 }
 
-// longMessage hands out a message whose body is not drawn together.
-func (p *Parser) longMessage() *Message {
+// streamedMessage returns a message whose body is read with Rest.
+func (p *Parser) streamedMessage() *Message {
 	p.msg.Long = true
-	at := p.r + p.head
-	p.msg.Body = p.buf[at : at+p.body : at+p.body]
+	bodyStart := p.start + p.headLen
+	p.msg.Body = p.buf[bodyStart : bodyStart+p.bodyLen : bodyStart+p.bodyLen]
 	return &p.msg
 }
 
-// Rest says how the body of a message with Long goes on, of most bytes in all: what follows Message.Body, and the bytes
-// of that which have come, which hold until the parser's next move. It reads nothing further until Reset.
-func (p *Parser) Rest(most int64) (body *Body, raw []byte, err error) {
-	if body, err = NewBody(p.framing, int64(p.need), most); err != nil {
+// Rest returns a decoder for the body of a message with Long set, up to maxContent bytes in all, that continues after
+// Message.Body, and the raw bytes that are already buffered, which are valid until Reset. The parser parses nothing
+// further until then.
+func (p *Parser) Rest(maxContent int64) (body *Body, raw []byte, err error) {
+	if body, err = NewBody(p.framing, int64(p.remaining), maxContent); err != nil {
 		return nil, nil, err
 	}
-	if p.phase == inData { // it was found to be long on the way, just behind a chunk's size line
-		body.phase, body.left, body.content = bodyData, int64(p.need-2), int64(p.body)
-		if body.left > most-body.content {
+	if p.phase == inChunkData { // the limit was exceeded by a chunk whose size line was just parsed
+		body.phase, body.remaining, body.contentBytes = bodyData, int64(p.remaining-2), int64(p.bodyLen)
+		if body.remaining > maxContent-body.contentBytes {
 			return nil, nil, ErrBodySize
 		}
 	}
-	return body, p.buf[p.r+p.head+p.body : p.w], nil
+	return body, p.buf[p.start+p.headLen+p.bodyLen : p.end], nil
 }
 
-// parseHead reads a head where it lies and tells how its body goes on.
+// parseHead parses a head in place and returns the phase for its body.
 func (p *Parser) parseHead(head []byte) (phase, error) {
-	m := &p.msg
-	m.Fields, m.Close, m.Long, p.expects, p.framing = m.Fields[:0], false, false, false, ByLength
+	msg := &p.msg
+	msg.Fields, msg.Close, msg.Long, p.expectsContinue, p.framing = msg.Fields[:0], false, false, false, ByLength
 	line, rest, _ := bytes.Cut(head, []byte("\r\n"))
-	if err := p.startLine(line); err != nil {
+	if err := p.parseStartLine(line); err != nil {
 		return 0, err
 	}
 	length, chunked := -1, false
@@ -321,155 +322,155 @@
 			break
 		}
 		name, value, ok := bytes.Cut(line, []byte(":"))
-		if !ok || !isToken(name) || len(m.Fields) == mostLines || !isText(value) && !(p.answers && equalFold(name, loadReport)) {
-			return 0, fmt.Errorf("%w: head line", ErrMalformed)
+		if !ok || !isToken(name) || len(msg.Fields) == maxHeadLines || !isText(value) && !(p.readsAnswers && equalFold(name, loadReportHeader)) {
+			return 0, fmt.Errorf("%w: invalid header line", ErrMalformed)
 		}
 		f := Field{Name: name, Value: bytes.Trim(value, " \t")}
-		m.Fields = append(m.Fields, f)
+		msg.Fields = append(msg.Fields, f)
 		switch {
 		case equalFold(name, "Content-Length"):
-			n, ok := number(f.Value)
-			if !ok || length >= 0 { // a repeated one, too: others may read another of them
-				return 0, fmt.Errorf("%w: length", ErrMalformed)
+			number, ok := parseDecimal(f.Value)
+			if !ok || length >= 0 { // also rejects a repeated one: other parsers may use another of the values
+				return 0, fmt.Errorf("%w: invalid Content-Length", ErrMalformed)
 			}
-			length = n
+			length = number
 		case equalFold(name, "Transfer-Encoding"):
 			if chunked || !equalFold(f.Value, "chunked") {
 				return 0, ErrEncoding
 			}
 			chunked = true
 		case equalFold(name, "Expect"):
-			p.expects = equalFold(f.Value, "100-continue")
+			p.expectsContinue = equalFold(f.Value, "100-continue")
 		case equalFold(name, "Connection"):
 			for token := range bytes.SplitSeq(f.Value, []byte(",")) {
-				m.Close = m.Close || equalFold(bytes.Trim(token, " \t"), "close")
+				msg.Close = msg.Close || equalFold(bytes.Trim(token, " \t"), "close")
 			}
 		}
 	}
 	switch {
-	case chunked && length >= 0: // two lengths: a way to smuggle a request past a front
-		return 0, fmt.Errorf("%w: two lengths", ErrMalformed)
-	case p.answers && bodyless(m.Status()):
-		p.need = 0
+	case chunked && length >= 0: // would allow request smuggling past a proxy
+		return 0, fmt.Errorf("%w: both Content-Length and Transfer-Encoding", ErrMalformed)
+	case p.readsAnswers && hasNoBody(msg.Status()):
+		p.remaining = 0
 		return inBody, nil
 	case chunked:
 		p.framing = Chunked
-		return inChunk, nil
-	case length < 0 && p.answers:
-		m.Close, p.framing = true, UntilClose
-		return toEnd, nil
+		return inChunkSize, nil
+	case length < 0 && p.readsAnswers:
+		msg.Close, p.framing = true, UntilClose
+		return inBodyUntilClose, nil
 	}
-	p.need = max(0, length)
+	p.remaining = max(0, length)
 	return inBody, nil
 }
 
-func (p *Parser) startLine(line []byte) error {
-	a, rest, ok := bytes.Cut(line, []byte(" "))
-	b, c, more := bytes.Cut(rest, []byte(" "))
-	version := c
-	if p.answers {
-		version = a
+func (p *Parser) parseStartLine(line []byte) error {
+	first, rest, ok := bytes.Cut(line, []byte(" "))
+	second, third, hasThird := bytes.Cut(rest, []byte(" "))
+	version := third
+	if p.readsAnswers {
+		version = first
 	}
 	switch {
 	case !ok || !isText(line):
-		return fmt.Errorf("%w: start line", ErrMalformed)
+		return fmt.Errorf("%w: invalid start line", ErrMalformed)
 	case string(version) != "HTTP/1.1" && string(version) != "HTTP/1.0":
-		return fmt.Errorf("%w: version", ErrMalformed)
-	case p.answers && (len(b) != 3 || !digits(b)):
-		return fmt.Errorf("%w: status", ErrMalformed)
-	case !p.answers && (!more || !isToken(a) || len(b) == 0 || bytes.IndexByte(c, ' ') >= 0):
-		return fmt.Errorf("%w: start line", ErrMalformed)
+		return fmt.Errorf("%w: unsupported version", ErrMalformed)
+	case p.readsAnswers && (len(second) != 3 || !isDigits(second)):
+		return fmt.Errorf("%w: invalid status", ErrMalformed)
+	case !p.readsAnswers && (!hasThird || !isToken(first) || len(second) == 0 || bytes.IndexByte(third, ' ') >= 0):
+		return fmt.Errorf("%w: invalid start line", ErrMalformed)
 	}
 	p.msg.Close = version[7] == '0'
-	p.msg.Start = [3][]byte{a, b, c}
+	p.msg.Start = [3][]byte{first, second, third}
 	return nil
 }
 
-// chunk takes one step of a chunked body; more asks for further bytes.
-func (p *Parser) chunk() (m *Message, more bool, err error) {
-	at := p.r + p.head + p.body // where the body's next byte goes, and where the unread ones start
-	unread := p.buf[at:p.w]
+// decodeChunk performs one step of decoding a chunked body; more is set if further bytes are needed.
+func (p *Parser) decodeChunk() (m *Message, more bool, err error) {
+	bodyEnd := p.start + p.headLen + p.bodyLen // where the next content byte goes and the unparsed bytes start
+	unread := p.buf[bodyEnd:p.end]
 	switch p.phase {
-	case inData:
-		n := min(len(unread), p.need-2)
+	case inChunkData:
+		n := min(len(unread), p.remaining-2)
 		if n > 0 {
-			p.body += n
-			p.need -= n
+			p.bodyLen += n
+			p.remaining -= n
 			return nil, false, nil
 		}
-		if len(unread) < p.need {
+		if len(unread) < p.remaining {
 			return nil, true, nil
 		}
-		if string(unread[:p.need]) != "\r\n" {
-			return nil, false, fmt.Errorf("%w: chunk end", ErrMalformed)
+		if string(unread[:p.remaining]) != "\r\n" {
+			return nil, false, fmt.Errorf("%w: missing line end after chunk", ErrMalformed)
 		}
-		p.drop(at, 2)
-		p.phase = inChunk
+		p.removeBytes(bodyEnd, 2)
+		p.phase = inChunkSize
 		return nil, false, nil
 	}
 	line, _, ok := bytes.Cut(unread, []byte("\r\n"))
 	if !ok {
-		if len(unread) > mostChunk {
-			return nil, false, fmt.Errorf("%w: chunk line", ErrMalformed)
+		if len(unread) > maxChunkLineBytes {
+			return nil, false, fmt.Errorf("%w: chunk line too long", ErrMalformed)
 		}
 		return nil, true, nil
 	}
-	if p.phase == inTail {
+	if p.phase == inTrailers {
 		if len(line) > 0 { // a trailer
-			p.drop(at, len(line)+2)
+			p.removeBytes(bodyEnd, len(line)+2)
 			return nil, false, nil
 		}
-		return p.finish(at + 2), false, nil
+		return p.completeMessage(bodyEnd + 2), false, nil
 	}
 	size, _, _ := bytes.Cut(line, []byte(";"))
-	n, ok := hexNumber(bytes.Trim(size, " \t"))
+	n, ok := parseHex(bytes.Trim(size, " \t"))
 	if !ok {
-		return nil, false, fmt.Errorf("%w: chunk size", ErrMalformed)
+		return nil, false, fmt.Errorf("%w: invalid chunk size", ErrMalformed)
 	}
-	long := int(n) > p.mostBody-p.body
-	if long && p.long != StreamLong {
+	overLimit := int(n) > p.maxBody-p.bodyLen
+	if overLimit && p.streaming != StreamLong {
 		return nil, false, ErrBodySize
 	}
-	p.drop(at, len(line)+2)
-	if p.phase, p.need = inData, int(n)+2; n == 0 {
-		p.phase, p.need = inTail, 0
+	p.removeBytes(bodyEnd, len(line)+2)
+	if p.phase, p.remaining = inChunkData, int(n)+2; n == 0 {
+		p.phase, p.remaining = inTrailers, 0
 	}
-	if long {
-		return p.longMessage(), false, nil
+	if overLimit {
+		return p.streamedMessage(), false, nil
 	}
 	return nil, false, nil
 }
 
-// drop takes n bytes out of the buffer at a place, so that a chunked body lies in one piece.
-func (p *Parser) drop(at, n int) {
-	copy(p.buf[at:], p.buf[at+n:p.w])
-	p.w -= n
+// removeBytes removes n bytes from the buffer at an offset, which keeps a chunked body contiguous.
+func (p *Parser) removeBytes(offset, n int) {
+	copy(p.buf[offset:], p.buf[offset+n:p.end])
+	p.end -= n
 }
 
-// bodyless are the answers that never have a body.
-func bodyless(status int) bool { return status < 200 || status == 204 || status == 304 }
+// hasNoBody reports whether answers with a status never have a body.
+func hasNoBody(status int) bool { return status < 200 || status == 204 || status == 304 }
 
-// equalFold compares ASCII text without regard to case.
+// equalFold reports whether two ASCII texts are equal, ignoring case.
 func equalFold(b []byte, s string) bool {
 	if len(b) != len(s) {
 		return false
 	}
 	for i := range b {
-		if lower(b[i]) != lower(s[i]) {
+		if toLower(b[i]) != toLower(s[i]) {
 			return false
 		}
 	}
 	return true
 }
 
-func lower(c byte) byte {
+func toLower(c byte) byte {
 	if 'A' <= c && c <= 'Z' {
 		return c + 'a' - 'A'
 	}
 	return c
 }
 
-func digits(b []byte) bool {
+func isDigits(b []byte) bool {
 	for _, c := range b {
 		if c < '0' || c > '9' {
 			return false
@@ -478,9 +479,9 @@
 	return len(b) > 0
 }
 
-// number reads a plain decimal of up to 15 digits: no sign, no space.
-func number(b []byte) (int, bool) {
-	if !digits(b) || len(b) > 15 {
+// parseDecimal parses a decimal number of up to 15 digits, without sign or space.
+func parseDecimal(b []byte) (int, bool) {
+	if !isDigits(b) || len(b) > 15 {
 		return 0, false
 	}
 	n, err := strconv.Atoi(string(b))
@@ -496,7 +497,7 @@
 	return len(b) > 0
 }
 
-// isText says that a line holds no control bytes (a bare CR or LF above all), which other parsers read otherwise.
+// isText reports whether a line has no control bytes. Other parsers treat these, a bare CR or LF above all, differently.
 func isText(b []byte) bool {
 	for _, c := range b {
 		if c < ' ' && c != '\t' || c == 0x7f {
--- a/internal/pump/exchange.go
+++ b/internal/pump/exchange.go
@@ -9,36 +9,37 @@
 	"mulleinbeam/internal/protocol"
 )
 
-// Direction names a direction of an exchange.
+// Direction is a direction of an exchange.
 type Direction int
 
-// The directions.
+// The values of Direction.
 const (
 	Up   Direction = iota // from the client to the endpoint
-	Down                  // and back
+	Down                  // from the endpoint to the client
 )
 
-// Op is what a direction's driver is to do next.
+// Op is the next operation of a direction's driver.
 type Op int
 
-// The operations.
+// The values of Op.
 const (
-	Stop           Op = iota // nothing more in this direction
+	Stop           Op = iota // nothing more to do in this direction
 	Read                     // read from the source into Step.Space
 	Write                    // write Step.Out to the sink
-	SpliceIn                 // take up to Step.Most bytes from the source unseen, and hold them
-	SpliceOut                // give Step.Most of the bytes held to the sink
-	Begin                    // ask whether the first byte may go; an error, ErrForbidden or another, says no
-	RecordDelivery           // the endpoint has said that the message is delivered: book that before its client can hear of it
+	SpliceIn                 // splice up to Step.Limit bytes from the source and hold them
+	SpliceOut                // splice Step.Limit of the bytes held to the sink
+	Begin                    // ask for permission to send the first byte; it is denied by ErrForbidden or another error
+	RecordDelivery           // record the delivery before any byte of the answer is sent to the client
 )
 
-// ErrForbidden tells Did that a call must not begin. Any other error there says that there is no connection to begin on.
-var ErrForbidden = errors.New("pump: not to begin")
+// ErrForbidden is passed to StepDone if a call must not begin. Any other error from Begin means that there is no
+// connection for the call.
+var ErrForbidden = errors.New("pump: call must not begin")
 
-// ErrNoSplice tells Did that bytes can't be moved unseen; nothing was. They are read and written from then on.
-var ErrNoSplice = errors.New("pump: bytes can't be moved unseen")
+// ErrNoSplice is passed to StepDone if bytes can't be spliced and none were. The exchange then reads and writes instead.
+var ErrNoSplice = errors.New("pump: splice is not supported")
 
-// Step is one operation, to be given up when Until is over.
+// Step is one operation, which times out at Deadline.
 type Step struct {
 	Op       Op
 	Space    []byte
@@ -47,167 +48,168 @@
 	Deadline time.Duration
 }
 
-// Outcome says how an exchange ended.
+// Outcome is how an exchange ended.
 type Outcome int
 
-// The ends. But for Delivered and Answered nothing of them is known to the endpoint, or from it.
+// The values of Outcome. With any other than Delivered and Answered there is no usable answer from the endpoint, and the
+// endpoint does not learn of the outcome.
 const (
 	Running         Outcome = iota
 	Delivered               // the endpoint answered 200
-	Answered                // it answered otherwise; Reply holds
-	Malformed               // its answer can't be read, or is not whole
-	Broken                  // its connection ended before it answered
-	EndpointStalled         // no byte moved, and it was the endpoint's turn
-	ClientGone              // the client's connection ended before its body
-	ClientStalled           // no byte moved, and it was the client's turn
-	ClientMalformed         // what the client sent is no body
+	Answered                // the endpoint answered with another status; Reply returns the answer
+	Malformed               // the endpoint's answer is malformed or incomplete
+	Broken                  // the endpoint's connection ended before its answer
+	EndpointStalled         // idle timeout while waiting for the endpoint
+	ClientGone              // the client's connection ended before its body was complete
+	ClientStalled           // idle timeout while waiting for the client
+	ClientMalformed         // the client's body is malformed
 	TimeUp
-	NotBegun // it was not let go
+	NotBegun // Begin was denied with ErrForbidden
 	Aborted
 )
 
-var endNames = [...]string{"running", "delivered", "answered", "spoilt", "broken", "endpoint stalled", "client gone",
-	"client stalled", "client bad", "time up", "not begun", "aborted"}
+var outcomeNames = [...]string{"running", "delivered", "answered", "malformed answer", "broken", "endpoint stalled", "client gone",
+	"client stalled", "malformed request body", "deadline exceeded", "not begun", "aborted"}
 
-// String names the end.
-func (e Outcome) String() string { return endNames[e] }
+// String returns the name of the outcome.
+func (o Outcome) String() string { return outcomeNames[o] }
 
 const (
-	mostDrained = 64 << 20               // bytes of a body that are read on after its answer
-	wholeFor    = time.Second            // an answer's head, or the whole of one that is not 200, from its first byte
-	restFor     = 200 * time.Millisecond // the rest of a head whose first line says 200
+	maxDrainedBytes      = 64 << 20               // bytes of a request body that are read and discarded after its answer
+	answerTimeout        = time.Second            // for an answer's head, or all of one that is not 200, from its first byte
+	deliveredHeadTimeout = 200 * time.Millisecond // for the rest of a head after a status line with 200
 )
 
-// Config is what an exchange starts with. Times count from any one moment.
+// Config configures an exchange. Times count from an arbitrary common origin.
 type Config struct {
-	Request        *Pipe            // the client's body, with the endpoint's head
-	Answers        *protocol.Parser // set to StreamAnswered
-	Window         func() []byte    // gives the window of the answer's body
-	MaxAnswerBytes int64            // bytes of that body
-	IdleTimeout    time.Duration    // no byte moved in either direction for so long ends the exchange
+	Request        *Pipe            // the client's body, to be written after the head of the call
+	Answers        *protocol.Parser // must be set to StreamAnswered
+	Window         func() []byte    // returns the window for the answer's body
+	MaxAnswerBytes int64            // limit on that body
+	IdleTimeout    time.Duration    // ends the exchange after this time without progress in either direction
 	Now            time.Duration
-	Deadline       time.Duration // the message's time is up
+	Deadline       time.Duration // the message's deadline
 	HTTP10         bool          // the client speaks HTTP/1.0
-	CloseClient    bool          // the client's connection ends with the answer
-	Splice         bool          // the driver can move bytes unseen
+	CloseClient    bool          // the client's connection is closed after the answer
+	Splice         bool          // the driver can splice
 }
 
 type downPhase int
 
 const (
-	awaiting downPhase = iota // the answer's head
-	settling
-	passing
+	awaitingAnswer downPhase = iota // waiting for the answer's head, or all of one that is not 200
+	recordingDelivery
+	streamingAnswer
 )
 
-// Exchange is one call with a long message. Two drivers, one for each direction, ask Next what to do and tell Did how
-// that went; both under one lock. The first side that ends decides how the exchange ends.
+// Exchange is one call with a long message. Two drivers, one per direction, ask Next for a step and pass its result to
+// StepDone, both under one lock. The first direction that ends determines the outcome.
 type Exchange struct {
-	cfg      Config
-	end      Outcome
-	movedAt  time.Duration
-	step     [2]Op // what each side is at
-	upOff    bool  // nothing goes to the endpoint any more
-	drain    int   // bytes that the client may still send to nobody
-	draining bool
-	begun    bool // a byte has gone to the endpoint
-	early    bool // it answered before it had the whole body
-	phase    downPhase
-	answerBy time.Duration // the answer's head has to be there; 0 while nothing of it came
-	down     *Pipe
-	reply    protocol.Reply
-	last     bool // the endpoint's connection can't be used again
-	heard    bool // a byte of the answer may have gone to the client
-	spoilt   bool // what came of the body while the exchange ended is none
-	cut      bool // the answer did not reach the client whole
+	cfg              Config
+	outcome          Outcome
+	lastProgress     time.Duration
+	currentOp        [2]Op // the current operation of each direction
+	upStopped        bool  // nothing more is sent to the endpoint
+	drainedBytes     int   // bytes of the client's body that were read and discarded
+	draining         bool
+	begun            bool // sending to the endpoint was permitted
+	answeredEarly    bool // the endpoint answered before it had the whole body
+	downPhase        downPhase
+	answerDeadline   time.Duration // when the answer's head must be complete; 0 before its first byte
+	answerPipe       *Pipe
+	reply            protocol.Reply
+	closesEndpoint   bool // the endpoint's connection can't be reused
+	answerStarted    bool // a byte of the answer may have been sent to the client
+	requestMalformed bool // the part of the body received while the exchange ended is malformed
+	answerTruncated  bool // the client did not get the complete answer
 }
 
-// New begins an exchange.
-func New(cfg Config) *Exchange { return &Exchange{cfg: cfg, movedAt: cfg.Now} }
+// New returns a new exchange.
+func New(cfg Config) *Exchange { return &Exchange{cfg: cfg, lastProgress: cfg.Now} }
 
-// Outcome tells how the exchange ended.
-func (x *Exchange) Outcome() Outcome { return x.end }
+// Outcome returns how the exchange ended, or Running.
+func (x *Exchange) Outcome() Outcome { return x.outcome }
 
-// Reply is the endpoint's answer, with Answered.
+// Reply returns the endpoint's answer if the outcome is Answered.
 func (x *Exchange) Reply() protocol.Reply { return x.reply }
 
-// Begun says that a byte may have gone to the endpoint.
+// Begun reports whether a byte may have been sent to the endpoint.
 func (x *Exchange) Begun() bool { return x.begun }
 
-// AnswerStarted says that a byte of the answer may have gone to the client.
-func (x *Exchange) AnswerStarted() bool { return x.heard }
+// AnswerStarted reports whether a byte of the answer may have been sent to the client.
+func (x *Exchange) AnswerStarted() bool { return x.answerStarted }
 
-// Retryable says that the message can be sent once more: all that came of its body is kept, and its client is there. It
-// holds once both sides were told to stop and have told how their last steps went.
+// Retryable reports whether the message can be sent again: all content received so far is buffered, and the client is
+// still connected. It is valid once both directions were told to stop and have reported their last steps.
 func (x *Exchange) Retryable() bool {
-	switch x.end {
+	switch x.outcome {
 	case ClientGone, ClientStalled, ClientMalformed, Delivered, Aborted, TimeUp:
 		return false
 	}
-	return x.cfg.Request.Rewindable() && !x.spoilt
+	return x.cfg.Request.Rewindable() && !x.requestMalformed
 }
 
-// AnswerComplete says that the client has its whole answer, with Delivered.
-func (x *Exchange) AnswerComplete() bool { return x.end == Delivered && !x.cut }
+// AnswerComplete reports whether the message was delivered and the client has the complete answer.
+func (x *Exchange) AnswerComplete() bool { return x.outcome == Delivered && !x.answerTruncated }
 
-// Reusable says whether the endpoint's and the client's connection can carry another message.
+// Reusable reports whether the endpoint's and the client's connections can carry another message.
 func (x *Exchange) Reusable() (endpoint, client bool) {
-	endpoint = !x.early && x.cfg.Request.Written() && !x.last && (x.end == Answered || x.AnswerComplete())
-	return endpoint, x.AnswerComplete() && !x.early && x.cfg.Request.Complete() && !x.cfg.Request.Surplus() && !x.cfg.CloseClient && !x.cfg.HTTP10
+	endpoint = !x.answeredEarly && x.cfg.Request.Written() && !x.closesEndpoint && (x.outcome == Answered || x.AnswerComplete())
+	return endpoint, x.AnswerComplete() && !x.answeredEarly && x.cfg.Request.Complete() && !x.cfg.Request.Surplus() && !x.cfg.CloseClient && !x.cfg.HTTP10
 }
 
-// Next says what a side is to do.
-func (x *Exchange) Next(s Direction, now time.Duration) Step {
-	st := x.up()
-	if s == Down {
-		st = x.downward(now)
+// Next returns the next step of a direction.
+func (x *Exchange) Next(direction Direction, now time.Duration) Step {
+	step := x.nextUp()
+	if direction == Down {
+		step = x.nextDown(now)
 	}
-	if st.Deadline == 0 {
-		st.Deadline = min(x.movedAt+x.cfg.IdleTimeout, x.cfg.Deadline)
+	if step.Deadline == 0 {
+		step.Deadline = min(x.lastProgress+x.cfg.IdleTimeout, x.cfg.Deadline)
 	}
-	x.step[s] = st.Op
-	return st
+	x.currentOp[direction] = step.Op
+	return step
 }
 
-func (x *Exchange) up() Step {
-	up := x.cfg.Request
+func (x *Exchange) nextUp() Step {
+	request := x.cfg.Request
 	switch {
-	case x.end != Running, x.upOff && !x.draining:
+	case x.outcome != Running, x.upStopped && !x.draining:
 		return Step{}
 	case x.draining:
-		if x.drain >= mostDrained || up.Complete() {
+		if x.drainedBytes >= maxDrainedBytes || request.Complete() {
 			return Step{}
 		}
-		return Step{Op: Read, Space: up.buf}
+		return Step{Op: Read, Space: request.window}
 	}
-	if st, ok := x.straight(up); ok {
-		return st
+	if step, ok := x.spliceStep(request); ok {
+		return step
 	}
-	if out := up.Out(); len(out) > 0 && !x.begun {
+	if out := request.Out(); len(out) > 0 && !x.begun {
 		return Step{Op: Begin}
 	} else if len(out) > 0 {
 		return Step{Op: Write, Out: out}
 	}
-	if space := up.Space(); space != nil {
+	if space := request.Space(); space != nil {
 		return Step{Op: Read, Space: space}
 	}
 	return Step{}
 }
 
-// straight is the step by which a direction moves bytes unseen, if it may.
-func (x *Exchange) straight(p *Pipe) (Step, bool) {
-	if p.kernel > 0 {
-		return Step{Op: SpliceOut, Limit: p.kernel}, true
+// spliceStep returns the splice step of a direction, if one is possible now.
+func (x *Exchange) spliceStep(p *Pipe) (Step, bool) {
+	if p.splicedBytes > 0 {
+		return Step{Op: SpliceOut, Limit: p.splicedBytes}, true
 	}
-	if most := p.SpliceLimit(); x.cfg.Splice && most > 0 {
-		return Step{Op: SpliceIn, Limit: most}, true
+	if limit := p.SpliceLimit(); x.cfg.Splice && limit > 0 {
+		return Step{Op: SpliceIn, Limit: limit}, true
 	}
 	return Step{}, false
 }
 
-// moved books an unseen step of a direction; false says that it was none.
-func (x *Exchange) moved(s Direction, p *Pipe, n int) bool {
-	switch x.step[s] {
+// recordSplice records the result of a splice step; it returns false if the current step is none.
+func (x *Exchange) recordSplice(direction Direction, p *Pipe, n int) bool {
+	switch x.currentOp[direction] {
 	case SpliceIn:
 		p.SplicedIn(n)
 	case SpliceOut:
@@ -218,69 +220,69 @@
 	return true
 }
 
-func (x *Exchange) downward(now time.Duration) Step {
+func (x *Exchange) nextDown(now time.Duration) Step {
 	switch {
-	case x.end != Running:
+	case x.outcome != Running:
 		return Step{}
-	case x.phase == awaiting:
-		st := Step{Op: Read, Space: x.cfg.Answers.Space()}
-		if x.answerBy > 0 {
-			st.Deadline = min(x.answerBy, x.cfg.Deadline)
+	case x.downPhase == awaitingAnswer:
+		step := Step{Op: Read, Space: x.cfg.Answers.Space()}
+		if x.answerDeadline > 0 {
+			step.Deadline = min(x.answerDeadline, x.cfg.Deadline)
 		}
-		return st
-	case x.phase == settling:
+		return step
+	case x.downPhase == recordingDelivery:
 		return Step{Op: RecordDelivery, Deadline: now}
 	}
-	if st, ok := x.straight(x.down); ok {
-		return st
+	if step, ok := x.spliceStep(x.answerPipe); ok {
+		return step
 	}
-	if out := x.down.Out(); len(out) > 0 {
-		x.heard = true
+	if out := x.answerPipe.Out(); len(out) > 0 {
+		x.answerStarted = true
 		return Step{Op: Write, Out: out}
 	}
-	if space := x.down.Space(); space != nil {
+	if space := x.answerPipe.Space(); space != nil {
 		return Step{Op: Read, Space: space}
 	}
 	x.finish(Delivered)
 	return Step{}
 }
 
-// StepDone tells how a side's step went: n bytes were moved before err. A time-out, os.ErrDeadlineExceeded, may come early.
-// wake says that what the other side is at is no longer wanted.
-func (x *Exchange) StepDone(s Direction, n int, err error, now time.Duration) (wake bool) {
-	if x.end != Running {
-		if s == Up && x.step[Up] == Read && !x.draining && n > 0 { // another attempt may need it
-			x.spoilt = x.cfg.Request.Fill(n) != nil
+// StepDone records the result of a direction's step: n bytes were moved before err. A timeout, os.ErrDeadlineExceeded, may
+// be reported before the deadline. If wake is set, the other direction's current step must be interrupted.
+func (x *Exchange) StepDone(direction Direction, n int, err error, now time.Duration) (wake bool) {
+	if x.outcome != Running {
+		if direction == Up && x.currentOp[Up] == Read && !x.draining && n > 0 { // a retry may need these bytes
+			x.requestMalformed = x.cfg.Request.Fill(n) != nil
 		}
 		return true
 	}
-	off := x.upOff
+	wasUpStopped := x.upStopped
 	if n > 0 {
-		x.movedAt = now
+		x.lastProgress = now
 	}
 	if errors.Is(err, ErrNoSplice) {
 		x.cfg.Splice = false
 		return false
 	}
-	if s == Up && x.step[Up] != Stop {
-		x.didUp(n, err)
-	} else if s == Down {
-		x.didDown(n, err, now)
+	if direction == Up && x.currentOp[Up] != Stop {
+		x.upDone(n, err)
+	} else if direction == Down {
+		x.downDone(n, err, now)
 	}
-	if x.end == Running && errors.Is(err, os.ErrDeadlineExceeded) {
-		x.late(s, now)
+	if x.outcome == Running && errors.Is(err, os.ErrDeadlineExceeded) {
+		x.handleTimeout(direction, now)
 	}
-	return x.end != Running || x.upOff != off
+	return x.outcome != Running || x.upStopped != wasUpStopped
 }
 
-func (x *Exchange) didUp(n int, err error) {
-	lost := err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
+func (x *Exchange) upDone(n int, err error) {
+	connLost := err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 	switch {
 	case x.draining:
-		if x.drain += n; lost {
+		if x.drainedBytes += n; connLost {
 			x.draining = false
 		}
-	case x.step[Up] == Begin:
+	case x.currentOp[Up] == Begin:
 		switch {
 		case errors.Is(err, ErrForbidden):
 			x.finish(NotBegun)
@@ -289,93 +291,93 @@
 		default:
 			x.begun = true
 		}
-	case x.step[Up] == Write, x.step[Up] == SpliceOut:
-		if !x.moved(Up, x.cfg.Request, n) {
+	case x.currentOp[Up] == Write, x.currentOp[Up] == SpliceOut:
+		if !x.recordSplice(Up, x.cfg.Request, n) {
 			x.cfg.Request.Wrote(n)
 		}
-		x.upOff = x.upOff || lost // an answer may be there all the same
+		x.upStopped = x.upStopped || connLost // the endpoint may have answered all the same
 	default:
-		if !x.moved(Up, x.cfg.Request, n) && x.cfg.Request.Fill(n) != nil {
+		if !x.recordSplice(Up, x.cfg.Request, n) && x.cfg.Request.Fill(n) != nil {
 			x.finish(ClientMalformed)
-		} else if lost && !x.cfg.Request.Complete() {
+		} else if connLost && !x.cfg.Request.Complete() {
 			x.finish(ClientGone)
 		}
 	}
 }
 
-func (x *Exchange) didDown(n int, err error, now time.Duration) {
-	lost := err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
+func (x *Exchange) downDone(n int, err error, now time.Duration) {
+	connLost := err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 	switch {
-	case x.phase == settling:
+	case x.downPhase == recordingDelivery:
 		if err != nil {
 			x.finish(Aborted)
 			return
 		}
-		x.phase = passing
-	case x.phase == awaiting:
-		x.answer(n, err, now)
-	case x.step[Down] == Write, x.step[Down] == SpliceOut:
-		if !x.moved(Down, x.down, n) {
-			x.down.Wrote(n)
+		x.downPhase = streamingAnswer
+	case x.downPhase == awaitingAnswer:
+		x.readAnswer(n, err, now)
+	case x.currentOp[Down] == Write, x.currentOp[Down] == SpliceOut:
+		if !x.recordSplice(Down, x.answerPipe, n) {
+			x.answerPipe.Wrote(n)
 		}
-		if lost {
-			x.deliveredCut()
+		if connLost {
+			x.finishTruncated()
 		}
 	default:
-		bad := !x.moved(Down, x.down, n) && x.down.Fill(n) != nil
-		if bad || lost && !x.down.Finish() {
-			x.deliveredCut()
+		malformed := !x.recordSplice(Down, x.answerPipe, n) && x.answerPipe.Fill(n) != nil
+		if malformed || connLost && !x.answerPipe.Finish() {
+			x.finishTruncated()
 		}
 	}
 }
 
-// answer takes bytes of the answer's head, or of a whole answer that is not 200.
-func (x *Exchange) answer(n int, err error, now time.Duration) {
-	p := x.cfg.Answers
-	p.Commit(n)
-	if n > 0 && x.answerBy == 0 {
-		x.answerBy = now + wholeFor
+// readAnswer processes bytes of the answer's head, or of an answer that is not 200.
+func (x *Exchange) readAnswer(n int, err error, now time.Duration) {
+	parser := x.cfg.Answers
+	parser.Commit(n)
+	if n > 0 && x.answerDeadline == 0 {
+		x.answerDeadline = now + answerTimeout
 	}
-	m, bad := p.Next()
-	ended := errors.Is(err, io.EOF)
-	if m == nil && bad == nil {
-		m = p.Finish(ended)
+	message, parseErr := parser.Next()
+	eof := errors.Is(err, io.EOF)
+	if message == nil && parseErr == nil {
+		message = parser.Finish(eof)
 	}
-	delivered := p.Status() == 200
+	delivered := parser.Status() == 200
 	switch {
-	case m != nil && m.Long:
-		x.delivered(m)
-	case m != nil:
-		x.early = !x.cfg.Request.Written()
-		x.last = x.last || m.Close || !p.Idle()
-		x.reply = protocol.ReadReply(m)
+	case message != nil && message.Long:
+		x.startAnswer(message)
+	case message != nil:
+		x.answeredEarly = !x.cfg.Request.Written()
+		x.closesEndpoint = x.closesEndpoint || message.Close || !parser.Idle()
+		x.reply = protocol.ReadReply(message)
 		x.finish(Answered)
-	case delivered && (bad != nil || err != nil && !errors.Is(err, os.ErrDeadlineExceeded)):
-		x.delivered(nil)
-	case bad != nil:
+	case delivered && (parseErr != nil || err != nil && !errors.Is(err, os.ErrDeadlineExceeded)):
+		x.startAnswer(nil)
+	case parseErr != nil:
 		x.finish(Malformed)
 	case err != nil && !errors.Is(err, os.ErrDeadlineExceeded):
-		if x.end = Broken; !p.Idle() {
-			x.end = Malformed
+		if x.outcome = Broken; !parser.Idle() {
+			x.outcome = Malformed
 		}
 	case delivered:
-		x.answerBy = min(x.answerBy, now+restFor)
+		x.answerDeadline = min(x.answerDeadline, now+deliveredHeadTimeout)
 	}
 }
 
-// delivered turns to passing an answer with 200 on; m nil is one that can't be read further.
-func (x *Exchange) delivered(m *protocol.Message) {
-	x.phase, x.upOff = settling, true
-	if x.early = !x.cfg.Request.Written(); x.early {
+// startAnswer starts forwarding an answer with 200; message is nil if the remainder of the answer can't be parsed.
+func (x *Exchange) startAnswer(message *protocol.Message) {
+	x.downPhase, x.upStopped = recordingDelivery, true
+	if x.answeredEarly = !x.cfg.Request.Written(); x.answeredEarly {
 		x.draining = !x.cfg.Request.Complete()
 	}
-	closing := x.cfg.CloseClient || x.cfg.HTTP10 || x.early || x.cfg.Request.Surplus()
-	none, _ := protocol.NewBody(protocol.ByLength, 0, 0)
-	if m != nil {
-		x.last = x.last || m.Close
+	closing := x.cfg.CloseClient || x.cfg.HTTP10 || x.answeredEarly || x.cfg.Request.Surplus()
+	emptyBody, _ := protocol.NewBody(protocol.ByLength, 0, 0)
+	if message != nil {
+		x.closesEndpoint = x.closesEndpoint || message.Close
 		body, raw, err := x.cfg.Answers.Rest(x.cfg.MaxAnswerBytes)
 		if err == nil {
-			x.down, err = NewPipe(x.cfg.Window(), body, m.Body, raw)
+			x.answerPipe, err = NewPipe(x.cfg.Window(), body, message.Body, raw)
 		}
 		if err == nil {
 			framing, length := x.cfg.Answers.Framing()
@@ -385,58 +387,58 @@
 			if x.cfg.HTTP10 && framing == protocol.Chunked {
 				framing = protocol.UntilClose
 			}
-			x.down.Start(protocol.AppendDelivered(nil, m, framing, length, closing), framing)
+			x.answerPipe.Start(protocol.AppendDelivered(nil, message, framing, length, closing), framing)
 			return
 		}
 	}
-	x.last = true
-	x.down, _ = NewPipe(nil, none, nil, nil)
-	x.down.Start(protocol.AppendDelivered(nil, nil, protocol.ByLength, 0, closing), protocol.ByLength)
+	x.closesEndpoint = true
+	x.answerPipe, _ = NewPipe(nil, emptyBody, nil, nil)
+	x.answerPipe.Start(protocol.AppendDelivered(nil, nil, protocol.ByLength, 0, closing), protocol.ByLength)
 }
 
-// deliveredCut ends an exchange whose answer can't be passed on whole.
-func (x *Exchange) deliveredCut() {
-	x.cut = true
+// finishTruncated ends the exchange of a delivered message whose answer can't be forwarded completely.
+func (x *Exchange) finishTruncated() {
+	x.answerTruncated = true
 	x.finish(Delivered)
 }
 
-// late looks at what a step that took its whole time means. Where a side waits for nothing but the other's bytes, it is
-// the other that is late.
-func (x *Exchange) late(s Direction, now time.Duration) {
-	if x.phase == awaiting && x.answerBy > 0 && now >= x.answerBy {
+// handleTimeout determines the outcome after a step has timed out. If the client-to-endpoint direction waits for the
+// client's bytes, the client has stalled; otherwise the endpoint has.
+func (x *Exchange) handleTimeout(direction Direction, now time.Duration) {
+	if x.downPhase == awaitingAnswer && x.answerDeadline > 0 && now >= x.answerDeadline {
 		if x.cfg.Answers.Status() == 200 {
-			x.delivered(nil)
+			x.startAnswer(nil)
 		} else {
 			x.finish(Malformed)
 		}
 		return
 	}
-	if now < min(x.movedAt+x.cfg.IdleTimeout, x.cfg.Deadline) {
+	if now < min(x.lastProgress+x.cfg.IdleTimeout, x.cfg.Deadline) {
 		return
 	}
-	clients := x.step[Up] == Read || x.step[Up] == SpliceIn // the client's turn
+	awaitingClient := x.currentOp[Up] == Read || x.currentOp[Up] == SpliceIn // waiting for bytes from the client
 	switch {
-	case x.phase != awaiting:
-		x.deliveredCut()
+	case x.downPhase != awaitingAnswer:
+		x.finishTruncated()
 	case now >= x.cfg.Deadline:
 		x.finish(TimeUp)
-	case clients:
+	case awaitingClient:
 		x.finish(ClientStalled)
 	default:
 		x.finish(EndpointStalled)
 	}
 }
 
-// Abort ends the exchange from outside, unless it has ended: with TimeUp or Aborted.
-func (x *Exchange) Abort(e Outcome) {
-	if x.phase != awaiting {
-		e, x.cut = Delivered, x.cut || x.end == Running
+// Abort ends a running exchange from outside, with TimeUp or Aborted.
+func (x *Exchange) Abort(outcome Outcome) {
+	if x.downPhase != awaitingAnswer {
+		outcome, x.answerTruncated = Delivered, x.answerTruncated || x.outcome == Running
 	}
-	x.finish(e)
+	x.finish(outcome)
 }
 
-func (x *Exchange) finish(e Outcome) {
-	if x.end == Running {
-		x.end = e
+func (x *Exchange) finish(outcome Outcome) {
+	if x.outcome == Running {
+		x.outcome = outcome
 	}
 }
--- a/internal/pump/pipe.go
+++ b/internal/pump/pipe.go
@@ -1,6 +1,6 @@
-// Package pump moves the two bodies of a long message between a client's and an endpoint's connection, holding no more
-// of either than a fixed window. Everything here is a state machine that is fed bytes and times; it knows no socket and
-// no clock. Pipe is one direction, Exchange a whole call.
+// Package pump streams the request and response bodies of a long message between a client's and an endpoint's
+// connection, buffering no more of either than a fixed window. Its types are state machines that are fed bytes and
+// times; they use no sockets and no clock. Pipe is one direction, Exchange a whole call.
 package pump
 
 import (
@@ -9,177 +9,180 @@
 	"mulleinbeam/internal/protocol"
 )
 
-// MinWindowBytes is the smallest window: what a parser may hold of a message when it is found to be long.
+// MinWindowBytes is the smallest window: it fits what a parser may have buffered when it detects a long message.
 const MinWindowBytes = 128 << 10
 
-// mostPieces is how many pieces stand behind each other to be written: a head, a chunk's line, content, a chunk's end.
-const mostPieces = 4
+// maxQueuedPieces is the number of pieces that are queued at most: a head, a chunk head, content and a chunk end.
+const maxQueuedPieces = 4
 
-// Pipe is one direction. Its window is filled from the source and then written out whole before more is read, so that
-// the source is read no faster than the sink takes. As long as all that ever came still lies in the window, Rewind can
-// begin anew.
+// Pipe is one direction of an exchange. Its window is filled from the source and then written out completely before more
+// is read, so that the source is read no faster than the sink accepts. As long as all content received so far is still in
+// the window, Rewind can restart the writing.
 type Pipe struct {
-	body    *protocol.Body
-	out     protocol.Framing
-	buf     []byte
-	next    int  // content buf[next:end] is not queued for writing yet
-	end     int  // of the content that came
-	kept    bool // buf[:end] is all of it
-	surplus bool // bytes came behind the body's end
-	head    []byte
-	queued  [mostPieces][]byte
-	first   int // pieces queued[first:last] are to be written
-	last    int
-	kernel  int  // bytes that the driver holds unseen, on their way
-	closed  bool // the body's end was queued
-	written bool // and written
-	frame   [20]byte
-	tail    []byte
+	body         *protocol.Body
+	outFraming   protocol.Framing
+	window       []byte
+	nextUnqueued int  // window[nextUnqueued:contentEnd] is not queued for writing yet
+	contentEnd   int  // end of the content in the window
+	rewindable   bool // window[:contentEnd] holds all content received so far
+	surplus      bool // bytes followed the end of the body
+	head         []byte
+	queued       [maxQueuedPieces][]byte
+	firstPiece   int // queued[firstPiece:endPiece] is to be written
+	endPiece     int
+	splicedBytes int  // bytes that the driver has spliced from the source and not yet to the sink
+	endQueued    bool // the end of the body was queued
+	written      bool // the end of the body was written
+	chunkHead    [20]byte
+	chunkTail    []byte
 }
 
-// NewPipe moves a body through a window of at least LeastWindow bytes. What came of it already, content and then raw
-// bytes, is copied.
+// NewPipe returns a pipe for a body with a window of at least MinWindowBytes. The part of the body that was received
+// already, decoded content and then raw bytes, is copied into the window.
 func NewPipe(window []byte, body *protocol.Body, content, raw []byte) (*Pipe, error) {
 	if len(content)+len(raw) > len(window) {
 		return nil, fmt.Errorf("pump: %d bytes do not fit a window of %d", len(content)+len(raw), len(window))
 	}
-	p := &Pipe{body: body, buf: window, kept: true}
-	p.end = copy(p.buf, content)
-	return p, p.Fill(copy(p.buf[p.end:], raw))
+	p := &Pipe{body: body, window: window, rewindable: true}
+	p.contentEnd = copy(p.window, content)
+	return p, p.Fill(copy(p.window[p.contentEnd:], raw))
 }
 
-// Start begins the writing with a head; the content follows it in the given framing.
-func (p *Pipe) Start(head []byte, out protocol.Framing) { p.head, p.out = head, out }
+// Start sets the head to be written first; the content follows it in the given framing.
+func (p *Pipe) Start(head []byte, out protocol.Framing) { p.head, p.outFraming = head, out }
 
-// Received is how many bytes of content have come.
+// Received returns the number of content bytes received.
 func (p *Pipe) Received() int64 { return p.body.ContentBytes() }
 
-// Complete says that all of the body has come.
+// Complete reports whether all of the body was received.
 func (p *Pipe) Complete() bool { return p.body.Complete() }
 
-// Surplus says that more came than the body.
+// Surplus reports whether bytes were received after the end of the body.
 func (p *Pipe) Surplus() bool { return p.surplus }
 
-// Written says that all of the body was written.
+// Written reports whether all of the body was written.
 func (p *Pipe) Written() bool { return p.written }
 
-// Rewindable says that all content that came still lies in the window.
-func (p *Pipe) Rewindable() bool { return p.kept }
+// Rewindable reports whether all content received so far is still in the window.
+func (p *Pipe) Rewindable() bool { return p.rewindable }
 
-// Empty says that there is nothing to write yet beside the head.
-func (p *Pipe) Empty() bool { return p.next == p.end && !p.body.Complete() && p.first == p.last }
+// Empty reports whether there is nothing to write yet besides the head.
+func (p *Pipe) Empty() bool {
+	return p.nextUnqueued == p.contentEnd && !p.body.Complete() && p.firstPiece == p.endPiece
+}
 
-// Rewind begins the writing anew, if all that came is kept.
+// Rewind restarts the writing. It returns false if the content is no longer all in the window.
 func (p *Pipe) Rewind() bool {
-	if !p.kept {
+	if !p.rewindable {
 		return false
 	}
-	p.next, p.first, p.last, p.closed, p.written = 0, 0, 0, false, false
+	p.nextUnqueued, p.firstPiece, p.endPiece, p.endQueued, p.written = 0, 0, 0, false, false
 	return true
 }
 
-// SpliceLimit is how many bytes may now be moved from source to sink unseen: the body's length is told and goes on as it is,
-// the window was used up and all of it written, and much is still to come. The driver holds them meanwhile, no more than a
-// window.
+// SpliceLimit returns how many bytes may now be spliced from source to sink without passing through the window. It is
+// above 0 only if the body is forwarded with its Content-Length, the window was filled and all of it written, and much of
+// the body remains. The driver holds the spliced bytes, at most a window's size.
 func (p *Pipe) SpliceLimit() int {
-	if p.out != protocol.ByLength || p.first < p.last || p.next < p.end || p.kept && p.end < len(p.buf) ||
+	if p.outFraming != protocol.ByLength || p.firstPiece < p.endPiece || p.nextUnqueued < p.contentEnd || p.rewindable && p.contentEnd < len(p.window) ||
 		p.body.Remaining() < MinWindowBytes {
 		return 0
 	}
-	return int(min(p.body.Remaining(), int64(len(p.buf))))
+	return int(min(p.body.Remaining(), int64(len(p.window))))
 }
 
-// SplicedIn tells that the driver took n bytes from the source unseen.
+// SplicedIn records that the driver spliced n bytes from the source.
 func (p *Pipe) SplicedIn(n int) {
-	p.kept = false
-	p.kernel += n
+	p.rewindable = false
+	p.splicedBytes += n
 	p.body.Skip(int64(n))
 }
 
-// SplicedOut tells that the driver gave n of them to the sink.
-func (p *Pipe) SplicedOut(n int) { p.kernel -= n }
+// SplicedOut records that the driver spliced n bytes to the sink.
+func (p *Pipe) SplicedOut(n int) { p.splicedBytes -= n }
 
-// Space is where the source's next bytes go; nil says that what came has to be written first, or that all has come.
+// Space returns the buffer for the source's next bytes. It is nil if pending content has to be written first, or if the
+// body is complete.
 func (p *Pipe) Space() []byte {
-	if p.body.Complete() || p.first < p.last || p.next < p.end {
+	if p.body.Complete() || p.firstPiece < p.endPiece || p.nextUnqueued < p.contentEnd {
 		return nil
 	}
-	if !p.kept || p.end == len(p.buf) { // all of it was written: the room is used again, and a rewind is over
-		p.next, p.end, p.kept = 0, 0, p.kept && p.end == 0
+	if !p.rewindable || p.contentEnd == len(p.window) { // all of it was written: reuse the window, after which Rewind is impossible
+		p.nextUnqueued, p.contentEnd, p.rewindable = 0, 0, p.rewindable && p.contentEnd == 0
 	}
-	return p.buf[p.end:]
+	return p.window[p.contentEnd:]
 }
 
-// Fill tells that n bytes were put into Space. An error says that they are no body; what came before it is not to be
-// taken for one.
+// Fill records that n bytes were read into Space. An error means that the body is malformed; the content received before
+// it must not be treated as a complete body.
 func (p *Pipe) Fill(n int) error {
-	content, used, err := p.body.Decode(p.buf[p.end : p.end+n])
-	p.end += content
+	content, used, err := p.body.Decode(p.window[p.contentEnd : p.contentEnd+n])
+	p.contentEnd += content
 	p.surplus = p.surplus || used < n && err == nil
 	return err
 }
 
-// Finish tells that the source has ended; false says that the body is not whole.
+// Finish records the end of the source and reports whether the body is complete.
 func (p *Pipe) Finish() bool { return p.body.Finish() }
 
-// Out gives what is to be written next, in order; nothing if more has to come first, or all was written. The pieces hold
-// until Wrote.
+// Out returns the pieces to be written next, in order; none if more has to be received first or all was written. The
+// pieces are valid until Wrote.
 func (p *Pipe) Out() [][]byte {
-	if p.first == p.last && p.kernel == 0 {
-		p.queue()
+	if p.firstPiece == p.endPiece && p.splicedBytes == 0 {
+		p.queueContent()
 	}
-	return p.queued[p.first:p.last]
+	return p.queued[p.firstPiece:p.endPiece]
 }
 
-// queue puts the content that came, and what frames it, in line.
-func (p *Pipe) queue() {
-	p.first, p.last = 0, 0
+// queueContent queues the received content and its framing for writing.
+func (p *Pipe) queueContent() {
+	p.firstPiece, p.endPiece = 0, 0
 	push := func(b []byte) {
 		if len(b) > 0 {
-			p.queued[p.last] = b
-			p.last++
+			p.queued[p.endPiece] = b
+			p.endPiece++
 		}
 	}
-	whole := p.body.Complete() && !p.closed
-	if p.next == p.end && !whole {
+	endsBody := p.body.Complete() && !p.endQueued
+	if p.nextUnqueued == p.contentEnd && !endsBody {
 		return
 	}
 	push(p.head)
 	p.head = nil
-	content := p.buf[p.next:p.end]
-	if p.out == protocol.Chunked && len(content) > 0 {
-		push(protocol.AppendChunkHead(p.frame[:0], len(content)))
+	content := p.window[p.nextUnqueued:p.contentEnd]
+	if p.outFraming == protocol.Chunked && len(content) > 0 {
+		push(protocol.AppendChunkHead(p.chunkHead[:0], len(content)))
 	}
 	push(content)
-	if p.out == protocol.Chunked {
-		p.tail = p.tail[:0]
+	if p.outFraming == protocol.Chunked {
+		p.chunkTail = p.chunkTail[:0]
 		if len(content) > 0 {
-			p.tail = append(p.tail, "\r\n"...)
+			p.chunkTail = append(p.chunkTail, "\r\n"...)
 		}
-		if whole {
-			p.tail = protocol.AppendLastChunk(p.tail, p.body.Trailers())
+		if endsBody {
+			p.chunkTail = protocol.AppendLastChunk(p.chunkTail, p.body.Trailers())
 		}
-		push(p.tail)
+		push(p.chunkTail)
 	}
-	p.next = p.end
-	if p.closed = p.closed || whole; p.first == p.last {
-		p.written = p.closed
+	p.nextUnqueued = p.contentEnd
+	if p.endQueued = p.endQueued || endsBody; p.firstPiece == p.endPiece {
+		p.written = p.endQueued
 	}
 }
 
-// Wrote tells how many bytes of Out were written.
+// Wrote records that n bytes of Out were written.
 func (p *Pipe) Wrote(n int) {
-	for n > 0 && p.first < p.last {
-		piece := p.queued[p.first]
+	for n > 0 && p.firstPiece < p.endPiece {
+		piece := p.queued[p.firstPiece]
 		if n < len(piece) {
-			p.queued[p.first] = piece[n:]
+			p.queued[p.firstPiece] = piece[n:]
 			return
 		}
 		n -= len(piece)
-		p.queued[p.first] = nil
-		p.first++
+		p.queued[p.firstPiece] = nil
+		p.firstPiece++
 	}
-	if p.first == p.last {
-		p.written = p.closed
+	if p.firstPiece == p.endPiece {
+		p.written = p.endQueued
 	}
 }
--- a/internal/pump/pump_test.go
+++ b/internal/pump/pump_test.go
@@ -17,8 +17,8 @@
 	"mulleinbeam/internal/protocol"
 )
 
-// wire frames content as a peer would; cut leaves that many bytes of it out at the end.
-func wire(content []byte, f protocol.Framing, trailers string, rng *rand.Rand) []byte {
+// frameContent frames content as a peer would, split into random chunks with Chunked.
+func frameContent(content []byte, f protocol.Framing, trailers string, rng *rand.Rand) []byte {
 	if f != protocol.Chunked {
 		return content
 	}
@@ -40,8 +40,9 @@
 	return body
 }
 
-// read decodes what a peer got with the standard library: content, and whether it passes for whole.
-func read(got []byte, f protocol.Framing, length int) ([]byte, bool) {
+// decodeFramed decodes what a peer received with the standard library. It returns the content and whether the peer would
+// take it for complete.
+func decodeFramed(got []byte, f protocol.Framing, length int) ([]byte, bool) {
 	switch f {
 	case protocol.Chunked:
 		r := bytes.NewReader(got)
@@ -54,9 +55,9 @@
 	return got, true
 }
 
-// Whatever way the bytes come and go, what a pipe writes is the head and the content in its framing, its window is never
-// left, and a rewind writes the same again.
-func TestPipeMovesAnySchedule(t *testing.T) {
+// For any sequence of partial reads and writes, a pipe must write the head and the content in its framing, stay within its
+// window, and write the same again after Rewind.
+func TestPipeUnderRandomSchedule(t *testing.T) {
 	framings := []protocol.Framing{protocol.ByLength, protocol.Chunked, protocol.UntilClose}
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -65,18 +66,18 @@
 			content[i] = byte(rng.Uint32())
 		}
 		in, out := rapid.SampledFrom(framings).Draw(t, "in"), rapid.SampledFrom(framings).Draw(t, "out")
-		raw := wire(content, in, "X-T: 1\r\n", rng)
-		early := rng.IntN(min(len(raw), 64<<10) + 1)
-		behind := []byte("GET ")
+		raw := frameContent(content, in, "X-T: 1\r\n", rng)
+		buffered := rng.IntN(min(len(raw), 64<<10) + 1)
+		following := []byte("GET ")
 		if in == protocol.UntilClose {
-			behind = nil
+			following = nil
 		}
-		source := append(bytes.Clone(raw), behind...)
-		p, err := NewPipe(make([]byte, MinWindowBytes), newBody(t, in, content), nil, source[:early])
+		source := append(bytes.Clone(raw), following...)
+		p, err := NewPipe(make([]byte, MinWindowBytes), newBody(t, in, content), nil, source[:buffered])
 		if err != nil {
 			t.Fatal(err)
 		}
-		source = source[early:]
+		source = source[buffered:]
 		p.Start([]byte("HEAD"), out)
 		var got []byte
 		rewound := false
@@ -94,11 +95,11 @@
 				p.Wrote(n)
 			} else if space := p.Space(); space != nil {
 				if len(space) > MinWindowBytes {
-					t.Fatalf("room for %d bytes", len(space))
+					t.Fatalf("space of %d bytes", len(space))
 				}
 				if len(source) == 0 {
 					if !p.Finish() {
-						t.Fatal("not whole at the source's end")
+						t.Fatal("body incomplete at the end of the source")
 					}
 					continue
 				}
@@ -108,7 +109,7 @@
 					t.Fatal(err)
 				}
 			} else if !p.Written() {
-				t.Fatal("nothing to do and not done")
+				t.Fatal("no step is possible before the body is written")
 			}
 			if !rewound && rng.IntN(20) == 0 && p.Rewind() {
 				rewound, got = true, nil
@@ -116,17 +117,17 @@
 			}
 		}
 		if !bytes.HasPrefix(got, []byte("HEAD")) {
-			t.Fatalf("begins with %q", got[:min(len(got), 10)])
+			t.Fatalf("output starts with %q", got[:min(len(got), 10)])
 		}
-		back, whole := read(got[4:], out, len(content))
-		if !whole || !bytes.Equal(back, content) || p.Received() != int64(len(content)) {
-			t.Fatalf("%d bytes of %d, whole %v", len(back), len(content), whole)
+		decoded, complete := decodeFramed(got[4:], out, len(content))
+		if !complete || !bytes.Equal(decoded, content) || p.Received() != int64(len(content)) {
+			t.Fatalf("%d bytes of %d, complete %v", len(decoded), len(content), complete)
 		}
 		if p.Rewindable() && len(content) > MinWindowBytes {
-			t.Fatal("kept more than the window")
+			t.Fatal("rewindable with more content than the window")
 		}
-		if in != protocol.UntilClose && len(behind) > 0 && len(source) == 0 && !p.Surplus() {
-			t.Fatal("what came behind the body was not noticed")
+		if in != protocol.UntilClose && len(following) > 0 && len(source) == 0 && !p.Surplus() {
+			t.Fatal("bytes after the body were not reported as surplus")
 		}
 		if out == protocol.Chunked && in == protocol.Chunked && !bytes.HasSuffix(got, []byte("0\r\nX-T: 1\r\n\r\n")) {
 			t.Fatalf("trailers: %q", got[max(0, len(got)-30):])
@@ -134,110 +135,110 @@
 	})
 }
 
-// world plays both peers of an exchange by a random schedule.
-type world struct {
+// exchangeSim simulates both peers of an exchange with a random schedule.
+type exchangeSim struct {
 	t        *rapid.T
 	rng      *rand.Rand
 	x        *Exchange
 	now      time.Duration
-	toSend   []byte // the client's
-	sendsEnd bool   // then it closes
-	answer   []byte // the endpoint's, from answerAt bytes of the call on
+	toSend   []byte // the client's remaining bytes
+	sendsEnd bool   // then the client closes its connection
+	answer   []byte // the endpoint's, sent once answerAt bytes of the call are received
 	answerAt int
-	ends     bool // the endpoint closes behind its answer
-	stalls   bool // it stops reading at answerAt
-	resets   bool // it ends its connection there
+	ends     bool // the endpoint closes its connection after the answer
+	stalls   bool // the endpoint stops reading at answerAt
+	resets   bool // the endpoint closes its connection at answerAt
 	endpoint []byte
 	client   []byte
-	held     [2][]byte // what the driver holds unseen, by side
-	settled  bool
+	held     [2][]byte // spliced bytes that the driver holds, by direction
+	recorded bool
 	steps    int
 }
 
-var errBroken = errors.New("broken pipe")
+var errBrokenPipe = errors.New("broken pipe")
 
-// step plays one step of a side.
-func (w *world) step(s Direction) bool {
-	st := w.x.Next(s, w.now)
+// step simulates one step of a direction.
+func (w *exchangeSim) step(direction Direction) bool {
+	step := w.x.Next(direction, w.now)
 	n, err := 0, error(nil)
-	unseen := st.Op == SpliceIn || st.Op == SpliceOut
-	switch st.Op { // the driver moves bytes through room of its own
+	splice := step.Op == SpliceIn || step.Op == SpliceOut
+	switch step.Op { // the driver splices through a buffer of its own
 	case SpliceIn:
-		if len(w.held[s]) > 0 || st.Limit > MinWindowBytes {
-			w.t.Fatalf("%d bytes held, %d more to take", len(w.held[s]), st.Limit)
+		if len(w.held[direction]) > 0 || step.Limit > MinWindowBytes {
+			w.t.Fatalf("%d bytes held, %d more to splice in", len(w.held[direction]), step.Limit)
 		}
-		st.Op, st.Space = Read, make([]byte, st.Limit)
+		step.Op, step.Space = Read, make([]byte, step.Limit)
 	case SpliceOut:
-		if st.Limit != len(w.held[s]) {
-			w.t.Fatalf("%d bytes held, %d to give", len(w.held[s]), st.Limit)
+		if step.Limit != len(w.held[direction]) {
+			w.t.Fatalf("%d bytes held, %d to splice out", len(w.held[direction]), step.Limit)
 		}
-		st.Op, st.Out = Write, [][]byte{w.held[s]}
+		step.Op, step.Out = Write, [][]byte{w.held[direction]}
 	}
-	from := st.Op
+	op := step.Op
 	switch {
-	case st.Op == Stop:
+	case step.Op == Stop:
 		return false
-	case st.Op == Begin:
-	case st.Op == RecordDelivery:
+	case step.Op == Begin:
+	case step.Op == RecordDelivery:
 		if len(w.client) > 0 {
-			w.t.Fatal("the client heard before the delivery was booked")
+			w.t.Fatal("bytes were sent to the client before the delivery was recorded")
 		}
-		w.settled = true
-	case st.Op == Read && s == Up:
-		if n = copy(st.Space, w.toSend); n == 0 && w.sendsEnd {
+		w.recorded = true
+	case step.Op == Read && direction == Up:
+		if n = copy(step.Space, w.toSend); n == 0 && w.sendsEnd {
 			err = io.EOF
 		} else if n == 0 {
-			w.now, err = max(w.now, st.Deadline), os.ErrDeadlineExceeded
+			w.now, err = max(w.now, step.Deadline), os.ErrDeadlineExceeded
 		}
 		if n > 1 {
 			n = 1 + w.rng.IntN(n)
 		}
 		w.toSend = w.toSend[n:]
-	case st.Op == Write && s == Up:
-		all := bytes.Join(st.Out, nil)
+	case step.Op == Write && direction == Up:
+		all := bytes.Join(step.Out, nil)
 		switch n = 1 + w.rng.IntN(len(all)); {
 		case w.stalls && len(w.endpoint) >= w.answerAt:
 			n, err = 0, os.ErrDeadlineExceeded
-			w.now = max(w.now, st.Deadline)
+			w.now = max(w.now, step.Deadline)
 		case w.resets && len(w.endpoint) >= w.answerAt:
-			n, err = 0, errBroken
+			n, err = 0, errBrokenPipe
 		}
 		w.endpoint = append(w.endpoint, all[:n]...)
-	case st.Op == Read && s == Down:
+	case step.Op == Read && direction == Down:
 		switch ready := len(w.endpoint) >= w.answerAt; {
 		case ready && w.resets:
 			err = io.EOF
 		case ready && len(w.answer) > 0:
-			n = copy(st.Space, w.answer[:1+w.rng.IntN(len(w.answer))])
+			n = copy(step.Space, w.answer[:1+w.rng.IntN(len(w.answer))])
 			w.answer = w.answer[n:]
 		case ready && w.ends:
 			err = io.EOF
 		default:
-			w.now, err = min(w.now+time.Millisecond, st.Deadline), os.ErrDeadlineExceeded
-			if w.x.step[Up] == Stop {
-				w.now = max(w.now, st.Deadline)
+			w.now, err = min(w.now+time.Millisecond, step.Deadline), os.ErrDeadlineExceeded
+			if w.x.currentOp[Up] == Stop {
+				w.now = max(w.now, step.Deadline)
 			}
 		}
-	case st.Op == Write && s == Down:
-		if !w.settled {
-			w.t.Fatal("an answer went to the client before its delivery was booked")
+	case step.Op == Write && direction == Down:
+		if !w.recorded {
+			w.t.Fatal("the answer was sent to the client before the delivery was recorded")
 		}
-		all := bytes.Join(st.Out, nil)
+		all := bytes.Join(step.Out, nil)
 		n = 1 + w.rng.IntN(len(all))
 		w.client = append(w.client, all[:n]...)
 	}
-	if unseen && from == Read {
-		w.held[s] = append([]byte(nil), st.Space[:n]...)
-	} else if unseen {
-		w.held[s] = w.held[s][n:]
+	if splice && op == Read {
+		w.held[direction] = append([]byte(nil), step.Space[:n]...)
+	} else if splice {
+		w.held[direction] = w.held[direction][n:]
 	}
-	w.x.StepDone(s, n, err, w.now)
+	w.x.StepDone(direction, n, err, w.now)
 	return true
 }
 
-// Under any schedule an exchange ends; a call that was cut does not pass for whole, nor does an answer; and the client
-// hears nothing before the delivery is booked.
-func TestExchangeUnderAnySchedule(t *testing.T) {
+// Under any schedule an exchange must end, a truncated call or answer must not be taken for a complete one, and the client
+// must get no byte of the answer before the delivery is recorded.
+func TestExchangeUnderRandomSchedule(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\n"
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 2))
@@ -245,145 +246,146 @@
 		for i := range content {
 			content[i] = byte(rng.Uint32())
 		}
-		back := bytes.Repeat([]byte("answer"), rapid.SampledFrom([]int{0, 1, 50000, 100000}).Draw(t, "answer"))
-		f := rapid.SampledFrom([]protocol.Framing{protocol.ByLength, protocol.Chunked}).Draw(t, "framing")
-		w := &world{t: t, rng: rng, toSend: wire(content, f, "", rng)}
-		whole := len(w.toSend)
-		cut := rapid.IntRange(0, 3).Draw(t, "client")
-		if cut > 0 { // it sends a part, then closes or goes silent
-			w.toSend, w.sendsEnd = w.toSend[:rng.IntN(whole)], cut == 1
-			if cut == 3 {
-				w.toSend = append(w.toSend[:len(w.toSend):len(w.toSend)], "\x00\x00\n\n\n"...)
+		answerBody := bytes.Repeat([]byte("answer"), rapid.SampledFrom([]int{0, 1, 50000, 100000}).Draw(t, "answer"))
+		framing := rapid.SampledFrom([]protocol.Framing{protocol.ByLength, protocol.Chunked}).Draw(t, "framing")
+		sim := &exchangeSim{t: t, rng: rng, toSend: frameContent(content, framing, "", rng)}
+		wireSize := len(sim.toSend)
+		clientFault := rapid.IntRange(0, 3).Draw(t, "client")
+		if clientFault > 0 { // the client sends a part, then closes, goes silent or sends garbage
+			sim.toSend, sim.sendsEnd = sim.toSend[:rng.IntN(wireSize)], clientFault == 1
+			if clientFault == 3 {
+				sim.toSend = append(sim.toSend[:len(sim.toSend):len(sim.toSend)], "\x00\x00\n\n\n"...)
 			}
 		}
-		answerWhole := true
+		answerComplete := true
 		switch rapid.IntRange(0, 7).Draw(t, "endpoint") {
 		case 0:
-			w.answer = []byte(head + "Transfer-Encoding: chunked\r\n\r\n" + string(wire(back, protocol.Chunked, "", rng)))
+			sim.answer = []byte(head + "Transfer-Encoding: chunked\r\n\r\n" + string(frameContent(answerBody, protocol.Chunked, "", rng)))
 		case 1:
-			w.answer = append([]byte(head+"Content-Length: "+strconv.Itoa(len(back))+"\r\n\r\n"), back...)
+			sim.answer = append([]byte(head+"Content-Length: "+strconv.Itoa(len(answerBody))+"\r\n\r\n"), answerBody...)
 		case 2:
-			w.answer, w.ends = append([]byte(head+"\r\n"), back...), true
+			sim.answer, sim.ends = append([]byte(head+"\r\n"), answerBody...), true
 		case 3:
-			w.answer, w.ends = append([]byte(head+"Content-Length: "+strconv.Itoa(len(back)+1)+"\r\n\r\n"), back...), rng.IntN(2) == 0
-			answerWhole = false
+			sim.answer, sim.ends = append([]byte(head+"Content-Length: "+strconv.Itoa(len(answerBody)+1)+"\r\n\r\n"), answerBody...), rng.IntN(2) == 0
+			answerComplete = false
 		case 4:
-			w.answer = []byte("HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n")
+			sim.answer = []byte("HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n")
 		case 5:
-			w.answer = []byte("\x00\x01\r\n\r\n")
+			sim.answer = []byte("\x00\x01\r\n\r\n")
 		case 6:
-			w.stalls = true
+			sim.stalls = true
 		case 7:
-			w.resets = true
+			sim.resets = true
 		}
 		if rng.IntN(2) == 0 {
-			w.answerAt = rng.IntN(whole + 100)
+			sim.answerAt = rng.IntN(wireSize + 100)
 		} else {
-			w.answerAt = len("HEAD") + 1
-			if f == protocol.ByLength {
-				w.answerAt = len("HEAD") + whole
+			sim.answerAt = len("HEAD") + 1
+			if framing == protocol.ByLength {
+				sim.answerAt = len("HEAD") + wireSize
 			}
 		}
-		up, err := NewPipe(make([]byte, MinWindowBytes), newBody(t, f, content), nil, nil)
+		request, err := NewPipe(make([]byte, MinWindowBytes), newBody(t, framing, content), nil, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		up.Start([]byte("HEAD"), f)
+		request.Start([]byte("HEAD"), framing)
 		answers := protocol.NewAnswerParser(64 << 10)
 		answers.Stream(protocol.StreamAnswered)
-		w.x = New(Config{
-			Request: up, Answers: answers, Window: func() []byte { return make([]byte, MinWindowBytes) }, MaxAnswerBytes: 1 << 30,
+		sim.x = New(Config{
+			Request: request, Answers: answers, Window: func() []byte { return make([]byte, MinWindowBytes) }, MaxAnswerBytes: 1 << 30,
 			IdleTimeout: time.Second, Deadline: time.Minute, Splice: rng.IntN(2) == 0,
 		})
-		for w.x.Outcome() == Running {
-			if w.steps++; w.steps > 1_000_000 {
-				t.Fatal("it does not end")
+		for sim.x.Outcome() == Running {
+			if sim.steps++; sim.steps > 1_000_000 {
+				t.Fatal("the exchange does not end")
 			}
-			s := Up
-			if w.x.Begun() && rng.IntN(2) == 0 {
-				s = Down
+			direction := Up
+			if sim.x.Begun() && rng.IntN(2) == 0 {
+				direction = Down
 			}
-			if !w.step(s) && s == Up && !w.x.Begun() {
-				t.Fatalf("stopped before it began: %v", w.x.Outcome())
+			if !sim.step(direction) && direction == Up && !sim.x.Begun() {
+				t.Fatalf("stopped before it began: %v", sim.x.Outcome())
 			}
 		}
-		end := w.x.Outcome()
-		if up.Written() != (len(w.endpoint) > 4 && wholeCall(w.endpoint[4:], f, len(content))) {
-			t.Fatalf("%v: done %v with %d bytes at the endpoint", end, up.Written(), len(w.endpoint))
+		outcome := sim.x.Outcome()
+		if request.Written() != (len(sim.endpoint) > 4 && isCompleteCall(sim.endpoint[4:], framing, len(content))) {
+			t.Fatalf("%v: written %v with %d bytes at the endpoint", outcome, request.Written(), len(sim.endpoint))
 		}
-		if sent := w.endpoint[min(4, len(w.endpoint)):]; f == protocol.ByLength && cut != 3 && !bytes.HasPrefix(content, sent) {
-			t.Fatalf("%v: the endpoint has other bytes", end)
+		if sent := sim.endpoint[min(4, len(sim.endpoint)):]; framing == protocol.ByLength && clientFault != 3 && !bytes.HasPrefix(content, sent) {
+			t.Fatalf("%v: the endpoint received other bytes than the client sent", outcome)
 		}
-		if (end == ClientGone || end == ClientStalled || end == ClientMalformed) && up.Written() {
-			t.Fatalf("%v, and the endpoint has a whole call", end)
+		if (outcome == ClientGone || outcome == ClientStalled || outcome == ClientMalformed) && request.Written() {
+			t.Fatalf("%v, but the endpoint has the complete call", outcome)
 		}
-		if w.settled && end != Delivered || w.x.AnswerStarted() && !w.settled {
-			t.Fatalf("%v, settled %v", end, w.settled)
+		if sim.recorded && outcome != Delivered || sim.x.AnswerStarted() && !sim.recorded {
+			t.Fatalf("%v, delivery recorded %v", outcome, sim.recorded)
 		}
-		if end == Delivered && w.x.AnswerComplete() {
-			if _, body, ok := strings.Cut(string(w.client), "\r\n\r\n"); !ok || !answerWhole {
-				t.Fatalf("whole without a head, or from a part: %.80q", w.client)
-			} else if strings.Contains(string(w.client), "chunked") {
-				if got, ok := read([]byte(body), protocol.Chunked, 0); !ok || !bytes.Equal(got, back) {
-					t.Fatalf("answer of %d bytes, %d wanted", len(got), len(back))
+		if outcome == Delivered && sim.x.AnswerComplete() {
+			if _, body, ok := strings.Cut(string(sim.client), "\r\n\r\n"); !ok || !answerComplete {
+				t.Fatalf("truncated answer taken for complete: %.80q", sim.client)
+			} else if strings.Contains(string(sim.client), "chunked") {
+				if got, ok := decodeFramed([]byte(body), protocol.Chunked, 0); !ok || !bytes.Equal(got, answerBody) {
+					t.Fatalf("answer of %d bytes, %d wanted", len(got), len(answerBody))
 				}
-			} else if body != string(back) {
-				t.Fatalf("answer of %d bytes, %d wanted", len(body), len(back))
+			} else if body != string(answerBody) {
+				t.Fatalf("answer of %d bytes, %d wanted", len(body), len(answerBody))
 			}
 		}
-		if endpoint, client := w.x.Reusable(); (endpoint || client) && !up.Written() {
-			t.Fatalf("%v: connections are kept behind half a call", end)
+		if endpoint, client := sim.x.Reusable(); (endpoint || client) && !request.Written() {
+			t.Fatalf("%v: connections are reusable after an incomplete call", outcome)
 		}
-		for w.step(Up) || w.step(Down) {
-			t.Fatal("a step behind the end")
+		for sim.step(Up) || sim.step(Down) {
+			t.Fatal("a step after the end of the exchange")
 		}
-		if w.x.Retryable() { // what another attempt would send is all that has come
-			up.Rewind()
-			up.Start(nil, protocol.UntilClose)
-			if again := bytes.Join(up.Out(), nil); int64(len(again)) != up.Received() || cut != 3 && !bytes.HasPrefix(content, again) {
-				t.Fatalf("%v: %d bytes kept of %d", end, len(again), up.Received())
+		if sim.x.Retryable() { // a retry must send all content received so far
+			request.Rewind()
+			request.Start(nil, protocol.UntilClose)
+			if again := bytes.Join(request.Out(), nil); int64(len(again)) != request.Received() || clientFault != 3 && !bytes.HasPrefix(content, again) {
+				t.Fatalf("%v: %d bytes buffered of %d", outcome, len(again), request.Received())
 			}
 		}
 	})
 }
 
-func wholeCall(b []byte, f protocol.Framing, length int) bool {
-	_, whole := read(b, f, length)
+func isCompleteCall(b []byte, f protocol.Framing, length int) bool {
+	_, whole := decodeFramed(b, f, length)
 	return whole && (f == protocol.ByLength || bytes.HasSuffix(b, []byte("0\r\n\r\n")))
 }
 
-// A read that ends together with the exchange is not lost to the next attempt.
-func TestBytesThatCrossTheEndAreKept(t *testing.T) {
+// Bytes of the request that are read while the exchange ends must not be lost for a retry.
+func TestBytesReadDuringEndAreKept(t *testing.T) {
 	body, err := protocol.NewBody(protocol.ByLength, 10, 100)
 	if err != nil {
 		t.Fatal(err)
 	}
-	up, err := NewPipe(make([]byte, MinWindowBytes), body, nil, []byte("abc"))
+	request, err := NewPipe(make([]byte, MinWindowBytes), body, nil, []byte("abc"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	up.Start(nil, protocol.ByLength)
+	request.Start(nil, protocol.ByLength)
 	answers := protocol.NewAnswerParser(64 << 10)
-	x := New(Config{Request: up, Answers: answers, IdleTimeout: time.Second, Deadline: time.Minute})
-	x.Next(Up, 0)
-	x.StepDone(Up, 0, nil, 0) // begun
-	st := x.Next(Up, 0)
-	x.StepDone(Up, len(st.Out[0]), nil, 0)
-	reading := x.Next(Up, 0)
-	copy(x.Next(Down, 0).Space, "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n")
-	if !x.StepDone(Down, len("HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"), nil, 0) || x.Outcome() != Answered {
-		t.Fatalf("%v", x.Outcome())
+	exchange := New(Config{Request: request, Answers: answers, IdleTimeout: time.Second, Deadline: time.Minute})
+	exchange.Next(Up, 0)
+	exchange.StepDone(Up, 0, nil, 0) // begun
+	step := exchange.Next(Up, 0)
+	exchange.StepDone(Up, len(step.Out[0]), nil, 0)
+	reading := exchange.Next(Up, 0)
+	copy(exchange.Next(Down, 0).Space, "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n")
+	if !exchange.StepDone(Down, len("HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"), nil, 0) || exchange.Outcome() != Answered {
+		t.Fatalf("%v", exchange.Outcome())
 	}
-	x.StepDone(Up, copy(reading.Space, "defg"), os.ErrDeadlineExceeded, 0)
-	if !x.Retryable() || !up.Rewind() {
-		t.Fatal("it can't be sent again")
+	exchange.StepDone(Up, copy(reading.Space, "defg"), os.ErrDeadlineExceeded, 0)
+	if !exchange.Retryable() || !request.Rewind() {
+		t.Fatal("the message can't be retried")
 	}
-	if got := bytes.Join(up.Out(), nil); string(got) != "abcdefg" {
+	if got := bytes.Join(request.Out(), nil); string(got) != "abcdefg" {
 		t.Errorf("%q", got)
 	}
 }
 
-// BenchmarkPipe moves bodies through a window without sockets: framing alone, with no allocation in the steady state.
+// BenchmarkPipe moves bodies through a window without sockets. It measures the framing alone, which must not allocate in
+// the steady state.
 func BenchmarkPipe(b *testing.B) {
 	for name, out := range map[string]protocol.Framing{"length": protocol.ByLength, "chunked": protocol.Chunked} {
 		b.Run(name, func(b *testing.B) {
@@ -404,9 +406,9 @@
 	}
 }
 
-// Bytes may go on unseen only when their length is told and goes on as it is, and the window was used up and written;
-// what went so can't be sent again.
-func TestBytesGoOnUnseen(t *testing.T) {
+// Bytes may be spliced only if the body is forwarded with its Content-Length and the window was filled and written. A
+// pipe with spliced bytes must not be rewindable.
+func TestSpliceLimit(t *testing.T) {
 	const size = 4 * MinWindowBytes
 	body, err := protocol.NewBody(protocol.ByLength, size, size)
 	if err != nil {
@@ -418,12 +420,12 @@
 	}
 	p.Start(nil, protocol.ByLength)
 	if p.SpliceLimit() != 0 {
-		t.Error("before the window was written")
+		t.Error("splice allowed before the window was written")
 	}
 	p.Out()
 	p.Wrote(MinWindowBytes - 1)
 	if p.SpliceLimit() != 0 || !p.Rewindable() {
-		t.Error("while the window has room, so that all of it may be sent again")
+		t.Error("splice allowed or not rewindable while the window has space")
 	}
 	if err := p.Fill(copy(p.Space(), "x")); err != nil {
 		t.Fatal(err)
@@ -431,11 +433,11 @@
 	p.Out()
 	p.Wrote(1)
 	if n := p.SpliceLimit(); n != MinWindowBytes {
-		t.Fatalf("%d bytes at once", n)
+		t.Fatalf("splice limit of %d bytes", n)
 	}
 	p.SplicedIn(100)
 	if p.Rewindable() || p.Rewind() || p.Received() != MinWindowBytes+100 || len(p.Out()) != 0 {
-		t.Errorf("kept %v, %d came", p.Rewindable(), p.Received())
+		t.Errorf("rewindable %v, %d received", p.Rewindable(), p.Received())
 	}
 	p.SplicedOut(100)
 	for p.SpliceLimit() > 0 {
@@ -443,7 +445,7 @@
 		p.SplicedIn(n)
 		p.SplicedOut(n)
 	}
-	for space := p.Space(); space != nil; space = p.Space() { // the rest is too little for that
+	for space := p.Space(); space != nil; space = p.Space() { // the remainder is too short to splice
 		if err := p.Fill(min(len(space), int(body.Remaining()))); err != nil {
 			t.Fatal(err)
 		}
@@ -454,6 +456,6 @@
 		p.Wrote(n)
 	}
 	if p.Out(); !p.Written() || p.Received() != size {
-		t.Errorf("done %v, %d came", p.Written(), p.Received())
+		t.Errorf("written %v, %d received", p.Written(), p.Received())
 	}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire translates between the courier's JSON lines and the events and
-// actions of package mulleinbeam. It decides nothing.
+// Package wire translates between the simulator's JSON lines and the events and
+// actions of package mulleinbeam. It makes no decisions of its own.
 package wire
 
 import (
@@ -12,7 +12,7 @@
 	mb "mulleinbeam"
 )
 
-// ErrMalformed is wrapped by every error about input that can't be read.
+// ErrMalformed is wrapped by all errors about input that can't be parsed.
 var ErrMalformed = errors.New("wire: malformed input")
 
 // Batch is one line of input.
@@ -22,7 +22,7 @@
 	Parts  []Part `json:"parts"`
 }
 
-// Part is what came in for one instance.
+// Part is the input of one instance.
 type Part struct {
 	Instance string            `json:"who"`
 	Input    []json.RawMessage `json:"input"`
@@ -34,84 +34,84 @@
 	Parts []ReplyPart `json:"parts"`
 }
 
-// ReplyPart is what one instance does.
+// ReplyPart is the list of actions of one instance.
 type ReplyPart struct {
 	Instance  string `json:"who"`
 	Decisions []any  `json:"decisions"`
 }
 
-// Provision starts an instance.
+// Provision is the event that starts an instance.
 type Provision struct {
 	Seed     uint64
 	Settings mb.Settings
 }
 
-// Destroy ends an instance.
+// Destroy is the event that ends an instance.
 type Destroy struct{}
 
-// Catalog is a numbered list that Members events refer to.
+// Catalog is a numbered list of endpoints that ListRef events refer to.
 type Catalog struct {
 	ID      int
 	Entries []mb.Entry
 }
 
-// ListRef is a Members event whose entries stand in a catalog.
+// ListRef is a list update whose entries are those of a catalog.
 type ListRef struct {
 	Scope mb.ListScope
 	List  int
 }
 
-// ParseBatch reads one line of input.
+// ParseBatch parses one line of input.
 func ParseBatch(line []byte) (*Batch, error) {
-	var b struct {
+	var fields struct {
 		Moment *int64  `json:"moment"`
 		Batch  *int64  `json:"batch"`
 		Parts  *[]Part `json:"parts"`
 	}
-	if err := json.Unmarshal(line, &b); err != nil {
+	if err := json.Unmarshal(line, &fields); err != nil {
 		return nil, fmt.Errorf("%w: batch: %w", ErrMalformed, err)
 	}
-	if b.Moment == nil || b.Batch == nil || b.Parts == nil {
+	if fields.Moment == nil || fields.Batch == nil || fields.Parts == nil {
 		return nil, fmt.Errorf("%w: batch needs moment, batch and parts", ErrMalformed)
 	}
-	return &Batch{Moment: *b.Moment, Batch: *b.Batch, Parts: *b.Parts}, nil
+	return &Batch{Moment: *fields.Moment, Batch: *fields.Batch, Parts: *fields.Parts}, nil
 }
 
-func us(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
+func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// Moment turns a clock reading of the wire into a time.
-func Moment(n int64) time.Duration { return us(n) }
+// Moment converts a clock reading of the wire, in microseconds, to a duration.
+func Moment(n int64) time.Duration { return microseconds(n) }
 
 type rawEvent struct {
-	Type     string             `json:"type"`
-	Seed     json.Number        `json:"random-seed"`
-	Settings json.RawMessage    `json:"settings"`
-	RID      *uint64            `json:"rid"`
-	Band     string             `json:"band"`
-	Tenant   json.RawMessage    `json:"user-group"`
-	Key      uint64             `json:"path-key"`
-	Left     int64              `json:"left"`
-	Dest     float64            `json:"to-exchange"`
-	N        int                `json:"n"`
-	Endpoint string             `json:"endpoint"`
-	Outcome  int                `json:"outcome"`
-	Delay    int64              `json:"delay-seen"`
-	Settled  bool               `json:"settled"`
-	WaitMS   int64              `json:"wait-ms"`
-	Stats    map[string]float64 `json:"stats"`
-	Cookie   uint64             `json:"cookie"`
-	Scope    string             `json:"scope"`
-	Roster   int                `json:"roster-id"`
-	Rows     []rawEntry         `json:"rows-in"`
+	Type        string             `json:"type"`
+	Seed        json.Number        `json:"random-seed"`
+	Settings    json.RawMessage    `json:"settings"`
+	MessageID   *uint64            `json:"rid"`
+	Class       string             `json:"band"`
+	Tenant      json.RawMessage    `json:"user-group"`
+	Key         uint64             `json:"path-key"`
+	TimeLeft    int64              `json:"left"`
+	Destination float64            `json:"to-exchange"`
+	Attempt     int                `json:"n"`
+	Endpoint    string             `json:"endpoint"`
+	Outcome     int                `json:"outcome"`
+	Latency     int64              `json:"delay-seen"`
+	Settled     bool               `json:"settled"`
+	WaitMS      int64              `json:"wait-ms"`
+	Stats       map[string]float64 `json:"stats"`
+	Cookie      uint64             `json:"cookie"`
+	Scope       string             `json:"scope"`
+	ListID      int                `json:"roster-id"`
+	Entries     []rawEntry         `json:"rows-in"`
 }
 
 type rawEntry struct {
-	Endpoint  string  `json:"endpoint"`
-	Locality  string  `json:"locality"`
-	Shape     string  `json:"shape"`
-	Dest      float64 `json:"destination"`
-	Readiness string  `json:"readiness"`
-	Hint      float64 `json:"capacity-hint"`
+	Endpoint     string  `json:"endpoint"`
+	Zone         string  `json:"locality"`
+	Kind         string  `json:"shape"`
+	Destination  float64 `json:"destination"`
+	Readiness    string  `json:"readiness"`
+	CapacityHint float64 `json:"capacity-hint"`
 }
 
 var outcomes = map[int]mb.Outcome{
@@ -125,7 +125,7 @@
 	"Partial": mb.ListChanges, "Complete": mb.ListWhole, "Persisted": mb.ListSaved, "Error": mb.ListError,
 }
 
-// LimitReport reads a load report as what an endpoint tells of its limit; nil if it tells nothing.
+// LimitReport extracts an endpoint's rate limit from its load report; nil if the report has none.
 func LimitReport(stats map[string]float64) *mb.LimitReport {
 	rate, ok := stats["x1"]
 	if !ok {
@@ -134,85 +134,85 @@
 	return &mb.LimitReport{Remaining: stats["x0"], Rate: rate}
 }
 
-// ParseEvent reads one event: a Provision, Destroy, Catalog or ListRef of this
-// package, an event of package mulleinbeam, or nil for one that asks nothing.
+// ParseEvent parses one event: a Provision, Destroy, Catalog or ListRef of this
+// package, an event of package mulleinbeam, or nil for one that is ignored.
 func ParseEvent(raw json.RawMessage) (any, error) {
-	var e rawEvent
-	if err := json.Unmarshal(raw, &e); err != nil {
+	var event rawEvent
+	if err := json.Unmarshal(raw, &event); err != nil {
 		return nil, fmt.Errorf("%w: event: %w", ErrMalformed, err)
 	}
 	needID := func() (mb.MessageID, error) {
-		if e.RID == nil {
-			return 0, fmt.Errorf("%w: %s without rid", ErrMalformed, e.Type)
+		if event.MessageID == nil {
+			return 0, fmt.Errorf("%w: %s without rid", ErrMalformed, event.Type)
 		}
-		return mb.MessageID(*e.RID), nil
+		return mb.MessageID(*event.MessageID), nil
 	}
-	switch e.Type {
+	switch event.Type {
 	case "provision":
-		seed, err := parseSeed(e.Seed)
+		seed, err := parseSeed(event.Seed)
 		if err != nil {
 			return nil, err
 		}
-		s, err := ParseSettings(e.Settings)
+		settings, err := ParseSettings(event.Settings)
 		if err != nil {
 			return nil, err
 		}
-		return Provision{Seed: seed, Settings: s}, nil
+		return Provision{Seed: seed, Settings: settings}, nil
 	case "destroy":
 		return Destroy{}, nil
 	case "catalog":
-		c := Catalog{ID: e.Roster}
-		for _, r := range e.Rows {
-			state, ok := readiness[r.Readiness]
+		catalog := Catalog{ID: event.ListID}
+		for _, row := range event.Entries {
+			state, ok := readiness[row.Readiness]
 			if !ok {
-				return nil, fmt.Errorf("%w: readiness %q", ErrMalformed, r.Readiness)
+				return nil, fmt.Errorf("%w: readiness %q", ErrMalformed, row.Readiness)
 			}
-			c.Entries = append(c.Entries, mb.Entry{
-				Endpoint: mb.EndpointID(r.Endpoint), Zone: r.Locality, Kind: r.Shape,
-				Destination: mb.DestinationID(r.Dest), Readiness: state, CapacityHint: r.Hint,
+			catalog.Entries = append(catalog.Entries, mb.Entry{
+				Endpoint: mb.EndpointID(row.Endpoint), Zone: row.Zone, Kind: row.Kind,
+				Destination: mb.DestinationID(row.Destination), Readiness: state, CapacityHint: row.CapacityHint,
 			})
 		}
-		return c, nil
+		return catalog, nil
 	case "members":
-		scope, ok := scopes[e.Scope]
+		scope, ok := scopes[event.Scope]
 		if !ok {
-			return nil, fmt.Errorf("%w: scope %q", ErrMalformed, e.Scope)
+			return nil, fmt.Errorf("%w: scope %q", ErrMalformed, event.Scope)
 		}
-		return ListRef{Scope: scope, List: e.Roster}, nil
+		return ListRef{Scope: scope, List: event.ListID}, nil
 	case "submit":
 		id, err := needID()
 		if err != nil {
 			return nil, err
 		}
 		return mb.Submit{
-			ID: id, Class: e.Band, Tenant: name(e.Tenant), Key: mb.OrderKey(e.Key),
-			TimeLeft: us(e.Left), Destination: mb.DestinationID(e.Dest),
+			ID: id, Class: event.Class, Tenant: parseName(event.Tenant), Key: mb.OrderKey(event.Key),
+			TimeLeft: microseconds(event.TimeLeft), Destination: mb.DestinationID(event.Destination),
 		}, nil
 	case "answer":
 		id, err := needID()
 		if err != nil {
 			return nil, err
 		}
-		out, ok := outcomes[e.Outcome]
+		outcome, ok := outcomes[event.Outcome]
 		if !ok {
-			return nil, fmt.Errorf("%w: outcome %d", ErrMalformed, e.Outcome)
+			return nil, fmt.Errorf("%w: outcome %d", ErrMalformed, event.Outcome)
 		}
-		a := mb.Answer{
-			ID: id, Attempt: e.N, Endpoint: mb.EndpointID(e.Endpoint), Outcome: out,
-			Latency: us(e.Delay), Settled: e.Settled, Limit: LimitReport(e.Stats),
+		answer := mb.Answer{
+			ID: id, Attempt: event.Attempt, Endpoint: mb.EndpointID(event.Endpoint), Outcome: outcome,
+			Latency: microseconds(event.Latency), Settled: event.Settled, Limit: LimitReport(event.Stats),
 		}
-		if out == mb.Refused {
-			a.RetryAfter = time.Duration(e.WaitMS) * time.Millisecond
+		if outcome == mb.Refused {
+			answer.RetryAfter = time.Duration(event.WaitMS) * time.Millisecond
 		}
-		return a, nil
+		return answer, nil
 	case "probed":
-		out, ok := outcomes[e.Outcome]
+		outcome, ok := outcomes[event.Outcome]
 		if !ok {
-			return nil, fmt.Errorf("%w: outcome %d", ErrMalformed, e.Outcome)
+			return nil, fmt.Errorf("%w: outcome %d", ErrMalformed, event.Outcome)
 		}
 		return mb.Probed{
-			Endpoint: mb.EndpointID(e.Endpoint), Outcome: out,
-			Latency: us(e.Delay), Limit: LimitReport(e.Stats),
+			Endpoint: mb.EndpointID(event.Endpoint), Outcome: outcome,
+			Latency: microseconds(event.Latency), Limit: LimitReport(event.Stats),
 		}, nil
 	case "gone":
 		id, err := needID()
@@ -221,11 +221,11 @@
 		}
 		return mb.MessageCancelled{ID: id}, nil
 	case "timer":
-		return mb.Timer{Cookie: e.Cookie}, nil
+		return mb.Timer{Cookie: event.Cookie}, nil
 	case "under-way", "peer":
 		return nil, nil
 	}
-	return nil, fmt.Errorf("%w: unknown message type %q", ErrMalformed, e.Type)
+	return nil, fmt.Errorf("%w: unknown message type %q", ErrMalformed, event.Type)
 }
 
 func parseSeed(n json.Number) (uint64, error) {
@@ -239,8 +239,8 @@
 	return uint64(i), nil
 }
 
-// name reads a name that may be given as a string or be absent or 0.
-func name(raw json.RawMessage) string {
+// parseName parses a name, which is a string, or absent or 0 for an empty one.
+func parseName(raw json.RawMessage) string {
 	var s string
 	if json.Unmarshal(raw, &s) != nil {
 		return ""
@@ -248,9 +248,9 @@
 	return s
 }
 
-// ParseSettings reads the settings of an instance; unknown ones are skipped.
+// ParseSettings parses the settings of an instance; unknown ones are ignored.
 func ParseSettings(raw json.RawMessage) (mb.Settings, error) {
-	var w struct {
+	var fields struct {
 		Azs       []string `json:"azs"`
 		Balancers int      `json:"balancers"`
 		Family    struct {
@@ -303,93 +303,93 @@
 	if len(raw) == 0 {
 		return mb.Settings{}, fmt.Errorf("%w: provision without settings", ErrMalformed)
 	}
-	if err := json.Unmarshal(raw, &w); err != nil {
+	if err := json.Unmarshal(raw, &fields); err != nil {
 		return mb.Settings{}, fmt.Errorf("%w: settings: %w", ErrMalformed, err)
 	}
-	s := mb.Settings{
-		Forwarders: w.Balancers, Slots: w.Family.CallsOut, MostHeld: w.Limits.MostHeld,
-		MaxAttempts: w.Limits.MaxAttempts, OverShareWorth: w.OverShare,
+	settings := mb.Settings{
+		Forwarders: fields.Balancers, Slots: fields.Family.CallsOut, MostHeld: fields.Limits.MostHeld,
+		MaxAttempts: fields.Limits.MaxAttempts, OverShareWorth: fields.OverShare,
 		SeparateRoutes: map[string]bool{}, BatchByKind: map[string]int{}, ZoneFee: map[string]float64{},
-		UseCapacityHints:   w.WeightSource == "nominal" || w.WeightSource == "rough",
-		RoughCapacityHints: w.WeightSource == "rough",
-		MayProbe:           w.Limits.MayProbe, MayCancel: w.Limits.Cancel,
-		SendRetryAfter: w.Limits.RetryAfter, MaxRetryAfter: us(w.Limits.MaxRetryAfter),
-		MustSubscribe: w.Registry == "subscribe", SubscribeWithin: us(w.Rules.AskWithin),
-		KeepAlive: us(w.Limits.KeepAlive), ConnectTimeout: us(w.Limits.Connect), AnswerSlack: us(w.Rules.AnswerSlack),
-		DrainGrace: us(w.Rules.DrainGrace), TurnGap: us(w.Rules.TurnGap),
-		OverloadFactor: w.Rules.OverloadFactor, TipAfter: us(w.Rules.TipAfter),
-		ColdFrom: w.Rules.ColdFrom, WarmWithin: us(w.Rules.WarmWithin),
+		UseCapacityHints:   fields.WeightSource == "nominal" || fields.WeightSource == "rough",
+		RoughCapacityHints: fields.WeightSource == "rough",
+		MayProbe:           fields.Limits.MayProbe, MayCancel: fields.Limits.Cancel,
+		SendRetryAfter: fields.Limits.RetryAfter, MaxRetryAfter: microseconds(fields.Limits.MaxRetryAfter),
+		MustSubscribe: fields.Registry == "subscribe", SubscribeWithin: microseconds(fields.Rules.AskWithin),
+		KeepAlive: microseconds(fields.Limits.KeepAlive), ConnectTimeout: microseconds(fields.Limits.Connect), AnswerSlack: microseconds(fields.Rules.AnswerSlack),
+		DrainGrace: microseconds(fields.Rules.DrainGrace), TurnGap: microseconds(fields.Rules.TurnGap),
+		OverloadFactor: fields.Rules.OverloadFactor, TipAfter: microseconds(fields.Rules.TipAfter),
+		ColdFrom: fields.Rules.ColdFrom, WarmWithin: microseconds(fields.Rules.WarmWithin),
 	}
-	if w.Family.Fades == "by_half" {
-		s.Decay = mb.DecayExponential
+	if fields.Family.Fades == "by_half" {
+		settings.Decay = mb.DecayExponential
 	}
-	for i, k := range w.Kinds {
-		if i < len(w.Family.Routes) {
-			s.SeparateRoutes[k] = w.Family.Routes[i]
+	for i, kind := range fields.Kinds {
+		if i < len(fields.Family.Routes) {
+			settings.SeparateRoutes[kind] = fields.Family.Routes[i]
 		}
-		if i < len(w.Family.Batch) {
-			s.BatchByKind[k] = w.Family.Batch[i]
+		if i < len(fields.Family.Batch) {
+			settings.BatchByKind[kind] = fields.Family.Batch[i]
 		}
 	}
-	for i, z := range w.Azs {
-		if i < len(w.Family.Toll) {
-			s.ZoneFee[z] = w.Family.Toll[i]
+	for i, zone := range fields.Azs {
+		if i < len(fields.Family.Toll) {
+			settings.ZoneFee[zone] = fields.Family.Toll[i]
 		}
 	}
-	for _, r := range w.Realms {
-		s.Tenants = append(s.Tenants, mb.Tenant{Name: r.Name, AllowancePerS: r.Allowance})
+	for _, realm := range fields.Realms {
+		settings.Tenants = append(settings.Tenants, mb.Tenant{Name: realm.Name, AllowancePerS: realm.Allowance})
 	}
 	effects := map[string]mb.Effect{"safe": mb.Safe, "keyed": mb.Keyed, "unsafe": mb.Unsafe}
-	for _, c := range w.Services {
-		effect, ok := effects[c.Effect]
+	for _, service := range fields.Services {
+		effect, ok := effects[service.Effect]
 		if !ok {
-			return s, fmt.Errorf("%w: class %q: effect %q", ErrMalformed, c.Name, c.Effect)
+			return settings, fmt.Errorf("%w: class %q: effect %q", ErrMalformed, service.Name, service.Effect)
 		}
-		s.Classes = append(s.Classes, mb.Class{
-			Name: c.Name, Target: us(c.Target), DeliveryTimeout: us(c.GiveUp), Worth: c.Credit, LateWorth: c.LateWorth,
-			Effect: effect, SameZoneOnly: c.Group != "all", KeyTTL: us(c.KeyTTL), InOrder: c.InOrder,
+		settings.Classes = append(settings.Classes, mb.Class{
+			Name: service.Name, Target: microseconds(service.Target), DeliveryTimeout: microseconds(service.GiveUp), Worth: service.Credit, LateWorth: service.LateWorth,
+			Effect: effect, SameZoneOnly: service.Group != "all", KeyTTL: microseconds(service.KeyTTL), InOrder: service.InOrder,
 		})
 	}
-	return s, nil
+	return settings, nil
 }
 
-// EncodeAction turns an action into its wire form.
-func EncodeAction(a mb.Action) (any, error) {
-	switch a := a.(type) {
+// EncodeAction converts an action to its wire form.
+func EncodeAction(action mb.Action) (any, error) {
+	switch action := action.(type) {
 	case mb.Send:
 		return struct {
 			Type     string `json:"type"`
 			RID      uint64 `json:"rid"`
 			Endpoint string `json:"endpoint"`
 			CutAt    int64  `json:"cut-at,omitempty"`
-		}{"place", uint64(a.ID), string(a.Endpoint), a.CutAt.Microseconds()}, nil
+		}{"place", uint64(action.ID), string(action.Endpoint), action.CutAt.Microseconds()}, nil
 	case mb.Refuse:
 		return struct {
 			Type    string `json:"type"`
 			RID     uint64 `json:"rid"`
 			Backoff int64  `json:"backoff,omitempty"`
-		}{"busy", uint64(a.ID), a.RetryAfter.Microseconds()}, nil
+		}{"busy", uint64(action.ID), action.RetryAfter.Microseconds()}, nil
 	case mb.Fail:
 		return struct {
 			Type string `json:"type"`
 			RID  uint64 `json:"rid"`
-		}{"drop-request", uint64(a.ID)}, nil
+		}{"drop-request", uint64(action.ID)}, nil
 	case mb.Cancel:
 		return struct {
 			Type string `json:"type"`
 			RID  uint64 `json:"rid"`
 			N    int    `json:"n"`
-		}{"withdraw", uint64(a.ID), a.Attempt}, nil
+		}{"withdraw", uint64(action.ID), action.Attempt}, nil
 	case mb.Probe:
 		return struct {
 			Type     string `json:"type"`
 			Endpoint string `json:"endpoint"`
-		}{"sound-out", string(a.Endpoint)}, nil
+		}{"sound-out", string(action.Endpoint)}, nil
 	case mb.CloseIdle:
 		return struct {
 			Type     string `json:"type"`
 			Endpoint string `json:"endpoint"`
-		}{"hang-up", string(a.Endpoint)}, nil
+		}{"hang-up", string(action.Endpoint)}, nil
 	case mb.Subscribe:
 		return struct {
 			Type string `json:"type"`
@@ -400,18 +400,18 @@
 			Type   string `json:"type"`
 			Wait   int64  `json:"wait"`
 			Cookie uint64 `json:"cookie"`
-		}{"notify-me", a.After.Microseconds(), a.Cookie}, nil
+		}{"notify-me", action.After.Microseconds(), action.Cookie}, nil
 	case mb.Log:
-		return Emit{"emit", a.Text}, nil
+		return Emit{"emit", action.Text}, nil
 	}
-	return nil, fmt.Errorf("wire: no form for action %T", a)
+	return nil, fmt.Errorf("wire: no encoding for action %T", action)
 }
 
-// Emit is a line for the operators, or a fault where Type is "bug".
+// Emit is a log line for the operators, or a fault report if Type is "bug".
 type Emit struct {
 	Type string `json:"type"`
 	What string `json:"what"`
 }
 
-// Bug reports a failure of the decision code.
+// Bug returns the report of a failure of the decision code.
 func Bug(text string) Emit { return Emit{Type: "bug", What: text} }
