--- a/internal/protocol/body_test.go
+++ b/internal/protocol/body_test.go
@@ -48,8 +48,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			content, behind, err := decode(b, []byte(c.raw+"behind"), size)
-			got := []any{string(content), string(behind), err, b.Complete(), string(b.Trailers()), b.ContentBytes()}
+			content, rest, err := decode(b, []byte(c.raw+"behind"), size)
+			got := []any{string(content), string(rest), err, b.Complete(), string(b.Trailers()), b.ContentBytes()}
 			want := []any{c.want, "behind", error(nil), true, c.trailers, int64(len(c.want))}
 			if diff := cmp.Diff(want, got); diff != "" {
 				t.Fatalf("%s in pieces of %d:\n%s", name, size, diff)
@@ -168,8 +168,8 @@
 	}
 }
 
-// FuzzBody feeds arbitrary bytes in pieces: nothing may panic, the result must not depend on the pieces, and what decodes
-// as a complete body must decode to the same content with the standard library.
+// FuzzBody feeds arbitrary bytes in pieces: nothing may panic, the result must not depend on the pieces, and what
+// decodes as a complete body must decode to the same content with the standard library.
 func FuzzBody(f *testing.F) {
 	for _, seed := range []string{"3\r\nabc\r\n0\r\n\r\n", "a;b=c\r\n0123456789\r\n0\r\nX: y\r\n\r\nGET", "0\r\n\r\n", "ffffffffff\r\n"} {
 		f.Add([]byte(seed), 3)
--- a/internal/protocol/message.go
+++ b/internal/protocol/message.go
@@ -155,8 +155,8 @@
 	return m, err
 }
 
-// Finish records that no more bytes follow. If the connection was closed, an answer whose body extends to the end of the
-// connection is complete and is returned.
+// Finish records that no more bytes follow. If the connection was closed, an answer whose body extends to the end of
+// the connection is complete and is returned.
 func (p *Parser) Finish(closed bool) *Message {
 	if !closed || p.err != nil || p.phase != inBodyUntilClose {
 		return nil
@@ -167,8 +167,8 @@
 	return m
 }
 
-// Status returns the status code of the answer being parsed, even if its remainder is malformed. It is 0 until the status
-// line is complete.
+// Status returns the status code of the answer being parsed, even if its remainder is malformed. It is 0 until the
+// status line is complete.
 func (p *Parser) Status() int {
 	if p.phase == inHead {
 		line, _, ok := bytes.Cut(p.buf[p.start:p.end], []byte("\r\n"))
@@ -497,7 +497,8 @@
 	return len(b) > 0
 }
 
-// isText reports whether a line has no control bytes. Other parsers treat these, a bare CR or LF above all, differently.
+// isText reports whether a line has no control bytes. Other parsers treat these, a bare CR or LF above all,
+// differently.
 func isText(b []byte) bool {
 	for _, c := range b {
 		if c < ' ' && c != '\t' || c == 0x7f {
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -65,13 +65,13 @@
 				{"GET|/b|HTTP/1.1", "connection=Keep-Alive, Close", "", true}}, nil},
 		"chunk without its end":   {false, "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc", nil, ErrMalformed},
 		"chunk of no size":        {false, "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n-1\r\n", nil, ErrMalformed},
-		"chunks past the bound":   {false, "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n", nil, ErrBodySize},
+		"chunk above the limit":   {false, "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n", nil, ErrBodySize},
 		"another encoding":        {false, "POST /a HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n", nil, ErrEncoding},
 		"name with a space":       {false, "GET / HTTP/1.1\r\nContent-Length : 3\r\n\r\n", nil, ErrMalformed},
 		"folded line":             {false, "GET / HTTP/1.1\r\nA: 1\r\n b\r\n\r\n", nil, ErrMalformed},
 		"four words":              {false, "GET / x HTTP/1.1\r\n\r\n", nil, ErrMalformed},
 		"interim, then an answer": {true, "HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 204 None\r\nContent-Length: 9\r\n\r\nHTTP/1.1 200\r\nContent-Length: 1\r\n\r\nx", []messageText{{"HTTP/1.1|204|None", "Content-Length=9", "", false}, {"HTTP/1.1|200|", "Content-Length=1", "x", false}}, nil},
-		"answer up to the end":    {true, "HTTP/1.1 200 OK\r\n\r\nrest", []messageText{{"HTTP/1.1|200|OK", "", "rest", true}}, nil},
+		"answer until close":      {true, "HTTP/1.1 200 OK\r\n\r\nrest", []messageText{{"HTTP/1.1|200|OK", "", "rest", true}}, nil},
 		"status of two digits":    {true, "HTTP/1.1 20 OK\r\n\r\n", nil, ErrMalformed},
 	} {
 		for _, size := range []int{1, 7, 1 << 20} {
@@ -97,22 +97,22 @@
 		want int
 		err  error
 	}{
-		"cut in its first line":    {ok[:14], 0, nil},
-		"cut in its head":          {ok + "Content-Le", 200, nil},
-		"cut in its body":          {ok + "Content-Length: 9\r\n\r\nre", 200, nil},
-		"cut after interim":        {interim + ok, 200, nil},
-		"another, cut":             {"HTTP/1.1 503 No\r\n", 503, nil},
-		"noise":                    {"\x00\x17\xff\r\n\r\n", 0, ErrMalformed},
-		"noise in its head":        {ok + "\x00\x17\r\n\r\n", 200, ErrMalformed},
-		"head with no end":         {ok + strings.Repeat("a: b\r\n", 4000), 200, ErrHeadSize},
+		"truncated in status line": {ok[:14], 0, nil},
+		"truncated in head":        {ok + "Content-Le", 200, nil},
+		"truncated in body":        {ok + "Content-Length: 9\r\n\r\nre", 200, nil},
+		"truncated after interim":  {interim + ok, 200, nil},
+		"503, truncated":           {"HTTP/1.1 503 No\r\n", 503, nil},
+		"garbage":                  {"\x00\x17\xff\r\n\r\n", 0, ErrMalformed},
+		"garbage in head":          {ok + "\x00\x17\r\n\r\n", 200, ErrMalformed},
+		"endless head":             {ok + strings.Repeat("a: b\r\n", 4000), 200, ErrHeadSize},
 		"3 GB":                     {ok + "Content-Length: 3221225472\r\n\r\n", 200, ErrBodySize},
-		"up to the end, too long":  {ok + "\r\n" + strings.Repeat("x", MaxBodyBytes+1), 200, ErrBodySize},
+		"until close, too long":    {ok + "\r\n" + strings.Repeat("x", MaxBodyBytes+1), 200, ErrBodySize},
 		"negative length":          {ok + "Content-Length: -1\r\n\r\n", 200, ErrMalformed},
 		"two lengths":              {ok + "Content-Length: 1\r\nContent-Length: 2\r\n\r\n", 200, ErrMalformed},
-		"interim without an end":   {strings.Repeat(interim, maxInterimAnswers+1) + ok, 100, ErrMalformed},
+		"too many interim answers": {strings.Repeat(interim, maxInterimAnswers+1) + ok, 100, ErrMalformed},
 		"another version":          {"HTTP/3.1 200 OK\r\n\r\n", 0, ErrMalformed},
 		"chunk that is no chunk":   {ok + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", 200, ErrMalformed},
-		"bare line feeds in front": {"\n\n" + ok, 0, nil},
+		"leading bare LFs":         {"\n\n" + ok, 0, nil},
 	} {
 		for _, size := range []int{1, 7, 1 << 20} {
 			parser := NewAnswerParser(MaxBodyBytes)
@@ -160,11 +160,11 @@
 	}{
 		"call": {false, joined(Call{ID: "i", Key: "k", Timeout: 1500 * time.Millisecond, Host: "h:1", Body: []byte("b")}.Buffers()),
 			messageText{"POST|/v1/messages|HTTP/1.1", "Host=h:1&X-Timeout-Ms=1500&Content-Length=1&X-Request-ID=i&Idempotency-Key=k", "b", false}},
-		"call that waits for a part of a millisecond": {false, joined(Call{ID: "i", Timeout: 1500*time.Millisecond + time.Microsecond, Host: "h"}.Buffers()),
+		"call with a fractional millisecond": {false, joined(Call{ID: "i", Timeout: 1500*time.Millisecond + time.Microsecond, Host: "h"}.Buffers()),
 			messageText{"POST|/v1/messages|HTTP/1.1", "Host=h&X-Timeout-Ms=1501&Content-Length=0&X-Request-ID=i", "", false}},
 		"call with no key or body": {false, joined(Call{ID: "i", Host: "h"}.Buffers()),
 			messageText{"POST|/v1/messages|HTTP/1.1", "Host=h&X-Timeout-Ms=1&Content-Length=0&X-Request-ID=i", "", false}},
-		"taken on": {true, string(AppendAnswer(nil, 202, nil, false)), messageText{"HTTP/1.1|202|Accepted", "Content-Length=0", "", false}},
+		"accepted": {true, string(AppendAnswer(nil, 202, nil, false)), messageText{"HTTP/1.1|202|Accepted", "Content-Length=0", "", false}},
 		"refused": {true, string(AppendAnswer(nil, 0, &Refusal{Status: 503, Reason: "later", RetryAfter: 1200400 * time.Microsecond}, true)),
 			messageText{"HTTP/1.1|503|Service Unavailable", "Retry-After=1.201&Connection=close&Content-Length=5", "later", true}},
 		"report": {false, string(report), messageText{"POST|/reports|HTTP/1.1", "Host=d:1&Content-Type=application/json&Content-Length=99",
--- a/internal/protocol/requests.go
+++ b/internal/protocol/requests.go
@@ -167,8 +167,8 @@
 	Body    []byte
 }
 
-// appendTimeout appends how long the forwarder waits, in whole milliseconds and at least one. The time is rounded up: an
-// endpoint may drop an answer as too late once the given time is over, and must not do so while the forwarder waits.
+// appendTimeout appends how long the forwarder waits, in whole milliseconds and at least one. The time is rounded up:
+// an endpoint may drop an answer as too late once the given time is over, and must not do so while the forwarder waits.
 func appendTimeout(b []byte, wait time.Duration) []byte {
 	milliseconds := (wait + time.Millisecond - 1) / time.Millisecond
 	b = append(b, "\r\nX-Timeout-Ms: "...)
--- a/internal/pump/exchange.go
+++ b/internal/pump/exchange.go
@@ -36,7 +36,8 @@
 // connection for the call.
 var ErrForbidden = errors.New("pump: call must not begin")
 
-// ErrNoSplice is passed to StepDone if bytes can't be spliced and none were. The exchange then reads and writes instead.
+// ErrNoSplice is passed to StepDone if bytes can't be spliced and none were. The exchange then reads and writes
+// instead.
 var ErrNoSplice = errors.New("pump: splice is not supported")
 
 // Step is one operation, which times out at Deadline.
@@ -51,8 +52,8 @@
 // Outcome is how an exchange ended.
 type Outcome int
 
-// The values of Outcome. With any other than Delivered and Answered there is no usable answer from the endpoint, and the
-// endpoint does not learn of the outcome.
+// The values of Outcome. With any other than Delivered and Answered there is no usable answer from the endpoint, and
+// the endpoint does not learn of the outcome.
 const (
 	Running         Outcome = iota
 	Delivered               // the endpoint answered 200
@@ -76,7 +77,7 @@
 
 const (
 	maxDrainedBytes      = 64 << 20               // bytes of a request body that are read and discarded after its answer
-	answerTimeout        = time.Second            // for an answer's head, or all of one that is not 200, from its first byte
+	answerTimeout        = time.Second            // from the first byte to a complete head, or to all of a non-200 answer
 	deliveredHeadTimeout = 200 * time.Millisecond // for the rest of a head after a status line with 200
 )
 
@@ -118,7 +119,7 @@
 	answerDeadline   time.Duration // when the answer's head must be complete; 0 before its first byte
 	answerPipe       *Pipe
 	reply            protocol.Reply
-	closesEndpoint   bool // the endpoint's connection can't be reused
+	closeEndpoint    bool // the endpoint's connection can't be reused
 	answerStarted    bool // a byte of the answer may have been sent to the client
 	requestMalformed bool // the part of the body received while the exchange ended is malformed
 	answerTruncated  bool // the client did not get the complete answer
@@ -154,7 +155,7 @@
 
 // Reusable reports whether the endpoint's and the client's connections can carry another message.
 func (x *Exchange) Reusable() (endpoint, client bool) {
-	endpoint = !x.answeredEarly && x.cfg.Request.Written() && !x.closesEndpoint && (x.outcome == Answered || x.AnswerComplete())
+	endpoint = !x.answeredEarly && x.cfg.Request.Written() && !x.closeEndpoint && (x.outcome == Answered || x.AnswerComplete())
 	return endpoint, x.AnswerComplete() && !x.answeredEarly && x.cfg.Request.Complete() && !x.cfg.Request.Surplus() && !x.cfg.CloseClient && !x.cfg.HTTP10
 }
 
@@ -247,8 +248,8 @@
 	return Step{}
 }
 
-// StepDone records the result of a direction's step: n bytes were moved before err. A timeout, os.ErrDeadlineExceeded, may
-// be reported before the deadline. If wake is set, the other direction's current step must be interrupted.
+// StepDone records the result of a direction's step: n bytes were moved before err. A timeout, os.ErrDeadlineExceeded,
+// may be reported before the deadline. If wake is set, the other direction's current step must be interrupted.
 func (x *Exchange) StepDone(direction Direction, n int, err error, now time.Duration) (wake bool) {
 	if x.outcome != Running {
 		if direction == Up && x.currentOp[Up] == Read && !x.draining && n > 0 { // a retry may need these bytes
@@ -349,7 +350,7 @@
 		x.startAnswer(message)
 	case message != nil:
 		x.answeredEarly = !x.cfg.Request.Written()
-		x.closesEndpoint = x.closesEndpoint || message.Close || !parser.Idle()
+		x.closeEndpoint = x.closeEndpoint || message.Close || !parser.Idle()
 		x.reply = protocol.ReadReply(message)
 		x.finish(Answered)
 	case delivered && (parseErr != nil || err != nil && !errors.Is(err, os.ErrDeadlineExceeded)):
@@ -374,7 +375,7 @@
 	closing := x.cfg.CloseClient || x.cfg.HTTP10 || x.answeredEarly || x.cfg.Request.Surplus()
 	emptyBody, _ := protocol.NewBody(protocol.ByLength, 0, 0)
 	if message != nil {
-		x.closesEndpoint = x.closesEndpoint || message.Close
+		x.closeEndpoint = x.closeEndpoint || message.Close
 		body, raw, err := x.cfg.Answers.Rest(x.cfg.MaxAnswerBytes)
 		if err == nil {
 			x.answerPipe, err = NewPipe(x.cfg.Window(), body, message.Body, raw)
@@ -391,7 +392,7 @@
 			return
 		}
 	}
-	x.closesEndpoint = true
+	x.closeEndpoint = true
 	x.answerPipe, _ = NewPipe(nil, emptyBody, nil, nil)
 	x.answerPipe.Start(protocol.AppendDelivered(nil, nil, protocol.ByLength, 0, closing), protocol.ByLength)
 }
@@ -416,7 +417,7 @@
 	if now < min(x.lastProgress+x.cfg.IdleTimeout, x.cfg.Deadline) {
 		return
 	}
-	awaitingClient := x.currentOp[Up] == Read || x.currentOp[Up] == SpliceIn // waiting for bytes from the client
+	awaitingClient := x.currentOp[Up] == Read || x.currentOp[Up] == SpliceIn
 	switch {
 	case x.downPhase != awaitingAnswer:
 		x.finishTruncated()
--- a/internal/pump/pipe.go
+++ b/internal/pump/pipe.go
@@ -15,9 +15,9 @@
 // maxQueuedPieces is the number of pieces that are queued at most: a head, a chunk head, content and a chunk end.
 const maxQueuedPieces = 4
 
-// Pipe is one direction of an exchange. Its window is filled from the source and then written out completely before more
-// is read, so that the source is read no faster than the sink accepts. As long as all content received so far is still in
-// the window, Rewind can restart the writing.
+// Pipe is one direction of an exchange. Its window is filled from the source and then written out completely before
+// more is read, so that the source is read no faster than the sink accepts. As long as all content received so far is
+// still in the window, Rewind can restart the writing.
 type Pipe struct {
 	body         *protocol.Body
 	outFraming   protocol.Framing
@@ -81,8 +81,8 @@
 }
 
 // SpliceLimit returns how many bytes may now be spliced from source to sink without passing through the window. It is
-// above 0 only if the body is forwarded with its Content-Length, the window was filled and all of it written, and much of
-// the body remains. The driver holds the spliced bytes, at most a window's size.
+// above 0 only if the body is forwarded with its Content-Length, the window was filled and all of it written, and much
+// of the body remains. The driver holds the spliced bytes, at most a window's size.
 func (p *Pipe) SpliceLimit() int {
 	if p.outFraming != protocol.ByLength || p.firstPiece < p.endPiece || p.nextUnqueued < p.contentEnd || p.rewindable && p.contentEnd < len(p.window) ||
 		p.body.Remaining() < MinWindowBytes {
@@ -107,14 +107,14 @@
 	if p.body.Complete() || p.firstPiece < p.endPiece || p.nextUnqueued < p.contentEnd {
 		return nil
 	}
-	if !p.rewindable || p.contentEnd == len(p.window) { // all of it was written: reuse the window, after which Rewind is impossible
+	if !p.rewindable || p.contentEnd == len(p.window) { // all was written: the window is reused and can no longer be rewound
 		p.nextUnqueued, p.contentEnd, p.rewindable = 0, 0, p.rewindable && p.contentEnd == 0
 	}
 	return p.window[p.contentEnd:]
 }
 
-// Fill records that n bytes were read into Space. An error means that the body is malformed; the content received before
-// it must not be treated as a complete body.
+// Fill records that n bytes were read into Space. An error means that the body is malformed; the content received
+// before it must not be treated as a complete body.
 func (p *Pipe) Fill(n int) error {
 	content, used, err := p.body.Decode(p.window[p.contentEnd : p.contentEnd+n])
 	p.contentEnd += content
--- a/internal/pump/pump_test.go
+++ b/internal/pump/pump_test.go
@@ -40,8 +40,8 @@
 	return body
 }
 
-// decodeFramed decodes what a peer received with the standard library. It returns the content and whether the peer would
-// take it for complete.
+// decodeFramed decodes what a peer received with the standard library. It returns the content and whether the peer
+// would take it for complete.
 func decodeFramed(got []byte, f protocol.Framing, length int) ([]byte, bool) {
 	switch f {
 	case protocol.Chunked:
@@ -55,8 +55,8 @@
 	return got, true
 }
 
-// For any sequence of partial reads and writes, a pipe must write the head and the content in its framing, stay within its
-// window, and write the same again after Rewind.
+// For any sequence of partial reads and writes, a pipe must write the head and the content in its framing, stay within
+// its window, and write the same again after Rewind.
 func TestPipeUnderRandomSchedule(t *testing.T) {
 	framings := []protocol.Framing{protocol.ByLength, protocol.Chunked, protocol.UntilClose}
 	rapid.Check(t, func(t *rapid.T) {
@@ -137,9 +137,9 @@
 
 // exchangeSim simulates both peers of an exchange with a random schedule.
 type exchangeSim struct {
-	t        *rapid.T
+	test     *rapid.T
 	rng      *rand.Rand
-	x        *Exchange
+	exchange *Exchange
 	now      time.Duration
 	toSend   []byte // the client's remaining bytes
 	sendsEnd bool   // then the client closes its connection
@@ -159,18 +159,18 @@
 
 // step simulates one step of a direction.
 func (w *exchangeSim) step(direction Direction) bool {
-	step := w.x.Next(direction, w.now)
+	step := w.exchange.Next(direction, w.now)
 	n, err := 0, error(nil)
 	splice := step.Op == SpliceIn || step.Op == SpliceOut
 	switch step.Op { // the driver splices through a buffer of its own
 	case SpliceIn:
 		if len(w.held[direction]) > 0 || step.Limit > MinWindowBytes {
-			w.t.Fatalf("%d bytes held, %d more to splice in", len(w.held[direction]), step.Limit)
+			w.test.Fatalf("%d bytes held, %d more to splice in", len(w.held[direction]), step.Limit)
 		}
 		step.Op, step.Space = Read, make([]byte, step.Limit)
 	case SpliceOut:
 		if step.Limit != len(w.held[direction]) {
-			w.t.Fatalf("%d bytes held, %d to splice out", len(w.held[direction]), step.Limit)
+			w.test.Fatalf("%d bytes held, %d to splice out", len(w.held[direction]), step.Limit)
 		}
 		step.Op, step.Out = Write, [][]byte{w.held[direction]}
 	}
@@ -181,7 +181,7 @@
 	case step.Op == Begin:
 	case step.Op == RecordDelivery:
 		if len(w.client) > 0 {
-			w.t.Fatal("bytes were sent to the client before the delivery was recorded")
+			w.test.Fatal("bytes were sent to the client before the delivery was recorded")
 		}
 		w.recorded = true
 	case step.Op == Read && direction == Up:
@@ -215,13 +215,13 @@
 			err = io.EOF
 		default:
 			w.now, err = min(w.now+time.Millisecond, step.Deadline), os.ErrDeadlineExceeded
-			if w.x.currentOp[Up] == Stop {
+			if w.exchange.currentOp[Up] == Stop {
 				w.now = max(w.now, step.Deadline)
 			}
 		}
 	case step.Op == Write && direction == Down:
 		if !w.recorded {
-			w.t.Fatal("the answer was sent to the client before the delivery was recorded")
+			w.test.Fatal("the answer was sent to the client before the delivery was recorded")
 		}
 		all := bytes.Join(step.Out, nil)
 		n = 1 + w.rng.IntN(len(all))
@@ -232,12 +232,12 @@
 	} else if splice {
 		w.held[direction] = w.held[direction][n:]
 	}
-	w.x.StepDone(direction, n, err, w.now)
+	w.exchange.StepDone(direction, n, err, w.now)
 	return true
 }
 
-// Under any schedule an exchange must end, a truncated call or answer must not be taken for a complete one, and the client
-// must get no byte of the answer before the delivery is recorded.
+// Under any schedule an exchange must end, a truncated call or answer must not be taken for a complete one, and the
+// client must get no byte of the answer before the delivery is recorded.
 func TestExchangeUnderRandomSchedule(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\n"
 	rapid.Check(t, func(t *rapid.T) {
@@ -248,7 +248,7 @@
 		}
 		answerBody := bytes.Repeat([]byte("answer"), rapid.SampledFrom([]int{0, 1, 50000, 100000}).Draw(t, "answer"))
 		framing := rapid.SampledFrom([]protocol.Framing{protocol.ByLength, protocol.Chunked}).Draw(t, "framing")
-		sim := &exchangeSim{t: t, rng: rng, toSend: frameContent(content, framing, "", rng)}
+		sim := &exchangeSim{test: t, rng: rng, toSend: frameContent(content, framing, "", rng)}
 		wireSize := len(sim.toSend)
 		clientFault := rapid.IntRange(0, 3).Draw(t, "client")
 		if clientFault > 0 { // the client sends a part, then closes, goes silent or sends garbage
@@ -292,23 +292,23 @@
 		request.Start([]byte("HEAD"), framing)
 		answers := protocol.NewAnswerParser(64 << 10)
 		answers.Stream(protocol.StreamAnswered)
-		sim.x = New(Config{
+		sim.exchange = New(Config{
 			Request: request, Answers: answers, Window: func() []byte { return make([]byte, MinWindowBytes) }, MaxAnswerBytes: 1 << 30,
 			IdleTimeout: time.Second, Deadline: time.Minute, Splice: rng.IntN(2) == 0,
 		})
-		for sim.x.Outcome() == Running {
+		for sim.exchange.Outcome() == Running {
 			if sim.steps++; sim.steps > 1_000_000 {
 				t.Fatal("the exchange does not end")
 			}
 			direction := Up
-			if sim.x.Begun() && rng.IntN(2) == 0 {
+			if sim.exchange.Begun() && rng.IntN(2) == 0 {
 				direction = Down
 			}
-			if !sim.step(direction) && direction == Up && !sim.x.Begun() {
-				t.Fatalf("stopped before it began: %v", sim.x.Outcome())
+			if !sim.step(direction) && direction == Up && !sim.exchange.Begun() {
+				t.Fatalf("stopped before it began: %v", sim.exchange.Outcome())
 			}
 		}
-		outcome := sim.x.Outcome()
+		outcome := sim.exchange.Outcome()
 		if request.Written() != (len(sim.endpoint) > 4 && isCompleteCall(sim.endpoint[4:], framing, len(content))) {
 			t.Fatalf("%v: written %v with %d bytes at the endpoint", outcome, request.Written(), len(sim.endpoint))
 		}
@@ -318,10 +318,10 @@
 		if (outcome == ClientGone || outcome == ClientStalled || outcome == ClientMalformed) && request.Written() {
 			t.Fatalf("%v, but the endpoint has the complete call", outcome)
 		}
-		if sim.recorded && outcome != Delivered || sim.x.AnswerStarted() && !sim.recorded {
+		if sim.recorded && outcome != Delivered || sim.exchange.AnswerStarted() && !sim.recorded {
 			t.Fatalf("%v, delivery recorded %v", outcome, sim.recorded)
 		}
-		if outcome == Delivered && sim.x.AnswerComplete() {
+		if outcome == Delivered && sim.exchange.AnswerComplete() {
 			if _, body, ok := strings.Cut(string(sim.client), "\r\n\r\n"); !ok || !answerComplete {
 				t.Fatalf("truncated answer taken for complete: %.80q", sim.client)
 			} else if strings.Contains(string(sim.client), "chunked") {
@@ -332,13 +332,13 @@
 				t.Fatalf("answer of %d bytes, %d wanted", len(body), len(answerBody))
 			}
 		}
-		if endpoint, client := sim.x.Reusable(); (endpoint || client) && !request.Written() {
+		if endpoint, client := sim.exchange.Reusable(); (endpoint || client) && !request.Written() {
 			t.Fatalf("%v: connections are reusable after an incomplete call", outcome)
 		}
 		for sim.step(Up) || sim.step(Down) {
 			t.Fatal("a step after the end of the exchange")
 		}
-		if sim.x.Retryable() { // a retry must send all content received so far
+		if sim.exchange.Retryable() { // a retry must send all content received so far
 			request.Rewind()
 			request.Start(nil, protocol.UntilClose)
 			if again := bytes.Join(request.Out(), nil); int64(len(again)) != request.Received() || clientFault != 3 && !bytes.HasPrefix(content, again) {
@@ -348,9 +348,9 @@
 	})
 }
 
-func isCompleteCall(b []byte, f protocol.Framing, length int) bool {
-	_, whole := decodeFramed(b, f, length)
-	return whole && (f == protocol.ByLength || bytes.HasSuffix(b, []byte("0\r\n\r\n")))
+func isCompleteCall(call []byte, framing protocol.Framing, length int) bool {
+	_, complete := decodeFramed(call, framing, length)
+	return complete && (framing == protocol.ByLength || bytes.HasSuffix(call, []byte("0\r\n\r\n")))
 }
 
 // Bytes of the request that are read while the exchange ends must not be lost for a retry.
@@ -384,8 +384,8 @@
 	}
 }
 
-// BenchmarkPipe moves bodies through a window without sockets. It measures the framing alone, which must not allocate in
-// the steady state.
+// BenchmarkPipe moves bodies through a window without sockets. It measures the framing alone, which must not allocate
+// in the steady state.
 func BenchmarkPipe(b *testing.B) {
 	for name, out := range map[string]protocol.Framing{"length": protocol.ByLength, "chunked": protocol.Chunked} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -77,10 +77,10 @@
 	return &Batch{Moment: *fields.Moment, Batch: *fields.Batch, Parts: *fields.Parts}, nil
 }
 
-func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
+func micros(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
 // Moment converts a clock reading of the wire, in microseconds, to a duration.
-func Moment(n int64) time.Duration { return microseconds(n) }
+func Moment(n int64) time.Duration { return micros(n) }
 
 type rawEvent struct {
 	Type        string             `json:"type"`
@@ -186,7 +186,7 @@
 		}
 		return mb.Submit{
 			ID: id, Class: event.Class, Tenant: parseName(event.Tenant), Key: mb.OrderKey(event.Key),
-			TimeLeft: microseconds(event.TimeLeft), Destination: mb.DestinationID(event.Destination),
+			TimeLeft: micros(event.TimeLeft), Destination: mb.DestinationID(event.Destination),
 		}, nil
 	case "answer":
 		id, err := needID()
@@ -199,7 +199,7 @@
 		}
 		answer := mb.Answer{
 			ID: id, Attempt: event.Attempt, Endpoint: mb.EndpointID(event.Endpoint), Outcome: outcome,
-			Latency: microseconds(event.Latency), Settled: event.Settled, Limit: LimitReport(event.Stats),
+			Latency: micros(event.Latency), Settled: event.Settled, Limit: LimitReport(event.Stats),
 		}
 		if outcome == mb.Refused {
 			answer.RetryAfter = time.Duration(event.WaitMS) * time.Millisecond
@@ -212,7 +212,7 @@
 		}
 		return mb.Probed{
 			Endpoint: mb.EndpointID(event.Endpoint), Outcome: outcome,
-			Latency: microseconds(event.Latency), Limit: LimitReport(event.Stats),
+			Latency: micros(event.Latency), Limit: LimitReport(event.Stats),
 		}, nil
 	case "gone":
 		id, err := needID()
@@ -313,12 +313,12 @@
 		UseCapacityHints:   fields.WeightSource == "nominal" || fields.WeightSource == "rough",
 		RoughCapacityHints: fields.WeightSource == "rough",
 		MayProbe:           fields.Limits.MayProbe, MayCancel: fields.Limits.Cancel,
-		SendRetryAfter: fields.Limits.RetryAfter, MaxRetryAfter: microseconds(fields.Limits.MaxRetryAfter),
-		MustSubscribe: fields.Registry == "subscribe", SubscribeWithin: microseconds(fields.Rules.AskWithin),
-		KeepAlive: microseconds(fields.Limits.KeepAlive), ConnectTimeout: microseconds(fields.Limits.Connect), AnswerSlack: microseconds(fields.Rules.AnswerSlack),
-		DrainGrace: microseconds(fields.Rules.DrainGrace), TurnGap: microseconds(fields.Rules.TurnGap),
-		OverloadFactor: fields.Rules.OverloadFactor, TipAfter: microseconds(fields.Rules.TipAfter),
-		ColdFrom: fields.Rules.ColdFrom, WarmWithin: microseconds(fields.Rules.WarmWithin),
+		SendRetryAfter: fields.Limits.RetryAfter, MaxRetryAfter: micros(fields.Limits.MaxRetryAfter),
+		MustSubscribe: fields.Registry == "subscribe", SubscribeWithin: micros(fields.Rules.AskWithin),
+		KeepAlive: micros(fields.Limits.KeepAlive), ConnectTimeout: micros(fields.Limits.Connect), AnswerSlack: micros(fields.Rules.AnswerSlack),
+		DrainGrace: micros(fields.Rules.DrainGrace), TurnGap: micros(fields.Rules.TurnGap),
+		OverloadFactor: fields.Rules.OverloadFactor, TipAfter: micros(fields.Rules.TipAfter),
+		ColdFrom: fields.Rules.ColdFrom, WarmWithin: micros(fields.Rules.WarmWithin),
 	}
 	if fields.Family.Fades == "by_half" {
 		settings.Decay = mb.DecayExponential
@@ -340,14 +340,14 @@
 		settings.Tenants = append(settings.Tenants, mb.Tenant{Name: realm.Name, AllowancePerS: realm.Allowance})
 	}
 	effects := map[string]mb.Effect{"safe": mb.Safe, "keyed": mb.Keyed, "unsafe": mb.Unsafe}
-	for _, service := range fields.Services {
-		effect, ok := effects[service.Effect]
+	for _, class := range fields.Services {
+		effect, ok := effects[class.Effect]
 		if !ok {
-			return settings, fmt.Errorf("%w: class %q: effect %q", ErrMalformed, service.Name, service.Effect)
+			return settings, fmt.Errorf("%w: class %q: effect %q", ErrMalformed, class.Name, class.Effect)
 		}
 		settings.Classes = append(settings.Classes, mb.Class{
-			Name: service.Name, Target: microseconds(service.Target), DeliveryTimeout: microseconds(service.GiveUp), Worth: service.Credit, LateWorth: service.LateWorth,
-			Effect: effect, SameZoneOnly: service.Group != "all", KeyTTL: microseconds(service.KeyTTL), InOrder: service.InOrder,
+			Name: class.Name, Target: micros(class.Target), DeliveryTimeout: micros(class.GiveUp), Worth: class.Credit, LateWorth: class.LateWorth,
+			Effect: effect, SameZoneOnly: class.Group != "all", KeyTTL: micros(class.KeyTTL), InOrder: class.InOrder,
 		})
 	}
 	return settings, nil
@@ -355,41 +355,41 @@
 
 // EncodeAction converts an action to its wire form.
 func EncodeAction(action mb.Action) (any, error) {
-	switch action := action.(type) {
+	switch a := action.(type) {
 	case mb.Send:
 		return struct {
 			Type     string `json:"type"`
 			RID      uint64 `json:"rid"`
 			Endpoint string `json:"endpoint"`
 			CutAt    int64  `json:"cut-at,omitempty"`
-		}{"place", uint64(action.ID), string(action.Endpoint), action.CutAt.Microseconds()}, nil
+		}{"place", uint64(a.ID), string(a.Endpoint), a.CutAt.Microseconds()}, nil
 	case mb.Refuse:
 		return struct {
 			Type    string `json:"type"`
 			RID     uint64 `json:"rid"`
 			Backoff int64  `json:"backoff,omitempty"`
-		}{"busy", uint64(action.ID), action.RetryAfter.Microseconds()}, nil
+		}{"busy", uint64(a.ID), a.RetryAfter.Microseconds()}, nil
 	case mb.Fail:
 		return struct {
 			Type string `json:"type"`
 			RID  uint64 `json:"rid"`
-		}{"drop-request", uint64(action.ID)}, nil
+		}{"drop-request", uint64(a.ID)}, nil
 	case mb.Cancel:
 		return struct {
 			Type string `json:"type"`
 			RID  uint64 `json:"rid"`
 			N    int    `json:"n"`
-		}{"withdraw", uint64(action.ID), action.Attempt}, nil
+		}{"withdraw", uint64(a.ID), a.Attempt}, nil
 	case mb.Probe:
 		return struct {
 			Type     string `json:"type"`
 			Endpoint string `json:"endpoint"`
-		}{"sound-out", string(action.Endpoint)}, nil
+		}{"sound-out", string(a.Endpoint)}, nil
 	case mb.CloseIdle:
 		return struct {
 			Type     string `json:"type"`
 			Endpoint string `json:"endpoint"`
-		}{"hang-up", string(action.Endpoint)}, nil
+		}{"hang-up", string(a.Endpoint)}, nil
 	case mb.Subscribe:
 		return struct {
 			Type string `json:"type"`
@@ -400,9 +400,9 @@
 			Type   string `json:"type"`
 			Wait   int64  `json:"wait"`
 			Cookie uint64 `json:"cookie"`
-		}{"notify-me", action.After.Microseconds(), action.Cookie}, nil
+		}{"notify-me", a.After.Microseconds(), a.Cookie}, nil
 	case mb.Log:
-		return Emit{"emit", action.Text}, nil
+		return Emit{"emit", a.Text}, nil
 	}
 	return nil, fmt.Errorf("wire: no encoding for action %T", action)
 }
