--- a/internal/cluster/plan/follower.go
+++ b/internal/cluster/plan/follower.go
@@ -5,48 +5,52 @@
 	"time"
 )
 
-// Follower is one forwarder's side: the newest plan until it runs out, and the rule without one.
+// Follower holds the newest plan that one forwarder has received until it expires, and falls back to fixed shares
+// without a plan.
 type Follower struct {
 	Zone     string
-	MinState uint64 // the council's version at which its life began
+	MinState uint64 // the control plane's version at which the forwarder's current epoch began
 	plan     *Plan
-	until    time.Duration
-	// Stale has it take whatever plan is told, and Endless go by it for ever: safeguards that tests take out.
-	stale, endless bool
+	expires  time.Duration
+	// Tests set these to disable safeguards: acceptStale applies older versions too, neverExpires keeps a plan for
+	// ever.
+	acceptStale, neverExpires bool
 }
 
-// NewFollower is one at a place that has heard of no plan.
-func NewFollower(place string) *Follower { return &Follower{Zone: place} }
+// NewFollower returns a follower in a zone that has received no plan.
+func NewFollower(zone string) *Follower { return &Follower{Zone: zone} }
 
-// Apply takes a plan that was asked for at a moment. It holds from the asking, so that whoever gave it counts later than this does. An
-// older one than it has changes nothing; that it has already is renewed.
-func (f *Follower) Apply(asked time.Duration, p *Plan) {
-	if p == nil || p.State < f.MinState || f.plan != nil && p.Version < f.plan.Version && !f.stale {
+// Apply applies a plan that was requested at the given time. The plan holds from the time of the request, so that the
+// sender assumes a later expiry than the follower. An older version is ignored; the version already in force is
+// renewed.
+func (f *Follower) Apply(requested time.Duration, p *Plan) {
+	if p == nil || p.State < f.MinState || f.plan != nil && p.Version < f.plan.Version && !f.acceptStale {
 		return
 	}
 	if f.plan != nil && p.Version == f.plan.Version {
-		f.Renew(asked)
+		f.Renew(requested)
 		return
 	}
-	f.plan, f.until = p, asked+p.Hold
+	f.plan, f.expires = p, requested+p.Hold
 }
 
-// Renew says that an asking sent at a moment has found the plan that it has still to be the one in force.
-func (f *Follower) Renew(asked time.Duration) {
+// Renew extends the plan in force: a request sent at the given time was answered that this version is still current.
+func (f *Follower) Renew(requested time.Duration) {
 	if f.plan != nil {
-		f.until = max(f.until, asked+f.plan.Hold)
+		f.expires = max(f.expires, requested+f.plan.Hold)
 	}
 }
 
-// ActiveVersion is the version of the plan that it goes by; 0 is the rule. A lower version than it once obeyed comes back never.
+// ActiveVersion returns the version of the plan in force; 0 means that the fallback applies. It never returns a lower
+// version than before, except 0.
 func (f *Follower) ActiveVersion(now time.Duration) uint64 {
-	if f.plan == nil || now >= f.until && !f.endless {
+	if f.plan == nil || now >= f.expires && !f.neverExpires {
 		return 0
 	}
 	return f.plan.Version
 }
 
-// LatestVersion is the newest version that it has heard of.
+// LatestVersion returns the newest version received, expired or not.
 func (f *Follower) LatestVersion() uint64 {
 	if f.plan == nil {
 		return 0
@@ -54,44 +58,45 @@
 	return f.plan.Version
 }
 
-// Target is where a forwarder may send, and how much.
+// Target is a zone to which a forwarder may send, and at which rate.
 type Target struct {
 	Zone  string
-	Rate  float64 // calls a second of this one forwarder
+	Rate  float64 // calls per second of this forwarder alone
 	Trial bool
 }
 
-// FallbackConfig is what the rule needs.
+// FallbackConfig bounds what a forwarder sends without a plan.
 type FallbackConfig struct {
-	MaxForwarders int     // forwarders that there may be, at the most
+	MaxForwarders int     // the largest number of forwarders in the fleet
 	Reserve       float64 // Config.Reserve
 }
 
-// Targets says where this forwarder may send for a destination with sites of such capacities. Where a plan holds, that says it, in equal
-// parts for the forwarders of a place. Else it is near alone, and across within its own fixed part of what every place keeps in
-// reserve: however the fleet is split, and whoever goes by which plan, the parts add up to no more than the reserve. A destination that
-// has no site here is gone to at its first place, within its part of all but the reserve's plan.
-func (f *Follower) Targets(now time.Duration, destination int64, capacity map[string]float64, order []string, fleet FallbackConfig) (out []Target) {
+// Targets returns the zones to which this forwarder may send calls for a destination whose sites have the given
+// capacities. With a plan in force, the forwarders of a zone share its quotas equally. Without one, a forwarder sends
+// to its own zone alone. If the destination has no site there, it sends to the first zone of order with capacity, at
+// its fixed share of the reserve that every zone keeps: however the fleet is partitioned, and whichever plans are in
+// use, these shares add up to no more than the reserve.
+func (f *Follower) Targets(now time.Duration, destination int64, capacity map[string]float64, order []string, fallback FallbackConfig) (targets []Target) {
 	if f.ActiveVersion(now) > 0 {
-		grants := f.plan.QuotasFrom(destination, f.Zone)
-		for _, g := range grants {
-			rate := g.Each
-			if g.To == f.Zone && !g.Trial && g.Share >= 1 && g.Bound == 0 {
-				rate = math.Inf(1) // near is bounded by nothing but the partner itself
+		quotas := f.plan.QuotasFrom(destination, f.Zone)
+		for _, quota := range quotas {
+			rate := quota.Each
+			if quota.To == f.Zone && !quota.Trial && quota.Share >= 1 && quota.Bound == 0 {
+				rate = math.Inf(1) // the local zone is bounded by the endpoints alone
 			}
-			out = append(out, Target{g.To, rate, g.Trial})
+			targets = append(targets, Target{quota.To, rate, quota.Trial})
 		}
-		if len(grants) > 0 {
-			return out
+		if len(quotas) > 0 {
+			return targets
 		}
 	}
-	if _, here := capacity[f.Zone]; here {
-		return append(out, Target{Zone: f.Zone, Rate: math.Inf(1)})
+	if _, hasLocalSite := capacity[f.Zone]; hasLocalSite {
+		return append(targets, Target{Zone: f.Zone, Rate: math.Inf(1)})
 	}
-	for _, to := range order {
-		if c := capacity[to]; c > 0 {
-			return append(out, Target{Zone: to, Rate: fleet.Reserve * c / float64(max(1, fleet.MaxForwarders))})
+	for _, zone := range order {
+		if siteCapacity := capacity[zone]; siteCapacity > 0 {
+			return append(targets, Target{Zone: zone, Rate: fallback.Reserve * siteCapacity / float64(max(1, fallback.MaxForwarders))})
 		}
 	}
-	return out
+	return targets
 }
--- a/internal/cluster/plan/plan.go
+++ b/internal/cluster/plan/plan.go
@@ -6,60 +6,61 @@
 	"time"
 )
 
-// Plan is what is in force until it runs out, or a later one is heard.
+// Plan assigns quotas to the zones. It is in force until it expires or a later version arrives.
 type Plan struct {
-	Version uint64        // grows; the council's
-	Hold    time.Duration // for so long after it was asked for
-	State   uint64        // the council's version of who the forwarders are; who joined later goes by the rule until the next
-	Grants  []Quota       // sorted by destination, origin and place
-	Floors  []Quota       // what some may still go by of earlier plans, beyond these
-	Sites   []Site        // what the planner goes on from; who leads next begins with these
-	Sick    []string      // forwarders whose own network is bad
+	Version uint64        // assigned by the control plane; it only grows
+	Hold    time.Duration // validity, counted from the request that fetched it
+	State   uint64        // version of the member list; forwarders that joined later wait for the next plan
+	Grants  []Quota       // sorted by destination, origin zone and target zone
+	Floors  []Quota       // rates above Grants that forwarders may still use under earlier plans
+	Sites   []Site        // planner state, from which the next leader's planner continues
+	Sick    []string      // outlier observers: forwarders whose own network is faulty
 	Frozen  bool
-	Moves   []Move // that it makes against the one before
+	Moves   []Move // changes against the previous plan
 }
 
-// Quota lets the forwarders of a place send so much to a place, for one destination. What is granted nowhere is to be turned away.
+// Quota allows the forwarders of a zone a rate of calls to a zone, for one destination. Traffic without a quota is
+// rejected.
 type Quota struct {
 	Destination int64
 	From, To    string
-	Rate        float64 // calls a second, of all forwarders there together; near it is no bound, but what is wanted
-	Bound       float64 // calls a second that near takes from all of them together while it returns; 0 is no bound
-	Each        float64 // and of one of them, of Bound if there is one: more forwarders than there are never send more
-	Share       float64 // of what is handed in there for the destination, as the planner knew it
-	Trial       bool    // only to see whether the place, or the way, is well again
+	Rate        float64 // calls per second of all forwarders in From; the expected rate, not a limit, if To is From
+	Bound       float64 // calls per second that the local zone accepts during slow start; 0 is unlimited
+	Each        float64 // one forwarder's part of Rate, or of Bound; more forwarders never exceed the total
+	Share       float64 // of the origin zone's demand for the destination, as the planner knew it
+	Trial       bool    // only probes whether the zone or the route has recovered
 }
 
-// Phase is how a place stands with a destination.
+// Phase is the health state of a site.
 type Phase uint8
 
-// The phases.
+// Phases of a site.
 const (
-	Open   Phase = iota // takes what its capacity allows
-	Down                // takes trials alone
-	Return              // takes ever more, as one that comes back cold
+	Open   Phase = iota // accepts calls up to its capacity
+	Down                // ejected: accepts probe calls only
+	Return              // slow start: accepts a growing share of its capacity after an outage
 )
 
 func (p Phase) String() string { return [...]string{"open", "down", "returning"}[p] }
 
-// Site is a destination's endpoints in one place, as the planner goes on from.
+// Site is the planner's state of a destination's endpoints in one zone.
 type Site struct {
 	Destination int64
 	Place       string
 	Phase       Phase
-	Since       time.Duration // in this phase: how long
-	Rest        time.Duration // Down: until trials count
-	Good, Bad   int           // windows in a row
-	Flaps       int           // times it went down soon after a return
-	Usual       time.Duration // median of its calls while all was well
-	Slow        float64       // share of its capacity that its slowness leaves; 1 is all
-	Found       float64       // share of its capacity that it was found to have; 1 is all
-	Cut         []string      // places from which the way here is cut
+	Since       time.Duration // time in this phase
+	Rest        time.Duration // Down: remaining ejection period, before which probes do not readmit it
+	Good, Bad   int           // consecutive healthy and unhealthy windows
+	Flaps       int           // times it went down soon after a recovery
+	Usual       time.Duration // baseline: median latency of its calls while healthy
+	Slow        float64       // share of its capacity left while it is slow; 1 is all
+	Found       float64       // share of its capacity estimated from refusals; 1 is all
+	Cut         []string      // origin zones whose route to here is cut
 	Why         string
-	Refuses     bool // much, in the last window
+	Refuses     bool // refused a high share of calls in the last window
 }
 
-// Move is a line for the operators.
+// Move describes a change of the plan to operators.
 type Move struct {
 	Destination int64
 	From, Place string
@@ -67,28 +68,28 @@
 	Why         string // with the evidence
 }
 
-// find is the grant for a way, if there is one.
-func (p *Plan) find(destination int64, from, to string) (Quota, bool) {
+// findQuota returns the quota of a route, if there is one.
+func (p *Plan) findQuota(destination int64, from, to string) (Quota, bool) {
 	if p == nil {
 		return Quota{}, false
 	}
-	i, ok := slices.BinarySearchFunc(p.Grants, Quota{Destination: destination, From: from, To: to}, compareGrants)
-	if !ok {
+	index, found := slices.BinarySearchFunc(p.Grants, Quota{Destination: destination, From: from, To: to}, compareQuotas)
+	if !found {
 		return Quota{}, false
 	}
-	return p.Grants[i], true
+	return p.Grants[index], true
 }
 
-func compareGrants(a, b Quota) int {
+func compareQuotas(a, b Quota) int {
 	return cmp.Or(cmp.Compare(a.Destination, b.Destination), cmp.Compare(a.From, b.From), cmp.Compare(a.To, b.To))
 }
 
-// QuotasFrom gives the grants of a place for a destination.
+// QuotasFrom returns the quotas of a zone for a destination.
 func (p *Plan) QuotasFrom(destination int64, from string) []Quota {
-	at, _ := slices.BinarySearchFunc(p.Grants, Quota{Destination: destination, From: from}, compareGrants)
-	end := at
+	start, _ := slices.BinarySearchFunc(p.Grants, Quota{Destination: destination, From: from}, compareQuotas)
+	end := start
 	for end < len(p.Grants) && p.Grants[end].Destination == destination && p.Grants[end].From == from {
 		end++
 	}
-	return p.Grants[at:end]
+	return p.Grants[start:end]
 }
--- a/internal/cluster/plan/planner.go
+++ b/internal/cluster/plan/planner.go
@@ -10,22 +10,22 @@
 	"time"
 )
 
-// Config is the planner's figures.
+// Config holds the parameters of the planner.
 type Config struct {
-	Hold       time.Duration // how long a plan holds; it is renewed before
-	Headroom   float64       // share of a place's capacity that is given away at all
-	Reserve    float64       // share of it that is kept for those who go by the rule without a plan
-	Step       float64       // share of a place's spare by which what crosses to it grows in one window
-	Trial      float64       // share of a place's capacity that trials take, one call a second at the least
-	Rest       time.Duration // after it went down, until trials count; doubled with each flap
-	RestMost   time.Duration
-	FlapWithin time.Duration // down so soon after a return is a flap; as long without one forgets them
-	ColdFrom   float64       // share of its capacity that a place has as it comes back,
-	WarmWithin time.Duration // and until it has all
-	Confirm    int           // windows in a row that a verdict needs
-}
-
-// Defaults are the figures; those of cold partners are the users'.
+	Hold       time.Duration // validity of a plan; plans are renewed before it ends
+	Headroom   float64       // share of a site's capacity that quotas may use
+	Reserve    float64       // share of it kept for forwarders without a valid plan
+	Step       float64       // share of a site's spare capacity by which cross-zone traffic to it may grow per window
+	Trial      float64       // share of a site's capacity for probe calls, at least one call per second
+	Rest       time.Duration // ejection period after a site went down; doubled with each flap
+	RestMost   time.Duration // longest ejection period
+	FlapWithin time.Duration // an outage so soon after a recovery is a flap; as long without one resets the count
+	ColdFrom   float64       // share of its capacity that a site has at the beginning of slow start
+	WarmWithin time.Duration // duration of slow start, after which it has all
+	Confirm    int           // consecutive windows that confirm a change of health
+}
+
+// Defaults returns the default parameters; those of slow start come from the requirements.
 func Defaults() Config {
 	return Config{
 		Hold: 6 * time.Second, Headroom: 0.95, Reserve: 0.04, Step: 0.5, Trial: 0.01, Rest: 3 * time.Second, RestMost: time.Minute,
@@ -34,809 +34,828 @@
 }
 
 const (
-	surelyLost  = 30                    // calls lost in one window, of 90 in 100, that need no second window
-	surelyShare = 0.9                   //
-	slowFrom    = 2.5                   // times the usual median from which a place counts as slow
-	slowBy      = 20 * time.Millisecond // and by how much at the least: less is what a busy machine does to any call
-	slowLeast   = 0.1                   // of its capacity that a slow place keeps
-	trialCalls  = 2                     // of one place's forwarders, that say something of a trial
-	wellAgain   = 2                     // good windows in a row that end a rest, or a cut
-	sameGrant   = 0.1                   // grants that differ by less, as a share, are the same
-	usualDown   = 0.1                   // of the latest window in what is usual, where it is faster,
-	usualUp     = 0.005                 // and where it is slower: what becomes slow within a minute is not usual
-	foundStep   = 0.05                  // by which room that was found short is taken for more, in a window without refusals
-	foundLeast  = 0.1                   // of its capacity that a place is taken to have
-	fallShare   = 0.3                   // and in a demand that falls
-	evacuation  = 0.25                  // of what is asked for there, that leaves a place in one window
-	mostDemand  = 1e7                   // messages a second at one place that are believed
-	sway        = 0.25                  // by which a crossing may grow while the step before is not seen yet
-	runLeast    = 4                     // calls lost in a row, over windows, that say as much as a window,
-	runMost     = 8                     // and more say no more
-	limitHolds  = 30 * time.Second      // for which a limit is remembered that no answer tells of any more
+	certainLossCalls       = 30                    // lost calls in one window that need no second window to confirm
+	certainLossShare       = 0.9                   // share of the window's calls that must be lost for that
+	slowLatencyFactor      = 2.5                   // multiple of the baseline median latency above which a site is slow
+	minSlowExcess          = 20 * time.Millisecond // and the least excess over it: a busy machine adds less to any call
+	minSlowCapacityShare   = 0.1                   // least share of its capacity that a slow site keeps
+	minProbeCalls          = 2                     // calls of one zone's forwarders that make a probe conclusive
+	recoveryWindows        = 2                     // consecutive healthy windows that end an ejection, or a cut
+	quotaToleranceShare    = 0.1                   // quotas that differ by a smaller share are equal
+	baselineFallWeight     = 0.1                   // weight of the latest window in the baseline where latency is lower
+	baselineRiseWeight     = 0.005                 // and where it is higher: a slowdown of a minute is no baseline
+	estimateGrowthShare    = 0.05                  // growth of a capacity estimate in a window without refusals
+	minEstimateShare       = 0.1                   // least share of its capacity that a site is estimated to have
+	demandFallWeight       = 0.3                   // weight of the latest window where demand falls
+	evacuationShare        = 0.25                  // share of its demand that leaves an evacuated zone in one window
+	maxPlausibleRate       = 1e7                   // messages per second at one zone that are plausible
+	unconfirmedGrowthShare = 0.25                  // growth of cross-zone rates before all apply the previous step
+	minStreakCalls         = 4                     // consecutive lost calls that count as much as a window
+	maxStreakCalls         = 8                     // and the length from which a streak is not extended
+	rateLimitTTL           = 30 * time.Second      // how long a rate limit is kept that no answer reports any more
 )
 
-// Input is what is known at the end of a window.
+// Input is what the planner knows at the end of a window.
 type Input struct {
-	Elapsed  time.Duration                // since the Step before
-	Zones    map[string]Summary           // by place; one that is missing was not heard
-	Capacity map[int64]map[string]float64 // calls a second, by destination and place: limits found, or the list's word
-	Members  map[string]int               // forwarders that live, by place,
-	State    uint64                       // as of this version of the council's
+	Elapsed  time.Duration                // since the previous Step
+	Zones    map[string]Summary           // by zone; a zone that is missing did not report
+	Capacity map[int64]map[string]float64 // calls per second, by destination and zone
+	Members  map[string]int               // live forwarders, by zone
+	State    uint64                       // version of the member list on which Members is based
 	Evacuate map[string]bool
 	Frozen   bool
 }
 
-type way struct {
+type routeKey struct {
 	destination int64
 	from, to    string
 }
 
-type spot struct {
+type siteKey struct {
 	destination int64
-	place       string
+	zone        string
 }
 
-// force is a grant that some may still go by.
-type force struct {
-	version uint64
-	rate    float64
-	left    time.Duration // once a later one was proposed
-	over    bool          // one was
+// activeQuota is a quota that some forwarders may still apply.
+type activeQuota struct {
+	version    uint64
+	rate       float64
+	remaining  time.Duration // time until it expires everywhere, once it is superseded
+	superseded bool          // whether a later plan was proposed
 }
 
-// heard is who was heard of at a place, and for how long the same.
-type heard struct {
-	who   uint64
-	since time.Duration
+// observerSet identifies the observers that reported in a zone, and how long they have been the same.
+type observerSet struct {
+	hash      uint64
+	stableFor time.Duration
 }
 
-// count is how many members a place had, and how long ago that was so.
-type count struct {
-	n   int
-	ago time.Duration
+// memberCount is the number of members that a zone had, and how long ago.
+type memberCount struct {
+	number int
+	age    time.Duration
 }
 
-// limit is one that answers told of, and how long ago.
-type limit struct {
+// rateLimit is a rate limit reported in answers, and how long ago.
+type rateLimit struct {
 	rate float64
-	ago  time.Duration
+	age  time.Duration
 }
 
-// cutState counts the windows in which one way looked cut, or well.
-type cutState struct {
+// routeState counts the windows in which a route looked cut, or healthy.
+type routeState struct {
 	bad, good int
 	cut       bool
 }
 
-// Planner makes plans, one window behind the other. It is not safe for several goroutines at once.
+// Planner makes the plans, window after window. It is not safe for concurrent use.
 type Planner struct {
-	cfg      Config
-	places   Topology
-	sites    map[spot]*Site
-	ways     map[way]*cutState
-	demand   map[spot]float64 // by origin
-	origins  []string         // from which anything was asked for
-	runs     map[way]float64  // calls in a row that were answered, below zero those that were lost
-	slowRuns map[spot]slowRun
-	force    map[way][]force
-	obeys    map[string]uint64        // all at a place go by this version or a later one, whoever is not heard of, too
-	seen     map[string]uint64        // and all that were heard of in the last window
-	grew     map[string]uint64        // the plan by which a place's crossings grew last,
-	waited   map[string]time.Duration // and for how long it has not been seen that all go by it
-	who      map[string]heard
-	most     map[string][]count              // of members, of late
-	limits   map[spot]limit                  // that answers told of
-	paths    map[[2]string]map[int64]float64 // what each destination may send over a bounded path: as may still be gone by, or is granted now
-	last     *Plan
-	aged     time.Duration // since the last proposal
-	moves    []Move
-	// forgets has it take everybody for going by the latest plan at once: a safeguard that tests take out.
-	forgets bool
-}
-
-// NewPlanner goes on from the plan in force; nil is none. Whatever that grants may be gone by for as long as it holds.
-func NewPlanner(cfg Config, places Topology, from *Plan) *Planner {
+	cfg              Config
+	topology         Topology
+	sites            map[siteKey]*Site
+	routes           map[routeKey]*routeState
+	demand           map[siteKey]float64  // by destination and origin zone
+	origins          []string             // zones with demand, and those that reported
+	streaks          map[routeKey]float64 // consecutive calls: answered above zero, lost below
+	slowStreaks      map[siteKey]slowStreak
+	activeQuotas     map[routeKey][]activeQuota
+	planVersions     map[string]uint64        // every forwarder of a zone, reporting or not, uses this version or later
+	reportedVersions map[string]uint64        // every forwarder that reported in the last window does
+	growthVersions   map[string]uint64        // version with which cross-zone traffic from a zone last grew
+	growthWaits      map[string]time.Duration // time since which not all its forwarders reported to use it
+	observers        map[string]observerSet
+	memberCounts     map[string][]memberCount        // recent numbers of members, by zone
+	rateLimits       map[siteKey]rateLimit           // reported in answers
+	linkRates        map[[2]string]map[int64]float64 // by limited link and destination, old plans included
+	last             *Plan
+	sinceProposal    time.Duration // time since the last proposal
+	moves            []Move
+	// ignoreActive is set by tests to disable a safeguard: it assumes that every forwarder uses the latest plan at
+	// once.
+	ignoreActive bool
+}
+
+// NewPlanner returns a planner that continues from the plan in force; nil is none. The quotas of that plan may be in
+// use for as long as it holds.
+func NewPlanner(cfg Config, topology Topology, from *Plan) *Planner {
 	p := &Planner{
-		cfg: cfg, places: places, sites: map[spot]*Site{}, ways: map[way]*cutState{}, limits: map[spot]limit{}, runs: map[way]float64{}, slowRuns: map[spot]slowRun{}, demand: map[spot]float64{}, force: map[way][]force{},
-		obeys: map[string]uint64{}, seen: map[string]uint64{}, grew: map[string]uint64{}, waited: map[string]time.Duration{}, who: map[string]heard{}, most: map[string][]count{}, last: from,
+		cfg: cfg, topology: topology, sites: map[siteKey]*Site{}, routes: map[routeKey]*routeState{}, rateLimits: map[siteKey]rateLimit{}, streaks: map[routeKey]float64{}, slowStreaks: map[siteKey]slowStreak{}, demand: map[siteKey]float64{}, activeQuotas: map[routeKey][]activeQuota{},
+		planVersions: map[string]uint64{}, reportedVersions: map[string]uint64{}, growthVersions: map[string]uint64{}, growthWaits: map[string]time.Duration{}, observers: map[string]observerSet{}, memberCounts: map[string][]memberCount{}, last: from,
 	}
 	if from == nil {
 		p.last = &Plan{}
 		return p
 	}
-	for _, s := range from.Sites {
-		for _, o := range s.Cut {
-			p.ways[way{s.Destination, o, s.Place}] = &cutState{cut: true}
+	for _, site := range from.Sites {
+		for _, origin := range site.Cut {
+			p.routes[routeKey{site.Destination, origin, site.Place}] = &routeState{cut: true}
 		}
-		p.sites[spot{s.Destination, s.Place}] = &s
+		p.sites[siteKey{site.Destination, site.Place}] = &site
 	}
-	for _, g := range from.Grants {
-		w := way{g.Destination, g.From, g.To}
-		p.force[w] = append(p.force[w], force{version: from.Version, rate: g.Rate})
-		if g.Share > 0 && g.Share <= 1 {
-			p.demand[spot{g.Destination, g.From}] = math.Max(p.demand[spot{g.Destination, g.From}], g.Rate/g.Share)
+	for _, quota := range from.Grants {
+		route := routeKey{quota.Destination, quota.From, quota.To}
+		p.activeQuotas[route] = append(p.activeQuotas[route], activeQuota{version: from.Version, rate: quota.Rate})
+		if quota.Share > 0 && quota.Share <= 1 {
+			p.demand[siteKey{quota.Destination, quota.From}] = math.Max(p.demand[siteKey{quota.Destination, quota.From}], quota.Rate/quota.Share)
 		}
 	}
-	for _, g := range from.Floors { // plans before it, of which this one knew
-		w := way{g.Destination, g.From, g.To}
-		p.force[w] = append(p.force[w], force{rate: g.Rate, over: true, left: cfg.Hold})
+	for _, quota := range from.Floors { // quotas of earlier plans that this plan still reckoned with
+		route := routeKey{quota.Destination, quota.From, quota.To}
+		p.activeQuotas[route] = append(p.activeQuotas[route], activeQuota{rate: quota.Rate, superseded: true, remaining: cfg.Hold})
 	}
 	return p
 }
 
-// Step makes the plan for the next window. Changed says whether it has to be proposed: it differs, or the one in force runs out.
-// From here on it counts as one that some may go by, whether it is decided or not.
+// Step makes the plan for the next window. Changed reports whether the plan has to be proposed: it differs from the one
+// in force, or that one is due for renewal. From then on its quotas count as possibly in use, whether it is committed
+// or not.
 func (p *Planner) Step(in Input) (next *Plan, changed bool) {
-	p.moves, p.aged = nil, p.aged+in.Elapsed
-	in.Capacity = believed(in.Capacity)
-	p.limit(in)
-	p.age(in)
+	p.moves, p.sinceProposal = nil, p.sinceProposal+in.Elapsed
+	in.Capacity = plausibleCapacity(in.Capacity)
+	p.applyRateLimits(in)
+	p.advance(in)
 	next = &Plan{Version: p.last.Version + 1, Hold: p.cfg.Hold, State: in.State, Frozen: in.Frozen}
-	for _, place := range slices.Sorted(maps.Keys(in.Zones)) {
-		next.Sick = append(next.Sick, in.Zones[place].Sick...)
+	for _, zone := range slices.Sorted(maps.Keys(in.Zones)) {
+		next.Sick = append(next.Sick, in.Zones[zone].Sick...)
 	}
 	if in.Frozen {
 		next.Grants = slices.Clone(p.last.Grants)
 		next.Sites = p.last.Sites
 	} else {
-		p.unlist(in.Capacity)
-		all := map[string]bool{}
-		for at := range p.demand {
-			all[at.place] = true
+		p.dropUnlisted(in.Capacity)
+		zones := map[string]bool{}
+		for key := range p.demand {
+			zones[key.zone] = true
 		}
-		for place := range in.Zones {
-			all[place] = true
+		for zone := range in.Zones {
+			zones[zone] = true
 		}
-		p.origins = slices.Sorted(maps.Keys(all))
-		p.paths = map[[2]string]map[int64]float64{}
-		for w := range p.force {
-			p.carries(w, p.possible(w))
+		p.origins = slices.Sorted(maps.Keys(zones))
+		p.linkRates = map[[2]string]map[int64]float64{}
+		for route := range p.activeQuotas {
+			p.reserveLink(route, p.maxActiveRate(route))
 		}
-		for _, d := range slices.Sorted(maps.Keys(in.Capacity)) {
-			p.judge(d, in)
-			next.Grants = append(next.Grants, p.grant(d, in)...)
+		for _, destination := range slices.Sorted(maps.Keys(in.Capacity)) {
+			p.evaluateHealth(destination, in)
+			next.Grants = append(next.Grants, p.assignQuotas(destination, in)...)
 		}
-		slices.SortFunc(next.Grants, compareGrants)
-		next.Sites = p.listed()
+		slices.SortFunc(next.Grants, compareQuotas)
+		next.Sites = p.siteList()
 	}
 	next.Moves = p.moves
-	for i, g := range next.Grants {
-		next.Grants[i].Each = max(g.Rate, g.Bound) / float64(max(1, p.members(g.From)))
+	for index, quota := range next.Grants {
+		next.Grants[index].Each = max(quota.Rate, quota.Bound) / float64(max(1, p.members(quota.From)))
 	}
-	changed = p.aged >= p.cfg.Hold/3 || len(p.moves) > 0 || next.Frozen != p.last.Frozen || !slices.Equal(next.Sick, p.last.Sick) || !sameGrants(next.Grants, p.last.Grants)
+	changed = p.sinceProposal >= p.cfg.Hold/3 || len(p.moves) > 0 || next.Frozen != p.last.Frozen || !slices.Equal(next.Sick, p.last.Sick) || !equalQuotas(next.Grants, p.last.Grants)
 	if !changed {
 		return p.last, false
 	}
-	p.aged = 0
-	for w := range p.force {
-		g, _ := next.find(w.destination, w.from, w.to)
-		if rate := p.possible(w); rate > g.Rate {
-			next.Floors = append(next.Floors, Quota{Destination: w.destination, From: w.from, To: w.to, Rate: rate})
+	p.sinceProposal = 0
+	for route := range p.activeQuotas {
+		quota, _ := next.findQuota(route.destination, route.from, route.to)
+		if rate := p.maxActiveRate(route); rate > quota.Rate {
+			next.Floors = append(next.Floors, Quota{Destination: route.destination, From: route.from, To: route.to, Rate: rate})
 		}
 	}
-	slices.SortFunc(next.Floors, compareGrants)
-	p.propose(next)
+	slices.SortFunc(next.Floors, compareQuotas)
+	p.recordProposal(next)
 	return next, true
 }
 
-// members is the most that a place had for as long as a plan holds: one that is gone from the list may still act.
-func (p *Planner) members(place string) (most int) {
-	for _, c := range p.most[place] {
-		most = max(most, c.n)
+// members returns the largest number of members that a zone had during the validity of a plan: a forwarder removed from
+// the list may still be running.
+func (p *Planner) members(zone string) (most int) {
+	for _, count := range p.memberCounts[zone] {
+		most = max(most, count.number)
 	}
 	return most
 }
 
-// believed takes a capacity that can't be meant for none.
-func believed(capacity map[int64]map[string]float64) map[int64]map[string]float64 {
-	out := make(map[int64]map[string]float64, len(capacity))
-	for d, by := range capacity {
-		out[d] = maps.Clone(by)
-		for place, c := range by {
-			if !(c > 0 && c <= mostDemand) {
-				out[d][place] = 0
+// plausibleCapacity returns the capacities with implausible ones set to 0.
+func plausibleCapacity(capacity map[int64]map[string]float64) map[int64]map[string]float64 {
+	plausible := make(map[int64]map[string]float64, len(capacity))
+	for destination, byZone := range capacity {
+		plausible[destination] = maps.Clone(byZone)
+		for zone, siteCapacity := range byZone {
+			if !(siteCapacity > 0 && siteCapacity <= maxPlausibleRate) {
+				plausible[destination][zone] = 0
 			}
 		}
 	}
-	return out
+	return plausible
 }
 
-// limit takes the lowest limit that a zone was told of for a place's capacity, where that is below the list's: it may be one for all of a
-// destination's places together, so it never makes one larger.
-func (p *Planner) limit(in Input) {
-	fresh := map[spot]float64{}
-	for _, z := range in.Zones {
-		for at, rate := range z.Limits {
-			if s := (spot{at.Destination, at.To}); rate > 0 && rate <= mostDemand && (fresh[s] == 0 || rate < fresh[s]) {
-				fresh[s] = rate
+// applyRateLimits lowers the capacity of a site to the lowest rate limit that any zone reported for it. The limit may
+// cover all sites of the destination together, so it never raises a capacity.
+func (p *Planner) applyRateLimits(in Input) {
+	reported := map[siteKey]float64{}
+	for _, summary := range in.Zones {
+		for path, rate := range summary.Limits {
+			if key := (siteKey{path.Destination, path.To}); rate > 0 && rate <= maxPlausibleRate && (reported[key] == 0 || rate < reported[key]) {
+				reported[key] = rate
 			}
 		}
 	}
-	for at, l := range p.limits {
-		if l.ago += in.Elapsed; l.ago > limitHolds {
-			delete(p.limits, at)
+	for key, limit := range p.rateLimits {
+		if limit.age += in.Elapsed; limit.age > rateLimitTTL {
+			delete(p.rateLimits, key)
 			continue
 		}
-		p.limits[at] = l
+		p.rateLimits[key] = limit
 	}
-	for at, rate := range fresh {
-		p.limits[at] = limit{rate: rate}
+	for key, rate := range reported {
+		p.rateLimits[key] = rateLimit{rate: rate}
 	}
-	for at, l := range p.limits {
-		if c, listed := in.Capacity[at.destination][at.place]; listed {
-			in.Capacity[at.destination][at.place] = math.Min(c, l.rate)
+	for key, limit := range p.rateLimits {
+		if siteCapacity, listed := in.Capacity[key.destination][key.zone]; listed {
+			in.Capacity[key.destination][key.zone] = math.Min(siteCapacity, limit.rate)
 		}
 	}
 }
 
-// age lets time pass over what may still be gone by.
-func (p *Planner) age(in Input) {
-	for place, z := range in.Zones {
-		p.seen[place] = z.Obeys
-		if p.waited[place] += in.Elapsed; z.Obeys >= p.grew[place] {
-			p.waited[place] = 0
+// advance advances the time for quotas that may still be in use, and drops the expired ones.
+func (p *Planner) advance(in Input) {
+	for zone, summary := range in.Zones {
+		p.reportedVersions[zone] = summary.Obeys
+		if p.growthWaits[zone] += in.Elapsed; summary.Obeys >= p.growthVersions[zone] {
+			p.growthWaits[zone] = 0
 		}
-		h := p.who[place]
-		if h.since += in.Elapsed; h.who != z.Who { // one that is heard no more goes by what it had until that runs out
-			h = heard{who: z.Who}
+		observers := p.observers[zone]
+		// A forwarder that no longer reports applies its last plan until that expires.
+		if observers.stableFor += in.Elapsed; observers.hash != summary.Who {
+			observers = observerSet{hash: summary.Who}
 		}
-		if p.who[place] = h; h.since >= p.cfg.Hold {
-			p.obeys[place] = max(p.obeys[place], z.Obeys)
+		if p.observers[zone] = observers; observers.stableFor >= p.cfg.Hold {
+			p.planVersions[zone] = max(p.planVersions[zone], summary.Obeys)
 		}
 	}
-	for place, n := range in.Members {
-		list := p.most[place]
+	for zone, number := range in.Members {
+		list := p.memberCounts[zone]
 		for i := range list {
-			list[i].ago += in.Elapsed
+			list[i].age += in.Elapsed
 		}
-		list = slices.DeleteFunc(list, func(c count) bool { return c.ago > p.cfg.Hold || c.n <= n })
-		p.most[place] = append(list, count{n: n})
+		list = slices.DeleteFunc(list, func(count memberCount) bool { return count.age > p.cfg.Hold || count.number <= number })
+		p.memberCounts[zone] = append(list, memberCount{number: number})
 	}
-	for w, list := range p.force {
-		rest := list[:0]
-		for _, f := range list {
-			if f.over {
-				f.left -= in.Elapsed
+	for route, list := range p.activeQuotas {
+		kept := list[:0]
+		for _, quota := range list {
+			if quota.superseded {
+				quota.remaining -= in.Elapsed
 			}
-			if !f.over || f.left > 0 && f.version >= p.obeys[w.from] {
-				rest = append(rest, f)
+			if !quota.superseded || quota.remaining > 0 && quota.version >= p.planVersions[route.from] {
+				kept = append(kept, quota)
 			}
 		}
-		if p.force[w] = rest; len(rest) == 0 {
-			delete(p.force, w)
+		if p.activeQuotas[route] = kept; len(kept) == 0 {
+			delete(p.activeQuotas, route)
 		}
 	}
 }
 
-// propose books a plan as one that may be gone by from now on.
-func (p *Planner) propose(next *Plan) {
-	for _, list := range p.force {
+// recordProposal records that the quotas of a plan may be in use from now on.
+func (p *Planner) recordProposal(next *Plan) {
+	for _, list := range p.activeQuotas {
 		for i := range list {
-			if !list[i].over {
-				list[i].over, list[i].left = true, p.cfg.Hold
+			if !list[i].superseded {
+				list[i].superseded, list[i].remaining = true, p.cfg.Hold
 			}
 		}
 	}
-	for _, g := range next.Grants {
-		w := way{g.Destination, g.From, g.To}
-		p.force[w] = append(p.force[w], force{version: next.Version, rate: g.Rate})
+	for _, quota := range next.Grants {
+		route := routeKey{quota.Destination, quota.From, quota.To}
+		p.activeQuotas[route] = append(p.activeQuotas[route], activeQuota{version: next.Version, rate: quota.Rate})
 	}
 	p.last = next
 }
 
-// possible is the most that may be gone by on a way.
-func (p *Planner) possible(w way) (rate float64) {
-	if p.forgets {
+// maxActiveRate returns the highest rate that forwarders may be using on a route.
+func (p *Planner) maxActiveRate(route routeKey) (rate float64) {
+	if p.ignoreActive {
 		return 0
 	}
-	for _, f := range p.force[w] {
-		rate = math.Max(rate, f.rate)
+	for _, quota := range p.activeQuotas[route] {
+		rate = math.Max(rate, quota.rate)
 	}
 	return rate
 }
 
-// carries books what a way may take of the path between its places, where that is bounded.
-func (p *Planner) carries(w way, rate float64) {
-	if at := [2]string{w.from, w.to}; p.places.Link(w.from, w.to).Capacity > 0 {
-		if p.paths[at] == nil {
-			p.paths[at] = map[int64]float64{}
+// reserveLink records the rate that a route may use of the link between its zones, if that has a limit.
+func (p *Planner) reserveLink(route routeKey, rate float64) {
+	if link := [2]string{route.from, route.to}; p.topology.Link(route.from, route.to).Capacity > 0 {
+		if p.linkRates[link] == nil {
+			p.linkRates[link] = map[int64]float64{}
 		}
-		p.paths[at][w.destination] = math.Max(p.paths[at][w.destination], rate)
+		p.linkRates[link][route.destination] = math.Max(p.linkRates[link][route.destination], rate)
 	}
 }
 
-// bears is what the path between a way's places has left for it, beside all other destinations.
-func (p *Planner) bears(w way) float64 {
-	left := p.places.Link(w.from, w.to).Capacity
+// linkHeadroom returns the capacity of the route's link that the other destinations leave for it.
+func (p *Planner) linkHeadroom(route routeKey) float64 {
+	left := p.topology.Link(route.from, route.to).Capacity
 	if left <= 0 {
 		return math.Inf(1)
 	}
-	for d, rate := range p.paths[[2]string{w.from, w.to}] {
-		if d != w.destination {
+	for destination, rate := range p.linkRates[[2]string{route.from, route.to}] {
+		if destination != route.destination {
 			left -= rate
 		}
 	}
 	return math.Max(0, left)
 }
 
-// granted is what the last plan grants a way, but for trials.
-func (p *Planner) granted(d int64, from, to string) float64 {
-	if g, had := p.last.find(d, from, to); had && !g.Trial {
-		return g.Rate
+// lastRate returns the route's rate in the last plan, 0 for a probe.
+func (p *Planner) lastRate(destination int64, from, to string) float64 {
+	if quota, found := p.last.findQuota(destination, from, to); found && !quota.Trial {
+		return quota.Rate
 	}
 	return 0
 }
 
-func (p *Planner) site(d int64, place string) *Site {
-	s := p.sites[spot{d, place}]
-	if s == nil {
-		s = &Site{Destination: d, Place: place, Slow: 1, Found: 1}
-		p.sites[spot{d, place}] = s
+// site returns the state of a site, and creates it at its first use.
+func (p *Planner) site(destination int64, zone string) *Site {
+	site := p.sites[siteKey{destination, zone}]
+	if site == nil {
+		site = &Site{Destination: destination, Place: zone, Slow: 1, Found: 1}
+		p.sites[siteKey{destination, zone}] = site
 	}
-	return s
+	return site
 }
 
-func (p *Planner) listed() (out []Site) {
-	cuts := map[spot][]string{}
-	for w, st := range p.ways {
-		if st.cut {
-			cuts[spot{w.destination, w.to}] = append(cuts[spot{w.destination, w.to}], w.from)
+// siteList returns a copy of all sites with their cut routes, sorted.
+func (p *Planner) siteList() (list []Site) {
+	cuts := map[siteKey][]string{}
+	for route, state := range p.routes {
+		if state.cut {
+			cuts[siteKey{route.destination, route.to}] = append(cuts[siteKey{route.destination, route.to}], route.from)
 		}
 	}
-	for at, s := range p.sites {
-		c := *s
-		c.Cut = cuts[at]
-		slices.Sort(c.Cut)
-		out = append(out, c)
+	for key, site := range p.sites {
+		listed := *site
+		listed.Cut = cuts[key]
+		slices.Sort(listed.Cut)
+		list = append(list, listed)
 	}
-	slices.SortFunc(out, func(a, b Site) int {
+	slices.SortFunc(list, func(a, b Site) int {
 		return cmp.Or(cmp.Compare(a.Destination, b.Destination), cmp.Compare(a.Place, b.Place))
 	})
-	return out
+	return list
 }
 
-func (p *Planner) move(d int64, from, place, kind, format string, args ...any) {
-	p.moves = append(p.moves, Move{d, from, place, kind, fmt.Sprintf(format, args...)})
+func (p *Planner) recordMove(destination int64, from, zone, kind, format string, arguments ...any) {
+	p.moves = append(p.moves, Move{destination, from, zone, kind, fmt.Sprintf(format, arguments...)})
 }
 
-// ---- what is wrong ----
+// ---- health ----
 
-// judge tells the causes apart for each place of a destination: it is down where nobody reaches it, its own forwarders least of all; the
-// way is cut where some do and others do not.
-func (p *Planner) judge(d int64, in Input) {
-	for _, place := range slices.Sorted(maps.Keys(in.Capacity[d])) {
-		s := p.site(d, place)
-		s.Since += in.Elapsed
+// evaluateHealth finds the cause of lost calls for each site of a destination: the site is down if no zone reaches it
+// and its own zone, or several zones, lost calls; a route is cut if some zones reach the site and others do not.
+func (p *Planner) evaluateHealth(destination int64, in Input) {
+	for _, zone := range slices.Sorted(maps.Keys(in.Capacity[destination])) {
+		site := p.site(destination, zone)
+		site.Since += in.Elapsed
 		var bad, good []string
-		sum := Tally{}
-		least := float64(callsLeast)
-		if s.Phase == Down {
-			least = trialCalls
+		total := Tally{}
+		minCalls := float64(minObserverCalls)
+		if site.Phase == Down {
+			minCalls = minProbeCalls
 		}
 		for _, from := range slices.Sorted(maps.Keys(in.Zones)) {
-			t := in.Zones[from].Paths[Path{d, place}]
-			sum.Add(t)
-			w := way{d, from, place}
-			needs := least
-			if st := p.ways[w]; st != nil && st.cut {
-				needs = trialCalls
+			tally := in.Zones[from].Paths[Path{destination, zone}]
+			total.Add(tally)
+			route := routeKey{destination, from, zone}
+			needed := minCalls
+			if state := p.routes[route]; state != nil && state.cut {
+				needed = minProbeCalls
 			}
-			stands := slices.Contains(in.Zones[from].Lost, Path{d, place}) // breakers may keep the next call back for seconds
-			if t = p.gather(w, t, needs, stands); t.Calls() < needs {
+			// Circuit breakers may hold back the next call for seconds.
+			lostLately := slices.Contains(in.Zones[from].Lost, Path{destination, zone})
+			if tally = p.routeTally(route, tally, needed, lostLately); tally.Calls() < needed {
 				continue
 			}
 			switch {
-			case t.LossRate() >= lossBad:
+			case tally.LossRate() >= unhealthyLossShare:
 				bad = append(bad, from)
-			case t.LossRate() <= lossGood:
+			case tally.LossRate() <= healthyLossShare:
 				good = append(good, from)
 			}
 		}
-		p.reach(d, place, bad, good)
-		down := len(bad) > 0 && len(good) == 0 && (slices.Contains(bad, place) || len(bad) > 1)
-		p.phase(s, down, len(good) > 0, sum, in, strings.Join(bad, ","))
-		p.slow(s, sum, len(bad) == 0)
-		s.find(sum, in.Capacity[d][place], in.Elapsed)
-		s.Refuses = sum.refusesMuch()
+		p.updateRoutes(destination, zone, bad, good)
+		down := len(bad) > 0 && len(good) == 0 && (slices.Contains(bad, zone) || len(bad) > 1)
+		p.updatePhase(site, down, len(good) > 0, total, in, strings.Join(bad, ","))
+		p.updateSlowness(site, total, len(bad) == 0)
+		site.estimateCapacity(total, in.Capacity[destination][zone], in.Elapsed)
+		site.Refuses = total.refusesHeavily()
 	}
 }
 
-// gather gives what is known of a way: this window's calls where they say enough, else the run of calls that were lost, or answered, one
-// behind the other, over windows. Forwarders' own breakers let few calls through to a place that is down, so that one window tells
-// little; what stands is what they saw before.
-func (p *Planner) gather(w way, t Tally, needs float64, stands bool) Tally {
-	run, answered := p.runs[w], t.OK+t.Failed
+// routeTally returns the tally of a route: this window's calls if they are enough to judge it, else the streak of lost
+// or answered calls over windows. Circuit breakers let few calls through to a zone that is down, so that one window is
+// rarely conclusive; earlier results stay valid.
+func (p *Planner) routeTally(route routeKey, tally Tally, needed float64, lostLately bool) Tally {
+	streak, answered := p.streaks[route], tally.OK+tally.Failed
 	switch {
-	case stands && answered == 0:
-		return Tally{Late: needs}
-	case t.Calls() == 0 || !(t.Calls() < mostDemand):
-		return Tally{} // silence is no news
+	case lostLately && answered == 0:
+		return Tally{Late: needed}
+	case tally.Calls() == 0 || !(tally.Calls() < maxPlausibleRate):
+		return Tally{} // no calls, no change
 	case answered == 0:
-		run = math.Min(run, 0) - t.Lost()
-	case t.Lost() == 0:
-		run = math.Max(run, 0) + answered
+		streak = math.Min(streak, 0) - tally.Lost()
+	case tally.Lost() == 0:
+		streak = math.Max(streak, 0) + answered
 	default:
-		run = 0
+		streak = 0
 	}
-	p.runs[w] = math.Max(-runMost, math.Min(runMost, run))
+	p.streaks[route] = math.Max(-maxStreakCalls, math.Min(maxStreakCalls, streak))
 	switch {
-	case t.Calls() >= needs:
-		return t
-	case run <= -math.Min(needs, runLeast):
-		return Tally{Late: needs}
-	case run >= math.Min(needs, runLeast):
-		return Tally{OK: needs}
+	case tally.Calls() >= needed:
+		return tally
+	case streak <= -math.Min(needed, minStreakCalls):
+		return Tally{Late: needed}
+	case streak >= math.Min(needed, minStreakCalls):
+		return Tally{OK: needed}
 	}
 	return Tally{}
 }
 
-// unlist forgets what the list has no more.
-func (p *Planner) unlist(capacity map[int64]map[string]float64) {
-	gone := func(d int64, place string) bool { _, listed := capacity[d][place]; return !listed }
-	maps.DeleteFunc(p.sites, func(at spot, _ *Site) bool { return gone(at.destination, at.place) })
-	maps.DeleteFunc(p.ways, func(w way, _ *cutState) bool { return gone(w.destination, w.to) })
-	maps.DeleteFunc(p.runs, func(w way, _ float64) bool { return gone(w.destination, w.to) })
-	maps.DeleteFunc(p.slowRuns, func(at spot, _ slowRun) bool { return gone(at.destination, at.place) })
-	maps.DeleteFunc(p.demand, func(at spot, _ float64) bool { return len(capacity[at.destination]) == 0 })
+// dropUnlisted drops the state of sites that are no longer listed.
+func (p *Planner) dropUnlisted(capacity map[int64]map[string]float64) {
+	unlisted := func(destination int64, zone string) bool { _, listed := capacity[destination][zone]; return !listed }
+	maps.DeleteFunc(p.sites, func(key siteKey, _ *Site) bool { return unlisted(key.destination, key.zone) })
+	maps.DeleteFunc(p.routes, func(route routeKey, _ *routeState) bool { return unlisted(route.destination, route.to) })
+	maps.DeleteFunc(p.streaks, func(route routeKey, _ float64) bool { return unlisted(route.destination, route.to) })
+	maps.DeleteFunc(p.slowStreaks, func(key siteKey, _ slowStreak) bool { return unlisted(key.destination, key.zone) })
+	maps.DeleteFunc(p.demand, func(key siteKey, _ float64) bool { return len(capacity[key.destination]) == 0 })
 }
 
-// reach counts, for one place, who reaches it and who does not.
-func (p *Planner) reach(d int64, place string, bad, good []string) {
+// updateRoutes counts, for one site, the windows in which a route looked cut or healthy, and marks the route as cut or
+// restored.
+func (p *Planner) updateRoutes(destination int64, zone string, bad, good []string) {
 	for _, from := range bad {
-		w := way{d, from, place}
-		st := p.ways[w]
-		if st == nil {
-			st = &cutState{}
-			p.ways[w] = st
-		}
-		st.good = 0
-		if len(good) == 0 && (len(bad) > 1 || from == place) { // nobody reaches it: the place is the matter, not the way
-			st.bad = 0
+		route := routeKey{destination, from, zone}
+		state := p.routes[route]
+		if state == nil {
+			state = &routeState{}
+			p.routes[route] = state
+		}
+		state.good = 0
+		if len(good) == 0 && (len(bad) > 1 || from == zone) { // no zone reaches it: the site is down
+			state.bad = 0
 			continue
 		}
-		if st.bad++; !st.cut && st.bad >= p.cfg.Confirm {
-			st.cut = true
-			p.move(d, from, place, "path cut", "calls are lost; reached from %s", strings.Join(good, ","))
+		if state.bad++; !state.cut && state.bad >= p.cfg.Confirm {
+			state.cut = true
+			p.recordMove(destination, from, zone, "path cut", "calls are lost; other zones still reach it: %s", strings.Join(good, ","))
 		}
 	}
 	for _, from := range good {
-		st := p.ways[way{d, from, place}]
-		if st == nil {
+		state := p.routes[routeKey{destination, from, zone}]
+		if state == nil {
 			continue
 		}
-		st.bad = 0
-		if st.good++; st.good >= wellAgain {
-			if st.cut {
-				p.move(d, from, place, "path back", "%d windows without loss", st.good)
+		state.bad = 0
+		if state.good++; state.good >= recoveryWindows {
+			if state.cut {
+				p.recordMove(destination, from, zone, "path back", "%d consecutive windows without loss", state.good)
 			}
-			delete(p.ways, way{d, from, place})
+			delete(p.routes, routeKey{destination, from, zone})
 		}
 	}
 }
 
-// phase moves a site on. A place that went down rests, is tried, and comes back as one that is cold.
-func (p *Planner) phase(s *Site, down, well bool, sum Tally, in Input, who string) {
+// updatePhase changes the phase of a site. A site that goes down is ejected. After the ejection period it is readmitted
+// with slow start, once probe calls have succeeded.
+func (p *Planner) updatePhase(site *Site, down, healthy bool, total Tally, in Input, origins string) {
 	switch {
 	case down:
-		s.Good = 0
-		s.Bad++
-	case well:
-		s.Bad = 0
-		s.Good++
+		site.Good = 0
+		site.Bad++
+	case healthy:
+		site.Bad = 0
+		site.Good++
 	}
-	surely := down && sum.Lost() >= surelyLost && sum.LossRate() >= surelyShare
+	certain := down && total.Lost() >= certainLossCalls && total.LossRate() >= certainLossShare
 	switch {
-	case s.Phase != Down && down && (s.Bad >= p.cfg.Confirm || surely):
-		if s.Phase == Return || s.Flaps > 0 && s.Since < p.cfg.FlapWithin {
-			s.Flaps++
-		}
-		s.Rest = min(p.cfg.RestMost, p.cfg.Rest<<min(s.Flaps, 6))
-		s.Phase, s.Since, s.Good = Down, 0, 0
-		s.Why = fmt.Sprintf("%.0f of %.0f calls lost, seen from %s", sum.Lost(), sum.Calls(), who)
-		p.move(s.Destination, "", s.Place, "out", "%s; rests for %v", s.Why, s.Rest)
-	case s.Phase == Down:
-		if s.Rest -= in.Elapsed; s.Rest <= 0 && s.Good >= wellAgain {
-			s.Phase, s.Since = Return, 0
-			s.Why = fmt.Sprintf("trials answered in %d windows", s.Good)
-			p.move(s.Destination, "", s.Place, "back", "%s; from %.0f %% to all in %v", s.Why, 100*p.cfg.ColdFrom, p.cfg.WarmWithin)
-		}
-	case s.Phase == Return && s.Since >= p.cfg.WarmWithin:
-		s.Phase, s.Since, s.Why = Open, 0, ""
-		s.Flaps = max(s.Flaps, 1) // until FlapWithin is over
-	case s.Phase == Open && s.Since >= p.cfg.FlapWithin:
-		s.Flaps = 0
-	}
-}
-
-// slowRun counts windows in a row in which half of a site's calls took far longer than usual, and those calls.
-type slowRun struct {
+	case site.Phase != Down && down && (site.Bad >= p.cfg.Confirm || certain):
+		if site.Phase == Return || site.Flaps > 0 && site.Since < p.cfg.FlapWithin {
+			site.Flaps++
+		}
+		site.Rest = min(p.cfg.RestMost, p.cfg.Rest<<min(site.Flaps, 6))
+		site.Phase, site.Since, site.Good = Down, 0, 0
+		site.Why = fmt.Sprintf("%.0f of %.0f calls lost, reported by %s", total.Lost(), total.Calls(), origins)
+		p.recordMove(site.Destination, "", site.Place, "out", "%s; ejected for %v", site.Why, site.Rest)
+	case site.Phase == Down:
+		if site.Rest -= in.Elapsed; site.Rest <= 0 && site.Good >= recoveryWindows {
+			site.Phase, site.Since = Return, 0
+			site.Why = fmt.Sprintf("probe calls answered in %d consecutive windows", site.Good)
+			p.recordMove(site.Destination, "", site.Place, "back", "%s; slow start from %.0f %% to full capacity in %v", site.Why, 100*p.cfg.ColdFrom, p.cfg.WarmWithin)
+		}
+	case site.Phase == Return && site.Since >= p.cfg.WarmWithin:
+		site.Phase, site.Since, site.Why = Open, 0, ""
+		site.Flaps = max(site.Flaps, 1) // until FlapWithin has passed
+	case site.Phase == Open && site.Since >= p.cfg.FlapWithin:
+		site.Flaps = 0
+	}
+}
+
+// slowStreak counts consecutive windows in which the median latency of a site was far above its baseline, and their
+// calls.
+type slowStreak struct {
 	windows int
 	calls   float64
 }
 
-// confirmed says whether a run tells of the site rather than of a moment in which some process had no processor.
-func (r slowRun) confirmed(windows int) bool {
-	return r.calls >= surelyLost || r.windows >= windows && r.calls >= callsLeast
+// confirmed reports whether the site is slow, rather than some process having had no CPU for a moment.
+func (r slowStreak) confirmed(minWindows int) bool {
+	return r.calls >= certainLossCalls || r.windows >= minWindows && r.calls >= minObserverCalls
 }
 
-// slow lessens a place's capacity by how much longer its calls take than usual: as many are out there as before.
-func (p *Planner) slow(s *Site, sum Tally, well bool) {
-	now := sum.Median()
-	if s.Slow == 0 {
-		s.Slow = 1
+// updateSlowness lowers the capacity of a site in proportion to its latency, so that the number of concurrent calls
+// stays the same.
+func (p *Planner) updateSlowness(site *Site, total Tally, healthy bool) {
+	median := total.Median()
+	if site.Slow == 0 {
+		site.Slow = 1
 	}
-	at := spot{s.Destination, s.Place}
-	isSlow := s.Usual > 0 && float64(now) > slowFrom*float64(s.Usual) && now > s.Usual+slowBy
-	if now > 0 && !isSlow || s.Phase != Open {
-		delete(p.slowRuns, at)
+	key := siteKey{site.Destination, site.Place}
+	isSlow := site.Usual > 0 && float64(median) > slowLatencyFactor*float64(site.Usual) && median > site.Usual+minSlowExcess
+	if median > 0 && !isSlow || site.Phase != Open {
+		delete(p.slowStreaks, key)
 	}
 	switch {
-	case now == 0 || s.Phase != Open:
-	case s.Usual == 0:
-		s.Usual = now
+	case median == 0 || site.Phase != Open:
+	case site.Usual == 0:
+		site.Usual = median
 	case isSlow:
-		run := p.slowRuns[at]
-		run.windows, run.calls = run.windows+1, run.calls+sum.timed()
-		p.slowRuns[at] = run
-		if s.Slow == 1 && !run.confirmed(p.cfg.Confirm) {
+		streak := p.slowStreaks[key]
+		streak.windows, streak.calls = streak.windows+1, streak.calls+total.timedCalls()
+		p.slowStreaks[key] = streak
+		if site.Slow == 1 && !streak.confirmed(p.cfg.Confirm) {
 			return
 		}
-		before := s.Slow
-		s.Slow = math.Max(slowLeast, math.Min(s.Slow, 1.5*float64(s.Usual)/float64(now)))
-		if before == 1 {
-			p.move(s.Destination, "", s.Place, "slow", "half of its calls take over %v, usual are %v", now, s.Usual)
+		previous := site.Slow
+		site.Slow = math.Max(minSlowCapacityShare, math.Min(site.Slow, 1.5*float64(site.Usual)/float64(median)))
+		if previous == 1 {
+			p.recordMove(site.Destination, "", site.Place, "slow", "median latency is above %v; the baseline is %v", median, site.Usual)
 		}
-	case well:
-		if s.Slow < 1 {
-			if s.Slow = math.Min(1, s.Slow+0.15); s.Slow == 1 {
-				p.move(s.Destination, "", s.Place, "near again", "half of its calls take %v", now)
+	case healthy:
+		if site.Slow < 1 {
+			if site.Slow = math.Min(1, site.Slow+0.15); site.Slow == 1 {
+				p.recordMove(site.Destination, "", site.Place, "near again", "median latency is %v", median)
 			}
 		}
-		share := usualUp
-		if now < s.Usual {
-			share = usualDown
+		weight := baselineRiseWeight
+		if median < site.Usual {
+			weight = baselineFallWeight
 		}
-		s.Usual += time.Duration(share * float64(now-s.Usual))
+		site.Usual += time.Duration(weight * float64(median-site.Usual))
 	}
 }
 
-// find takes what a place answered while it refused much for all that it has.
-func (s *Site) find(sum Tally, capacity float64, span time.Duration) {
+// estimateCapacity takes the rate of answered calls as the capacity of a site that refuses a high share of its calls.
+func (s *Site) estimateCapacity(total Tally, capacity float64, elapsed time.Duration) {
 	if s.Found == 0 {
 		s.Found = 1
 	}
-	answered := (sum.OK + sum.Failed) / math.Max(0.001, span.Seconds())
-	switch much := sum.refusesMuch(); {
+	answered := (total.OK + total.Failed) / math.Max(0.001, elapsed.Seconds())
+	switch heavily := total.refusesHeavily(); {
 	case s.Phase == Down:
 		s.Found = 1
-	case much && capacity > 0:
-		s.Found = math.Max(foundLeast, math.Min(s.Found, answered/capacity))
-	case sum.Refused == 0 || sum.Refused < refusedMuch/2*sum.Calls():
-		s.Found = math.Min(1, s.Found+foundStep)
+	case heavily && capacity > 0:
+		s.Found = math.Max(minEstimateShare, math.Min(s.Found, answered/capacity))
+	case total.Refused == 0 || total.Refused < highRefusalShare/2*total.Calls():
+		s.Found = math.Min(1, s.Found+estimateGrowthShare)
 	}
 }
 
-// usable is what a place can take now.
-func (p *Planner) usable(s *Site, capacity float64) float64 {
-	all := capacity * p.cfg.Headroom
-	switch s.Phase {
+// usableCapacity returns the calls per second that a site can take now.
+func (p *Planner) usableCapacity(site *Site, capacity float64) float64 {
+	allowed := capacity * p.cfg.Headroom
+	switch site.Phase {
 	case Down:
 		return 0
 	case Return:
-		warm := math.Min(1, s.Since.Seconds()/math.Max(0.1, p.cfg.WarmWithin.Seconds()))
-		return all * math.Min(s.Found, p.cfg.ColdFrom+(1-p.cfg.ColdFrom)*warm)
+		progress := math.Min(1, site.Since.Seconds()/math.Max(0.1, p.cfg.WarmWithin.Seconds()))
+		return allowed * math.Min(site.Found, p.cfg.ColdFrom+(1-p.cfg.ColdFrom)*progress)
 	}
-	return all * math.Min(s.Slow, s.Found)
+	return allowed * math.Min(site.Slow, site.Found)
 }
 
-// ---- who goes where ----
+// ---- allocation ----
 
-// demandOf follows what is handed in: up at once, down slowly.
-func (p *Planner) demandOf(d int64, in Input) map[string]float64 {
-	out := map[string]float64{}
-	for place, z := range in.Zones {
-		at, now := spot{d, place}, z.Demand[d]
-		if !(now >= 0 && now <= mostDemand) { // no number that can be meant
-			now = p.demand[at]
+// updateDemand returns the demand for a destination by origin zone: rises apply at once, falls are smoothed.
+func (p *Planner) updateDemand(destination int64, in Input) map[string]float64 {
+	byOrigin := map[string]float64{}
+	for zone, summary := range in.Zones {
+		key, now := siteKey{destination, zone}, summary.Demand[destination]
+		if !(now >= 0 && now <= maxPlausibleRate) { // not a plausible number
+			now = p.demand[key]
 		}
-		if was := p.demand[at]; now < was {
-			now = was + fallShare*(now-was)
+		if previous := p.demand[key]; now < previous {
+			now = previous + demandFallWeight*(now-previous)
 		}
-		if p.demand[at] = now; now < 0.01 {
-			delete(p.demand, at)
+		if p.demand[key] = now; now < 0.01 {
+			delete(p.demand, key)
 		}
 	}
-	for _, place := range p.origins {
-		if n := p.demand[spot{d, place}]; n > 0 {
-			out[place] = n
+	for _, zone := range p.origins {
+		if demand := p.demand[siteKey{destination, zone}]; demand > 0 {
+			byOrigin[zone] = demand
 		}
 	}
-	return out
+	return byOrigin
 }
 
-// grant gives what each place's forwarders may send where.
-func (p *Planner) grant(d int64, in Input) (out []Quota) {
-	capacity := in.Capacity[d]
-	demand := p.demandOf(d, in)
+// assignQuotas assigns the quotas of a destination to the origin zones.
+func (p *Planner) assignQuotas(destination int64, in Input) (quotas []Quota) {
+	capacity := in.Capacity[destination]
+	demand := p.updateDemand(destination, in)
 	origins, targets := slices.Sorted(maps.Keys(demand)), slices.Sorted(maps.Keys(capacity))
-	usable, near, left := map[string]float64{}, map[string]float64{}, map[string]float64{}
-	cut := func(from, to string) bool { st := p.ways[way{d, from, to}]; return st != nil && st.cut }
+	usable, local, unserved := map[string]float64{}, map[string]float64{}, map[string]float64{}
+	isCut := func(from, to string) bool {
+		state := p.routes[routeKey{destination, from, to}]
+		return state != nil && state.cut
+	}
 	for _, to := range targets {
-		usable[to] = p.usable(p.site(d, to), capacity[to])
+		usable[to] = p.usableCapacity(p.site(destination, to), capacity[to])
 	}
-	for _, from := range origins { // near first
-		left[from] = demand[from]
-		if _, here := capacity[from]; here && !cut(from, from) {
-			near[from] = math.Min(demand[from], usable[from])
+	for _, from := range origins { // local traffic first
+		unserved[from] = demand[from]
+		if _, hasLocalSite := capacity[from]; hasLocalSite && !isCut(from, from) {
+			local[from] = math.Min(demand[from], usable[from])
 		}
 	}
-	room := map[string]float64{} // for crossings, beside what may be gone by anyhow
-	floor := map[way]float64{}
+	available := map[string]float64{} // for cross-zone traffic, beside quotas that may still be in use
+	activeRates := map[routeKey]float64{}
 	for _, to := range targets {
-		room[to] = math.Max(0, usable[to]-p.cfg.Reserve*capacity[to]-near[to])
+		available[to] = math.Max(0, usable[to]-p.cfg.Reserve*capacity[to]-local[to])
 		for _, from := range origins {
-			if w := (way{d, from, to}); from != to {
-				floor[w] = p.possible(w)
+			if route := (routeKey{destination, from, to}); from != to {
+				activeRates[route] = p.maxActiveRate(route)
 			}
 		}
 	}
-	p.evacuate(d, in, near, room, demand)
+	p.evacuate(destination, in, local, available, demand)
 	for _, from := range origins {
-		left[from] -= near[from]
+		unserved[from] -= local[from]
 	}
-	wants := map[string]bool{} // more than near can take: ways that are cut would be of use, and are tried
-	for from, n := range left {
-		wants[from] = n > 0
+	overflows := map[string]bool{} // more demand than the local zone takes: cut routes would help and are probed
+	for from, rate := range unserved {
+		overflows[from] = rate > 0
 	}
-	crossing, spare := p.cross(d, in, origins, targets, left, room, floor, cut)
-	crossed := map[string]float64{}
-	for w, rate := range crossing {
-		crossed[w.to] += rate
+	crossZone, unassigned := p.assignCrossZone(destination, in, origins, targets, unserved, available, activeRates, isCut)
+	inbound := map[string]float64{}
+	for route, rate := range crossZone {
+		inbound[route.to] += rate
 	}
-	add := func(from, to string, rate float64, trial bool) {
+	addQuota := func(from, to string, rate float64, trial bool) {
 		if rate <= 0 {
 			return
 		}
-		g := Quota{Destination: d, From: from, To: to, Rate: rate, Share: math.Min(1, rate/math.Max(1e-9, demand[from])), Trial: trial}
-		old, had := p.last.find(d, from, to)
-		if more := old.Rate - rate; had && !trial && !old.Trial && more > 0 && more <= sameGrant*old.Rate && more <= spare[to] {
-			spare[to] -= more
-			g.Rate, g.Share = old.Rate, math.Min(1, old.Rate/math.Max(1e-9, demand[from])) // a little less wanted is no change, where there is room
+		quota := Quota{Destination: destination, From: from, To: to, Rate: rate, Share: math.Min(1, rate/math.Max(1e-9, demand[from])), Trial: trial}
+		previous, found := p.last.findQuota(destination, from, to)
+		if decrease := previous.Rate - rate; found && !trial && !previous.Trial && decrease > 0 && decrease <= quotaToleranceShare*previous.Rate && decrease <= unassigned[to] {
+			unassigned[to] -= decrease
+			// A slightly lower rate is no change, if the capacity allows the old one.
+			quota.Rate, quota.Share = previous.Rate, math.Min(1, previous.Rate/math.Max(1e-9, demand[from]))
 		}
-		if from == to && !trial && p.site(d, to).Phase == Return { // what was held back meanwhile must not come all at once
-			g.Bound = usable[to] - crossed[to]
+		// Demand held back during the outage must not arrive all at once.
+		if from == to && !trial && p.site(destination, to).Phase == Return {
+			quota.Bound = usable[to] - inbound[to]
 		}
-		out = append(out, g)
+		quotas = append(quotas, quota)
 	}
 	for _, from := range origins {
 		for _, to := range targets {
-			rate := crossing[way{d, from, to}]
+			rate := crossZone[routeKey{destination, from, to}]
 			if from == to {
-				rate = near[from]
+				rate = local[from]
 			}
-			other := from != to && p.site(d, to).Phase == Down && p.tester(d, to, origins, in) == from
-			tried := other || from == to && (p.site(d, to).Phase == Down || cut(from, to)) || from != to && cut(from, to) && wants[from]
-			if tried && !in.Evacuate[to] {
-				add(from, to, math.Max(1, p.cfg.Trial*capacity[to]), true)
+			probedRemotely := from != to && p.site(destination, to).Phase == Down && p.probeZone(destination, to, origins, in) == from
+			probed := probedRemotely || from == to && (p.site(destination, to).Phase == Down || isCut(from, to)) || from != to && isCut(from, to) && overflows[from]
+			if probed && !in.Evacuate[to] {
+				addQuota(from, to, math.Max(1, p.cfg.Trial*capacity[to]), true)
 				continue
 			}
-			add(from, to, rate, false)
+			addQuota(from, to, rate, false)
 		}
 	}
-	return out
+	return quotas
 }
 
-// tester is another place whose forwarders try a place that is down: if they reach it, the way from its own is cut, and not the place
-// down.
-func (p *Planner) tester(d int64, to string, origins []string, in Input) string {
-	for _, from := range p.places.SortByCost(to, origins) {
-		if _, heard := in.Zones[from]; heard && from != to {
+// probeZone returns another zone whose forwarders probe a site that is down: if they reach it, the route from the
+// site's own zone is cut and the site is not down.
+func (p *Planner) probeZone(destination int64, to string, origins []string, in Input) string {
+	for _, from := range p.topology.SortByCost(to, origins) {
+		if _, reporting := in.Zones[from]; reporting && from != to {
 			return from
 		}
 	}
 	return ""
 }
 
-// evacuate takes near traffic away, by a quarter a window, as far as others have room for it.
-func (p *Planner) evacuate(d int64, in Input, near, room, demand map[string]float64) {
-	for _, place := range slices.Sorted(maps.Keys(in.Evacuate)) {
-		if !in.Evacuate[place] {
+// evacuate moves local traffic away, a quarter of the demand per window, as far as other zones have capacity for it.
+func (p *Planner) evacuate(destination int64, in Input, local, available, demand map[string]float64) {
+	for _, zone := range slices.Sorted(maps.Keys(in.Evacuate)) {
+		if !in.Evacuate[zone] {
 			continue
 		}
-		delete(room, place)
-		if near[place] == 0 {
+		delete(available, zone)
+		if local[zone] == 0 {
 			continue
 		}
 		spare := 0.0
-		for _, n := range room {
-			spare += n
+		for _, rate := range available {
+			spare += rate
 		}
-		was := math.Min(demand[place], p.granted(d, place, place)) // once it is empty it stays so
-		near[place] = math.Min(near[place], math.Max(0, was-math.Min(evacuation*demand[place], spare)))
-		if near[place] < 0.01*demand[place] {
-			near[place] = 0
+		previous := math.Min(demand[zone], p.lastRate(destination, zone, zone)) // an evacuated zone stays empty
+		local[zone] = math.Min(local[zone], math.Max(0, previous-math.Min(evacuationShare*demand[zone], spare)))
+		if local[zone] < 0.01*demand[zone] {
+			local[zone] = 0
 		}
 	}
 }
 
-// cross gives what is left over to others' room, the cheapest first and in equal parts where several want the same. Growth is in
-// steps, the next once all go by the one before and the place has not refused it. Spare is the room that nobody has.
-func (p *Planner) cross(d int64, in Input, origins, targets []string, left, room map[string]float64, floor map[way]float64, cut func(from, to string) bool) (out map[way]float64, spare map[string]float64) {
-	out, spare = map[way]float64{}, maps.Clone(room)
-	start := spare
-	for _, to := range targets { // what may be gone by anyhow takes its room; above it, shares of what is left
+// assignCrossZone assigns the unserved demand to the spare capacity of other zones, the cheapest first, and in
+// proportion where several zones want the same capacity. Rates grow in steps: the next step follows once all forwarders
+// apply the previous one and the zone has not refused it. Unassigned is the capacity that is left.
+func (p *Planner) assignCrossZone(destination int64, in Input, origins, targets []string, unserved, available map[string]float64, activeRates map[routeKey]float64, isCut func(from, to string) bool) (rates map[routeKey]float64, unassigned map[string]float64) {
+	rates, unassigned = map[routeKey]float64{}, maps.Clone(available)
+	remaining := unassigned
+	for _, to := range targets { // rates that may be in use take their capacity first; what is left is shared
 		for _, from := range origins {
-			room[to] -= floor[way{d, from, to}]
+			available[to] -= activeRates[routeKey{destination, from, to}]
 		}
 	}
-	order := map[string][]string{}
+	preferences := map[string][]string{}
 	for _, from := range origins {
-		order[from] = slices.DeleteFunc(p.places.SortByCost(from, targets), func(to string) bool { return to == from || in.Evacuate[to] })
+		preferences[from] = slices.DeleteFunc(p.topology.SortByCost(from, targets), func(to string) bool { return to == from || in.Evacuate[to] })
 	}
 	for rank := range targets {
-		asks := map[string][]way{}
-		want := map[way]float64{}
+		requests := map[string][]routeKey{}
+		wanted := map[routeKey]float64{}
 		for _, from := range origins {
-			if rank >= len(order[from]) || left[from] <= 0 {
+			if rank >= len(preferences[from]) || unserved[from] <= 0 {
 				continue
 			}
-			to := order[from][rank]
-			w := way{d, from, to}
-			if cut(from, to) || p.site(d, to).Phase == Down {
+			to := preferences[from][rank]
+			route := routeKey{destination, from, to}
+			if isCut(from, to) || p.site(destination, to).Phase == Down {
 				continue
 			}
-			was := p.granted(d, from, to)
-			grown := was + p.cfg.Step*start[to]
+			previous := p.lastRate(destination, from, to)
+			allowed := previous + p.cfg.Step*remaining[to]
 			switch {
-			case p.site(d, to).Refuses:
-				grown = was
-			case was > 0 && p.seen[from] < p.grew[from] && p.waited[from] < p.cfg.Hold:
-				grown = (1 + sway) * was
-				if left[from]-grown <= sameGrant*left[from] { // demand is never quite the same: no further place is turned to for that
-					left[from] = math.Min(left[from], grown)
+			case p.site(destination, to).Refuses:
+				allowed = previous
+			case previous > 0 && p.reportedVersions[from] < p.growthVersions[from] && p.growthWaits[from] < p.cfg.Hold:
+				allowed = (1 + unconfirmedGrowthShare) * previous
+				// Small variations of demand must not involve a further zone.
+				if unserved[from]-allowed <= quotaToleranceShare*unserved[from] {
+					unserved[from] = math.Min(unserved[from], allowed)
 				}
 			}
-			want[w] = math.Min(left[from], math.Min(p.bears(w), grown))
-			asks[to] = append(asks[to], w)
-		}
-		for _, to := range slices.Sorted(maps.Keys(asks)) {
-			free, above := math.Max(0, room[to]), 0.0
-			total := math.Max(0, start[to]) // what all may have together, whatever was granted before
-			for _, w := range asks[to] {
-				above += math.Max(0, want[w]-floor[w])
+			wanted[route] = math.Min(unserved[from], math.Min(p.linkHeadroom(route), allowed))
+			requests[to] = append(requests[to], route)
+		}
+		for _, to := range slices.Sorted(maps.Keys(requests)) {
+			free, excess := math.Max(0, available[to]), 0.0
+			limit := math.Max(0, remaining[to]) // limit of all rates together, whatever was assigned before
+			for _, route := range requests[to] {
+				excess += math.Max(0, wanted[route]-activeRates[route])
 			}
 			scale := 1.0
-			if above > free {
-				scale = free / above
+			if excess > free {
+				scale = free / excess
 			}
 			sum := 0.0
-			for _, w := range asks[to] {
-				out[w] = math.Min(want[w], floor[w]) + scale*math.Max(0, want[w]-floor[w])
-				sum += out[w]
+			for _, route := range requests[to] {
+				rates[route] = math.Min(wanted[route], activeRates[route]) + scale*math.Max(0, wanted[route]-activeRates[route])
+				sum += rates[route]
 			}
-			for _, w := range asks[to] {
-				if sum > total { // it can take less than before
-					out[w] *= total / sum
+			for _, route := range requests[to] {
+				if sum > limit { // its capacity has shrunk
+					rates[route] *= limit / sum
 				}
-				room[to] -= math.Max(0, out[w]-floor[w])
-				start[to] -= out[w]
-				left[w.from] -= out[w]
-				p.carries(w, out[w])
-				g, had := p.last.find(d, w.from, w.to)
-				if out[w] > g.Rate {
-					p.grew[w.from] = p.last.Version + 1
+				available[to] -= math.Max(0, rates[route]-activeRates[route])
+				remaining[to] -= rates[route]
+				unserved[route.from] -= rates[route]
+				p.reserveLink(route, rates[route])
+				quota, found := p.last.findQuota(destination, route.from, route.to)
+				if rates[route] > quota.Rate {
+					p.growthVersions[route.from] = p.last.Version + 1
 				}
-				if !had && out[w] > 0 {
-					p.move(d, w.from, w.to, "crossing", "%.1f a second that near cannot take", out[w])
+				if !found && rates[route] > 0 {
+					p.recordMove(destination, route.from, route.to, "crossing", "%.1f calls/s exceed the capacity of the local zone", rates[route])
 				}
 			}
 		}
 	}
-	return out, spare
+	return rates, unassigned
 }
 
-func sameGrants(a, b []Quota) bool {
-	return slices.EqualFunc(a, b, func(x, y Quota) bool {
-		return compareGrants(x, y) == 0 && x.Trial == y.Trial && math.Abs(x.Rate-y.Rate) <= sameGrant*math.Max(x.Rate, y.Rate)
+func equalQuotas(a, b []Quota) bool {
+	return slices.EqualFunc(a, b, func(first, second Quota) bool {
+		return compareQuotas(first, second) == 0 && first.Trial == second.Trial && math.Abs(first.Rate-second.Rate) <= quotaToleranceShare*math.Max(first.Rate, second.Rate)
 	})
 }
--- a/internal/cluster/plan/record.go
+++ b/internal/cluster/plan/record.go
@@ -7,81 +7,82 @@
 	"io"
 )
 
-// RecordedWindow is one window as a planner was told of it, and what it made of it.
+// RecordedWindow holds the planner's input of one window and the plan that it proposed.
 type RecordedWindow struct {
 	Input  Input
-	Places Topology // with the first
-	Config Config   //
-	Begin  *Plan    // where a planner began with this window: what it went on from
+	Places Topology // set in the first window
+	Config Config
+	Begin  *Plan // the plan from which a planner that began with this window continued
 	Began  bool
-	Plan   *Plan // as proposed; nil: nothing was
+	Plan   *Plan // the proposed plan; nil if none was proposed
 }
 
-// Recorder writes windows, up to a number of bytes; more are left out.
+// Recorder writes windows up to a number of bytes and drops the rest.
 type Recorder struct {
-	out  *counted
-	enc  *gob.Encoder
-	most int64
+	out      *countingWriter
+	enc      *gob.Encoder
+	maxBytes int64
 }
 
-type counted struct {
-	w io.Writer
-	n int64
+type countingWriter struct {
+	out     io.Writer
+	written int64
 }
 
-func (c *counted) Write(b []byte) (int, error) {
-	n, err := c.w.Write(b)
-	c.n += int64(n)
+func (c *countingWriter) Write(b []byte) (int, error) {
+	n, err := c.out.Write(b)
+	c.written += int64(n)
 	return n, err
 }
 
-// NewRecorder is one that writes so many bytes at the most.
-func NewRecorder(w io.Writer, most int64) *Recorder {
-	out := &counted{w: w}
-	return &Recorder{out: out, enc: gob.NewEncoder(out), most: most}
+// NewRecorder returns a recorder that stops after maxBytes.
+func NewRecorder(w io.Writer, maxBytes int64) *Recorder {
+	out := &countingWriter{out: w}
+	return &Recorder{out: out, enc: gob.NewEncoder(out), maxBytes: maxBytes}
 }
 
-// Write writes one. An error says that it, and all behind it, may be missing.
-func (r *Recorder) Write(w RecordedWindow) error {
-	if r.out.n >= r.most {
+// Write writes one window. After an error this window and all later ones may be missing.
+func (r *Recorder) Write(window RecordedWindow) error {
+	if r.out.written >= r.maxBytes {
 		return nil
 	}
-	if err := r.enc.Encode(w); err != nil {
-		return fmt.Errorf("plan: record: %w", err)
+	if err := r.enc.Encode(window); err != nil {
+		return fmt.Errorf("plan: write record: %w", err)
 	}
 	return nil
 }
 
-// Replay goes through a record, deciding each window anew by the settings that edit makes of those recorded, and tells of each
-// window what was proposed and what would have been; nil is nothing. Other decisions would have led to other evidence: from the first
-// window that differs on, what follows is what the planner says to the evidence of what was decided then.
-func Replay(in io.Reader, edit func(*Config), tell func(window int, then, now *Plan)) error {
+// Replay reads recorded windows and decides each one again with the recorded configuration as changed by edit. For each
+// window it calls report with the plan recorded and the plan proposed now; nil is none. Other decisions would have led
+// to other health reports: from the first window that differs on, the replay shows what the planner decides for the
+// reports that followed the recorded decisions.
+func Replay(in io.Reader, edit func(*Config), report func(window int, recorded, plan *Plan)) error {
 	dec := gob.NewDecoder(in)
 	var p *Planner
 	var cfg Config
-	var places Topology
-	for n := 1; ; n++ {
-		var w RecordedWindow
-		switch err := dec.Decode(&w); {
+	var topology Topology
+	for number := 1; ; number++ {
+		var window RecordedWindow
+		switch err := dec.Decode(&window); {
 		case errors.Is(err, io.EOF):
 			return nil
-		case errors.Is(err, io.ErrUnexpectedEOF): // the writer ended in the middle
+		case errors.Is(err, io.ErrUnexpectedEOF): // the writer stopped in the middle of a window
 			return nil
 		case err != nil:
-			return fmt.Errorf("plan: record, window %d: %w", n, err)
+			return fmt.Errorf("plan: read record, window %d: %w", number, err)
 		}
-		if w.Began {
-			cfg, places = w.Config, w.Places
+		if window.Began {
+			cfg, topology = window.Config, window.Places
 			edit(&cfg)
-			p = NewPlanner(cfg, places, w.Begin)
+			p = NewPlanner(cfg, topology, window.Begin)
 		}
 		if p == nil {
-			return fmt.Errorf("plan: record, window %d: no planner has begun", n)
+			return fmt.Errorf("plan: read record, window %d: no planner state precedes it", number)
 		}
-		now, changed := p.Step(w.Input)
+		plan, changed := p.Step(window.Input)
 		if !changed {
-			now = nil
+			plan = nil
 		}
-		tell(n, w.Plan, now)
+		report(number, window.Plan, plan)
 	}
 }
