--- a/internal/cluster/plan/plan.go
+++ b/internal/cluster/plan/plan.go
@@ -10,7 +10,7 @@
 type Plan struct {
 	Version uint64        // assigned by the control plane; it only grows
 	Hold    time.Duration // validity, counted from the request that fetched it
-	State   uint64        // version of the member list; forwarders that joined later wait for the next plan
+	State   uint64        // version of the member list; later joiners use the fallback until the next plan
 	Grants  []Quota       // sorted by destination, origin zone and target zone
 	Floors  []Quota       // rates above Grants that forwarders may still use under earlier plans
 	Sites   []Site        // planner state, from which the next leader's planner continues
@@ -26,7 +26,7 @@
 	From, To    string
 	Rate        float64 // calls per second of all forwarders in From; the expected rate, not a limit, if To is From
 	Bound       float64 // calls per second that the local zone accepts during slow start; 0 is unlimited
-	Each        float64 // one forwarder's part of Rate, or of Bound; more forwarders never exceed the total
+	Each        float64 // one forwarder's part of Rate, or of Bound, at the largest recent number of forwarders
 	Share       float64 // of the origin zone's demand for the destination, as the planner knew it
 	Trial       bool    // only probes whether the zone or the route has recovered
 }
--- a/internal/cluster/plan/planner.go
+++ b/internal/cluster/plan/planner.go
@@ -43,7 +43,7 @@
 	recoveryWindows        = 2                     // consecutive healthy windows that end an ejection, or a cut
 	quotaToleranceShare    = 0.1                   // quotas that differ by a smaller share are equal
 	baselineFallWeight     = 0.1                   // weight of the latest window in the baseline where latency is lower
-	baselineRiseWeight     = 0.005                 // and where it is higher: a slowdown of a minute is no baseline
+	baselineRiseWeight     = 0.005                 // and where it is higher: a slowdown of a minute is not learned
 	estimateGrowthShare    = 0.05                  // growth of a capacity estimate in a window without refusals
 	minEstimateShare       = 0.1                   // least share of its capacity that a site is estimated to have
 	demandFallWeight       = 0.3                   // weight of the latest window where demand falls
