--- a/internal/cluster/plan/planner.go
+++ b/internal/cluster/plan/planner.go
@@ -596,7 +596,7 @@
 		previous := site.Slow
 		site.Slow = math.Max(minSlowCapacityShare, math.Min(site.Slow, 1.5*float64(site.Usual)/float64(median)))
 		if previous == 1 {
-			p.recordMove(site.Destination, "", site.Place, "slow", "median latency is above %v; the baseline is %v", median, site.Usual)
+			p.recordMove(site.Destination, "", site.Place, "slow", "median latency is %v; the baseline is %v", median, site.Usual)
 		}
 	case healthy:
 		if site.Slow < 1 {
