--- a/cmd/larkreach/fleet_faults_test.go
+++ b/cmd/larkreach/fleet_faults_test.go
@@ -165,12 +165,12 @@
 		return &wal.Message{Seq: seq, ID: id, Key: id, Class: class, Destination: cluster.Group, Deadline: clock().Add(15 * time.Second), Body: []byte("b")}
 	}
 	owed, ran := message(1, "unsafe-later", "unsafe"), message(2, "keyed-later", "keyed")
-	ran.Attempts, ran.MayRun, ran.RanAt = 1, true, clock().Add(-time.Minute) // its window is over
+	ran.Attempts, ran.MayHaveRun, ran.RanAt = 1, true, clock().Add(-time.Minute) // its window is over
 	var ack replication.Ack
 	must(t, p.Call(f.ctx, "Copies.Append", replication.Batch{Life: life}, &ack))
 	batch := replication.Batch{Life: life, Shelf: ack.Shelf, Clock: clock().UnixNano(), Snapshot: 1, Last: true, UpTo: 3}
-	batch.Records = []replication.Record{{Payload: wal.Condense(owed)[0]}, {Payload: []byte{200, 1, 42}}} // a kind of tomorrow, of message 1
-	for _, r := range wal.Condense(ran) {
+	batch.Records = []replication.Record{{Payload: wal.MessageRecords(owed)[0]}, {Payload: []byte{200, 1, 42}}} // a kind of tomorrow, of message 1
+	for _, r := range wal.MessageRecords(ran) {
 		batch.Records = append(batch.Records, replication.Record{Payload: r})
 	}
 	must(t, p.Call(f.ctx, "Copies.Append", batch, &ack))
--- a/cmd/larkreach/journal.go
+++ b/cmd/larkreach/journal.go
@@ -92,7 +92,7 @@
 			fmt.Fprintln(io.out, m)
 		} else if err := io.json(map[string]any{
 			"seq": m.Seq, "id": m.ID, "class": m.Class, "destination": m.Destination, "deadline": m.Deadline, "attempts": m.Attempts,
-			"may_have_run": m.MayRun, "long": m.Long, "body_bytes": m.BodySize(), "ending": m.Ending,
+			"may_have_run": m.MayHaveRun, "long": m.Long, "body_bytes": m.BodySize(), "ending": m.Status,
 		}); err != nil {
 			return err
 		}
@@ -107,7 +107,7 @@
 
 // Run compacts.
 func (c compactCmd) Run(io streams) error {
-	n, err := wal.Compact(c.Dir, wal.Options{Most: int64(c.Disk * 1e6)}, func(line string) { fmt.Fprintln(io.err, line) })
+	n, err := wal.Compact(c.Dir, wal.Options{MaxBytes: int64(c.Disk * 1e6)}, func(line string) { fmt.Fprintln(io.err, line) })
 	if err != nil {
 		return err
 	}
--- a/cmd/larkreach/main.go
+++ b/cmd/larkreach/main.go
@@ -175,7 +175,7 @@
 // aside, so that whoever fills the table with connections takes none that is needed later: for the program's own files, the
 // journal's, connections that are turned away, calls that are out, and long messages. Calls get half of what is left at the most.
 func shareDescriptors(cfg *config, long int) (room int, err error) {
-	kept := ownFiles + wal.Descriptors + transport.OverflowConnections + long
+	kept := ownFiles + wal.MaxDescriptors + transport.OverflowConnections + long
 	left := cfg.Limits.Sockets - kept
 	if left < leastRoom {
 		return 0, fmt.Errorf("config: limits: %d descriptors are too few, %d of them are not for connections", cfg.Limits.Sockets, kept)
@@ -186,14 +186,14 @@
 
 // journalOptions puts the settings of the journal in its terms. Without settings it is as the platform tells.
 func journalOptions(j *settings.Journal, learned *settings.Learned, l limits) wal.Options {
-	o := wal.Options{Most: int64(l.DiskMB * 1e6)}
+	o := wal.Options{MaxBytes: int64(l.DiskMB * 1e6)}
 	if learned != nil {
-		o.Other = 2 * (int64(learned.Size) + 512) // the old file and the new one
+		o.OtherBytes = 2 * (int64(learned.Size) + 512) // the old file and the new one
 	}
 	if j != nil {
-		o.Durability, o.Segment, o.Memory = durabilities[j.Durability], int64(j.Segment), int64(j.Memory)
+		o.Durability, o.SegmentBytes, o.BodyMemory = durabilities[j.Durability], int64(j.Segment), int64(j.Memory)
 		if j.Disk > 0 {
-			o.Most = int64(j.Disk)
+			o.MaxBytes = int64(j.Disk)
 		}
 	}
 	return o
--- a/internal/cluster/node/configuration_test.go
+++ b/internal/cluster/node/configuration_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	journal, err := wal.Open(t.TempDir(), wal.Options{Most: 3e6}, func(string) {})
+	journal, err := wal.Open(t.TempDir(), wal.Options{MaxBytes: 3e6}, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/node/lease.go
+++ b/internal/cluster/node/lease.go
@@ -102,10 +102,10 @@
 func (n *Node) resumeRouter(before, current controlplane.Incarnation, state *controlplane.State) {
 	owned := before.Number == 0 || state.CurrentOwner(before) == current
 	n.router.Continue(func(m *wal.Message) bool {
-		if m.Owner != "" && state.CurrentOwner(controlplane.Incarnation{Name: m.Owner, Number: m.Life}) != current {
+		if m.Owner != "" && state.CurrentOwner(controlplane.Incarnation{Name: m.Owner, Number: m.Incarnation}) != current {
 			return false // it was never this forwarder's, or no longer is
 		}
-		return owned || m.Alone
+		return owned || m.Unreplicated
 	})
 	if err := n.writeIncarnation(storedIncarnation{current.Number, n.token}); err != nil {
 		n.cfg.Logger.Error().Str("part", "node").Err(err).Msg("writing the incarnation to the state folder failed")
--- a/internal/cluster/node/node.go
+++ b/internal/cluster/node/node.go
@@ -605,12 +605,12 @@
 // startSnapshot makes a snapshot of all messages held now the next thing that a replica is sent.
 func (n *Node) startSnapshot(owner *replication.Owner, name string) (ok bool) {
 	var records [][]byte
-	add := func(past []wal.Past) {
+	add := func(past []wal.CompletedID) {
 		for _, p := range past {
-			records = append(records, wal.CondensePast(p))
+			records = append(records, wal.CompletedIDRecord(p))
 		}
 	}
-	served := n.router.EndedIDs(add, func(log *wal.Log, rest []wal.Past) { // no record is journalled between the two callbacks
+	served := n.router.EndedIDs(add, func(log *wal.Log, rest []wal.CompletedID) { // no record is journalled between the two callbacks
 		add(rest)
 		held, err := log.Snapshot()
 		if err != nil {
--- a/internal/cluster/node/status.go
+++ b/internal/cluster/node/status.go
@@ -86,7 +86,7 @@
 	for _, incarnation := range n.replicas.Incarnations() {
 		replica := n.replicas.Replica(incarnation)
 		s.Copies = append(s.Copies, CopyStatus{
-			Life: incarnation, Has: replica.LastIndex, Messages: len(replica.Content.Messages()), Past: len(replica.Content.Past()), Unknown: replica.Unknown,
+			Life: incarnation, Has: replica.LastIndex, Messages: len(replica.Content.Messages()), Past: len(replica.Content.CompletedIDs()), Unknown: replica.Unknown,
 			SkewMS: float64(replica.Skew) / float64(time.Millisecond),
 		})
 	}
--- a/internal/cluster/node/takeover.go
+++ b/internal/cluster/node/takeover.go
@@ -91,20 +91,20 @@
 			p.More = true
 			return nil
 		}
-		for _, b := range wal.Condense(m) {
+		for _, b := range wal.MessageRecords(m) {
 			p.Records = append(p.Records, b)
 			size += len(b)
 		}
 		p.Next.From = m.Seq + 1
 	}
-	past := replica.Content.Past()
-	slices.SortFunc(past, func(a, b wal.Past) int { return compareText(a.ID, b.ID) })
+	past := replica.Content.CompletedIDs()
+	slices.SortFunc(past, func(a, b wal.CompletedID) int { return compareText(a.ID, b.ID) })
 	for i := r.Past; i < len(past); i++ {
 		if size > maxFetchBytes {
 			p.More = true
 			return nil
 		}
-		b := wal.CondensePast(past[i])
+		b := wal.CompletedIDRecord(past[i])
 		p.Records = append(p.Records, b)
 		p.Next.Past, size = i+1, size+len(b)
 	}
@@ -233,7 +233,7 @@
 	}
 }
 
-func endedIDs(c replication.Content) (out []wal.Past) {
+func endedIDs(c replication.Content) (out []wal.CompletedID) {
 	for _, p := range c.Past {
 		out = append(out, p)
 	}
@@ -295,12 +295,12 @@
 
 // Past returns the ids of ended messages that this member knows: its own, and those of incarnations that it took over.
 func (c replicationRPC) Past(_ bool, out *[][]byte) error {
-	add := func(past []wal.Past) {
+	add := func(past []wal.CompletedID) {
 		for _, p := range past {
-			*out = append(*out, wal.CondensePast(p))
+			*out = append(*out, wal.CompletedIDRecord(p))
 		}
 	}
-	c.n.router.EndedIDs(add, func(_ *wal.Log, rest []wal.Past) { add(rest) })
+	c.n.router.EndedIDs(add, func(_ *wal.Log, rest []wal.CompletedID) { add(rest) })
 	return nil
 }
 
@@ -328,11 +328,11 @@
 	if n.peers.At(m.Address).Call(call, "Copies.Past", true, &records) != nil {
 		return false
 	}
-	c := wal.NewCopy()
+	c := wal.NewReplicaState()
 	for _, r := range records {
 		_ = c.Apply(r)
 	}
-	if _, err := n.router.Adopt(latest.Name, latest.Number, nil, c.Past()); err != nil {
+	if _, err := n.router.Adopt(latest.Name, latest.Number, nil, c.CompletedIDs()); err != nil {
 		n.cfg.Logger.Warn().Str("part", "node").Err(err).Msg("storing the ids of ended messages failed")
 	}
 	return true
@@ -374,7 +374,7 @@
 func (n *Node) fetchReplica(ctx context.Context, incarnation controlplane.Incarnation, address string) (replication.Content, bool) {
 	call, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	c := wal.NewCopy()
+	c := wal.NewReplicaState()
 	next := FetchRequest{Life: incarnation}
 	for {
 		var p FetchReply
--- a/internal/cluster/replication/merge.go
+++ b/internal/cluster/replication/merge.go
@@ -12,18 +12,18 @@
 // of those that are.
 type Content struct {
 	Messages map[uint64]*wal.Message
-	Past     map[string]wal.Past
+	Past     map[string]wal.CompletedID
 }
 
 // ContentOf returns the content of a replica, with the owner's times converted to the replica's clock.
-func ContentOf(c *wal.Copy, skew time.Duration) Content {
-	out := Content{Messages: map[uint64]*wal.Message{}, Past: map[string]wal.Past{}}
+func ContentOf(c *wal.ReplicaState, skew time.Duration) Content {
+	out := Content{Messages: map[uint64]*wal.Message{}, Past: map[string]wal.CompletedID{}}
 	for _, m := range c.Messages() {
 		shifted := *m
-		shifted.Shift(skew)
+		shifted.ShiftTimes(skew)
 		out.Messages[m.Seq] = &shifted
 	}
-	for _, p := range c.Past() {
+	for _, p := range c.CompletedIDs() {
 		p.At = p.At.Add(skew)
 		out.Past[p.ID] = p
 	}
@@ -42,7 +42,7 @@
 func Merge(a, b Content) Content {
 	out := Content{Messages: map[uint64]*wal.Message{}, Past: maps.Clone(a.Past)}
 	if out.Past == nil {
-		out.Past = map[string]wal.Past{}
+		out.Past = map[string]wal.CompletedID{}
 	}
 	for id, p := range b.Past {
 		if old, both := out.Past[id]; both {
@@ -59,7 +59,7 @@
 				continue
 			}
 			if old := out.Messages[seq]; old != nil {
-				m = wal.Merged(old, m)
+				m = wal.Merge(old, m)
 			}
 			out.Messages[seq] = m
 		}
--- a/internal/cluster/replication/replication_test.go
+++ b/internal/cluster/replication/replication_test.go
@@ -23,7 +23,7 @@
 
 // drawContent draws what one replica may hold of a few messages.
 func drawContent(t *rapid.T, name string) Content {
-	c := Content{Messages: map[uint64]*wal.Message{}, Past: map[string]wal.Past{}}
+	c := Content{Messages: map[uint64]*wal.Message{}, Past: map[string]wal.CompletedID{}}
 	at := func(label string) time.Time {
 		return baseTime.Add(time.Duration(rapid.IntRange(0, 3).Draw(t, name+label)) * time.Second)
 	}
@@ -32,14 +32,14 @@
 		switch rapid.IntRange(0, 3).Draw(t, name+id) {
 		case 0:
 		case 1:
-			c.Past[id] = wal.Past{ID: id, Delivered: rapid.Bool().Draw(t, name+"delivered"), At: at("over")}
+			c.Past[id] = wal.CompletedID{ID: id, Delivered: rapid.Bool().Draw(t, name+"delivered"), At: at("over")}
 		default:
 			m := &wal.Message{Seq: seq, ID: id, Class: "keyed", Deadline: baseTime, Attempts: rapid.IntRange(0, 3).Draw(t, name+"attempts")}
 			if rapid.Bool().Draw(t, name+"ran") {
-				m.MayRun, m.RanAt, m.RanZone = true, at("ran"), rapid.SampledFrom([]string{"a", "b"}).Draw(t, name+"zone")
+				m.MayHaveRun, m.RanAt, m.RanZone = true, at("ran"), rapid.SampledFrom([]string{"a", "b"}).Draw(t, name+"zone")
 			}
-			m.Ending = rapid.SampledFrom([]wal.Ending{wal.Unended, wal.Unended, wal.Refused, wal.Failed}).Draw(t, name+"ending")
-			m.Alone = rapid.Bool().Draw(t, name+"alone")
+			m.Status = rapid.SampledFrom([]wal.Status{wal.Pending, wal.Pending, wal.Refused, wal.Failed}).Draw(t, name+"ending")
+			m.Unreplicated = rapid.Bool().Draw(t, name+"alone")
 			c.Messages[seq] = m
 		}
 	}
@@ -65,7 +65,7 @@
 			if _, completed = ab.Past[m.ID]; completed {
 				continue
 			}
-			if got == nil || m.MayRun && (!got.MayRun || got.RanAt.After(m.RanAt)) || got.Attempts < m.Attempts || m.Ending != wal.Unended && got.Ending == wal.Unended {
+			if got == nil || m.MayHaveRun && (!got.MayHaveRun || got.RanAt.After(m.RanAt)) || got.Attempts < m.Attempts || m.Status != wal.Pending && got.Status == wal.Pending {
 				t.Errorf("%+v was merged to %+v", m, got)
 			}
 		}
@@ -74,10 +74,10 @@
 
 // messageRecords returns the records of a message that is accepted, called and, if completed is set, delivered.
 func messageRecords(seq uint64, completed bool) [][]byte {
-	out := [][]byte{wal.Condense(&wal.Message{Seq: seq, ID: fmt.Sprint("m", seq), Class: "unsafe", Deadline: baseTime, Body: []byte("body")})[0],
+	out := [][]byte{wal.MessageRecords(&wal.Message{Seq: seq, ID: fmt.Sprint("m", seq), Class: "unsafe", Deadline: baseTime, Body: []byte("body")})[0],
 		wal.StartedRecord(seq, baseTime, "z")}
 	if completed {
-		out = append(out, wal.OverRecord(seq, true, true, baseTime))
+		out = append(out, wal.CompletedRecord(seq, true, true, baseTime))
 	}
 	return out
 }
@@ -99,7 +99,7 @@
 			}
 		}
 		open()
-		owner, expected := NewOwner(incarnation), wal.NewCopy()
+		owner, expected := NewOwner(incarnation), wal.NewReplicaState()
 		owner.SetReplicas([]string{"k"}, nil)
 		var inFlight []Batch
 		var acks []Ack
@@ -116,10 +116,10 @@
 				if owner.NeedsSnapshot("k") {
 					var all [][]byte
 					for _, m := range expected.Messages() {
-						all = append(all, wal.Condense(m)...)
+						all = append(all, wal.MessageRecords(m)...)
 					}
-					for _, p := range expected.Past() {
-						all = append(all, wal.CondensePast(p))
+					for _, p := range expected.CompletedIDs() {
+						all = append(all, wal.CompletedIDRecord(p))
 					}
 					owner.Snapshot("k", all)
 				}
@@ -177,9 +177,9 @@
 		if replica == nil {
 			t.Fatal("no replica on the disk")
 		}
-		if diff := cmp.Diff(Ranges(expected.Messages()), Ranges(replica.Content.Messages())); diff != "" || len(expected.Past()) != len(replica.Content.Past()) {
+		if diff := cmp.Diff(Ranges(expected.Messages()), Ranges(replica.Content.Messages())); diff != "" || len(expected.CompletedIDs()) != len(replica.Content.CompletedIDs()) {
 			t.Errorf("on the disk: %d messages and %d completed IDs, in the log: %d and %d", len(replica.Content.Messages()),
-				len(replica.Content.Past()), len(expected.Messages()), len(expected.Past()))
+				len(replica.Content.CompletedIDs()), len(expected.Messages()), len(expected.CompletedIDs()))
 		}
 	})
 }
@@ -207,7 +207,7 @@
 	if replica.Unknown != 1 || replica.LastIndex != owner.LastIndex() {
 		t.Errorf("%d unknown records, index %d of %d", replica.Unknown, replica.LastIndex, owner.LastIndex())
 	}
-	all := wal.Condense(replica.Content.Messages()[0])
+	all := wal.MessageRecords(replica.Content.Messages()[0])
 	if !slices.ContainsFunc(all, func(r []byte) bool { return string(r) == string(later) }) {
 		t.Errorf("unknown record is not passed on: %q", all)
 	}
@@ -222,7 +222,7 @@
 	}
 	for seq := uint64(1); ; seq++ {
 		m := &wal.Message{Seq: seq, ID: fmt.Sprint(seq), Class: "safe", Deadline: baseTime, Body: make([]byte, 60<<10)}
-		_, err := disk.Save([]DiskRecord{{Life: incarnation, Index: seq, Message: seq, Payload: wal.Condense(m)[0]}})
+		_, err := disk.Save([]DiskRecord{{Life: incarnation, Index: seq, Message: seq, Payload: wal.MessageRecords(m)[0]}})
 		if err == ErrFull {
 			break
 		}
--- a/internal/cluster/replication/store.go
+++ b/internal/cluster/replication/store.go
@@ -26,7 +26,7 @@
 type Replica struct {
 	Life      controlplane.Incarnation
 	LastIndex uint64
-	Content   *wal.Copy
+	Content   *wal.ReplicaState
 	// Skew is added to a time on the owner's wall clock to convert it to the replica's. It is the smallest difference
 	// seen, since a batch can only arrive later than it was sent.
 	Skew     time.Duration
@@ -69,7 +69,7 @@
 func (s *Store) getOrCreate(incarnation controlplane.Incarnation) *Replica {
 	replica := s.replicas[incarnation]
 	if replica == nil {
-		replica = &Replica{Life: incarnation, Content: wal.NewCopy()}
+		replica = &Replica{Life: incarnation, Content: wal.NewReplicaState()}
 		s.replicas[incarnation] = replica
 	}
 	return replica
@@ -133,7 +133,7 @@
 func (s *Store) Expire(before time.Time) (out []DiskRecord) {
 	for _, incarnation := range s.Incarnations() {
 		replica := s.replicas[incarnation]
-		for _, p := range replica.Content.Past() {
+		for _, p := range replica.Content.CompletedIDs() {
 			if p.At.Add(replica.Skew).Before(before) {
 				out = append(out, DiskRecord{Life: incarnation, Index: replica.LastIndex, PastID: p.ID, Delete: true, Skew: replica.Skew})
 			}
@@ -147,7 +147,7 @@
 func (s *Store) apply(replica *Replica, r Record) []DiskRecord {
 	replica.LastIndex = r.Index
 	record := DiskRecord{Life: replica.Life, Index: r.Index, Payload: r.Payload}
-	seq, completed, err := wal.Of(r.Payload)
+	seq, completed, err := wal.ParseHeader(r.Payload)
 	m := replica.Content.Message(seq)
 	if replica.Content.Apply(r.Payload) != nil || err != nil {
 		replica.Unknown++
@@ -159,8 +159,8 @@
 	if m == nil {
 		return []DiskRecord{record}
 	}
-	if p, completed := replica.Content.Ended(m.ID); completed {
-		return []DiskRecord{record, {Life: replica.Life, Index: r.Index, Payload: wal.CondensePast(p), PastID: p.ID}}
+	if p, completed := replica.Content.CompletedID(m.ID); completed {
+		return []DiskRecord{record, {Life: replica.Life, Index: r.Index, Payload: wal.CompletedIDRecord(p), PastID: p.ID}}
 	}
 	return []DiskRecord{record}
 }
@@ -179,16 +179,16 @@
 	}
 	records := replica.snapshotRecords
 	replica.snapshot, replica.pieces, replica.snapshotRecords, replica.diverged = 0, 0, nil, false
-	replica.LastIndex, replica.Content, replica.Unknown = b.UpTo, wal.NewCopy(), 0
+	replica.LastIndex, replica.Content, replica.Unknown = b.UpTo, wal.NewReplicaState(), 0
 	out := []DiskRecord{{Life: replica.Life, Index: b.UpTo, Reset: true}}
 	for _, r := range records {
 		if replica.Content.Apply(r.Payload) != nil {
 			replica.Unknown++
 		}
-		seq, _, _ := wal.Of(r.Payload)
+		seq, _, _ := wal.ParseHeader(r.Payload)
 		record := DiskRecord{Life: replica.Life, Index: b.UpTo, Payload: r.Payload, Message: seq}
 		if seq == 0 {
-			record.PastID = wal.PastOf(r.Payload)
+			record.PastID = wal.ParseCompletedID(r.Payload)
 		}
 		out = append(out, record)
 	}
--- a/internal/lab/capacity/probe_forwarder.go
+++ b/internal/lab/capacity/probe_forwarder.go
@@ -87,7 +87,7 @@
 // startRouter runs a router on a journal in a folder; it is ready when this returns, after so long.
 func startRouter(ctx context.Context, dir string, held int) (r *routing.Router, ready time.Duration, end func() error, err error) {
 	began := time.Now()
-	journal, err := wal.Open(dir, wal.Options{Most: 64 << 30, Memory: 1}, func(string) {})
+	journal, err := wal.Open(dir, wal.Options{MaxBytes: 64 << 30, BodyMemory: 1}, func(string) {})
 	if err != nil {
 		return nil, 0, nil, err
 	}
@@ -198,7 +198,7 @@
 				Seq: uint64(i + 1), Deadline: time.Now().Add(hours), Destination: int64(i % 1000), ID: fmt.Sprintf("%016x", i), Class: "safe",
 				Body: make([]byte, messageBytes),
 			}
-			records = append(records, wal.Condense(m)...)
+			records = append(records, wal.MessageRecords(m)...)
 		}
 		before := heap()
 		replica := replication.NewStore(1)
--- a/internal/lab/cluster/model.go
+++ b/internal/lab/cluster/model.go
@@ -96,7 +96,7 @@
 // folder outlasts its process.
 type folder struct {
 	Life uint64
-	Log  *wal.Copy // the journal: what its records say
+	Log  *wal.ReplicaState // the journal: what its records say
 	Kept []replication.DiskRecord
 	Next uint64
 }
@@ -119,7 +119,7 @@
 	m := &Model{Setup: s, Council: controlplane.NewState(), Lease: map[string]bool{}}
 	for i := range 3 {
 		p := &proc{Name: fmt.Sprint("n", i), Up: true}
-		p.Folder = folder{Log: wal.NewCopy(), Next: 1}
+		p.Folder = folder{Log: wal.NewReplicaState(), Next: 1}
 		m.Procs = append(m.Procs, p)
 		m.boot(p)
 		m.join(p)
@@ -200,10 +200,10 @@
 		p.View = controlplane.NewState()
 	}
 	for _, x := range p.Folder.Log.Messages() {
-		x.Settle()
-		h := &holding{Seq: x.Seq, Away: true, MayRun: x.MayRun, Begun: x.Attempts > 0}
+		x.SettleInFlight()
+		h := &holding{Seq: x.Seq, Away: true, MayRun: x.MayHaveRun, Begun: x.Attempts > 0}
 		if x.Owner != "" {
-			h.Adopting = controlplane.Incarnation{Name: x.Owner, Number: x.Life}.String()
+			h.Adopting = controlplane.Incarnation{Name: x.Owner, Number: x.Incarnation}.String()
 		}
 		p.Held[x.ID] = h
 	}
@@ -236,7 +236,7 @@
 		x := p.Folder.Log.Message(h.Seq)
 		keep := mine
 		if x.Owner != "" {
-			keep = keep && m.Council.CurrentOwner(controlplane.Incarnation{Name: x.Owner, Number: x.Life}) == m.life(p)
+			keep = keep && m.Council.CurrentOwner(controlplane.Incarnation{Name: x.Owner, Number: x.Incarnation}) == m.life(p)
 		}
 		if h.Adopting, h.Away = "", false; !keep {
 			m.over(p, id, true)
@@ -265,7 +265,7 @@
 // over ends a message in the journal.
 func (m *Model) over(p *proc, id string, known bool) {
 	h := p.Held[id]
-	p.write(wal.OverRecord(h.Seq, known, true, epoch))
+	p.write(wal.CompletedRecord(h.Seq, known, true, epoch))
 	delete(p.Held, id)
 	if known {
 		p.Past[id] = true
@@ -285,8 +285,8 @@
 			c := replication.ContentOf(h.Content, 0)
 			if m.Setup.Fault == MergeNever && out.Messages != nil {
 				for seq, x := range c.Messages {
-					if old := out.Messages[seq]; old != nil && !old.MayRun {
-						if _, o := old.Out(); !o && old.Attempts == 0 {
+					if old := out.Messages[seq]; old != nil && !old.MayHaveRun {
+						if _, o := old.InFlight(); !o && old.Attempts == 0 {
 							c.Messages[seq] = old
 							continue
 						}
@@ -310,7 +310,7 @@
 		}
 		p.Past[id] = true
 		if p.Owner != nil {
-			p.Owner.Append(wal.CondensePast(c.Past[id]))
+			p.Owner.Append(wal.CompletedIDRecord(c.Past[id]))
 		}
 	}
 	for _, x := range c.Ordered() {
@@ -318,17 +318,17 @@
 			continue
 		}
 		if h := p.Held[x.ID]; h != nil {
-			h.MayRun = h.MayRun || x.MayRun || x.Attempts > 0
+			h.MayRun = h.MayRun || x.MayHaveRun || x.Attempts > 0
 			continue
 		}
 		y := *x
-		y.Seq, y.Owner, y.Life = p.Folder.Next, life.Name, life.Number
+		y.Seq, y.Owner, y.Incarnation = p.Folder.Next, life.Name, life.Number
 		p.Folder.Next++
-		y.Settle()
-		for _, r := range wal.Condense(&y) {
+		y.SettleInFlight()
+		for _, r := range wal.MessageRecords(&y) {
 			p.write(r)
 		}
-		p.Held[y.ID] = &holding{Seq: y.Seq, Away: true, Adopting: life.String(), MayRun: y.MayRun, Begun: y.Attempts > 0}
+		p.Held[y.ID] = &holding{Seq: y.Seq, Away: true, Adopting: life.String(), MayRun: y.MayHaveRun, Begun: y.Attempts > 0}
 	}
 	if p.Owner != nil {
 		p.Mark = p.Owner.LastIndex()
@@ -345,7 +345,7 @@
 			if m.Setup.Lost > 0 {
 				add(p.Name+" loses its folder", func(m *Model) {
 					m.Setup.Lost--
-					m.Procs[i].Folder = folder{Log: wal.NewCopy(), Next: 1}
+					m.Procs[i].Folder = folder{Log: wal.NewReplicaState(), Next: 1}
 				})
 			}
 			if m.Setup.Rolled > 0 && len(p.Folder.Kept) > 0 {
@@ -514,11 +514,11 @@
 
 func (m *Model) snapshot(p *proc) (records [][]byte) {
 	for _, x := range p.Folder.Log.Messages() {
-		records = append(records, wal.Condense(x)...)
+		records = append(records, wal.MessageRecords(x)...)
 	}
 	if m.Setup.Fault != DropsEnded {
 		for _, id := range slices.Sorted(maps.Keys(p.Past)) {
-			records = append(records, wal.CondensePast(wal.Past{ID: id, Delivered: true, At: epoch}))
+			records = append(records, wal.CompletedIDRecord(wal.CompletedID{ID: id, Delivered: true, At: epoch}))
 		}
 	}
 	return records
@@ -567,7 +567,7 @@
 				}
 				x := &wal.Message{Seq: p.Folder.Next, ID: id, Class: f.Class, Deadline: epoch}
 				p.Folder.Next++
-				h := &holding{Seq: x.Seq, Accept: p.write(wal.Condense(x)[0])}
+				h := &holding{Seq: x.Seq, Accept: p.write(wal.MessageRecords(x)[0])}
 				p.Held[id] = h
 			})
 		}
@@ -762,7 +762,7 @@
 			}
 		}
 		for _, k := range p.Folder.Kept {
-			if len(k.Payload) > 0 && wal.IDOf(k.Payload) == id {
+			if len(k.Payload) > 0 && wal.ParseAcceptedID(k.Payload) == id {
 				return true
 			}
 		}
--- a/internal/lab/experiment/journal.go
+++ b/internal/lab/experiment/journal.go
@@ -40,7 +40,7 @@
 
 // Segments is the program's own journal, with all bodies on the disk.
 var Segments = Engine{"segments", func(dir string, disk int64, sync bool, live func(uint64)) (Keeper, error) {
-	o := wal.Options{Most: disk, Memory: 1}
+	o := wal.Options{MaxBytes: disk, BodyMemory: 1}
 	if sync {
 		o.Durability = store.Batch
 	}
@@ -82,10 +82,10 @@
 	return err
 }
 
-func (s segments) End(seq uint64) error { return s.l.End(seq, wal.Over, 0) }
+func (s segments) End(seq uint64) error { return s.l.End(seq, wal.Completed, 0) }
 
 func (s segments) Close() error {
-	return errors.Join(s.l.Commit(s.l.Last()), s.l.Close())
+	return errors.Join(s.l.Commit(s.l.LastRecord()), s.l.Close())
 }
 
 // Journal measures journals: the same messages through their whole life, with a share of the disk live all the time.
--- a/internal/routing/accept.go
+++ b/internal/routing/accept.go
@@ -32,7 +32,7 @@
 		longest = r.cfg.Long.MaxTimeLeft
 	}
 	m.TimeLeft = min(m.TimeLeft, longest)
-	h := &held{Message: m, seq: r.cfg.Log.Next(), deadline: time.Now().Add(m.TimeLeft), apart: apart}
+	h := &held{Message: m, seq: r.cfg.Log.NextSeq(), deadline: time.Now().Add(m.TimeLeft), apart: apart}
 	entry := &wal.Message{
 		Seq: h.seq, Deadline: h.deadline, Destination: m.Destination, ID: m.ID, Key: m.Key, Class: m.Class, Body: m.Body,
 		Long: m.Long != nil,
@@ -160,7 +160,7 @@
 	if r.bookLong(h, 1); h.Long != nil {
 		r.counters.LongTaken++
 	}
-	h.Body, h.onDisk, h.record = entry.Body, entry.OnDisk, r.cfg.Log.Last()
+	h.Body, h.onDisk, h.record = entry.Body, entry.OnDisk, r.cfg.Log.LastRecord()
 	r.messages[h.seq], r.ids[h.ID] = h, h
 	if r.cfg.Replication != nil {
 		h.mark = r.cfg.Replication.LogPosition()
--- a/internal/routing/calls.go
+++ b/internal/routing/calls.go
@@ -72,7 +72,7 @@
 	if h.Long != nil {
 		call.BodySource = h.Long.BodySource
 		call.RecordDelivery = func() bool {
-			record, served := ask(r, func() uint64 { r.settle(c); return r.cfg.Log.Last() })
+			record, served := ask(r, func() uint64 { r.settle(c); return r.cfg.Log.LastRecord() })
 			if served {
 				_ = r.cfg.Log.Commit(record) // it is delivered, whatever this says
 			}
@@ -126,7 +126,7 @@
 func (r *Router) letGo(c *attempt) bool {
 	record, may := r.awaitBegin(c)
 	strict := r.cfg.Replication != nil && r.cfg.Replication.ReplicatesStarts(c.msg.Class)
-	if !may || !r.cfg.Log.Waits() && !strict {
+	if !may || !r.cfg.Log.NeedsCommit() && !strict {
 		return may
 	}
 	if r.cfg.Log.Commit(record) != nil {
@@ -147,7 +147,7 @@
 	for {
 		answer, _ := ask(r, func() permission {
 			may := r.begin(c)
-			record = r.cfg.Log.Last()
+			record = r.cfg.Log.LastRecord()
 			return may
 		})
 		if answer != unrecorded {
@@ -278,7 +278,7 @@
 	}
 	over := out == mb.OK || result.Final
 	if over {
-		r.end(h, wal.Over, 0)
+		r.end(h, wal.Completed, 0)
 		if h.Long != nil {
 			r.overLong(h, out == mb.OK)
 		}
--- a/internal/routing/configuration_test.go
+++ b/internal/routing/configuration_test.go
@@ -134,7 +134,7 @@
 
 // A message above its class's rate is refused with a time to come again; one that is held already is known all the same.
 func TestAClassAboveItsRateIsRefused(t *testing.T) {
-	journal, err := wal.Open(t.TempDir(), wal.Options{Most: 3e6}, func(string) {})
+	journal, err := wal.Open(t.TempDir(), wal.Options{MaxBytes: 3e6}, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/routing/faults_test.go
+++ b/internal/routing/faults_test.go
@@ -35,7 +35,7 @@
 func newRouterOnSwitch(t *testing.T, dir string, change func(*Config)) (r *Router, s script, disk *switchedDisk, end func()) {
 	t.Helper()
 	disk = newSwitchedDisk(dir)
-	journal, err := wal.Open(dir, wal.Options{Most: 3e6, FS: disk}, func(string) {})
+	journal, err := wal.Open(dir, wal.Options{MaxBytes: 3e6, FS: disk}, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -174,7 +174,7 @@
 		}
 		return n, nil
 	})
-	journal, err := wal.Open(dir, wal.Options{Most: 3e6, FS: disk, Memory: 1}, func(string) {})
+	journal, err := wal.Open(dir, wal.Options{MaxBytes: 3e6, FS: disk, BodyMemory: 1}, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/routing/held.go
+++ b/internal/routing/held.go
@@ -40,11 +40,11 @@
 	var again []mb.Event
 	for _, m := range live {
 		h := r.heldFrom(m)
-		if m.Ending == wal.Closed {
+		if m.Status == wal.Closed {
 			r.past.add(h.ID, false, true, h.seq)
 			continue
 		}
-		if m.Ending != wal.Unended {
+		if m.Status != wal.Pending {
 			if h.ended = true; h.cut {
 				r.past.add(h.ID, false, true, 0)
 			}
@@ -52,7 +52,7 @@
 				r.waiting[h.seq] = h // whoever may have taken over from that life may have told of it
 				continue
 			}
-			r.notify(h, m.Ending == wal.Refused, m.RetryAfter)
+			r.notify(h, m.Status == wal.Refused, m.RetryAfter)
 			continue
 		}
 		r.messages[h.seq], r.ids[h.ID] = h, h
@@ -77,7 +77,7 @@
 	}
 	return &held{
 		Message: Message{ID: m.ID, Key: m.Key, Class: m.Class, Destination: m.Destination, Body: m.Body},
-		seq:     m.Seq, deadline: deadline, attempts: m.Attempts, onDisk: m.OnDisk, cut: m.Long, mayRun: m.MayRun,
+		seq:     m.Seq, deadline: deadline, attempts: m.Attempts, onDisk: m.OnDisk, cut: m.Long, mayRun: m.MayHaveRun,
 	}
 }
 
@@ -91,12 +91,12 @@
 // forget drops the ids of messages that ended so long ago that nobody can mean them any more.
 func (r *Router) forget() {
 	for _, seq := range r.past.expire(r.longest, max(r.longest, r.cfg.Long.MaxTimeLeft)) {
-		r.journal("", r.cfg.Log.End(seq, wal.Over, 0))
+		r.journal("", r.cfg.Log.End(seq, wal.Completed, 0))
 	}
 }
 
 // finish ends a message by a notice.
-func (r *Router) finish(h *held, e wal.Ending, retry time.Duration) {
+func (r *Router) finish(h *held, e wal.Status, retry time.Duration) {
 	if h.ended {
 		return
 	}
@@ -109,13 +109,13 @@
 }
 
 // end books and journals a message's end; it stays known while a call is out.
-func (r *Router) end(h *held, e wal.Ending, retry time.Duration) {
+func (r *Router) end(h *held, e wal.Status, retry time.Duration) {
 	if h.ended {
 		return
 	}
 	h.ended = true
 	delete(r.ids, h.ID)
-	r.past.add(h.ID, e == wal.Over, h.Long != nil || h.cut, 0)
+	r.past.add(h.ID, e == wal.Completed, h.Long != nil || h.cut, 0)
 	r.bookLong(h, -1)
 	if h.call == nil {
 		delete(r.messages, h.seq)
--- a/internal/routing/journal.go
+++ b/internal/routing/journal.go
@@ -62,13 +62,13 @@
 // retryJournal writes what waits, and ends an outage that is over.
 func (r *Router) retryJournal() {
 	defer func() { r.journalTried = time.Now() }()
-	if r.cfg.Log.Waiting() > 0 {
+	if r.cfg.Log.UnwrittenRecords() > 0 {
 		if err := r.cfg.Log.Flush(); err != nil {
 			r.outage.failed(time.Now())
 		}
 	}
 	now := time.Now()
-	if r.outage.over(now) && r.cfg.Log.Waiting() == 0 {
+	if r.outage.over(now) && r.cfg.Log.UnwrittenRecords() == 0 {
 		r.cfg.Logger.Info().Str("part", "journal").Int("records", r.outage.failures).
 			Stringer("lasted", r.outage.latest.Sub(r.outage.began).Round(time.Millisecond)).Msg("records are written again")
 		r.outage = outage{}
@@ -88,7 +88,7 @@
 // journalDue is how long the journal can be left alone.
 func (r *Router) journalDue() time.Duration {
 	switch {
-	case r.cfg.Log.Waiting() > 0 || len(r.promises) > 0:
+	case r.cfg.Log.UnwrittenRecords() > 0 || len(r.promises) > 0:
 		return max(0, time.Until(r.journalTried.Add(journalRetry)))
 	case r.outage.failures > 0:
 		return max(0, outageQuiet-time.Since(r.outage.latest))
@@ -115,7 +115,7 @@
 // the message again whatever it finds. anyway has it told as well when the journal's durability can't be had any more.
 func (r *Router) afterRecords(h *held, latest time.Time, anyway bool, tell func()) {
 	p := &promise{latest: latest, anyway: anyway, tell: tell}
-	r.cfg.Log.AfterRecords(h.seq, func(err error) {
+	r.cfg.Log.AfterMessageCommit(h.seq, func(err error) {
 		if err == nil || anyway {
 			p.keep()
 		}
--- a/internal/routing/lasting_test.go
+++ b/internal/routing/lasting_test.go
@@ -55,7 +55,7 @@
 	t.Helper()
 	dir, g := t.TempDir(), &gate{tried: make(chan struct{}, 64)}
 	faults := &fsys.Faults{FS: fsys.Dir(dir)}
-	o.Most, o.FS = 3e6, faults
+	o.MaxBytes, o.FS = 3e6, faults
 	journal, err := wal.Open(dir, o, func(string) {})
 	if err != nil {
 		t.Fatal(err)
@@ -166,7 +166,7 @@
 
 // A body that is only on the disk goes out as it came; one that can't be read any more ends its message at once.
 func TestBodiesFromDisk(t *testing.T) {
-	r, s, _, faults := newLasting(t, wal.Options{Memory: 1})
+	r, s, _, faults := newLasting(t, wal.Options{BodyMemory: 1})
 	m := message("m")
 	m.Body = bytes.Repeat([]byte("body\x00\xff"), 5000)
 	r.Accept(m)
--- a/internal/routing/long.go
+++ b/internal/routing/long.go
@@ -59,13 +59,13 @@
 // settle books a delivery that an endpoint has told of, before the client can hear of it.
 func (r *Router) settle(c *attempt) {
 	if !c.msg.ended {
-		r.end(c.msg, wal.Over, 0)
+		r.end(c.msg, wal.Completed, 0)
 	}
 }
 
 // finishLong tells a long message's client of its end. The end is journalled by now; should this life end before the
 // client is told, the next one's notice tells it.
-func (r *Router) finishLong(h *held, e wal.Ending, retry time.Duration) {
+func (r *Router) finishLong(h *held, e wal.Status, retry time.Duration) {
 	end := LongResult{Kind: Failed, RetryAfter: retry, MayHaveRun: h.mayRun, TimedOut: h.timeUp()}
 	if e == wal.Refused {
 		if end.Kind = Refused; retry <= 0 {
@@ -99,14 +99,14 @@
 		return c.Name == h.Class && c.Effect != mb.Safe
 	})
 	if !keep {
-		r.journal(h.ID, r.cfg.Log.End(h.seq, wal.Over, 0))
+		r.journal(h.ID, r.cfg.Log.End(h.seq, wal.Completed, 0))
 		return
 	}
 	if r.past.close(h.ID, h.seq) {
 		r.journal(h.ID, r.cfg.Log.End(h.seq, wal.Closed, 0))
 		return
 	}
-	r.journal(h.ID, r.cfg.Log.End(h.seq, wal.Over, 0)) // its id's time is over by now
+	r.journal(h.ID, r.cfg.Log.End(h.seq, wal.Completed, 0)) // its id's time is over by now
 }
 
 // overLong tells a long message's client that nothing more is owed: it was delivered, or nobody wants it.
--- a/internal/routing/long_test.go
+++ b/internal/routing/long_test.go
@@ -84,12 +84,12 @@
 // begun; and only once.
 func TestLongMessagesOfAnEarlierLife(t *testing.T) {
 	dir := t.TempDir()
-	journal, err := wal.Open(dir, wal.Options{Most: 3e6}, func(string) {})
+	journal, err := wal.Open(dir, wal.Options{MaxBytes: 3e6}, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, id := range []string{"begun", "held", "ended"} {
-		m := &wal.Message{Seq: journal.Next(), Deadline: time.Now().Add(time.Minute), Destination: 7, ID: id, Class: "unsafe", Long: true}
+		m := &wal.Message{Seq: journal.NextSeq(), Deadline: time.Now().Add(time.Minute), Destination: 7, ID: id, Class: "unsafe", Long: true}
 		if err := journal.Accept(m); err != nil {
 			t.Fatal(err)
 		}
@@ -152,7 +152,7 @@
 	if e := <-told; e.Kind != Failed || !e.MayHaveRun || !e.TimedOut {
 		t.Errorf("end %+v", e)
 	}
-	if left := journal.Live(); slices.ContainsFunc(left, func(m *wal.Message) bool { return m.ID == "out" && m.Ending != wal.Closed }) {
+	if left := journal.Live(); slices.ContainsFunc(left, func(m *wal.Message) bool { return m.ID == "out" && m.Status != wal.Closed }) {
 		t.Errorf("journal %+v", left)
 	}
 	if late, _ := longMessage("late"); r.AcceptLong(late).Kind != Stopped {
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -195,7 +195,7 @@
 		return false
 	}
 	left := time.Until(r.stopAt)
-	nothing := r.calls == 0 && len(r.ids) == 0 && r.notices == 0 && r.cfg.Log.Waiting() == 0
+	nothing := r.calls == 0 && len(r.ids) == 0 && r.notices == 0 && r.cfg.Log.UnwrittenRecords() == 0
 	return left <= 0 || left < r.cfg.DrainTimeout-r.cfg.ClientGrace && nothing
 }
 
@@ -257,8 +257,8 @@
 		if h := r.ids[id]; h != nil && !h.repeated {
 			r.counters.Withdrawn++
 			r.sample("message withdrawn", "client not told", h)
-			r.journal(h.ID, r.cfg.Log.Withdraw(h.seq))
-			r.end(h, wal.Over, 0)
+			r.journal(h.ID, r.cfg.Log.Cancel(h.seq))
+			r.end(h, wal.Completed, 0)
 			r.past.drop(id)
 			r.decide(mb.MessageCancelled{ID: mb.MessageID(h.seq)})
 		}
@@ -272,7 +272,7 @@
 func (r *Router) Counters() Counters {
 	c, ok := ask(r, func() Counters {
 		r.counters.Held, r.counters.CallsOut = len(r.ids), r.calls
-		r.counters.Waiting = r.cfg.Log.Waiting()
+		r.counters.Waiting = r.cfg.Log.UnwrittenRecords()
 		r.counters.LongHeld, r.counters.LongOut = r.longs-r.longCalls, r.longCalls
 		return r.counters
 	})
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -45,7 +45,7 @@
 // newRouterIn does so in a folder that may hold a journal, and with long messages allowed; end ends it.
 func newRouterIn(t *testing.T, dir string) (r *Router, s script, journal *wal.Log, end func()) {
 	t.Helper()
-	journal, err := wal.Open(dir, wal.Options{Most: 3e6}, func(string) {})
+	journal, err := wal.Open(dir, wal.Options{MaxBytes: 3e6}, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -177,12 +177,12 @@
 		"the clock went back": {-time.Hour, time.Hour, false},
 	} {
 		dir := t.TempDir()
-		journal, err := wal.Open(dir, wal.Options{Most: 3e6}, func(string) {})
+		journal, err := wal.Open(dir, wal.Options{MaxBytes: 3e6}, func(string) {})
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := time.Now()
-		m := &wal.Message{Seq: journal.Next(), Deadline: now.Add(c.until), Destination: 7, ID: "m", Class: "keyed", Body: []byte("b")}
+		m := &wal.Message{Seq: journal.NextSeq(), Deadline: now.Add(c.until), Destination: 7, ID: "m", Class: "keyed", Body: []byte("b")}
 		if err := journal.Accept(m); err != nil {
 			t.Fatal(err)
 		}
@@ -211,7 +211,7 @@
 // square of it before the forwarder is ready. So the first call is for what is worth most of all, not for the first of them.
 func TestAStartHandsAllOverAtOnce(t *testing.T) {
 	dir := t.TempDir()
-	journal, err := wal.Open(dir, wal.Options{Most: 3e6}, func(string) {})
+	journal, err := wal.Open(dir, wal.Options{MaxBytes: 3e6}, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -220,7 +220,7 @@
 		if id == "fresh" {
 			left = time.Minute
 		}
-		m := &wal.Message{Seq: journal.Next(), Deadline: time.Now().Add(left), Destination: 7, ID: id, Class: "unsafe", Body: []byte("b")}
+		m := &wal.Message{Seq: journal.NextSeq(), Deadline: time.Now().Add(left), Destination: 7, ID: id, Class: "unsafe", Body: []byte("b")}
 		if err := journal.Accept(m); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/routing/shared.go
+++ b/internal/routing/shared.go
@@ -80,7 +80,7 @@
 		for _, m := range r.cfg.Log.Live() {
 			h := r.messages[m.Seq]
 			switch {
-			case h != nil && h.adopting, h == nil && m.Ending == wal.Closed:
+			case h != nil && h.adopting, h == nil && m.Status == wal.Closed:
 			case h != nil && h.apart, mine(m):
 				if h != nil && h.away && !h.ended {
 					kept++
@@ -103,7 +103,7 @@
 	if h == nil { // it has ended, and nobody was told yet
 		if w := r.waiting[m.Seq]; w != nil {
 			delete(r.waiting, m.Seq)
-			r.notify(w, m.Ending == wal.Refused, m.RetryAfter)
+			r.notify(w, m.Status == wal.Refused, m.RetryAfter)
 		}
 		return
 	}
@@ -128,9 +128,9 @@
 	if submit.Long, submit.BodyConsumed, submit.Resumed = m.Long, m.Long, true; m.Long { // its body went with that life
 		r.counters.LongCut++
 	}
-	h.mayRun = h.mayRun || m.MayRun
+	h.mayRun = h.mayRun || m.MayHaveRun
 	h.attempts = max(h.attempts, m.Attempts)
-	if submit.Attempts = h.attempts; m.MayRun {
+	if submit.Attempts = h.attempts; m.MayHaveRun {
 		ago := time.Since(m.RanAt)
 		if ago < 0 { // the clock was set back: nobody knows how long ago, so no window may still be open
 			ago = pastRoom
@@ -159,18 +159,18 @@
 	}
 	r.past.add(m.ID, true, false, 0)
 	r.counters.Elsewhere++
-	r.journal(m.ID, r.cfg.Log.End(m.Seq, wal.Over, 0))
+	r.journal(m.ID, r.cfg.Log.End(m.Seq, wal.Completed, 0))
 }
 
 // Adopt takes on what an ended life owed, without acting for it yet: its messages are journalled under that life's name, and the
 // ids that were over there are known here. A message whose id is known here is passed over. It gives the mark up to which
 // others must hold the log before Activate. An error says that there is no room, and that nothing was taken on.
-func (r *Router) Adopt(owner string, life uint64, messages []*wal.Message, past []wal.Past) (mark uint64, err error) {
+func (r *Router) Adopt(owner string, life uint64, messages []*wal.Message, past []wal.CompletedID) (mark uint64, err error) {
 	got, served := ask(r, func() error {
 		for _, p := range past {
 			if _, known := r.past.delivered[p.ID]; !known {
 				r.past.add(p.ID, p.Delivered, false, 0)
-				r.cfg.Log.Pass(p)
+				r.cfg.Log.TapCompletedID(p)
 			}
 		}
 		ended := map[string]bool{} // of earlier lives; whoever owns them tells of them
@@ -191,7 +191,7 @@
 			}
 			own := r.adoptable(m, owner, life)
 			if i, twice := listed[m.ID]; twice {
-				wanted[i] = wal.Merged(wanted[i], own)
+				wanted[i] = wal.Merge(wanted[i], own)
 				continue
 			}
 			listed[m.ID] = len(wanted)
@@ -212,10 +212,10 @@
 // adoptable is a message as it is taken over from a life.
 func (r *Router) adoptable(m *wal.Message, owner string, life uint64) *wal.Message {
 	own := *m
-	own.Owner, own.Life = owner, life
-	own.Settle() // a call of it that was out has ended by now, and may have run
+	own.Owner, own.Incarnation = owner, life
+	own.SettleInFlight() // a call of it that was out has ended by now, and may have run
 	if !r.cfg.Replication.ReplicatesStarts(own.Class) {
-		own.AssumeRun(time.Now().Add(-pastRoom)) // its calls began without a copy that says so, nobody knows when
+		own.AssumeRan(time.Now().Add(-pastRoom)) // its calls began without a copy that says so, nobody knows when
 	}
 	return &own
 }
@@ -229,7 +229,7 @@
 		}
 	}()
 	for _, m := range messages {
-		room, fits := r.cfg.Log.ReserveAdoption(m)
+		room, fits := r.cfg.Log.ReserveTakenOver(m)
 		if !fits {
 			return wal.ErrFull
 		}
@@ -237,15 +237,15 @@
 	}
 	var made []*held
 	for i, m := range messages {
-		m.Seq = r.cfg.Log.Next()
-		if err := r.cfg.Log.Adopt(rooms[i], m); err != nil {
+		m.Seq = r.cfg.Log.NextSeq()
+		if err := r.cfg.Log.AcceptTakenOver(rooms[i], m); err != nil {
 			for _, h := range made {
 				r.drop(h)
 			}
 			return err
 		}
 		h := r.heldFrom(m)
-		h.away, h.adopting, h.ended = true, true, m.Ending != wal.Unended
+		h.away, h.adopting, h.ended = true, true, m.Status != wal.Pending
 		r.messages[h.seq], r.ids[h.ID] = h, h
 		made = append(made, h)
 	}
@@ -259,11 +259,11 @@
 		return
 	}
 	other := *m
-	other.Settle()
+	other.SettleInFlight()
 	other.Seq = own.Seq
-	if merged := wal.Merged(own, &other); merged.Attempts > own.Attempts || merged.MayRun && (!own.MayRun || merged.RanAt.Before(own.RanAt)) {
+	if merged := wal.Merge(own, &other); merged.Attempts > own.Attempts || merged.MayHaveRun && (!own.MayHaveRun || merged.RanAt.Before(own.RanAt)) {
 		r.journal(h.ID, r.cfg.Log.Progress(own.Seq, merged))
-		h.attempts, h.mayRun = merged.Attempts, merged.MayRun
+		h.attempts, h.mayRun = merged.Attempts, merged.MayHaveRun
 	}
 }
 
@@ -271,7 +271,7 @@
 func (r *Router) drop(h *held) {
 	delete(r.messages, h.seq)
 	delete(r.ids, h.ID)
-	r.journal(h.ID, r.cfg.Log.Withdraw(h.seq))
+	r.journal(h.ID, r.cfg.Log.Cancel(h.seq))
 }
 
 // Activate begins to act for what was adopted of a life; with on false it is taken back: somebody else does. It gives how many
@@ -280,18 +280,18 @@
 	n, _ := ask(r, func() (n int) {
 		for _, m := range r.cfg.Log.Live() {
 			h := r.messages[m.Seq]
-			if h == nil || !h.adopting || m.Owner != owner || m.Life != life {
+			if h == nil || !h.adopting || m.Owner != owner || m.Incarnation != life {
 				continue
 			}
 			if n++; !on {
 				r.drop(h)
 				continue
 			}
-			if h.adopting = false; m.Ending != wal.Unended {
+			if h.adopting = false; m.Status != wal.Pending {
 				delete(r.messages, h.seq)
 				delete(r.ids, h.ID)
 				r.past.add(h.ID, false, false, 0)
-				r.notify(h, m.Ending == wal.Refused, m.RetryAfter)
+				r.notify(h, m.Status == wal.Refused, m.RetryAfter)
 				continue
 			}
 			r.counters.TakenOver++
@@ -317,14 +317,14 @@
 // EndedIDs gives the ids that are over in pieces, so that messages go on in between: each is called outside the router's goroutine, and last
 // in it, with the rest that has ended meanwhile, so that what it sees of the journal fits to exactly these ids. False says that the
 // router has ended.
-func (r *Router) EndedIDs(each func([]wal.Past), last func(log *wal.Log, rest []wal.Past)) bool {
+func (r *Router) EndedIDs(each func([]wal.CompletedID), last func(log *wal.Log, rest []wal.CompletedID)) bool {
 	for at := (EndedCursor{}); ; {
-		var piece []wal.Past
+		var piece []wal.CompletedID
 		over, served := ask(r, func() bool {
 			ids, next := r.past.from(at, pastAtOnce)
 			now := time.Now()
 			for _, p := range ids {
-				piece = append(piece, wal.Past{ID: p.ID, Delivered: p.Delivered, At: now.Add(-p.Age)})
+				piece = append(piece, wal.CompletedID{ID: p.ID, Delivered: p.Delivered, At: now.Add(-p.Age)})
 			}
 			if at = next; at.queue-r.past.gone.queue < len(r.past.queue) || at.long-r.past.gone.long < len(r.past.long) {
 				return false
@@ -359,7 +359,7 @@
 		r.post(func() { r.counters.NoCopy++ })
 		return Verdict{Kind: Unconfirmed}
 	case alone:
-		if _, served := ask(r, func() bool { r.journal(m.ID, r.cfg.Log.Mark(v.seq)); r.counters.Alone++; return true }); !served {
+		if _, served := ask(r, func() bool { r.journal(m.ID, r.cfg.Log.MarkUnreplicated(v.seq)); r.counters.Alone++; return true }); !served {
 			return Verdict{Kind: Stopped, RetryAfter: lateRefusal}
 		}
 	}
--- a/internal/routing/shared_test.go
+++ b/internal/routing/shared_test.go
@@ -36,7 +36,7 @@
 		"not strict, safe":   {"safe", false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			journal, err := wal.Open(t.TempDir(), wal.Options{Most: 3e6}, func(string) {})
+			journal, err := wal.Open(t.TempDir(), wal.Options{MaxBytes: 3e6}, func(string) {})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -67,7 +67,7 @@
 
 // Guards against a takeover without room that leaves a part of it in the journal.
 func TestATakeoverWithoutRoomLeavesNothing(t *testing.T) {
-	journal, err := wal.Open(t.TempDir(), wal.Options{Most: 400_000}, func(string) {})
+	journal, err := wal.Open(t.TempDir(), wal.Options{MaxBytes: 400_000}, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +84,7 @@
 		}
 	}
 	r.Inspect(func(log *wal.Log) {
-		if live, last := len(log.Live()), log.Last(); live > 0 || last > 0 {
+		if live, last := len(log.Live()), log.LastRecord(); live > 0 || last > 0 {
 			t.Errorf("%d messages, %d records", live, last)
 		}
 	})
--- a/internal/routing/steer_test.go
+++ b/internal/routing/steer_test.go
@@ -58,7 +58,7 @@
 // A zone that is to be tried gets the next call, one, though another would have it; then calls go where they are free to go.
 func TestATrialIsTheNextCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		journal, err := wal.Open(t.TempDir(), wal.Options{Most: 3e6}, func(string) {})
+		journal, err := wal.Open(t.TempDir(), wal.Options{MaxBytes: 3e6}, func(string) {})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -101,7 +101,7 @@
 // What a call waits for its replicas is not the time of the endpoint that it goes to.
 func TestReplicasTimeIsNotTheEndpoints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		journal, err := wal.Open(t.TempDir(), wal.Options{Most: 3e6}, func(string) {})
+		journal, err := wal.Open(t.TempDir(), wal.Options{MaxBytes: 3e6}, func(string) {})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/routing/wal/adopt_test.go
+++ b/internal/routing/wal/adopt_test.go
@@ -14,7 +14,7 @@
 	for writes := range 8 { // that work before the disk fails and the process is killed
 		mem := fsys.NewMem()
 		faults := &fsys.Faults{FS: mem}
-		l, err := Open(t.TempDir(), Options{Most: disk, FS: faults}, func(string) {})
+		l, err := Open(t.TempDir(), Options{MaxBytes: disk, FS: faults}, func(string) {})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -28,26 +28,26 @@
 			return n, nil
 		})
 		m := &Message{
-			Seq: l.Next(), ID: "m", Key: "k", Class: "c", Deadline: time.Now().Add(time.Hour), Body: []byte("body"), Owner: "other", Life: 3,
-			Attempts: 2, MayRun: true, RanAt: time.Now().Add(-time.Second), RanZone: "z", Alone: true,
+			Seq: l.NextSeq(), ID: "m", Key: "k", Class: "c", Deadline: time.Now().Add(time.Hour), Body: []byte("body"), Owner: "other", Incarnation: 3,
+			Attempts: 2, MayHaveRun: true, RanAt: time.Now().Add(-time.Second), RanZone: "z", Unreplicated: true,
 		}
-		room, fits := l.ReserveAdoption(m)
+		room, fits := l.ReserveTakenOver(m)
 		if !fits {
 			t.Fatal("no room in an empty journal")
 		}
-		_ = l.Adopt(room, m)
+		_ = l.AcceptTakenOver(room, m)
 		killed := mem.Crash(fsys.LoseProcess, nil)
 		faults.Set(nil)
 		if err := l.Close(); err != nil {
 			t.Fatal(err)
 		}
-		next, err := Open(t.TempDir(), Options{Most: disk, FS: killed}, func(string) {})
+		next, err := Open(t.TempDir(), Options{MaxBytes: disk, FS: killed}, func(string) {})
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, got := range next.Live() {
 			whole++
-			if !got.MayRun || got.Attempts != 2 || got.Owner != "other" || got.Life != 3 || !got.Alone || string(got.Body) != "body" {
+			if !got.MayHaveRun || got.Attempts != 2 || got.Owner != "other" || got.Incarnation != 3 || !got.Unreplicated || string(got.Body) != "body" {
 				t.Errorf("behind %d writes: %v, of %q", writes, got, got.Owner)
 			}
 		}
--- a/internal/routing/wal/bench_test.go
+++ b/internal/routing/wal/bench_test.go
@@ -17,7 +17,7 @@
 		live float64
 	}{{3e6, 300, 0.1}, {3e6, 16 << 10, 0.4}, {3e6, 16 << 10, 0.8}, {32e6, 16 << 10, 0.4}, {32e6, 16 << 10, 0.8}, {32e6, 64 << 10, 0.4}} {
 		b.Run(fmt.Sprintf("disk=%dMB/body=%d/live=%.0f%%", c.disk/1e6, c.body, 100*c.live), func(b *testing.B) {
-			l, err := Open(b.TempDir(), Options{Most: c.disk}, func(line string) { b.Log(line) })
+			l, err := Open(b.TempDir(), Options{MaxBytes: c.disk}, func(line string) { b.Log(line) })
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -40,11 +40,11 @@
 					held = held[1:]
 					_ = clock(func() error { return l.Started(seq, epoch, "z") })
 					_ = clock(func() error { return l.Outcome(seq, true) })
-					if err := clock(func() error { return l.End(seq, Over, 0) }); err != nil {
+					if err := clock(func() error { return l.End(seq, Completed, 0) }); err != nil {
 						b.Fatal(err)
 					}
 				}
-				m := &Message{Seq: l.Next(), Deadline: epoch, ID: "0123456789abcdef", Class: "c", Body: body}
+				m := &Message{Seq: l.NextSeq(), Deadline: epoch, ID: "0123456789abcdef", Class: "c", Body: body}
 				for waits := 0; !l.Fits(m); waits++ { // come again, as a client would, only sooner
 					if refused++; waits > 20000 {
 						b.Skip("no room for so much")
--- a/internal/routing/wal/clock_test.go
+++ b/internal/routing/wal/clock_test.go
@@ -16,12 +16,12 @@
 		now := time.Now()
 		// A life that wrote under a wall clock which has been set by the step since: all that it noted is off by that.
 		written := now.Add(-step).Round(0)
-		first, err := Open(dir, Options{Most: disk, Clock: bootclock.New("boot", time.Hour, written)}, func(string) {})
+		first, err := Open(dir, Options{MaxBytes: disk, Clock: bootclock.New("boot", time.Hour, written)}, func(string) {})
 		if err != nil {
 			t.Fatal(err)
 		}
-		m := &Message{Seq: first.Next(), Deadline: written.Add(10 * time.Second), ID: "m", Class: "c"}
-		out := &Message{Seq: first.Next() + 1, Deadline: written.Add(10 * time.Second), ID: "out", Class: "c"}
+		m := &Message{Seq: first.NextSeq(), Deadline: written.Add(10 * time.Second), ID: "m", Class: "c"}
+		out := &Message{Seq: first.NextSeq() + 1, Deadline: written.Add(10 * time.Second), ID: "out", Class: "c"}
 		for _, err := range []error{
 			first.Accept(m), first.Started(m.Seq, written.Add(-2*time.Second), "z"), first.Outcome(m.Seq, true), first.Accept(out),
 			first.Started(out.Seq, written.Add(-3*time.Second), "z"), first.Close(),
@@ -31,7 +31,7 @@
 			}
 		}
 		var lines []string
-		second, err := Open(dir, Options{Most: disk, Clock: bootclock.New("boot", time.Hour, now)}, func(line string) { lines = append(lines, line) })
+		second, err := Open(dir, Options{MaxBytes: disk, Clock: bootclock.New("boot", time.Hour, now)}, func(line string) { lines = append(lines, line) })
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/routing/wal/commit.go
+++ b/internal/routing/wal/commit.go
@@ -139,14 +139,14 @@
 	<-c.ended
 }
 
-// Waits says whether a record that was appended is not durable by that alone: Commit or AfterCommit tells when it is.
-func (l *Log) Waits() bool { return l.commits != nil }
+// NeedsCommit says whether a record that was appended is not durable by that alone: Commit or AfterCommit tells when it is.
+func (l *Log) NeedsCommit() bool { return l.commits != nil }
 
 // Broken is closed once this life's journal can promise nothing any more, and the next life's can.
 func (l *Log) Broken() <-chan struct{} { return l.store.Broken() }
 
-// Last is the number of the latest record, for Commit.
-func (l *Log) Last() uint64 { return l.last }
+// LastRecord is the number of the latest record, for Commit.
+func (l *Log) LastRecord() uint64 { return l.last }
 
 // Commit returns once the records up to a number outlast what the journal's durability says; an error says that this life
 // will not know. It may be called from any goroutine.
--- a/internal/routing/wal/copy.go
+++ b/internal/routing/wal/copy.go
@@ -14,29 +14,29 @@
 	"mulleinbeam/internal/bootclock"
 )
 
-// Past is the id of a message that is over. Whoever takes over from its forwarder must know it for as long as anybody may hand
+// CompletedID is the id of a message that is over. Whoever takes over from its forwarder must know it for as long as anybody may hand
 // it in again.
-type Past struct {
+type CompletedID struct {
 	ID        string
 	Delivered bool
 	At        time.Time
 }
 
-// Copy is what another forwarder's journal says, as far as its records have come. It interprets records and keeps none on a
+// ReplicaState is what another forwarder's journal says, as far as its records have come. It interprets records and keeps none on a
 // disk; it is not safe for concurrent use.
-type Copy struct{ state }
+type ReplicaState struct{ state }
 
-// NewCopy is that of an empty journal.
-func NewCopy() *Copy {
-	return &Copy{state{live: map[uint64]*Message{}, next: 1, memory: math.MaxInt64, past: map[string]Past{}}}
+// NewReplicaState is that of an empty journal.
+func NewReplicaState() *ReplicaState {
+	return &ReplicaState{state{live: map[uint64]*Message{}, next: 1, memory: math.MaxInt64, past: map[string]CompletedID{}}}
 }
 
 // Apply books a record. An error says that its kind is not known here, or that it can't be read; where the message that it is of
 // is known, it is kept with that.
-func (c *Copy) Apply(payload []byte) error { return c.state.apply(payload) }
+func (c *ReplicaState) Apply(payload []byte) error { return c.state.apply(payload) }
 
-// Of says which message a record is of, and whether that is over by it. The number is 0 for one of none.
-func Of(payload []byte) (seq uint64, over bool, err error) {
+// ParseHeader says which message a record is of, and whether that is over by it. The number is 0 for one of none.
+func ParseHeader(payload []byte) (seq uint64, over bool, err error) {
 	r := &reader{b: payload}
 	k := kind(r.octet())
 	if seq = r.uvarint(); r.bad {
@@ -45,8 +45,8 @@
 	return seq, k == kindOver, nil
 }
 
-// PastOf is the id that a record of CondensePast is of, or "".
-func PastOf(payload []byte) string {
+// ParseCompletedID is the id that a record of CondensePast is of, or "".
+func ParseCompletedID(payload []byte) string {
 	r := &reader{b: payload}
 	if k, seq := kind(r.octet()), r.uvarint(); k != kindPast || seq != 0 {
 		return ""
@@ -55,25 +55,28 @@
 }
 
 // Messages are those that are not over, in the order in which they were accepted.
-func (c *Copy) Messages() []*Message { return live(c.live) }
+func (c *ReplicaState) Messages() []*Message { return live(c.live) }
 
 // Message is one of them, or nil.
-func (c *Copy) Message(seq uint64) *Message { return c.live[seq] }
+func (c *ReplicaState) Message(seq uint64) *Message { return c.live[seq] }
 
-// Past are the ids of messages that are over, in no order.
-func (c *Copy) Past() []Past {
-	out := make([]Past, 0, len(c.past))
+// CompletedIDs are the ids of messages that are over, in no order.
+func (c *ReplicaState) CompletedIDs() []CompletedID {
+	out := make([]CompletedID, 0, len(c.past))
 	for _, p := range c.past {
 		out = append(out, p)
 	}
 	return out
 }
 
-// Ended gives what is known of a message that is over, by its id.
-func (c *Copy) Ended(id string) (p Past, over bool) { p, over = c.past[id]; return p, over }
+// CompletedID gives what is known of a message that is over, by its id.
+func (c *ReplicaState) CompletedID(id string) (p CompletedID, over bool) {
+	p, over = c.past[id]
+	return p, over
+}
 
 // Forget drops ids that have been over for so long that nobody can mean them.
-func (c *Copy) Forget(before time.Time) {
+func (c *ReplicaState) Forget(before time.Time) {
 	for id, p := range c.past {
 		if p.At.Before(before) {
 			delete(c.past, id)
@@ -81,10 +84,10 @@
 	}
 }
 
-// Condense gives the records that say all that is known of a message, fewer than it came by. The first is its acceptance.
-func Condense(m *Message) [][]byte {
+// MessageRecords gives the records that say all that is known of a message, fewer than it came by. The first is its acceptance.
+func MessageRecords(m *Message) [][]byte {
 	out := [][]byte{appendAccepted(nil, m)}
-	if attempts := m.Attempts; attempts > 0 || m.MayRun {
+	if attempts := m.Attempts; attempts > 0 || m.MayHaveRun {
 		if m.out {
 			attempts--
 		}
@@ -96,38 +99,38 @@
 		out = append(out, appendStarted(nil, m.Seq, m.outAt, m.outZone, m.outStamp))
 	}
 	if m.Owner != "" {
-		out = append(out, appendOrigin(nil, m.Seq, m.Owner, m.Life))
+		out = append(out, appendOrigin(nil, m.Seq, m.Owner, m.Incarnation))
 	}
-	if m.Alone {
+	if m.Unreplicated {
 		out = append(out, appendAlone(nil, m.Seq))
 	}
 	out = append(out, m.extra...)
-	if m.Ending != Unended {
-		out = append(out, appendEnded(nil, m.Seq, m.Ending, m.RetryAfter))
+	if m.Status != Pending {
+		out = append(out, appendEnded(nil, m.Seq, m.Status, m.RetryAfter))
 	}
 	return out
 }
 
-// CondensePast is the record of an id that is over.
-func CondensePast(p Past) []byte { return appendPast(nil, p) }
+// CompletedIDRecord is the record of an id that is over.
+func CompletedIDRecord(p CompletedID) []byte { return appendPast(nil, p) }
 
-// Out says whether a call of the message was out, and since when; it may have run.
-func (m *Message) Out() (at time.Time, out bool) { return m.outAt, m.out }
+// InFlight says whether a call of the message was out, and since when; it may have run.
+func (m *Message) InFlight() (at time.Time, out bool) { return m.outAt, m.out }
 
-// Settle books a call that was out, when nobody can tell any more how it ended, as one that may have run.
-func (m *Message) Settle() { m.outcome(true) }
+// SettleInFlight books a call that was out, when nobody can tell any more how it ended, as one that may have run.
+func (m *Message) SettleInFlight() { m.outcome(true) }
 
-// AssumeRun books that an attempt of which there is no record may have run, at a moment or later. It changes nothing where a recorded one may
+// AssumeRan books that an attempt of which there is no record may have run, at a moment or later. It changes nothing where a recorded one may
 // have run already, or where the message has ended.
-func (m *Message) AssumeRun(at time.Time) {
-	if m.MayRun || m.Ending != Unended {
+func (m *Message) AssumeRan(at time.Time) {
+	if m.MayHaveRun || m.Status != Pending {
 		return
 	}
-	m.MayRun, m.RanAt, m.RanZone, m.ranStamp = true, at, "", bootclock.Stamp{}
+	m.MayHaveRun, m.RanAt, m.RanZone, m.ranStamp = true, at, "", bootclock.Stamp{}
 }
 
-// Full gives a message of this log with its body, which may have to be read from the disk.
-func (l *Log) Full(m *Message) (*Message, error) {
+// WithBody gives a message of this log with its body, which may have to be read from the disk.
+func (l *Log) WithBody(m *Message) (*Message, error) {
 	out := *m
 	if m.OnDisk {
 		body, err := l.Body(m.Seq)
@@ -139,39 +142,39 @@
 	return &out, nil
 }
 
-// Pass tells those who keep copies of this log of an id that is over elsewhere; nothing of it is journalled here.
-func (l *Log) Pass(p Past) { l.tell(appendPast(nil, p)) }
+// TapCompletedID tells those who keep copies of this log of an id that is over elsewhere; nothing of it is journalled here.
+func (l *Log) TapCompletedID(p CompletedID) { l.tell(appendPast(nil, p)) }
 
 // Snapshot gives the records that say all that this log holds, in the order of its messages. Bodies on the disk are read for
 // it. One that can't be read is left out and told of.
 func (l *Log) Snapshot() (records [][]byte, err error) {
 	for _, m := range l.Live() {
-		full, bad := l.Full(m)
+		full, bad := l.WithBody(m)
 		if bad != nil {
 			err = errors.Join(err, fmt.Errorf("wal: message %d: %w", m.Seq, bad))
 			continue
 		}
-		records = append(records, Condense(full)...)
+		records = append(records, MessageRecords(full)...)
 	}
 	return records, err
 }
 
-// Merged is what holds of one message where two copies of one life's log differ: the more that can have happened. Whatever may
+// Merge is what holds of one message where two copies of one life's log differ: the more that can have happened. Whatever may
 // have run, may have run; the window of a keyed message is counted from the earlier call; one that has ended has ended, and
 // given up says more than handed back. It commutes, associates, and a message merged with itself is itself.
-func Merged(a, b *Message) *Message {
+func Merge(a, b *Message) *Message {
 	out := *a
 	if out.Body == nil {
 		out.Body, out.OnDisk = b.Body, b.OnDisk
 	}
 	out.Attempts = max(a.Attempts, b.Attempts)
-	ran := earlier(attempted{a.MayRun, a.RanAt, a.RanZone, a.ranStamp}, attempted{b.MayRun, b.RanAt, b.RanZone, b.ranStamp})
-	out.MayRun, out.RanAt, out.RanZone, out.ranStamp = ran.was, ran.at, ran.zone, ran.stamp
+	ran := earlier(attempted{a.MayHaveRun, a.RanAt, a.RanZone, a.ranStamp}, attempted{b.MayHaveRun, b.RanAt, b.RanZone, b.ranStamp})
+	out.MayHaveRun, out.RanAt, out.RanZone, out.ranStamp = ran.was, ran.at, ran.zone, ran.stamp
 	was := earlier(attempted{a.out, a.outAt, a.outZone, a.outStamp}, attempted{b.out, b.outAt, b.outZone, b.outStamp})
 	out.out, out.outAt, out.outZone, out.outStamp = was.was, was.at, was.zone, was.stamp
-	out.Alone = a.Alone && b.Alone // a copy that knows of no mark has come by the owner's own log
-	if rank(b.Ending) > rank(a.Ending) {
-		out.Ending = b.Ending
+	out.Unreplicated = a.Unreplicated && b.Unreplicated // a copy that knows of no mark has come by the owner's own log
+	if rank(b.Status) > rank(a.Status) {
+		out.Status = b.Status
 	}
 	out.RetryAfter = max(a.RetryAfter, b.RetryAfter)
 	out.extra = nil
@@ -187,8 +190,8 @@
 }
 
 // rank orders endings by how much they say.
-func rank(e Ending) int {
-	return map[Ending]int{Unended: 0, Refused: 1, Failed: 2, Closed: 3, Over: 4}[e]
+func rank(e Status) int {
+	return map[Status]int{Pending: 0, Refused: 1, Failed: 2, Closed: 3, Completed: 4}[e]
 }
 
 // attempted is a call that may have been.
@@ -218,16 +221,16 @@
 	size := max(m.size, len(m.Body))
 	bare.Body = nil
 	h := xxh3.New()
-	for _, p := range Condense(&bare) {
+	for _, p := range MessageRecords(&bare) {
 		_, _ = h.Write(binary.AppendUvarint(p, uint64(size)))
 	}
 	return h.Sum64()
 }
 
-// Shift moves a message's times by so much: from one machine's wall clock to another's.
-func (m *Message) Shift(by time.Duration) {
+// ShiftTimes moves a message's times by so much: from one machine's wall clock to another's.
+func (m *Message) ShiftTimes(by time.Duration) {
 	m.Deadline = m.Deadline.Add(by)
-	if m.MayRun {
+	if m.MayHaveRun {
 		m.RanAt = m.RanAt.Add(by)
 	}
 	if m.out {
@@ -235,8 +238,8 @@
 	}
 }
 
-// OverRecord is a record as the log writes it, as StartedRecord is, for who plays a journal without a disk.
-func OverRecord(seq uint64, known, delivered bool, at time.Time) []byte {
+// CompletedRecord is a record as the log writes it, as StartedRecord is, for who plays a journal without a disk.
+func CompletedRecord(seq uint64, known, delivered bool, at time.Time) []byte {
 	return appendOver(nil, seq, known, delivered, at)
 }
 
@@ -245,9 +248,9 @@
 	return appendStarted(nil, seq, at, zone, bootclock.Stamp{})
 }
 
-// IDOf is the id of the message that a record of an acceptance is of, or "".
-func IDOf(payload []byte) string {
-	c := NewCopy()
+// ParseAcceptedID is the id of the message that a record of an acceptance is of, or "".
+func ParseAcceptedID(payload []byte) string {
+	c := NewReplicaState()
 	if c.Apply(payload) != nil || len(c.live) != 1 {
 		return ""
 	}
--- a/internal/routing/wal/faults_test.go
+++ b/internal/routing/wal/faults_test.go
@@ -61,7 +61,7 @@
 		want := map[uint64]*promised{}
 		for life := range 6 {
 			disk := newFlaky(folder, seed+uint64(life))
-			l, err := Open(t.TempDir(), Options{Most: disk512, FS: disk}, func(string) {})
+			l, err := Open(t.TempDir(), Options{MaxBytes: disk512, FS: disk}, func(string) {})
 			if err != nil {
 				t.Fatalf("seed %d, life %d: %v", seed, life, err)
 			}
@@ -90,7 +90,7 @@
 	}
 	const few = 3 // messages at once, so that records of one meet
 	if what := rng.IntN(6); what < 2 && len(open) < few || len(open) == 0 {
-		m := &Message{Seq: l.Next(), Deadline: epoch, Destination: 7, ID: fmt.Sprint("id", l.Next()), Class: "c", Body: make([]byte, rng.IntN(600))}
+		m := &Message{Seq: l.NextSeq(), Deadline: epoch, Destination: 7, ID: fmt.Sprint("id", l.NextSeq()), Class: "c", Body: make([]byte, rng.IntN(600))}
 		if l.Fits(m) && l.Accept(m) == nil {
 			want[m.Seq] = &promised{}
 		}
@@ -112,11 +112,11 @@
 	case what == 2:
 		p.ended = true
 		_ = l.End(seq, Failed, 0)
-		l.AfterRecords(seq, func(error) { p.told = true })
+		l.AfterMessageCommit(seq, func(error) { p.told = true })
 	default:
 		p.ended = true
-		_ = l.End(seq, Over, 0)
-		l.AfterRecords(seq, func(error) { p.told = true })
+		_ = l.End(seq, Completed, 0)
+		l.AfterMessageCommit(seq, func(error) { p.told = true })
 	}
 }
 
@@ -133,25 +133,25 @@
 	for seq, p := range maps.All(want) {
 		m := found[seq]
 		switch {
-		case p.told && m != nil && m.Ending == Unended:
+		case p.told && m != nil && m.Status == Pending:
 			t.Errorf("%s: message %d goes on, and its end was told", when, seq)
 		case m == nil && !p.ended:
 			t.Errorf("%s: message %d is gone, and was owed", when, seq)
-		case m != nil && m.Ending == Unended && p.mayRun && !m.MayRun:
+		case m != nil && m.Status == Pending && p.mayRun && !m.MayHaveRun:
 			t.Errorf("%s: message %d may have run, and that is not known", when, seq)
-		case m != nil && m.Ending == Unended && p.out && !m.MayRun:
+		case m != nil && m.Status == Pending && p.out && !m.MayHaveRun:
 			t.Errorf("%s: message %d was out, and that is not known", when, seq)
-		case m != nil && m.Ending == Unended && m.Attempts != p.attempts:
+		case m != nil && m.Status == Pending && m.Attempts != p.attempts:
 			t.Errorf("%s: message %d has %d attempts, %d were let go", when, seq, m.Attempts, p.attempts)
 		}
 		if m == nil {
 			delete(want, seq)
 			continue
 		}
-		if m.Ending != Unended {
+		if m.Status != Pending {
 			*p = promised{ended: true, told: true}
 			continue
 		}
-		*p = promised{mayRun: m.MayRun, attempts: m.Attempts} // an end that was not told is another life's to tell
+		*p = promised{mayRun: m.MayHaveRun, attempts: m.Attempts} // an end that was not told is another life's to tell
 	}
 }
--- a/internal/routing/wal/files_test.go
+++ b/internal/routing/wal/files_test.go
@@ -45,7 +45,7 @@
 	counted := &countedFS{FS: fsys.Dir(dir)}
 	segments := 0
 	for life := range 3 {
-		l, err := Open(dir, Options{Most: disk, FS: counted}, func(string) {})
+		l, err := Open(dir, Options{MaxBytes: disk, FS: counted}, func(string) {})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -54,11 +54,11 @@
 			held = append(held, m.Seq)
 		}
 		for range 4000 {
-			m := &Message{Seq: l.Next(), Deadline: epoch, Destination: 7, ID: "id", Class: "c", Body: make([]byte, rng.IntN(9000))}
+			m := &Message{Seq: l.NextSeq(), Deadline: epoch, Destination: 7, ID: "id", Class: "c", Body: make([]byte, rng.IntN(9000))}
 			if !l.Fits(m) {
 				for range min(len(held), 1+rng.IntN(20)) { // any of them: segments empty in no order
 					i := rng.IntN(len(held))
-					if err := l.End(held[i], Over, 0); err != nil {
+					if err := l.End(held[i], Completed, 0); err != nil {
 						t.Fatal(err)
 					}
 					held = append(held[:i], held[i+1:]...)
--- a/internal/routing/wal/inspect.go
+++ b/internal/routing/wal/inspect.go
@@ -54,7 +54,7 @@
 	}
 }
 
-var endings = map[Ending]string{Unended: "held", Refused: "refused", Failed: "failed", Closed: "closed"}
+var endings = map[Status]string{Pending: "held", Refused: "refused", Failed: "failed", Closed: "closed"}
 
 // BodySize is the bytes of a message's body, of one that Inspect gives.
 func (m *Message) BodySize() int { return m.size }
@@ -63,11 +63,11 @@
 func (m *Message) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d id=%q class=%q destination=%d %s deadline=%s attempts=%d body=%d", m.Seq, m.ID, m.Class, m.Destination,
-		endings[m.Ending], m.Deadline.UTC().Format(time.RFC3339Nano), m.Attempts, m.size)
+		endings[m.Status], m.Deadline.UTC().Format(time.RFC3339Nano), m.Attempts, m.size)
 	if m.Long {
 		b.WriteString(" long")
 	}
-	if m.MayRun || m.out {
+	if m.MayHaveRun || m.out {
 		b.WriteString(" may-have-run")
 	}
 	return b.String()
--- a/internal/routing/wal/lasting_test.go
+++ b/internal/routing/wal/lasting_test.go
@@ -36,7 +36,7 @@
 func TestBodiesStayOnDisk(t *testing.T) {
 	const memory = 64 << 10
 	dir := t.TempDir()
-	o := Options{Most: disk, Memory: memory}
+	o := Options{MaxBytes: disk, BodyMemory: memory}
 	l := openWith(t, dir, o)
 	live := []uint64{}
 	check := func() {
@@ -58,7 +58,7 @@
 	compactions := 0
 	for round := range 6 {
 		for {
-			m := &Message{Seq: l.Next(), Deadline: epoch, ID: fmt.Sprint(l.Next()), Class: "c", Body: bodyOf(l.Next())}
+			m := &Message{Seq: l.NextSeq(), Deadline: epoch, ID: fmt.Sprint(l.NextSeq()), Class: "c", Body: bodyOf(l.NextSeq())}
 			if !l.Fits(m) {
 				break
 			}
@@ -69,7 +69,7 @@
 		}
 		check()
 		for i := len(live) - 1; i >= 0; i -= 2 {
-			if err := l.End(live[i], Over, 0); err != nil {
+			if err := l.End(live[i], Completed, 0); err != nil {
 				t.Fatal(err)
 			}
 			live = append(live[:i], live[i+1:]...)
@@ -96,13 +96,13 @@
 // With a durability beyond the process's end, who waits is told once, in order, and only when it is true.
 func TestCommitTells(t *testing.T) {
 	for _, d := range []store.Durability{store.Process, store.Batch, store.Each} {
-		l := openWith(t, t.TempDir(), Options{Most: disk, Durability: d})
+		l := openWith(t, t.TempDir(), Options{MaxBytes: disk, Durability: d})
 		var mu sync.Mutex
 		var told []uint64
 		done := make(chan struct{}, 200)
 		for range 200 {
 			accept(t, l, "b")
-			num := l.Last()
+			num := l.LastRecord()
 			l.AfterCommit(func(err error) {
 				if err != nil || d == store.Batch && l.store.Durable() < num {
 					t.Errorf("durability %d: told of %d with %d durable, %v", d, num, l.store.Durable(), err)
@@ -121,7 +121,7 @@
 				t.Fatalf("durability %d: %d behind %d", d, num, told[i-1])
 			}
 		}
-		if err := l.Commit(l.Last()); err != nil || l.Waits() != (d == store.Batch) {
+		if err := l.Commit(l.LastRecord()); err != nil || l.NeedsCommit() != (d == store.Batch) {
 			t.Errorf("durability %d: %v", d, err)
 		}
 	}
@@ -130,7 +130,7 @@
 // Who waits when the journal is closed is told the truth: that its record is durable.
 func TestCloseCommits(t *testing.T) {
 	dir := t.TempDir()
-	l := openWith(t, dir, Options{Most: disk, Durability: store.Batch})
+	l := openWith(t, dir, Options{MaxBytes: disk, Durability: store.Batch})
 	accept(t, l, "b")
 	told := make(chan error, 1)
 	l.AfterCommit(func(err error) { told <- err })
@@ -150,7 +150,7 @@
 	dir := t.TempDir()
 	faults := &fsys.Faults{FS: fsys.Dir(dir)}
 	told := make(chan string, 8)
-	l, err := Open(dir, Options{Most: disk, Durability: store.Batch, FS: faults}, func(line string) { told <- line })
+	l, err := Open(dir, Options{MaxBytes: disk, Durability: store.Batch, FS: faults}, func(line string) { told <- line })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -162,17 +162,17 @@
 		return n, nil
 	})
 	accept(t, l, "b")
-	if err := l.Commit(l.Last()); !errors.Is(err, store.ErrFailed) {
+	if err := l.Commit(l.LastRecord()); !errors.Is(err, store.ErrFailed) {
 		t.Errorf("commit: %v", err)
 	}
 	if line := <-told; !strings.Contains(line, "nothing is taken on") {
 		t.Errorf("told %q", line)
 	}
-	if err := l.Accept(&Message{Seq: l.Next(), Deadline: epoch, ID: "i", Class: "c"}); !errors.Is(err, store.ErrFailed) {
+	if err := l.Accept(&Message{Seq: l.NextSeq(), Deadline: epoch, ID: "i", Class: "c"}); !errors.Is(err, store.ErrFailed) {
 		t.Errorf("accept: %v", err)
 	}
 	l.Close()
-	if again := openWith(t, dir, Options{Most: disk, Durability: store.Batch}); len(again.Live()) != 0 {
+	if again := openWith(t, dir, Options{MaxBytes: disk, Durability: store.Batch}); len(again.Live()) != 0 {
 		t.Errorf("%d live", len(again.Live()))
 	}
 }
@@ -180,16 +180,16 @@
 // One folder, one program.
 func TestSecondProgramOnAFolder(t *testing.T) {
 	dir := t.TempDir()
-	l := openWith(t, dir, Options{Most: disk})
+	l := openWith(t, dir, Options{MaxBytes: disk})
 	accept(t, l, "b")
-	if _, err := Open(dir, Options{Most: disk}, nil); err == nil || !strings.Contains(err.Error(), "another program") {
+	if _, err := Open(dir, Options{MaxBytes: disk}, nil); err == nil || !strings.Contains(err.Error(), "another program") {
 		t.Errorf("the second: %v", err)
 	}
-	if _, err := Compact(dir, Options{Most: disk}, nil); err == nil {
+	if _, err := Compact(dir, Options{MaxBytes: disk}, nil); err == nil {
 		t.Error("compacted beside a program")
 	}
 	l.Close()
-	if again := openWith(t, dir, Options{Most: disk}); len(again.Live()) != 1 {
+	if again := openWith(t, dir, Options{MaxBytes: disk}); len(again.Live()) != 1 {
 		t.Errorf("%d live", len(again.Live()))
 	}
 }
@@ -198,7 +198,7 @@
 func TestSmallDisks(t *testing.T) {
 	for most, ok := range map[int64]bool{200 << 10: false, 288 << 10: true, 640 << 10: true, 1 << 20: true} {
 		dir := t.TempDir()
-		l, err := Open(dir, Options{Most: most}, func(string) {})
+		l, err := Open(dir, Options{MaxBytes: most}, func(string) {})
 		if (err == nil) != ok {
 			t.Errorf("%d bytes: %v", most, err)
 		}
@@ -207,7 +207,7 @@
 		}
 		taken := 0
 		for i := range 400 {
-			m := &Message{Seq: l.Next(), Deadline: epoch, ID: "i", Class: "c", Body: make([]byte, 1000)}
+			m := &Message{Seq: l.NextSeq(), Deadline: epoch, ID: "i", Class: "c", Body: make([]byte, 1000)}
 			if l.Fits(m) {
 				if err := l.Accept(m); err != nil {
 					t.Fatal(err)
@@ -218,7 +218,7 @@
 				t.Fatalf("%d bytes on a disk of %d", n, most)
 			}
 			if i >= 50 {
-				_ = l.End(uint64(i-49), Over, 0)
+				_ = l.End(uint64(i-49), Completed, 0)
 			}
 		}
 		if taken < 50 {
@@ -232,7 +232,7 @@
 // in bounds, and each round takes as much as the first.
 func TestStorm(t *testing.T) {
 	dir := t.TempDir()
-	l := openWith(t, dir, Options{Most: disk, Memory: 256 << 10})
+	l := openWith(t, dir, Options{MaxBytes: disk, BodyMemory: 256 << 10})
 	heap := func() uint64 {
 		runtime.GC()
 		var m runtime.MemStats
@@ -244,14 +244,14 @@
 	for round := range rounds {
 		taken, refused := []uint64{}, 0
 		for refused < 300 { // they come again, and are refused again
-			m := &Message{Seq: l.Next(), Deadline: epoch, ID: "storm", Class: "c", Body: make([]byte, 200+int(l.Next()%5)*3000)}
+			m := &Message{Seq: l.NextSeq(), Deadline: epoch, ID: "storm", Class: "c", Body: make([]byte, 200+int(l.NextSeq()%5)*3000)}
 			if !l.Fits(m) {
 				for l.store.Stats().Due { // the worker comes to it: what is refused behind that finds no room
 					l.wake()
 					runtime.Gosched()
 				}
 				if refused++; refused%100 == 0 { // one ends for all these
-					if err := l.End(taken[0], Over, 0); err != nil {
+					if err := l.End(taken[0], Completed, 0); err != nil {
 						t.Fatal(err)
 					}
 					taken = taken[1:]
@@ -272,7 +272,7 @@
 		}
 		took = append(took, len(taken))
 		for _, seq := range taken {
-			if err := l.End(seq, Over, 0); err != nil {
+			if err := l.End(seq, Completed, 0); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/routing/wal/legacy.go
+++ b/internal/routing/wal/legacy.go
@@ -75,15 +75,15 @@
 				return fmt.Errorf("wal: old journal: %w", err)
 			}
 		}
-		if m.Ending != Unended {
-			if err := l.write(m.Seq, appendEnded(nil, m.Seq, m.Ending, m.RetryAfter)); err != nil {
+		if m.Status != Pending {
+			if err := l.write(m.Seq, appendEnded(nil, m.Seq, m.Status, m.RetryAfter)); err != nil {
 				return fmt.Errorf("wal: old journal: %w", err)
 			}
 		}
 		if there {
 			l.kept -= int64(len(l.live[m.Seq].Body))
 		}
-		if m.Ending == Unended {
+		if m.Status == Pending {
 			l.keep(m)
 		}
 		l.live[m.Seq] = m
--- a/internal/routing/wal/record.go
+++ b/internal/routing/wal/record.go
@@ -67,7 +67,7 @@
 
 func appendProgress(b []byte, m *Message) []byte {
 	b = binary.AppendUvarint(start(b, kindProgress, m.Seq), uint64(m.Attempts))
-	return appendStamp(appendText(appendTime(append(b, flag(m.MayRun)), m.RanAt), m.RanZone), m.ranStamp)
+	return appendStamp(appendText(appendTime(append(b, flag(m.MayHaveRun)), m.RanAt), m.RanZone), m.ranStamp)
 }
 
 func appendStarted(b []byte, seq uint64, at time.Time, zone string, stamp bootclock.Stamp) []byte {
@@ -78,7 +78,7 @@
 	return append(start(b, kindOutcome, seq), flag(mayRun))
 }
 
-func appendEnded(b []byte, seq uint64, e Ending, retry time.Duration) []byte {
+func appendEnded(b []byte, seq uint64, e Status, retry time.Duration) []byte {
 	return binary.AppendVarint(append(start(b, kindEnded, seq), byte(e)), int64(retry))
 }
 
@@ -100,7 +100,7 @@
 	return b
 }
 
-func appendPast(b []byte, p Past) []byte {
+func appendPast(b []byte, p CompletedID) []byte {
 	return appendTime(append(appendText(start(b, kindPast, 0), p.ID), flag(p.Delivered)), p.At)
 }
 
@@ -178,7 +178,7 @@
 	case kindProgress:
 		attempts, ran, at, zone, stamp := r.uvarint(), r.octet() == 1, r.time(), string(r.text()), r.stamp()
 		if m != nil && !r.bad {
-			m.Attempts, m.MayRun, m.RanAt, m.RanZone, m.ranStamp = int(min(attempts, 1<<20)), ran, at, zone, stamp
+			m.Attempts, m.MayHaveRun, m.RanAt, m.RanZone, m.ranStamp = int(min(attempts, 1<<20)), ran, at, zone, stamp
 		}
 	case kindStarted:
 		at, zone, stamp := r.time(), string(r.text()), r.stamp()
@@ -191,30 +191,30 @@
 			m.outcome(ran)
 		}
 	case kindEnded:
-		e, retry := Ending(r.octet()), time.Duration(r.varint())
+		e, retry := Status(r.octet()), time.Duration(r.varint())
 		if m != nil && !r.bad {
 			s.ended(m, e, retry)
 		}
 	case kindOver:
 		known, delivered, at := r.octet() == 1, r.octet() == 1, r.time()
 		if m != nil && !r.bad {
-			if s.ended(m, Over, 0); known && s.past != nil {
-				s.past[m.ID] = Past{m.ID, delivered, at}
+			if s.ended(m, Completed, 0); known && s.past != nil {
+				s.past[m.ID] = CompletedID{m.ID, delivered, at}
 			}
 		}
 	case kindPast:
-		p := Past{string(r.text()), r.octet() == 1, r.time()}
+		p := CompletedID{string(r.text()), r.octet() == 1, r.time()}
 		if s.past != nil && !r.bad {
 			s.past[p.ID] = p
 		}
 	case kindOrigin:
 		owner, life := string(r.text()), r.uvarint()
 		if m != nil && !r.bad {
-			m.Owner, m.Life = owner, life
+			m.Owner, m.Incarnation = owner, life
 		}
 	case kindAlone:
 		if m != nil {
-			m.Alone = true
+			m.Unreplicated = true
 		}
 	case kindAdopted:
 		return s.applyAdopted(r)
--- a/internal/routing/wal/waiting.go
+++ b/internal/routing/wal/waiting.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// Waiting is how many records could not be written yet.
-func (l *Log) Waiting() int { return len(l.waiting.list) }
+// UnwrittenRecords is how many records could not be written yet.
+func (l *Log) UnwrittenRecords() int { return len(l.waiting.list) }
 
 // Flush tries to write the records that wait. Its error is the disk's; a store that is full is none, and its records go on waiting.
 func (l *Log) Flush() error {
@@ -113,10 +113,10 @@
 	return err
 }
 
-// AfterRecords has f called once all records of a message up to now are written and outlast what the journal's durability says; with
+// AfterMessageCommit has f called once all records of a message up to now are written and outlast what the journal's durability says; with
 // an error, this life will not know. Where nothing has to be waited for, that is before it returns; else within Flush or a call that
 // writes, or in another goroutine, which f must not hold up.
-func (l *Log) AfterRecords(seq uint64, f func(error)) {
+func (l *Log) AfterMessageCommit(seq uint64, f func(error)) {
 	if !l.waiting.await(seq, f) {
 		l.AfterCommit(f)
 	}
--- a/internal/routing/wal/wal.go
+++ b/internal/routing/wal/wal.go
@@ -25,13 +25,13 @@
 	"mulleinbeam/internal/routing/wal/store"
 )
 
-// Ending is how a message ended.
-type Ending byte
+// Status is how a message ended.
+type Status byte
 
 // The endings. A message that was refused or failed stays live until its notice is acknowledged.
 const (
-	Unended Ending = iota
-	Over           // delivered, withdrawn, or its notice acknowledged: nothing more is owed
+	Pending   Status = iota
+	Completed        // delivered, withdrawn, or its notice acknowledged: nothing more is owed
 	Refused
 	Failed
 	Closed // its end was told; only its id is kept, until Over
@@ -39,23 +39,23 @@
 
 // Message is what the journal knows of one that is not over.
 type Message struct {
-	Seq         uint64 // its number, which no other message in the file has
-	Deadline    time.Time
-	Destination int64
-	ID, Key     string
-	Class       string
-	Body        []byte
-	OnDisk      bool // Body is not here; Log.Body reads it
-	Attempts    int  // those with an outcome, and the one that is out
-	MayRun      bool // an attempt may have run
-	RanAt       time.Time
-	RanZone     string
-	Ending      Ending
-	RetryAfter  time.Duration
-	Long        bool   // its body was passed on, and is not here
-	Owner       string // the forwarder that it was taken over from, "" for none,
-	Life        uint64 // and the life of that one
-	Alone       bool   // taken on while no copy of it could be made
+	Seq          uint64 // its number, which no other message in the file has
+	Deadline     time.Time
+	Destination  int64
+	ID, Key      string
+	Class        string
+	Body         []byte
+	OnDisk       bool // Body is not here; Log.Body reads it
+	Attempts     int  // those with an outcome, and the one that is out
+	MayHaveRun   bool // an attempt may have run
+	RanAt        time.Time
+	RanZone      string
+	Status       Status
+	RetryAfter   time.Duration
+	Long         bool   // its body was passed on, and is not here
+	Owner        string // the forwarder that it was taken over from, "" for none,
+	Incarnation  uint64 // and the life of that one
+	Unreplicated bool   // taken on while no copy of it could be made
 
 	extra   [][]byte // records of kinds that this version does not know
 	size    int      // of the body
@@ -74,8 +74,8 @@
 }
 
 func (m *Message) outcome(mayRun bool) {
-	if mayRun && m.out && !m.MayRun {
-		m.MayRun, m.RanAt, m.RanZone, m.ranStamp = true, m.outAt, m.outZone, m.outStamp
+	if mayRun && m.out && !m.MayHaveRun {
+		m.MayHaveRun, m.RanAt, m.RanZone, m.ranStamp = true, m.outAt, m.outZone, m.outStamp
 	}
 	m.out = false
 }
@@ -84,9 +84,9 @@
 type state struct {
 	live   map[uint64]*Message
 	next   uint64
-	memory int64           // bytes of bodies that may be kept here
-	kept   int64           // and are
-	past   map[string]Past // of a copy: ids of messages that are over; nil keeps none
+	memory int64                  // bytes of bodies that may be kept here
+	kept   int64                  // and are
+	past   map[string]CompletedID // of a copy: ids of messages that are over; nil keeps none
 }
 
 // keep books a message's body, or leaves it on the disk where there is no memory for it.
@@ -98,13 +98,13 @@
 	}
 }
 
-func (s *state) ended(m *Message, e Ending, retry time.Duration) {
+func (s *state) ended(m *Message, e Status, retry time.Duration) {
 	s.kept -= int64(len(m.Body))
-	if e == Over {
+	if e == Completed {
 		delete(s.live, m.Seq)
 		return
 	}
-	m.Ending, m.RetryAfter, m.Body, m.OnDisk = e, retry, nil, false // a notice needs no body
+	m.Status, m.RetryAfter, m.Body, m.OnDisk = e, retry, nil, false // a notice needs no body
 }
 
 // ErrFull is given when a message does not fit.
@@ -147,23 +147,23 @@
 
 // Options are what a journal is opened with.
 type Options struct {
-	Most       int64            // bytes of all files in its folder together
-	Other      int64            // of these, bytes of files that are not the journal's
-	Segment    int64            // bytes of one segment; 0 is a share of Most
-	Durability store.Durability // what an append outlasts
-	Memory     int64            // bytes of bodies that are kept in memory as well; 0 keeps all
-	FS         fsys.FS          // what is read and written; nil is the folder itself
-	Clock      *bootclock.Clock // by which times outlast the process; nil is the system's
+	MaxBytes     int64            // bytes of all files in its folder together
+	OtherBytes   int64            // of these, bytes of files that are not the journal's
+	SegmentBytes int64            // bytes of one segment; 0 is a share of Most
+	Durability   store.Durability // what an append outlasts
+	BodyMemory   int64            // bytes of bodies that are kept in memory as well; 0 keeps all
+	FS           fsys.FS          // what is read and written; nil is the folder itself
+	Clock        *bootclock.Clock // by which times outlast the process; nil is the system's
 }
 
 // sizes gives the bytes of all the journal's files, and of one segment.
 func (o Options) sizes() (bound, segment int64, err error) {
-	bound, segment = o.Most-o.Other-slack, o.Segment
+	bound, segment = o.MaxBytes-o.OtherBytes-slack, o.SegmentBytes
 	if segment == 0 {
 		segment = min(max(usualSegment, bound/segments), bound/leastShares, mostSegment)
 	}
 	if bound < leastBound || segment > bound/leastShares {
-		return 0, 0, fmt.Errorf("wal: %d bytes of disk are too few, %d of them for a segment", o.Most, segment)
+		return 0, 0, fmt.Errorf("wal: %d bytes of disk are too few, %d of them for a segment", o.MaxBytes, segment)
 	}
 	return bound, segment, nil
 }
@@ -171,9 +171,9 @@
 // Segments may be many, small ones above all, and only some are in use at a time.
 const openFiles = 8
 
-// Descriptors is how many a journal has open at once, at the most: its files', the folder's lock, the folder's own to sync it, and
+// MaxDescriptors is how many a journal has open at once, at the most: its files', the folder's lock, the folder's own to sync it, and
 // that of a segment which is read on though it has gone.
-const Descriptors = openFiles + 3
+const MaxDescriptors = openFiles + 3
 
 // Open reads the journal in a folder, which no other process may have open, and takes over what an older version's file
 // there holds. Torn tails are passed over; any other damage is told to report as well, which may be called from another
@@ -183,11 +183,11 @@
 	if err != nil {
 		return nil, err
 	}
-	if o.Memory == 0 {
-		o.Memory = math.MaxInt64
+	if o.BodyMemory == 0 {
+		o.BodyMemory = math.MaxInt64
 	}
 	l := &Log{
-		state: state{live: map[uint64]*Message{}, next: 1, memory: o.Memory}, kick: make(chan struct{}, 1),
+		state: state{live: map[uint64]*Message{}, next: 1, memory: o.BodyMemory}, kick: make(chan struct{}, 1),
 		stop: make(chan struct{}), done: make(chan struct{}), report: report,
 	}
 	if l.lock, err = lockDir(dir); err != nil {
@@ -255,7 +255,7 @@
 	}
 	for _, m := range l.live {
 		resume(&m.Deadline, m.deadlineStamp)
-		if m.MayRun {
+		if m.MayHaveRun {
 			resume(&m.RanAt, m.ranStamp)
 		}
 		if m.out {
@@ -322,8 +322,8 @@
 	return slices.SortedFunc(maps.Values(messages), func(a, b *Message) int { return cmp.Compare(a.Seq, b.Seq) })
 }
 
-// Next is the number of the next message.
-func (l *Log) Next() uint64 { return l.next }
+// NextSeq is the number of the next message.
+func (l *Log) NextSeq() uint64 { return l.next }
 
 // Close ends the worker and closes the files.
 func (l *Log) Close() error { return l.close() }
@@ -343,10 +343,10 @@
 	return l.reserve(acceptedHead + len(m.ID) + len(m.Key) + len(m.Class) + len(m.Body))
 }
 
-// ReserveAdoption does so for one to be adopted.
-func (l *Log) ReserveAdoption(m *Message) (*Reservation, bool) {
+// ReserveTakenOver does so for one to be adopted.
+func (l *Log) ReserveTakenOver(m *Message) (*Reservation, bool) {
 	size := 0
-	for _, record := range Condense(m) {
+	for _, record := range MessageRecords(m) {
 		size += len(record) + adoptedHead
 	}
 	return l.reserve(size)
@@ -383,14 +383,14 @@
 	return l.accept(room, m, l.buf, [][]byte{l.buf})
 }
 
-// Adopt journals a message of another life under this log's next number, with all that is known of its attempts and its end, in room
+// AcceptTakenOver journals a message of another life under this log's next number, with all that is known of its attempts and its end, in room
 // that was reserved for that. It is one record: a message whose calls are forgotten would be called again.
-func (l *Log) Adopt(room *Reservation, m *Message) error {
+func (l *Log) AcceptTakenOver(room *Reservation, m *Message) error {
 	m.deadlineStamp = l.clock.Stamp(m.Deadline)
-	if m.MayRun {
+	if m.MayHaveRun {
 		m.ranStamp = l.clock.Stamp(m.RanAt)
 	}
-	records := Condense(m)
+	records := MessageRecords(m)
 	l.buf = appendAdopted(l.buf[:0], m.Seq, records)
 	return l.accept(room, m, l.buf, records)
 }
@@ -485,19 +485,19 @@
 }
 
 // End journals a message's ending; Over drops it.
-func (l *Log) End(seq uint64, e Ending, retry time.Duration) error { return l.end(seq, e, retry, true) }
+func (l *Log) End(seq uint64, e Status, retry time.Duration) error { return l.end(seq, e, retry, true) }
 
-// Withdraw drops a message that counts for nothing: its id may come again as that of a new one.
-func (l *Log) Withdraw(seq uint64) error { return l.end(seq, Over, 0, false) }
+// Cancel drops a message that counts for nothing: its id may come again as that of a new one.
+func (l *Log) Cancel(seq uint64) error { return l.end(seq, Completed, 0, false) }
 
-func (l *Log) end(seq uint64, e Ending, retry time.Duration, known bool) error {
+func (l *Log) end(seq uint64, e Status, retry time.Duration, known bool) error {
 	m := l.live[seq]
 	if m == nil {
 		return nil
 	}
-	unended := m.Ending == Unended
+	unended := m.Status == Pending
 	l.ended(m, e, retry)
-	if e == Over {
+	if e == Completed {
 		if l.tap != nil {
 			l.tap(appendOver(nil, seq, known, unended, time.Now()))
 		}
@@ -517,18 +517,18 @@
 	if m == nil {
 		return nil
 	}
-	m.Attempts, m.MayRun, m.RanAt, m.RanZone, m.out = known.Attempts, known.MayRun, known.RanAt, known.RanZone, false
+	m.Attempts, m.MayHaveRun, m.RanAt, m.RanZone, m.out = known.Attempts, known.MayHaveRun, known.RanAt, known.RanZone, false
 	m.ranStamp = l.clock.Stamp(known.RanAt)
 	return l.note(seq, [][]byte{appendProgress(nil, m)})
 }
 
-// Mark journals that a message was taken on while no copy of it could be made.
-func (l *Log) Mark(seq uint64) error {
+// MarkUnreplicated journals that a message was taken on while no copy of it could be made.
+func (l *Log) MarkUnreplicated(seq uint64) error {
 	m := l.live[seq]
 	if m == nil {
 		return nil
 	}
-	m.Alone = true
+	m.Unreplicated = true
 	return l.note(seq, [][]byte{appendAlone(nil, seq)})
 }
 
--- a/internal/routing/wal/wal_test.go
+++ b/internal/routing/wal/wal_test.go
@@ -28,7 +28,7 @@
 	t.Helper()
 	var told []string
 	ready := false // from then on only the worker reports
-	l, err := Open(dir, Options{Most: disk}, func(line string) {
+	l, err := Open(dir, Options{MaxBytes: disk}, func(line string) {
 		if !ready {
 			told = append(told, line)
 		}
@@ -44,7 +44,7 @@
 func accept(t *testing.T, l *Log, body string) *Message {
 	t.Helper()
 	m := &Message{
-		Seq: l.Next(), Deadline: epoch, Destination: 7, ID: fmt.Sprint("id", l.Next()), Key: "k\x00\xff", Class: "c",
+		Seq: l.NextSeq(), Deadline: epoch, Destination: 7, ID: fmt.Sprint("id", l.NextSeq()), Key: "k\x00\xff", Class: "c",
 		Body: []byte(body),
 	}
 	if err := l.Accept(m); err != nil {
@@ -70,8 +70,8 @@
 			l.Started(ran.Seq, at(1), "z1"), l.Outcome(ran.Seq, true), l.Started(ran.Seq, at(2), "z2"), l.Outcome(ran.Seq, true),
 			l.Started(never.Seq, at(1), "z"), l.Outcome(never.Seq, false),
 			l.Started(out.Seq, at(3), "z3"), l.Outcome(out.Seq, false), l.Started(out.Seq, at(4), "z4"),
-			l.End(refused.Seq, Refused, 250*time.Millisecond), l.End(over.Seq, Over, 0),
-			l.End(acked.Seq, Failed, 0), l.End(acked.Seq, Over, 0),
+			l.End(refused.Seq, Refused, 250*time.Millisecond), l.End(over.Seq, Completed, 0),
+			l.End(acked.Seq, Failed, 0), l.End(acked.Seq, Completed, 0),
 		}
 		if compacted { // each segment that a start has begun
 			for range 3 {
@@ -96,18 +96,18 @@
 		past := func(m *Message, attempts int, ranAt time.Time, zone string) *Message {
 			return &Message{
 				Seq: m.Seq, Deadline: m.Deadline, Destination: 7, ID: m.ID, Key: m.Key, Class: m.Class, Body: m.Body,
-				Attempts: attempts, MayRun: zone != "", RanAt: ranAt, RanZone: zone,
+				Attempts: attempts, MayHaveRun: zone != "", RanAt: ranAt, RanZone: zone,
 			}
 		}
 		ended := past(refused, 0, time.Time{}, "")
-		ended.Ending, ended.RetryAfter, ended.Body = Refused, 250*time.Millisecond, nil
+		ended.Status, ended.RetryAfter, ended.Body = Refused, 250*time.Millisecond, nil
 		want := []*Message{
 			past(untouched, 0, time.Time{}, ""), past(ran, 2, at(1), "z1"), past(never, 1, time.Time{}, ""),
 			past(out, 2, at(4), "z4"), ended,
 		}
 		got := again.Live()
 		for _, m := range got {
-			if !m.MayRun {
+			if !m.MayHaveRun {
 				m.RanAt = time.Time{} // means nothing then
 			}
 		}
@@ -148,7 +148,7 @@
 	}
 	killed()
 	got := l.Live()
-	if len(got) != 1 || !got[0].MayRun || !got[0].RanAt.Equal(at(2)) || got[0].RanZone != "z2" || got[0].Attempts != 5 {
+	if len(got) != 1 || !got[0].MayHaveRun || !got[0].RanAt.Equal(at(2)) || got[0].RanZone != "z2" || got[0].Attempts != 5 {
 		t.Errorf("after four kills: %+v", got)
 	}
 }
@@ -246,7 +246,7 @@
 	l, _ := open(t, dir)
 	body, live, refused := strings.Repeat("x", 64<<10), []*Message{}, 0
 	for i := range 600 {
-		next := &Message{Seq: l.Next(), ID: "i", Class: "c", Body: []byte(body[:(i%7+1)*9000])}
+		next := &Message{Seq: l.NextSeq(), ID: "i", Class: "c", Body: []byte(body[:(i%7+1)*9000])}
 		if err := l.Accept(next); err == ErrFull {
 			refused++
 		} else if err != nil {
@@ -268,7 +268,7 @@
 			t.Fatalf("message %d: %d bytes on disk", i, n)
 		}
 		if len(live) > 5 && i%3 != 0 {
-			if err := l.End(live[0].Seq, Over, 0); err != nil {
+			if err := l.End(live[0].Seq, Completed, 0); err != nil {
 				t.Fatal(err)
 			}
 			live = live[1:]
@@ -306,12 +306,12 @@
 	file = sealOld(file, appendOutcome(nil, 4, true))
 	file = sealOld(file, appendStarted(nil, 5, at(2), "z2", bootclock.Stamp{}))
 	file = sealOld(file, appendEnded(nil, 6, Refused, time.Second))
-	file = sealOld(file, appendEnded(nil, 8, Over, 0))
+	file = sealOld(file, appendEnded(nil, 8, Completed, 0))
 	want := []*Message{
 		messages[0],
-		{Seq: 4, Deadline: epoch, Destination: 7, ID: "ran", Class: "c", Body: []byte("b"), Attempts: 1, MayRun: true, RanAt: at(1), RanZone: "z1"},
-		{Seq: 5, Deadline: epoch, Destination: 7, ID: "out", Class: "c", Attempts: 1, MayRun: true, RanAt: at(2), RanZone: "z2"},
-		{Seq: 6, Deadline: epoch, Destination: 7, ID: "told", Class: "c", Ending: Refused, RetryAfter: time.Second},
+		{Seq: 4, Deadline: epoch, Destination: 7, ID: "ran", Class: "c", Body: []byte("b"), Attempts: 1, MayHaveRun: true, RanAt: at(1), RanZone: "z1"},
+		{Seq: 5, Deadline: epoch, Destination: 7, ID: "out", Class: "c", Attempts: 1, MayHaveRun: true, RanAt: at(2), RanZone: "z2"},
+		{Seq: 6, Deadline: epoch, Destination: 7, ID: "told", Class: "c", Status: Refused, RetryAfter: time.Second},
 	}
 	dir := t.TempDir()
 	for life := range 4 {
@@ -323,12 +323,12 @@
 		l, _ := open(t, dir)
 		got := l.Live()
 		for _, m := range got {
-			if !m.MayRun {
+			if !m.MayHaveRun {
 				m.RanAt = time.Time{}
 			}
 		}
-		if diff := same(want, got); diff != "" || life < 3 && l.Next() != 9 {
-			t.Errorf("life %d: next %d\n%s", life, l.Next(), diff)
+		if diff := same(want, got); diff != "" || life < 3 && l.NextSeq() != 9 {
+			t.Errorf("life %d: next %d\n%s", life, l.NextSeq(), diff)
 		}
 		l.Close()
 		if _, err := os.Stat(filepath.Join(dir, oldName)); !os.IsNotExist(err) {
