--- a/internal/routing/accept.go
+++ b/internal/routing/accept.go
@@ -35,7 +35,7 @@
 		maxTimeLeft = r.cfg.Long.MaxTimeLeft
 	}
 	message.TimeLeft = min(message.TimeLeft, maxTimeLeft)
-	held := &heldMessage{Message: message, seq: r.cfg.Log.Next(), deadline: time.Now().Add(message.TimeLeft), unreplicated: unreplicated}
+	held := &heldMessage{Message: message, seq: r.cfg.Log.NextSeq(), deadline: time.Now().Add(message.TimeLeft), unreplicated: unreplicated}
 	entry := &wal.Message{
 		Seq: held.seq, Deadline: held.deadline, Destination: message.Destination, ID: message.ID, Key: message.Key, Class: message.Class, Body: message.Body,
 		Long: message.Long != nil,
@@ -165,7 +165,7 @@
 	if r.countLong(held, 1); held.Long != nil {
 		r.counters.LongAccepted++
 	}
-	held.Body, held.bodyOnDisk, held.acceptRecord = entry.Body, entry.OnDisk, r.cfg.Log.Last()
+	held.Body, held.bodyOnDisk, held.acceptRecord = entry.Body, entry.OnDisk, r.cfg.Log.LastRecord()
 	r.messages[held.seq], r.messagesByID[held.ID] = held, held
 	if r.cfg.Replication != nil {
 		held.logPosition = r.cfg.Replication.LogPosition()
--- a/internal/routing/calls.go
+++ b/internal/routing/calls.go
@@ -73,7 +73,7 @@
 	if held.Long != nil {
 		attempt.BodySource = held.Long.BodySource
 		attempt.RecordDelivery = func() bool {
-			record, served := execute(r, func() uint64 { r.recordDelivery(call); return r.cfg.Log.Last() })
+			record, served := execute(r, func() uint64 { r.recordDelivery(call); return r.cfg.Log.LastRecord() })
 			if served {
 				_ = r.cfg.Log.Commit(record) // it is delivered even if the commit fails
 			}
@@ -128,7 +128,7 @@
 func (r *Router) permitStart(call *outgoingCall) bool {
 	record, mayStart := r.awaitStartRecord(call)
 	replicateStart := r.cfg.Replication != nil && r.cfg.Replication.ReplicatesStarts(call.message.Class)
-	if !mayStart || !r.cfg.Log.Waits() && !replicateStart {
+	if !mayStart || !r.cfg.Log.NeedsCommit() && !replicateStart {
 		return mayStart
 	}
 	if r.cfg.Log.Commit(record) != nil {
@@ -149,7 +149,7 @@
 	for {
 		answer, _ := execute(r, func() permission {
 			decision := r.begin(call)
-			record = r.cfg.Log.Last()
+			record = r.cfg.Log.LastRecord()
 			return decision
 		})
 		if answer != unrecorded {
@@ -281,7 +281,7 @@
 	}
 	final := outcome == mb.OK || result.Final
 	if final {
-		r.end(held, wal.Over, 0)
+		r.end(held, wal.Completed, 0)
 		if held.Long != nil {
 			r.completeLong(held, outcome == mb.OK)
 		}
--- a/internal/routing/configuration_test.go
+++ b/internal/routing/configuration_test.go
@@ -136,7 +136,7 @@
 // A message above the rate limit of its class is refused with a retry-after; one that is already held is reported as
 // accepted.
 func TestClassOverRateLimitIsRefused(t *testing.T) {
-	journal, err := wal.Open(t.TempDir(), wal.Options{Most: 3e6}, func(string) {})
+	journal, err := wal.Open(t.TempDir(), wal.Options{MaxBytes: 3e6}, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/routing/disk_faults_test.go
+++ b/internal/routing/disk_faults_test.go
@@ -35,7 +35,7 @@
 func newFaultyRouter(t *testing.T, dir string, change func(*Config)) (r *Router, s fakeTransport, disk *faultyDisk, end func()) {
 	t.Helper()
 	disk = newFaultyDisk(dir)
-	journal, err := wal.Open(dir, wal.Options{Most: 3e6, FS: disk}, func(string) {})
+	journal, err := wal.Open(dir, wal.Options{MaxBytes: 3e6, FS: disk}, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -176,7 +176,7 @@
 		}
 		return n, nil
 	})
-	journal, err := wal.Open(dir, wal.Options{Most: 3e6, FS: disk, Memory: 1}, func(string) {})
+	journal, err := wal.Open(dir, wal.Options{MaxBytes: 3e6, FS: disk, BodyMemory: 1}, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/routing/durability_test.go
+++ b/internal/routing/durability_test.go
@@ -55,7 +55,7 @@
 	t.Helper()
 	dir, g := t.TempDir(), &syncGate{tried: make(chan struct{}, 64)}
 	faults := &fsys.Faults{FS: fsys.Dir(dir)}
-	o.Most, o.FS = 3e6, faults
+	o.MaxBytes, o.FS = 3e6, faults
 	journal, err := wal.Open(dir, o, func(string) {})
 	if err != nil {
 		t.Fatal(err)
@@ -168,7 +168,7 @@
 
 // A body kept on disk is sent unchanged; one that cannot be read any more ends its message at once.
 func TestBodiesFromDisk(t *testing.T) {
-	r, s, _, faults := newGatedRouter(t, wal.Options{Memory: 1})
+	r, s, _, faults := newGatedRouter(t, wal.Options{BodyMemory: 1})
 	m := message("m")
 	m.Body = bytes.Repeat([]byte("body\x00\xff"), 5000)
 	r.Accept(m)
--- a/internal/routing/held.go
+++ b/internal/routing/held.go
@@ -41,11 +41,11 @@
 	var resubmissions []mb.Event
 	for _, message := range live {
 		held := r.heldFrom(message)
-		if message.Ending == wal.Closed {
+		if message.Status == wal.Closed {
 			r.ended.add(held.ID, false, true, held.seq)
 			continue
 		}
-		if message.Ending != wal.Unended {
+		if message.Status != wal.Pending {
 			if held.ended = true; held.longInterrupted {
 				r.ended.add(held.ID, false, true, 0)
 			}
@@ -53,7 +53,7 @@
 				r.undecidedReports[held.seq] = held // a forwarder that took over from that process may have reported it
 				continue
 			}
-			r.report(held, message.Ending == wal.Refused, message.RetryAfter)
+			r.report(held, message.Status == wal.Refused, message.RetryAfter)
 			continue
 		}
 		r.messages[held.seq], r.messagesByID[held.ID] = held, held
@@ -79,7 +79,7 @@
 	}
 	return &heldMessage{
 		Message: Message{ID: message.ID, Key: message.Key, Class: message.Class, Destination: message.Destination, Body: message.Body},
-		seq:     message.Seq, deadline: deadline, attempts: message.Attempts, bodyOnDisk: message.OnDisk, longInterrupted: message.Long, mayHaveRun: message.MayRun,
+		seq:     message.Seq, deadline: deadline, attempts: message.Attempts, bodyOnDisk: message.OnDisk, longInterrupted: message.Long, mayHaveRun: message.MayHaveRun,
 	}
 }
 
@@ -93,12 +93,12 @@
 // expireEndedIDs forgets the ids of messages that ended so long ago that no client can repeat them.
 func (r *Router) expireEndedIDs() {
 	for _, seq := range r.ended.expire(r.longestTimeout, max(r.longestTimeout, r.cfg.Long.MaxTimeLeft)) {
-		r.noteJournalError("", r.cfg.Log.End(seq, wal.Over, 0))
+		r.noteJournalError("", r.cfg.Log.End(seq, wal.Completed, 0))
 	}
 }
 
 // finishWithReport ends a message with a delivery report, or with an answer to the client of a long message.
-func (r *Router) finishWithReport(held *heldMessage, ending wal.Ending, retryAfter time.Duration) {
+func (r *Router) finishWithReport(held *heldMessage, ending wal.Status, retryAfter time.Duration) {
 	if held.ended {
 		return
 	}
@@ -111,13 +111,13 @@
 }
 
 // end registers and journals the end of a message, which stays in r.messages while a call is out.
-func (r *Router) end(held *heldMessage, ending wal.Ending, retryAfter time.Duration) {
+func (r *Router) end(held *heldMessage, ending wal.Status, retryAfter time.Duration) {
 	if held.ended {
 		return
 	}
 	held.ended = true
 	delete(r.messagesByID, held.ID)
-	r.ended.add(held.ID, ending == wal.Over, held.Long != nil || held.longInterrupted, 0)
+	r.ended.add(held.ID, ending == wal.Completed, held.Long != nil || held.longInterrupted, 0)
 	r.countLong(held, -1)
 	if held.call == nil {
 		delete(r.messages, held.seq)
--- a/internal/routing/journal.go
+++ b/internal/routing/journal.go
@@ -64,13 +64,13 @@
 // retryJournal writes pending records, logs the end of an outage, and sends the deferred reports that are due.
 func (r *Router) retryJournal() {
 	defer func() { r.lastJournalTry = time.Now() }()
-	if r.cfg.Log.Waiting() > 0 {
+	if r.cfg.Log.UnwrittenRecords() > 0 {
 		if err := r.cfg.Log.Flush(); err != nil {
 			r.outage.recordFailure(time.Now())
 		}
 	}
 	now := time.Now()
-	if r.outage.hasEnded(now) && r.cfg.Log.Waiting() == 0 {
+	if r.outage.hasEnded(now) && r.cfg.Log.UnwrittenRecords() == 0 {
 		r.cfg.Logger.Info().Str("part", "journal").Int("records", r.outage.failures).
 			Stringer("lasted", r.outage.latest.Sub(r.outage.began).Round(time.Millisecond)).Msg("records are written again")
 		r.outage = outage{}
@@ -90,7 +90,7 @@
 // untilJournalRetry returns the time until retryJournal is needed.
 func (r *Router) untilJournalRetry() time.Duration {
 	switch {
-	case r.cfg.Log.Waiting() > 0 || len(r.deferredReports) > 0:
+	case r.cfg.Log.UnwrittenRecords() > 0 || len(r.deferredReports) > 0:
 		return max(0, time.Until(r.lastJournalTry.Add(journalRetryInterval)))
 	case r.outage.failures > 0:
 		return max(0, outageQuiet-time.Since(r.outage.latest))
@@ -119,7 +119,7 @@
 // longer make the records durable.
 func (r *Router) reportAfterRecords(held *heldMessage, deadline time.Time, withoutRecords bool, send func()) {
 	p := &deferredReport{deadline: deadline, withoutRecords: withoutRecords, send: send}
-	r.cfg.Log.AfterRecords(held.seq, func(err error) {
+	r.cfg.Log.AfterMessageCommit(held.seq, func(err error) {
 		if err == nil || withoutRecords {
 			p.sendOnce()
 		}
--- a/internal/routing/long.go
+++ b/internal/routing/long.go
@@ -61,13 +61,13 @@
 // recordDelivery journals a delivery reported by an endpoint, before the client can learn of it.
 func (r *Router) recordDelivery(call *outgoingCall) {
 	if !call.message.ended {
-		r.end(call.message, wal.Over, 0)
+		r.end(call.message, wal.Completed, 0)
 	}
 }
 
 // finishLong tells the client of a long message how it ended. The end is journalled by now; if this process ends before
 // the client is told, the next one sends a delivery report.
-func (r *Router) finishLong(held *heldMessage, ending wal.Ending, retryAfter time.Duration) {
+func (r *Router) finishLong(held *heldMessage, ending wal.Status, retryAfter time.Duration) {
 	result := LongResult{Kind: Failed, RetryAfter: retryAfter, MayHaveRun: held.mayHaveRun, TimedOut: held.timedOut()}
 	if ending == wal.Refused {
 		if result.Kind = Refused; retryAfter <= 0 {
@@ -101,14 +101,14 @@
 		return c.Name == held.Class && c.Effect != mb.Safe
 	})
 	if !keepID {
-		r.noteJournalError(held.ID, r.cfg.Log.End(held.seq, wal.Over, 0))
+		r.noteJournalError(held.ID, r.cfg.Log.End(held.seq, wal.Completed, 0))
 		return
 	}
 	if r.ended.closeLong(held.ID, held.seq) {
 		r.noteJournalError(held.ID, r.cfg.Log.End(held.seq, wal.Closed, 0))
 		return
 	}
-	r.noteJournalError(held.ID, r.cfg.Log.End(held.seq, wal.Over, 0)) // its id has expired by now
+	r.noteJournalError(held.ID, r.cfg.Log.End(held.seq, wal.Completed, 0)) // its id has expired by now
 }
 
 // completeLong tells the client of a long message that no further attempt is made: it was delivered, or is no
--- a/internal/routing/replication.go
+++ b/internal/routing/replication.go
@@ -81,7 +81,7 @@
 		for _, message := range r.cfg.Log.Live() {
 			held := r.messages[message.Seq]
 			switch {
-			case held != nil && held.adopting, held == nil && message.Ending == wal.Closed:
+			case held != nil && held.adopting, held == nil && message.Status == wal.Closed:
 			case held != nil && held.unreplicated, isOwn(message):
 				if held != nil && held.suspended && !held.ended {
 					resumed++
@@ -104,7 +104,7 @@
 	if held == nil { // it has ended, and is not reported yet
 		if ended := r.undecidedReports[message.Seq]; ended != nil {
 			delete(r.undecidedReports, message.Seq)
-			r.report(ended, message.Ending == wal.Refused, message.RetryAfter)
+			r.report(ended, message.Status == wal.Refused, message.RetryAfter)
 		}
 		return
 	}
@@ -132,9 +132,9 @@
 	if submit.Long, submit.BodyConsumed, submit.Resumed = message.Long, message.Long, true; message.Long {
 		r.counters.LongInterrupted++
 	}
-	held.mayHaveRun = held.mayHaveRun || message.MayRun
+	held.mayHaveRun = held.mayHaveRun || message.MayHaveRun
 	held.attempts = max(held.attempts, message.Attempts)
-	if submit.Attempts = held.attempts; message.MayRun {
+	if submit.Attempts = held.attempts; message.MayHaveRun {
 		ago := time.Since(message.RanAt)
 		if ago < 0 { // the clock was set back: the age is unknown, so the window for repeats counts as closed
 			ago = pastClockRange
@@ -164,19 +164,19 @@
 	}
 	r.ended.add(message.ID, true, false, 0)
 	r.counters.LostToTakeover++
-	r.noteJournalError(message.ID, r.cfg.Log.End(message.Seq, wal.Over, 0))
+	r.noteJournalError(message.ID, r.cfg.Log.End(message.Seq, wal.Completed, 0))
 }
 
 // Adopt takes over the messages of an ended process without acting for them yet. They are journalled with that process
 // as their owner, and the ids that ended there become known here. A message whose id is known here is skipped. Adopt
 // returns the log position that must be replicated before Activate. On an error nothing was adopted; wal.ErrFull means
 // that there is no room.
-func (r *Router) Adopt(owner string, incarnation uint64, messages []*wal.Message, past []wal.Past) (position uint64, err error) {
+func (r *Router) Adopt(owner string, incarnation uint64, messages []*wal.Message, past []wal.CompletedID) (position uint64, err error) {
 	adoptErr, served := execute(r, func() error {
 		for _, p := range past {
 			if _, known := r.ended.delivered[p.ID]; !known {
 				r.ended.add(p.ID, p.Delivered, false, 0)
-				r.cfg.Log.Pass(p)
+				r.cfg.Log.TapCompletedID(p)
 			}
 		}
 		ended := map[string]bool{} // ended in earlier processes; their owners report them
@@ -197,7 +197,7 @@
 			}
 			own := r.adoptedCopy(message, owner, incarnation)
 			if i, twice := listed[message.ID]; twice {
-				adoptees[i] = wal.Merged(adoptees[i], own)
+				adoptees[i] = wal.Merge(adoptees[i], own)
 				continue
 			}
 			listed[message.ID] = len(adoptees)
@@ -218,11 +218,11 @@
 // adoptedCopy returns the copy of a message to journal when it is taken over from a process.
 func (r *Router) adoptedCopy(message *wal.Message, owner string, incarnation uint64) *wal.Message {
 	own := *message
-	own.Owner, own.Life = owner, incarnation
-	own.Settle() // a call that was out has ended by now, and may have run
+	own.Owner, own.Incarnation = owner, incarnation
+	own.SettleInFlight() // a call that was out has ended by now, and may have run
 	if !r.cfg.Replication.ReplicatesStarts(own.Class) {
 		// The calls of the message started without a replicated record, at an unknown time.
-		own.AssumeRun(time.Now().Add(-pastClockRange))
+		own.AssumeRan(time.Now().Add(-pastClockRange))
 	}
 	return &own
 }
@@ -236,7 +236,7 @@
 		}
 	}()
 	for _, message := range messages {
-		reservation, fits := r.cfg.Log.ReserveAdoption(message)
+		reservation, fits := r.cfg.Log.ReserveTakenOver(message)
 		if !fits {
 			return wal.ErrFull
 		}
@@ -244,15 +244,15 @@
 	}
 	var adopted []*heldMessage
 	for i, message := range messages {
-		message.Seq = r.cfg.Log.Next()
-		if err := r.cfg.Log.Adopt(reservations[i], message); err != nil {
+		message.Seq = r.cfg.Log.NextSeq()
+		if err := r.cfg.Log.AcceptTakenOver(reservations[i], message); err != nil {
 			for _, held := range adopted {
 				r.dropAdopted(held)
 			}
 			return err
 		}
 		held := r.heldFrom(message)
-		held.suspended, held.adopting, held.ended = true, true, message.Ending != wal.Unended
+		held.suspended, held.adopting, held.ended = true, true, message.Status != wal.Pending
 		r.messages[held.seq], r.messagesByID[held.ID] = held, held
 		adopted = append(adopted, held)
 	}
@@ -266,11 +266,11 @@
 		return
 	}
 	other := *message
-	other.Settle()
+	other.SettleInFlight()
 	other.Seq = own.Seq
-	if merged := wal.Merged(own, &other); merged.Attempts > own.Attempts || merged.MayRun && (!own.MayRun || merged.RanAt.Before(own.RanAt)) {
+	if merged := wal.Merge(own, &other); merged.Attempts > own.Attempts || merged.MayHaveRun && (!own.MayHaveRun || merged.RanAt.Before(own.RanAt)) {
 		r.noteJournalError(held.ID, r.cfg.Log.Progress(own.Seq, merged))
-		held.attempts, held.mayHaveRun = merged.Attempts, merged.MayRun
+		held.attempts, held.mayHaveRun = merged.Attempts, merged.MayHaveRun
 	}
 }
 
@@ -278,7 +278,7 @@
 func (r *Router) dropAdopted(held *heldMessage) {
 	delete(r.messages, held.seq)
 	delete(r.messagesByID, held.ID)
-	r.noteJournalError(held.ID, r.cfg.Log.Withdraw(held.seq))
+	r.noteJournalError(held.ID, r.cfg.Log.Cancel(held.seq))
 }
 
 // Activate starts acting for the messages adopted from a process, or with on false removes them because another
@@ -287,18 +287,18 @@
 	n, _ := execute(r, func() (n int) {
 		for _, message := range r.cfg.Log.Live() {
 			held := r.messages[message.Seq]
-			if held == nil || !held.adopting || message.Owner != owner || message.Life != incarnation {
+			if held == nil || !held.adopting || message.Owner != owner || message.Incarnation != incarnation {
 				continue
 			}
 			if n++; !on {
 				r.dropAdopted(held)
 				continue
 			}
-			if held.adopting = false; message.Ending != wal.Unended {
+			if held.adopting = false; message.Status != wal.Pending {
 				delete(r.messages, held.seq)
 				delete(r.messagesByID, held.ID)
 				r.ended.add(held.ID, false, false, 0)
-				r.report(held, message.Ending == wal.Refused, message.RetryAfter)
+				r.report(held, message.Status == wal.Refused, message.RetryAfter)
 				continue
 			}
 			r.counters.TakenOver++
@@ -324,14 +324,14 @@
 // EndedIDs passes on the ids of ended messages in batches, so that messages are served in between. It calls each
 // outside the router's goroutine, and last on it with the remaining ids, so that the journal seen by last matches
 // exactly the ids passed on. It returns false if the router has stopped.
-func (r *Router) EndedIDs(each func([]wal.Past), last func(log *wal.Log, rest []wal.Past)) bool {
+func (r *Router) EndedIDs(each func([]wal.CompletedID), last func(log *wal.Log, rest []wal.CompletedID)) bool {
 	for cursor := (EndedCursor{}); ; {
-		var batch []wal.Past
+		var batch []wal.CompletedID
 		done, served := execute(r, func() bool {
 			ids, next := r.ended.page(cursor, endedIDsBatch)
 			now := time.Now()
 			for _, p := range ids {
-				batch = append(batch, wal.Past{ID: p.ID, Delivered: p.Delivered, At: now.Add(-p.Age)})
+				batch = append(batch, wal.CompletedID{ID: p.ID, Delivered: p.Delivered, At: now.Add(-p.Age)})
 			}
 			if cursor = next; cursor.queue-r.ended.expired.queue < len(r.ended.queue) || cursor.long-r.ended.expired.long < len(r.ended.long) {
 				return false
@@ -368,7 +368,7 @@
 		return Verdict{Kind: Unconfirmed}
 	case unreplicated:
 		if _, served := execute(r, func() bool {
-			r.noteJournalError(message.ID, r.cfg.Log.Mark(verdict.seq))
+			r.noteJournalError(message.ID, r.cfg.Log.MarkUnreplicated(verdict.seq))
 			r.counters.Unreplicated++
 			return true
 		}); !served {
--- a/internal/routing/replication_test.go
+++ b/internal/routing/replication_test.go
@@ -36,7 +36,7 @@
 		"starts not replicated, safe":   {"safe", false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			journal, err := wal.Open(t.TempDir(), wal.Options{Most: 3e6}, func(string) {})
+			journal, err := wal.Open(t.TempDir(), wal.Options{MaxBytes: 3e6}, func(string) {})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -67,7 +67,7 @@
 
 // Guards against a takeover without room that leaves some of its messages in the journal.
 func TestTakeoverWithoutRoomLeavesNothing(t *testing.T) {
-	journal, err := wal.Open(t.TempDir(), wal.Options{Most: 400_000}, func(string) {})
+	journal, err := wal.Open(t.TempDir(), wal.Options{MaxBytes: 400_000}, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +84,7 @@
 		}
 	}
 	r.Inspect(func(log *wal.Log) {
-		if live, last := len(log.Live()), log.Last(); live > 0 || last > 0 {
+		if live, last := len(log.Live()), log.LastRecord(); live > 0 || last > 0 {
 			t.Errorf("%d messages, %d records", live, last)
 		}
 	})
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -199,7 +199,7 @@
 		return false
 	}
 	left := time.Until(r.stopAt)
-	idle := r.callsOut == 0 && len(r.messagesByID) == 0 && r.pendingReports == 0 && r.cfg.Log.Waiting() == 0
+	idle := r.callsOut == 0 && len(r.messagesByID) == 0 && r.pendingReports == 0 && r.cfg.Log.UnwrittenRecords() == 0
 	return left <= 0 || left < r.cfg.DrainTimeout-r.cfg.ClientGrace && idle
 }
 
@@ -262,8 +262,8 @@
 		if held := r.messagesByID[id]; held != nil && !held.duplicateAnswered {
 			r.counters.MessagesCancelled++
 			r.sample("message cancelled", "client not answered", held)
-			r.noteJournalError(held.ID, r.cfg.Log.Withdraw(held.seq))
-			r.end(held, wal.Over, 0)
+			r.noteJournalError(held.ID, r.cfg.Log.Cancel(held.seq))
+			r.end(held, wal.Completed, 0)
 			r.ended.forget(id)
 			r.decide(mb.MessageCancelled{ID: mb.MessageID(held.seq)})
 		}
@@ -277,7 +277,7 @@
 func (r *Router) Counters() Counters {
 	c, ok := execute(r, func() Counters {
 		r.counters.Held, r.counters.CallsOut = len(r.messagesByID), r.callsOut
-		r.counters.PendingRecords = r.cfg.Log.Waiting()
+		r.counters.PendingRecords = r.cfg.Log.UnwrittenRecords()
 		r.counters.LongHeld, r.counters.LongCallsOut = r.longCount-r.longCalls, r.longCalls
 		return r.counters
 	})
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -45,7 +45,7 @@
 // newRouterIn runs a router on the journal in a folder, with long messages allowed; end stops it.
 func newRouterIn(t *testing.T, dir string) (r *Router, s fakeTransport, journal *wal.Log, end func()) {
 	t.Helper()
-	journal, err := wal.Open(dir, wal.Options{Most: 3e6}, func(string) {})
+	journal, err := wal.Open(dir, wal.Options{MaxBytes: 3e6}, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -179,12 +179,12 @@
 		"clock set back":    {-time.Hour, time.Hour, false},
 	} {
 		dir := t.TempDir()
-		journal, err := wal.Open(dir, wal.Options{Most: 3e6}, func(string) {})
+		journal, err := wal.Open(dir, wal.Options{MaxBytes: 3e6}, func(string) {})
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := time.Now()
-		m := &wal.Message{Seq: journal.Next(), Deadline: now.Add(c.until), Destination: 7, ID: "m", Class: "keyed", Body: []byte("b")}
+		m := &wal.Message{Seq: journal.NextSeq(), Deadline: now.Add(c.until), Destination: 7, ID: "m", Class: "keyed", Body: []byte("b")}
 		if err := journal.Accept(m); err != nil {
 			t.Fatal(err)
 		}
@@ -214,7 +214,7 @@
 // not for the first in the journal.
 func TestStartSubmitsAllMessagesAtOnce(t *testing.T) {
 	dir := t.TempDir()
-	journal, err := wal.Open(dir, wal.Options{Most: 3e6}, func(string) {})
+	journal, err := wal.Open(dir, wal.Options{MaxBytes: 3e6}, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -223,7 +223,7 @@
 		if id == "fresh" {
 			timeLeft = time.Minute
 		}
-		m := &wal.Message{Seq: journal.Next(), Deadline: time.Now().Add(timeLeft), Destination: 7, ID: id, Class: "unsafe", Body: []byte("b")}
+		m := &wal.Message{Seq: journal.NextSeq(), Deadline: time.Now().Add(timeLeft), Destination: 7, ID: id, Class: "unsafe", Body: []byte("b")}
 		if err := journal.Accept(m); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/routing/steering_test.go
+++ b/internal/routing/steering_test.go
@@ -59,7 +59,7 @@
 // is free.
 func TestTrialIsNextCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		journal, err := wal.Open(t.TempDir(), wal.Options{Most: 3e6}, func(string) {})
+		journal, err := wal.Open(t.TempDir(), wal.Options{MaxBytes: 3e6}, func(string) {})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -102,7 +102,7 @@
 // The time that a call waits for its replicas does not count as the endpoint's time.
 func TestReplicationTimeIsNotCallTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		journal, err := wal.Open(t.TempDir(), wal.Options{Most: 3e6}, func(string) {})
+		journal, err := wal.Open(t.TempDir(), wal.Options{MaxBytes: 3e6}, func(string) {})
 		if err != nil {
 			t.Fatal(err)
 		}
