--- a/cmd/larkreach/fleet_on.go
+++ b/cmd/larkreach/fleet_on.go
@@ -42,7 +42,7 @@
 		Name: cfg.Name, Zone: c.Zone, Region: c.Region, Listen: c.Listen, DialAddresses: c.Via, Copies: c.Copies, ReplicaSpace: int64(c.Space),
 		Timing:         controlplane.Timing{Tick: time.Duration(c.Tick), Lease: time.Duration(c.Lease), Margin: time.Duration(c.Margin)},
 		ReplicaTimeout: time.Duration(c.Patience), AllowUnreplicated: map[string]bool{}, Folder: filepath.Clean(cfg.State), CheckInterval: time.Duration(c.Check),
-		Durability: store.Process, Logger: logger, GossipInterval: time.Duration(c.Beat), CatchUpRate: int64(c.CatchUp),
+		Durability: store.SyncNever, Logger: logger, GossipInterval: time.Duration(c.Beat), CatchUpRate: int64(c.CatchUp),
 		ObservationHalfLife: time.Duration(c.Believe),
 	}
 	for _, f := range founders {
@@ -61,7 +61,7 @@
 		setup.DedupWindow = max(setup.DedupWindow, time.Duration(own.Bodies.Longest))
 	}
 	if own.Journal != nil && own.Journal.Durability != settings.DurabilityNone {
-		setup.Durability = store.Batch
+		setup.Durability = store.SyncBatch
 	}
 	if setup.Locality = places(own.Place); setup.Locality != nil {
 		for _, class := range cfg.Settings.Classes {
--- a/cmd/larkreach/journal.go
+++ b/cmd/larkreach/journal.go
@@ -41,13 +41,13 @@
 	if c.JSON {
 		return io.json(in)
 	}
-	fmt.Fprintf(io.out, "%d messages not over, %d records, %d bytes on disk, %d findings\n", in.Living, in.Records, in.Bytes, len(in.Findings))
+	fmt.Fprintf(io.out, "%d messages not over, %d records, %d bytes on disk, %d findings\n", in.LiveKeys, in.Records, in.Bytes, len(in.Findings))
 	for _, s := range in.Segments {
 		left := ""
-		if !s.Counts {
+		if !s.Referenced {
 			left = "  left over, goes at the next start"
 		}
-		fmt.Fprintf(io.out, "%s  %9d bytes  %7d records  %3d%% live%s\n", s.Name, s.Bytes, s.Records, 100*s.Live/max(1, s.Bytes), left)
+		fmt.Fprintf(io.out, "%s  %9d bytes  %7d records  %3d%% live%s\n", s.Name, s.Bytes, s.Records, 100*s.LiveBytes/max(1, s.Bytes), left)
 	}
 	return nil
 }
--- a/cmd/larkreach/main.go
+++ b/cmd/larkreach/main.go
@@ -247,7 +247,7 @@
 }
 
 var durabilities = map[settings.Durability]store.Durability{
-	settings.DurabilityNone: store.Process, settings.DurabilityBatch: store.Batch, settings.DurabilityEach: store.Each,
+	settings.DurabilityNone: store.SyncNever, settings.DurabilityBatch: store.SyncBatch, settings.DurabilityEach: store.SyncEach,
 }
 
 // longBodies puts the settings of long bodies in the parts' terms, and tells how many descriptors they take. Without
--- a/internal/cluster/controlplane/controlplane_test.go
+++ b/internal/cluster/controlplane/controlplane_test.go
@@ -428,7 +428,7 @@
 	g.names = []string{"a", "d", "e"}
 	g.configured, g.appliedAt = nil, map[uint64]string{}
 	for _, name := range g.names { // the operator copies the folder to the other voters
-		g.disks[name] = g.disks["a"].Crash(fsys.LoseProcess, rand.New(rand.NewPCG(1, 1)))
+		g.disks[name] = g.disks["a"].Crash(fsys.LoseNothing, rand.New(rand.NewPCG(1, 1)))
 		g.open(name)
 	}
 	g.join("o")
--- a/internal/cluster/controlplane/raftstore.go
+++ b/internal/cluster/controlplane/raftstore.go
@@ -42,7 +42,7 @@
 	var unreadable error
 	var err error
 	s.store, err = store.Open(store.Options{
-		FS: fs, Bound: maxDiskBytes, Segment: segmentBytes, Durability: store.Batch, Seed: 1, Report: report,
+		FS: fs, MaxBytes: maxDiskBytes, SegmentBytes: segmentBytes, Durability: store.SyncBatch, Seed: 1, Report: report,
 	}, func(r store.Record) {
 		if len(r.Payload) == 0 {
 			return
@@ -101,8 +101,8 @@
 		if key == 0 {
 			return nil
 		}
-		num, err := s.store.End(key)
-		if last = max(last, num); errors.Is(err, store.ErrUnknown) {
+		num, err := s.store.Delete(key)
+		if last = max(last, num); errors.Is(err, store.ErrUnknownKey) {
 			return nil
 		}
 		return err
--- a/internal/cluster/controlplane/raftstore_test.go
+++ b/internal/cluster/controlplane/raftstore_test.go
@@ -25,7 +25,7 @@
 	}
 	for works := range 12 { // number of writes that succeed before two fail
 		mem := fsys.NewMem()
-		faults := &fsys.Faults{FS: mem}
+		faults := &fsys.FaultFS{FS: mem}
 		raftStore, _, err := OpenRaftStore(faults, func(string) {})
 		if err != nil || raftStore.Save(first) != nil {
 			t.Fatal(err)
--- a/internal/cluster/controlplane/view_test.go
+++ b/internal/cluster/controlplane/view_test.go
@@ -190,7 +190,7 @@
 	}
 	old := g.leader()
 	rebuilt := newGroup(t)
-	rebuilt.names, rebuilt.disks["a"] = []string{"a"}, g.disks["a"].Crash(fsys.LoseProcess, rand.New(rand.NewPCG(1, 1)))
+	rebuilt.names, rebuilt.disks["a"] = []string{"a"}, g.disks["a"].Crash(fsys.LoseNothing, rand.New(rand.NewPCG(1, 1)))
 	rebuilt.open("a")
 	rebuilt.join("new")
 	before := v.State().Version
--- a/internal/cluster/node/node.go
+++ b/internal/cluster/node/node.go
@@ -249,7 +249,7 @@
 func (n *Node) writeIncarnation(l storedIncarnation) error {
 	raw, err := json.Marshal(l)
 	if err == nil {
-		_, err = fsys.Replace(fsys.Dir(n.cfg.Folder), incarnationFile, raw, n.cfg.Durability != store.Process)
+		_, err = fsys.Replace(fsys.Dir(n.cfg.Folder), incarnationFile, raw, n.cfg.Durability != store.SyncNever)
 	}
 	if err != nil {
 		return fmt.Errorf("node: %w", err)
--- a/internal/cluster/replication/disk.go
+++ b/internal/cluster/replication/disk.go
@@ -44,11 +44,11 @@
 	d := &Disk{nextKey: 1, keys: map[recordKey]uint64{}, byIncarnation: map[controlplane.Incarnation]map[recordKey]bool{}}
 	var err error
 	d.store, err = store.Open(store.Options{
-		FS: fs, Bound: space, Segment: min(maxSegmentBytes, max(minSegmentBytes, space/segmentsPerDisk)), Durability: durability, Seed: 1, Report: report,
+		FS: fs, MaxBytes: space, SegmentBytes: min(maxSegmentBytes, max(minSegmentBytes, space/segmentsPerDisk)), Durability: durability, Seed: 1, Report: report,
 	}, func(stored store.Record) {
 		record, err := decode(stored.Payload)
 		if err != nil {
-			report(fmt.Sprintf("replication: record %d: %v, skipped", stored.Number, err))
+			report(fmt.Sprintf("replication: record %d: %v, skipped", stored.Sequence, err))
 			return
 		}
 		d.index(recordKey{record.Life, record.Message, record.PastID}, stored.Key)
@@ -76,7 +76,7 @@
 	for _, record := range list {
 		num, err := d.saveRecord(record)
 		if errors.Is(err, store.ErrFull) {
-			d.store.Refused()
+			d.store.NoteRefusal()
 			return last, ErrFull
 		}
 		if err != nil {
@@ -129,7 +129,7 @@
 	}
 	delete(d.keys, record)
 	delete(d.byIncarnation[record.incarnation], record)
-	if num, err = d.store.End(key); errors.Is(err, store.ErrUnknown) {
+	if num, err = d.store.Delete(key); errors.Is(err, store.ErrUnknownKey) {
 		return 0, nil
 	}
 	return num, err
--- a/internal/cluster/replication/replication_test.go
+++ b/internal/cluster/replication/replication_test.go
@@ -94,7 +94,7 @@
 			var err error
 			starts++
 			replicas = NewStore(starts)
-			if disk, err = OpenDisk(files, 4<<20, store.Process, func(s string) { t.Fatal(s) }, replicas.Restore); err != nil {
+			if disk, err = OpenDisk(files, 4<<20, store.SyncNever, func(s string) { t.Fatal(s) }, replicas.Restore); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -216,7 +216,7 @@
 // A disk without space for replicas reports ErrFull, and an incomplete replica can still be deleted from it.
 func TestFullReplicaDisk(t *testing.T) {
 	replicas := NewStore(1)
-	disk, err := OpenDisk(fsys.NewMem(), 1<<20, store.Process, func(s string) { t.Error(s) }, replicas.Restore)
+	disk, err := OpenDisk(fsys.NewMem(), 1<<20, store.SyncNever, func(s string) { t.Error(s) }, replicas.Restore)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/experiment/journal.go
+++ b/internal/lab/experiment/journal.go
@@ -42,7 +42,7 @@
 var Segments = Engine{"segments", func(dir string, disk int64, sync bool, live func(uint64)) (Keeper, error) {
 	o := wal.Options{Most: disk, Memory: 1}
 	if sync {
-		o.Durability = store.Batch
+		o.Durability = store.SyncBatch
 	}
 	l, err := wal.Open(dir, o, func(string) {})
 	if err != nil {
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -165,9 +165,9 @@
 // The process or the machine ends at any step of a save: the next start finds the old content or the new, whole.
 func TestCrashAtEachStep(t *testing.T) {
 	for _, sync := range []bool{false, true} {
-		losses := []fsys.Loss{fsys.LoseProcess}
+		losses := []fsys.Loss{fsys.LoseNothing}
 		if sync {
-			losses = append(losses, fsys.LoseUnsynced, fsys.LoseTail, fsys.LoseAnyUnsync)
+			losses = append(losses, fsys.LoseUnsynced, fsys.LoseTail, fsys.LoseAnyUnsynced)
 		}
 		c, told := newClock(), []string{}
 		mem := fsys.NewMem()
@@ -176,7 +176,7 @@
 		m := Open(o)
 		rng := rand.New(rand.NewPCG(1, 1))
 		states, saved := 0, 0
-		mem.Step = func() {
+		mem.OnChange = func() {
 			for _, loss := range losses {
 				after := o
 				after.FS = mem.Crash(loss, rng)
@@ -207,7 +207,7 @@
 func TestDiskFails(t *testing.T) {
 	for _, op := range []fsys.Op{fsys.OpCreate, fsys.OpWrite, fsys.OpSync, fsys.OpRename} {
 		c, told := newClock(), []string{}
-		faults := &fsys.Faults{FS: fsys.NewMem()}
+		faults := &fsys.FaultFS{FS: fsys.NewMem()}
 		o := options(faults, c, &told)
 		o.Sync = true
 		m := Open(o)
--- a/internal/routing/faults_test.go
+++ b/internal/routing/faults_test.go
@@ -13,12 +13,12 @@
 
 // switchedDisk is a folder whose writes fail while it is off.
 type switchedDisk struct {
-	fsys.Faults
+	fsys.FaultFS
 	off atomic.Bool
 }
 
 func newSwitchedDisk(dir string) *switchedDisk {
-	d := &switchedDisk{Faults: fsys.Faults{FS: fsys.Dir(dir)}}
+	d := &switchedDisk{FaultFS: fsys.FaultFS{FS: fsys.Dir(dir)}}
 	d.Set(func(op fsys.Op, _ string, n int) (int, error) {
 		switch op {
 		case fsys.OpWrite, fsys.OpCreate, fsys.OpTruncate, fsys.OpRename:
--- a/internal/routing/lasting_test.go
+++ b/internal/routing/lasting_test.go
@@ -51,10 +51,10 @@
 }
 
 // newLasting runs a router on a journal whose syncs the test holds up.
-func newLasting(t *testing.T, o wal.Options) (*Router, script, *gate, *fsys.Faults) {
+func newLasting(t *testing.T, o wal.Options) (*Router, script, *gate, *fsys.FaultFS) {
 	t.Helper()
 	dir, g := t.TempDir(), &gate{tried: make(chan struct{}, 64)}
-	faults := &fsys.Faults{FS: fsys.Dir(dir)}
+	faults := &fsys.FaultFS{FS: fsys.Dir(dir)}
 	o.Most, o.FS = 3e6, faults
 	journal, err := wal.Open(dir, o, func(string) {})
 	if err != nil {
@@ -67,7 +67,7 @@
 
 // Neither the answer to a client nor a call's first byte comes before its record is durable; the router goes on meanwhile.
 func TestNothingIsToldBeforeItLasts(t *testing.T) {
-	r, s, g, _ := newLasting(t, wal.Options{Durability: store.Batch})
+	r, s, g, _ := newLasting(t, wal.Options{Durability: store.SyncBatch})
 	g.shut()
 	verdicts, begun := make(chan Verdict, 2), make(chan bool, 1)
 	go func() { verdicts <- r.Accept(message("m")) }()
@@ -97,7 +97,7 @@
 
 // A drain that comes while a call's start waits for the disk is heeded.
 func TestListIsLookedAtAgainBehindTheSync(t *testing.T) {
-	r, s, g, _ := newLasting(t, wal.Options{Durability: store.Batch})
+	r, s, g, _ := newLasting(t, wal.Options{Durability: store.SyncBatch})
 	if v := r.Accept(message("m")); v.Kind != Accepted {
 		t.Fatal(v)
 	}
@@ -119,7 +119,7 @@
 
 // When a sync fails the client is refused with a time to come again, and no call of the message leaves.
 func TestNothingLeavesWithoutTheSync(t *testing.T) {
-	r, s, g, _ := newLasting(t, wal.Options{Durability: store.Batch})
+	r, s, g, _ := newLasting(t, wal.Options{Durability: store.SyncBatch})
 	g.shut()
 	verdict, begun := make(chan Verdict, 1), make(chan bool, 1)
 	go func() { verdict <- r.Accept(message("m")) }()
@@ -143,7 +143,7 @@
 
 // A notice waits for its end's record: else a power cut could have the message live again behind it.
 func TestNoticeWaitsForTheSync(t *testing.T) {
-	r, s, g, _ := newLasting(t, wal.Options{Durability: store.Batch})
+	r, s, g, _ := newLasting(t, wal.Options{Durability: store.SyncBatch})
 	r.Accept(message("m"))
 	if c := <-s.calls; !c.Begin() {
 		t.Fatal("the call did not begin")
--- a/internal/routing/wal/adopt_test.go
+++ b/internal/routing/wal/adopt_test.go
@@ -13,7 +13,7 @@
 	whole := 0
 	for writes := range 8 { // that work before the disk fails and the process is killed
 		mem := fsys.NewMem()
-		faults := &fsys.Faults{FS: mem}
+		faults := &fsys.FaultFS{FS: mem}
 		l, err := Open(t.TempDir(), Options{Most: disk, FS: faults}, func(string) {})
 		if err != nil {
 			t.Fatal(err)
@@ -36,7 +36,7 @@
 			t.Fatal("no room in an empty journal")
 		}
 		_ = l.Adopt(room, m)
-		killed := mem.Crash(fsys.LoseProcess, nil)
+		killed := mem.Crash(fsys.LoseNothing, nil)
 		faults.Set(nil)
 		if err := l.Close(); err != nil {
 			t.Fatal(err)
--- a/internal/routing/wal/commit.go
+++ b/internal/routing/wal/commit.go
@@ -71,7 +71,7 @@
 func (c *committer) commit() {
 	err := c.store.Commit(math.MaxUint64)
 	c.mu.Lock()
-	c.durable = c.store.Durable()
+	c.durable = c.store.DurableSequence()
 	first := err != nil && c.err == nil
 	if first {
 		c.err = err
--- a/internal/routing/wal/faults_test.go
+++ b/internal/routing/wal/faults_test.go
@@ -22,14 +22,14 @@
 
 // flaky is a folder on which operations that write fail by chance, some of them with a part of a write left and not told of.
 type flaky struct {
-	fsys.Faults
+	fsys.FaultFS
 	mu     sync.Mutex
 	rng    *rand.Rand
 	chance float64
 }
 
 func newFlaky(folder fsys.FS, seed uint64) *flaky {
-	f := &flaky{Faults: fsys.Faults{FS: folder, HideParts: true}, rng: rand.New(rand.NewPCG(seed, 4))}
+	f := &flaky{FaultFS: fsys.FaultFS{FS: folder, HidePartialWrites: true}, rng: rand.New(rand.NewPCG(seed, 4))}
 	f.Set(f.fail)
 	return f
 }
--- a/internal/routing/wal/fsys/faults.go
+++ b/internal/routing/wal/fsys/faults.go
@@ -19,10 +19,10 @@
 	OpList     Op = "list"
 )
 
-// Faults is a folder whose operations fail when Fail says so.
-type Faults struct {
+// FaultFS is a folder whose operations fail when Fail says so.
+type FaultFS struct {
 	FS
-	HideParts bool // a write that fails tells of no byte, as the system call does, whatever it has left
+	HidePartialWrites bool // a write that fails tells of no byte, as the system call does, whatever it has left
 
 	mu   sync.Mutex
 	fail func(op Op, name string, n int) (int, error)
@@ -30,13 +30,13 @@
 
 // Set sets which operations fail from now on. fail gets the file's name and, of a write, how many bytes; with its error it
 // says how many of them are written all the same. Nil ends the faults.
-func (f *Faults) Set(fail func(op Op, name string, n int) (written int, err error)) {
+func (f *FaultFS) Set(fail func(op Op, name string, n int) (written int, err error)) {
 	f.mu.Lock()
 	f.fail = fail
 	f.mu.Unlock()
 }
 
-func (f *Faults) check(op Op, name string, n int) (int, error) {
+func (f *FaultFS) check(op Op, name string, n int) (int, error) {
 	f.mu.Lock()
 	fail := f.fail
 	f.mu.Unlock()
@@ -47,7 +47,7 @@
 }
 
 // Create makes a file.
-func (f *Faults) Create(name string) (File, error) {
+func (f *FaultFS) Create(name string) (File, error) {
 	if _, err := f.check(OpCreate, name, 0); err != nil {
 		return nil, err
 	}
@@ -56,7 +56,7 @@
 }
 
 // Open opens a file that is there.
-func (f *Faults) Open(name string) (File, error) {
+func (f *FaultFS) Open(name string) (File, error) {
 	if _, err := f.check(OpOpen, name, 0); err != nil {
 		return nil, err
 	}
@@ -65,7 +65,7 @@
 }
 
 // Rename moves a file.
-func (f *Faults) Rename(from, to string) error {
+func (f *FaultFS) Rename(from, to string) error {
 	if _, err := f.check(OpRename, from, 0); err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 }
 
 // Remove removes a file.
-func (f *Faults) Remove(name string) error {
+func (f *FaultFS) Remove(name string) error {
 	if _, err := f.check(OpRemove, name, 0); err != nil {
 		return err
 	}
@@ -81,7 +81,7 @@
 }
 
 // List names the files.
-func (f *Faults) List() ([]string, error) {
+func (f *FaultFS) List() ([]string, error) {
 	if _, err := f.check(OpList, "", 0); err != nil {
 		return nil, err
 	}
@@ -89,7 +89,7 @@
 }
 
 // Sync syncs the folder.
-func (f *Faults) Sync() error {
+func (f *FaultFS) Sync() error {
 	if _, err := f.check(OpSyncDir, "", 0); err != nil {
 		return err
 	}
@@ -98,7 +98,7 @@
 
 type faultyFile struct {
 	File
-	faults *Faults
+	faults *FaultFS
 	name   string
 }
 
@@ -113,7 +113,7 @@
 			return m, werr
 		}
 	}
-	if f.faults.HideParts {
+	if f.faults.HidePartialWrites {
 		n = 0
 	}
 	return n, err
--- a/internal/routing/wal/fsys/few.go
+++ b/internal/routing/wal/fsys/few.go
@@ -7,10 +7,10 @@
 	"sync"
 )
 
-// Few is a folder of which no more than so many files have a descriptor at once, however many are open: one that has not been used
+// LimitDescriptors is a folder of which no more than so many files have a descriptor at once, however many are open: one that has not been used
 // the longest gives its own up, and gets another when it is used again. One whose name has gone keeps its descriptor beside these.
 // Its files are removed or renamed through it alone.
-func Few(folder FS, most int) FS {
+func LimitDescriptors(folder FS, most int) FS {
 	f := &few{FS: folder, most: max(1, most), files: map[*fewFile]struct{}{}}
 	f.free.L = &f.mu
 	return f
--- a/internal/routing/wal/fsys/few_test.go
+++ b/internal/routing/wal/fsys/few_test.go
@@ -14,7 +14,7 @@
 func TestFewDescriptorsServeManyFiles(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		plain, few := FS(NewMem()), Few(NewMem(), 1+rng.IntN(3))
+		plain, few := FS(NewMem()), LimitDescriptors(NewMem(), 1+rng.IntN(3))
 		type pair struct{ a, b File }
 		open := []pair{}
 		for step := range 400 {
@@ -66,7 +66,7 @@
 
 // Many at once wait for a descriptor, and each gets one.
 func TestFewDescriptorsAtOnce(t *testing.T) {
-	few := Few(Dir(t.TempDir()), 2)
+	few := LimitDescriptors(Dir(t.TempDir()), 2)
 	var all sync.WaitGroup
 	for i := range 16 {
 		f, err := few.Create(fmt.Sprint("f", i))
--- a/internal/routing/wal/fsys/fsys.go
+++ b/internal/routing/wal/fsys/fsys.go
@@ -37,8 +37,8 @@
 	Sync() error
 }
 
-// Full says that an error tells of a full disk, quota or size limit: what is asked for may succeed once there is room.
-func Full(err error) bool {
+// IsNoSpace says that an error tells of a full disk, quota or size limit: what is asked for may succeed once there is room.
+func IsNoSpace(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EFBIG)
 }
 
--- a/internal/routing/wal/fsys/mem.go
+++ b/internal/routing/wal/fsys/mem.go
@@ -12,8 +12,8 @@
 
 // Mem is a folder in memory that knows what has been synced. Crash gives the folder that a power cut could leave.
 type Mem struct {
-	// Step is called behind each operation that changes something, unless it is nil; it may call Crash.
-	Step func()
+	// OnChange is called behind each operation that changes something, unless it is nil; it may call Crash.
+	OnChange func()
 
 	mu      sync.Mutex
 	names   map[string]*inode
@@ -44,8 +44,8 @@
 func NewMem() *Mem { return &Mem{names: map[string]*inode{}, durable: map[string]*inode{}} }
 
 func (m *Mem) stepped() {
-	if m.Step != nil {
-		m.Step()
+	if m.OnChange != nil {
+		m.OnChange()
 	}
 }
 
@@ -192,10 +192,10 @@
 
 // The losses.
 const (
-	LoseProcess   Loss = iota // only the process ends: all that was written is there
+	LoseNothing   Loss = iota // only the process ends: all that was written is there
 	LoseUnsynced              // all that was not synced is gone
 	LoseTail                  // unsynced writes and changes of names got through in order up to some point, the last torn
-	LoseAnyUnsync             // any of them got through, in any order, torn at any byte
+	LoseAnyUnsynced             // any of them got through, in any order, torn at any byte
 )
 
 // Crash gives a folder as a crash at this moment could leave it; all in it is durable.
@@ -203,7 +203,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	names := maps.Clone(m.durable)
-	if how == LoseProcess {
+	if how == LoseNothing {
 		names = maps.Clone(m.names)
 	}
 	keep := len(m.pending)
@@ -211,7 +211,7 @@
 		keep = rng.IntN(keep + 1)
 	}
 	for i, c := range m.pending {
-		if how == LoseProcess || how == LoseUnsynced || how == LoseTail && i >= keep || how == LoseAnyUnsync && rng.IntN(2) == 0 {
+		if how == LoseNothing || how == LoseUnsynced || how == LoseTail && i >= keep || how == LoseAnyUnsynced && rng.IntN(2) == 0 {
 			continue
 		}
 		if c.from != "" && names[c.from] == c.node {
@@ -238,7 +238,7 @@
 // crashed is a file's content as a crash could leave it.
 func (n *inode) crashed(how Loss, rng *rand.Rand) []byte {
 	switch how {
-	case LoseProcess:
+	case LoseNothing:
 		return slices.Clone(n.data)
 	case LoseUnsynced:
 		return slices.Clone(n.synced)
@@ -248,9 +248,9 @@
 	for i, w := range n.writes {
 		torn := false
 		switch {
-		case how == LoseTail && i > keep, how == LoseAnyUnsync && rng.IntN(3) == 0:
+		case how == LoseTail && i > keep, how == LoseAnyUnsynced && rng.IntN(3) == 0:
 			continue
-		case how == LoseTail && i == keep, how == LoseAnyUnsync && rng.IntN(3) == 0:
+		case how == LoseTail && i == keep, how == LoseAnyUnsynced && rng.IntN(3) == 0:
 			torn = true
 		}
 		if w.data == nil {
--- a/internal/routing/wal/fsys/replace_test.go
+++ b/internal/routing/wal/fsys/replace_test.go
@@ -16,7 +16,7 @@
 
 // Guards against a file that was replaced and is taken for the old one, or the other way round, because a rename has failed.
 func TestReplaceTellsWhatIsThereBehindAFailedRename(t *testing.T) {
-	refusing := &Faults{FS: NewMem()}
+	refusing := &FaultFS{FS: NewMem()}
 	refusing.Set(func(op Op, _ string, n int) (int, error) {
 		if op == OpRename {
 			return 0, syscall.EIO
@@ -53,8 +53,8 @@
 
 // Guards against a file that an open reader can no longer read, because its descriptor could not be had just before its name went.
 func TestANameStaysWhereItsReaderCannotBeKept(t *testing.T) {
-	faults := &Faults{FS: NewMem()}
-	few := Few(faults, 1)
+	faults := &FaultFS{FS: NewMem()}
+	few := LimitDescriptors(faults, 1)
 	a, err := few.Create("a")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/routing/wal/inspect.go
+++ b/internal/routing/wal/inspect.go
@@ -45,7 +45,7 @@
 		return 0, err
 	}
 	for {
-		l.store.Refused() // whatever is gained counts
+		l.store.NoteRefusal() // whatever is gained counts
 		did, err := l.store.Compact(nil)
 		if err != nil || !did {
 			return segments, errors.Join(err, l.Close())
--- a/internal/routing/wal/lasting_test.go
+++ b/internal/routing/wal/lasting_test.go
@@ -76,7 +76,7 @@
 		}
 		for did := true; did; {
 			var err error
-			l.store.Refused()
+			l.store.NoteRefusal()
 			if did, err = l.store.Compact(nil); err != nil {
 				t.Fatal(err)
 			}
@@ -95,7 +95,7 @@
 
 // With a durability beyond the process's end, who waits is told once, in order, and only when it is true.
 func TestCommitTells(t *testing.T) {
-	for _, d := range []store.Durability{store.Process, store.Batch, store.Each} {
+	for _, d := range []store.Durability{store.SyncNever, store.SyncBatch, store.SyncEach} {
 		l := openWith(t, t.TempDir(), Options{Most: disk, Durability: d})
 		var mu sync.Mutex
 		var told []uint64
@@ -104,8 +104,8 @@
 			accept(t, l, "b")
 			num := l.Last()
 			l.AfterCommit(func(err error) {
-				if err != nil || d == store.Batch && l.store.Durable() < num {
-					t.Errorf("durability %d: told of %d with %d durable, %v", d, num, l.store.Durable(), err)
+				if err != nil || d == store.SyncBatch && l.store.DurableSequence() < num {
+					t.Errorf("durability %d: told of %d with %d durable, %v", d, num, l.store.DurableSequence(), err)
 				}
 				mu.Lock()
 				told = append(told, num)
@@ -121,7 +121,7 @@
 				t.Fatalf("durability %d: %d behind %d", d, num, told[i-1])
 			}
 		}
-		if err := l.Commit(l.Last()); err != nil || l.Waits() != (d == store.Batch) {
+		if err := l.Commit(l.Last()); err != nil || l.Waits() != (d == store.SyncBatch) {
 			t.Errorf("durability %d: %v", d, err)
 		}
 	}
@@ -130,7 +130,7 @@
 // Who waits when the journal is closed is told the truth: that its record is durable.
 func TestCloseCommits(t *testing.T) {
 	dir := t.TempDir()
-	l := openWith(t, dir, Options{Most: disk, Durability: store.Batch})
+	l := openWith(t, dir, Options{Most: disk, Durability: store.SyncBatch})
 	accept(t, l, "b")
 	told := make(chan error, 1)
 	l.AfterCommit(func(err error) { told <- err })
@@ -148,9 +148,9 @@
 // After a sync that failed nobody is told that anything lasts, and nothing more is taken on.
 func TestFailedSync(t *testing.T) {
 	dir := t.TempDir()
-	faults := &fsys.Faults{FS: fsys.Dir(dir)}
+	faults := &fsys.FaultFS{FS: fsys.Dir(dir)}
 	told := make(chan string, 8)
-	l, err := Open(dir, Options{Most: disk, Durability: store.Batch, FS: faults}, func(line string) { told <- line })
+	l, err := Open(dir, Options{Most: disk, Durability: store.SyncBatch, FS: faults}, func(line string) { told <- line })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -172,7 +172,7 @@
 		t.Errorf("accept: %v", err)
 	}
 	l.Close()
-	if again := openWith(t, dir, Options{Most: disk, Durability: store.Batch}); len(again.Live()) != 0 {
+	if again := openWith(t, dir, Options{Most: disk, Durability: store.SyncBatch}); len(again.Live()) != 0 {
 		t.Errorf("%d live", len(again.Live()))
 	}
 }
@@ -277,7 +277,7 @@
 			}
 		}
 		for l.store.Stats().Used > disk/5 { // the worker comes to it
-			l.store.Refused()
+			l.store.NoteRefusal()
 			l.wake()
 			runtime.Gosched()
 		}
--- a/internal/routing/wal/plan/plan_test.go
+++ b/internal/routing/wal/plan/plan_test.go
@@ -52,15 +52,15 @@
 func (s *store) open() {
 	s.next++
 	s.active = s.next
-	s.sizes[s.active], s.live[s.active] = s.c.Head, map[int]int64{}
+	s.sizes[s.active], s.live[s.active] = s.c.HeaderSize, map[int]int64{}
 }
 
 func (s *store) segment(n uint64) Segment {
-	return Segment{Number: n, Size: s.sizes[n], Live: s.bytes[n], Age: s.now - s.sealedAt[n]}
+	return Segment{Number: n, Size: s.sizes[n], LiveBytes: s.bytes[n], Age: s.now - s.sealedAt[n]}
 }
 
 func (s *store) state() State {
-	st := State{Active: s.sizes[s.active], Written: s.written, Owed: int64(len(s.where)) * 2 * endSize, Rate: s.rate}
+	st := State{ActiveBytes: s.sizes[s.active], OutputBytes: s.written, ReservedBytes: int64(len(s.where)) * 2 * endSize, AppendRate: s.rate}
 	for n := range s.sizes {
 		switch n {
 		case s.active:
@@ -76,13 +76,13 @@
 
 // check holds the bound, and that what was set aside is there.
 func (s *store) check() {
-	if used := s.c.Used(s.state()); used > s.c.Bound {
-		s.t.Fatalf("%d bytes used of %d", used, s.c.Bound)
+	if used := s.c.Used(s.state()); used > s.c.MaxBytes {
+		s.t.Fatalf("%d bytes used of %d", used, s.c.MaxBytes)
 	}
 }
 
 func (s *store) append(n int64) {
-	if s.c.Seal(s.state(), n) {
+	if s.c.ShouldSeal(s.state(), n) {
 		s.sealedAt[s.active] = s.now
 		s.open()
 	}
@@ -119,14 +119,14 @@
 	s.now += d
 	for {
 		if s.victim == 0 {
-			g, ok := s.c.Pick(s.state(), s.refused)
+			g, ok := s.c.PickVictim(s.state(), s.refused)
 			if !ok {
 				s.budget = 0
 				return
 			}
 			s.victim, s.written, s.moved = g.Number, 0, map[int]bool{}
 		}
-		pace := s.c.Pace(s.state(), s.refused)
+		pace := s.c.CompactionRate(s.state(), s.refused)
 		if s.budget += pace * d.Seconds(); math.IsInf(pace, 1) {
 			s.budget = math.Inf(1)
 		}
@@ -139,7 +139,7 @@
 			}
 			s.budget -= float64(n)
 			if s.written == 0 {
-				s.written = s.c.Head
+				s.written = s.c.HeaderSize
 			}
 			s.written += n
 			s.copied += n
@@ -169,7 +169,7 @@
 }
 
 func config(bound, segment int64) Config {
-	return Config{Bound: bound, Segment: segment, Block: 512, Head: 40}
+	return Config{MaxBytes: bound, SegmentBytes: segment, BlockSize: 512, HeaderSize: 40}
 }
 
 // Whatever comes and dies: the bound holds, a compaction finishes, what ends messages finds room, and once enough has died
@@ -211,7 +211,7 @@
 			s.refused = true
 			s.work(time.Second)
 		}
-		if !s.accept(c.Segment / 2) {
+		if !s.accept(c.SegmentBytes / 2) {
 			t.Fatalf("refused with nothing live: %+v", s.state())
 		}
 	})
@@ -224,8 +224,8 @@
 	s.rate = 1e6
 	var ids []int
 	liveBytes := int64(0)
-	for s.accepted < 6*c.Bound {
-		for float64(liveBytes+size) > share*float64(c.Bound) {
+	for s.accepted < 6*c.MaxBytes {
+		for float64(liveBytes+size) > share*float64(c.MaxBytes) {
 			i := s.rng.IntN(len(ids))
 			s.end(ids[i])
 			ids[i] = ids[len(ids)-1]
@@ -265,9 +265,9 @@
 // Which is taken: nothing while room is plenty, what is dead always, then by cost and age, and by cost alone in haste.
 func TestPick(t *testing.T) {
 	c := config(100<<20, 1<<20)
-	cold := Segment{Number: 1, Size: 1 << 20, Live: 700 << 10, Age: time.Hour}
-	young := Segment{Number: 2, Size: 1 << 20, Live: 500 << 10, Age: time.Second}
-	full := Segment{Number: 3, Size: 1 << 20, Live: 1<<20 - 600, Age: 10 * time.Hour}
+	cold := Segment{Number: 1, Size: 1 << 20, LiveBytes: 700 << 10, Age: time.Hour}
+	young := Segment{Number: 2, Size: 1 << 20, LiveBytes: 500 << 10, Age: time.Second}
+	full := Segment{Number: 3, Size: 1 << 20, LiveBytes: 1<<20 - 600, Age: 10 * time.Hour}
 	dead := Segment{Number: 4, Size: 1 << 20}
 	for name, k := range map[string]struct {
 		s       State
@@ -276,20 +276,20 @@
 	}{
 		"plenty":           {State{Sealed: []Segment{cold, young}}, false, 0},
 		"plenty, dead":     {State{Sealed: []Segment{cold, dead}}, false, 4},
-		"short":            {State{Sealed: []Segment{cold, young, full}, Other: 80 << 20}, false, 1},
-		"very short":       {State{Sealed: []Segment{cold, young, full}, Other: 94 << 20}, false, 2},
+		"short":            {State{Sealed: []Segment{cold, young, full}, OtherBytes: 80 << 20}, false, 1},
+		"very short":       {State{Sealed: []Segment{cold, young, full}, OtherBytes: 94 << 20}, false, 2},
 		"refused":          {State{Sealed: []Segment{full, cold}}, true, 1},
-		"little to gain":   {State{Sealed: []Segment{full}, Other: 94 << 20}, false, 0},
+		"little to gain":   {State{Sealed: []Segment{full}, OtherBytes: 94 << 20}, false, 0},
 		"one is under way": {State{Sealed: []Segment{dead}, Victim: &cold}, true, 0},
 	} {
-		if g, ok := c.Pick(k.s, k.refused); g.Number != k.want || ok != (k.want > 0) {
+		if g, ok := c.PickVictim(k.s, k.refused); g.Number != k.want || ok != (k.want > 0) {
 			t.Errorf("%s: segment %d, %v", name, g.Number, ok)
 		}
 	}
-	s := State{Victim: &cold, Rate: 50e6, Other: 80 << 20}
-	slow := c.Pace(s, false)
-	s.Other = 96 << 20
-	if fast := c.Pace(s, false); !(slow < fast) || !math.IsInf(c.Pace(s, true), 1) {
+	s := State{Victim: &cold, AppendRate: 50e6, OtherBytes: 80 << 20}
+	slow := c.CompactionRate(s, false)
+	s.OtherBytes = 96 << 20
+	if fast := c.CompactionRate(s, false); !(slow < fast) || !math.IsInf(c.CompactionRate(s, true), 1) {
 		t.Errorf("pace %v with room, %v with little", slow, fast)
 	}
 }
--- a/internal/routing/wal/plan/room_test.go
+++ b/internal/routing/wal/plan/room_test.go
@@ -25,18 +25,18 @@
 // publish has the output count in the victim's place.
 func (m *compaction) publish() {
 	victim := *m.s.Victim
-	if m.s.Written > 0 {
-		m.s.Sealed = append(m.s.Sealed, Segment{Number: victim.Number + 1000, Size: m.s.Written, Live: victim.Live})
+	if m.s.OutputBytes > 0 {
+		m.s.Sealed = append(m.s.Sealed, Segment{Number: victim.Number + 1000, Size: m.s.OutputBytes, LiveBytes: victim.LiveBytes})
 	}
-	m.s.Removing = m.c.blocks(victim.Size)
-	m.s.Victim, m.s.Written = nil, 0
+	m.s.RemovingBytes = m.c.blocks(victim.Size)
+	m.s.Victim, m.s.OutputBytes = nil, 0
 }
 
 // fail has the victim stay and the output go.
 func (m *compaction) fail() {
 	m.s.Sealed = append(m.s.Sealed, *m.s.Victim)
-	m.s.Removing = m.c.blocks(m.s.Written)
-	m.s.Victim, m.s.Written = nil, 0
+	m.s.RemovingBytes = m.c.blocks(m.s.OutputBytes)
+	m.s.Victim, m.s.OutputBytes = nil, 0
 }
 
 // Guards against a free room that falls because a compaction goes on, is published, fails or has its victim removed, and against
@@ -44,11 +44,11 @@
 func TestNoStepOfACompactionLowersTheFreeRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := config(4<<20, 128<<10)
-		m := compaction{c: c, s: State{Active: c.Head + rapid.Int64Range(0, c.Segment).Draw(t, "active"), Other: 4 * c.Block}}
-		m.s.Owed = rapid.Int64Range(0, 200<<10).Draw(t, "owed")
+		m := compaction{c: c, s: State{ActiveBytes: c.HeaderSize + rapid.Int64Range(0, c.SegmentBytes).Draw(t, "active"), OtherBytes: 4 * c.BlockSize}}
+		m.s.ReservedBytes = rapid.Int64Range(0, 200<<10).Draw(t, "owed")
 		for number := uint64(1); number < 40; number++ {
-			size := c.Head + rapid.Int64Range(1, c.Segment).Draw(t, "size")
-			m.s.Sealed = append(m.s.Sealed, Segment{Number: number, Size: size, Live: rapid.Int64Range(0, size-c.Head).Draw(t, "live")})
+			size := c.HeaderSize + rapid.Int64Range(1, c.SegmentBytes).Draw(t, "size")
+			m.s.Sealed = append(m.s.Sealed, Segment{Number: number, Size: size, LiveBytes: rapid.Int64Range(0, size-c.HeaderSize).Draw(t, "live")})
 			if c.Free(m.s) < 0 {
 				m.s.Sealed = m.s.Sealed[:len(m.s.Sealed)-1]
 				break
@@ -61,19 +61,19 @@
 				t.Fatalf("%d bytes free behind %s, %d before", now, step, free)
 			}
 			free = now
-			if used := c.Used(m.s); used > c.Bound {
-				t.Fatalf("%d bytes used of %d behind %s", used, c.Bound, step)
+			if used := c.Used(m.s); used > c.MaxBytes {
+				t.Fatalf("%d bytes used of %d behind %s", used, c.MaxBytes, step)
 			}
 		}
 		for range 20 {
-			victim, ok := c.Pick(m.s, true)
+			victim, ok := c.PickVictim(m.s, true)
 			if !ok {
 				return
 			}
 			m.begin(victim)
 			check("the beginning")
-			for m.s.Written < victim.Live+c.Head && victim.Live > 0 {
-				m.s.Written = min(victim.Live+c.Head, m.s.Written+rapid.Int64Range(1, 64<<10).Draw(t, "written"))
+			for m.s.OutputBytes < victim.LiveBytes+c.HeaderSize && victim.LiveBytes > 0 {
+				m.s.OutputBytes = min(victim.LiveBytes+c.HeaderSize, m.s.OutputBytes+rapid.Int64Range(1, 64<<10).Draw(t, "written"))
 				check("a write")
 			}
 			if rapid.IntRange(0, 3).Draw(t, "fails") == 0 {
@@ -84,10 +84,10 @@
 				check("the publishing")
 			}
 			if rapid.IntRange(0, 5).Draw(t, "stranded") > 0 {
-				m.s.Removing = 0
+				m.s.RemovingBytes = 0
 				check("a removal")
 			} else { // a failing disk may lower the room; the bound holds all the same
-				m.s.Other, m.s.Removing = m.s.Other+m.s.Removing, 0
+				m.s.OtherBytes, m.s.RemovingBytes = m.s.OtherBytes+m.s.RemovingBytes, 0
 				free = c.Free(m.s)
 				check("a failed removal")
 			}
--- a/internal/routing/wal/segment/segment.go
+++ b/internal/routing/wal/segment/segment.go
@@ -26,9 +26,9 @@
 
 // Sizes, in bytes.
 const (
-	HeadSize   = 40             // of a segment's head
-	RecordHead = 16             // in front of each payload
-	MostRecord = 1<<20 + 16<<10 // of a payload: a body of 1 MiB with what goes with it
+	HeaderSize   = 40             // of a segment's head
+	RecordHeaderSize = 16             // in front of each payload
+	MaxPayloadSize = 1<<20 + 16<<10 // of a payload: a body of 1 MiB with what goes with it
 	readAhead  = 256 << 10      // of the scanner's buffer, which a larger record makes grow
 )
 
@@ -42,42 +42,42 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Head is a segment's.
-type Head struct {
-	Store  uint64 // drawn by chance when the store was made
+// Header is a segment's.
+type Header struct {
+	StoreID  uint64 // drawn by chance when the store was made
 	Number uint64 // no other segment of the store has or had it
 }
 
-// AppendHead writes a segment's head.
-func AppendHead(b []byte, h Head) []byte {
+// AppendHeader writes a segment's head.
+func AppendHeader(b []byte, h Header) []byte {
 	at := len(b)
 	b = append(b, magic[:]...)
 	b = binary.LittleEndian.AppendUint32(b, Version)
 	b = binary.LittleEndian.AppendUint32(b, 0) // for later versions
-	b = binary.LittleEndian.AppendUint64(b, h.Store)
+	b = binary.LittleEndian.AppendUint64(b, h.StoreID)
 	b = binary.LittleEndian.AppendUint64(b, h.Number)
 	return binary.LittleEndian.AppendUint64(b, xxh3.Hash(b[at:]))
 }
 
-// ReadHead reads a segment's head. Its errors are ErrNotSegment and ErrVersion, which comes first where the magic stands: a
+// ReadHeader reads a segment's head. Its errors are ErrNotSegment and ErrVersion, which comes first where the magic stands: a
 // later version may have another head.
-func ReadHead(b []byte) (Head, error) {
+func ReadHeader(b []byte) (Header, error) {
 	if len(b) < 12 || [8]byte(b[:8]) != magic {
-		return Head{}, ErrNotSegment
+		return Header{}, ErrNotSegment
 	}
 	if v := binary.LittleEndian.Uint32(b[8:]); v > Version {
-		return Head{}, fmt.Errorf("%w: version %d, this program knows %d", ErrVersion, v, Version)
+		return Header{}, fmt.Errorf("%w: version %d, this program knows %d", ErrVersion, v, Version)
 	}
-	if len(b) < HeadSize || xxh3.Hash(b[:HeadSize-8]) != binary.LittleEndian.Uint64(b[HeadSize-8:]) {
-		return Head{}, ErrNotSegment
+	if len(b) < HeaderSize || xxh3.Hash(b[:HeaderSize-8]) != binary.LittleEndian.Uint64(b[HeaderSize-8:]) {
+		return Header{}, ErrNotSegment
 	}
-	return Head{Store: binary.LittleEndian.Uint64(b[16:]), Number: binary.LittleEndian.Uint64(b[24:])}, nil
+	return Header{StoreID: binary.LittleEndian.Uint64(b[16:]), Number: binary.LittleEndian.Uint64(b[24:])}, nil
 }
 
 // seal is the hash that binds a record's head to its place.
-func (h Head) seal(offset int64, length, sum uint32) uint64 {
+func (h Header) seal(offset int64, length, sum uint32) uint64 {
 	var b [32]byte
-	binary.LittleEndian.PutUint64(b[0:], h.Store)
+	binary.LittleEndian.PutUint64(b[0:], h.StoreID)
 	binary.LittleEndian.PutUint64(b[8:], h.Number)
 	binary.LittleEndian.PutUint64(b[16:], uint64(offset))
 	binary.LittleEndian.PutUint32(b[24:], length)
@@ -89,8 +89,8 @@
 var ErrSize = errors.New("segment: a record of that size can't be")
 
 // Append writes a record that will stand at an offset of the segment.
-func Append(b []byte, h Head, offset int64, payload []byte) ([]byte, error) {
-	if len(payload) == 0 || len(payload) > MostRecord {
+func Append(b []byte, h Header, offset int64, payload []byte) ([]byte, error) {
+	if len(payload) == 0 || len(payload) > MaxPayloadSize {
 		return b, fmt.Errorf("%w: %d bytes", ErrSize, len(payload))
 	}
 	length, sum := uint32(len(payload)), crc32.Checksum(payload, castagnoli)
@@ -100,16 +100,16 @@
 	return append(b, payload...), nil
 }
 
-// Size is what a record takes with its head.
-func Size(payload int) int64 { return int64(RecordHead + payload) }
+// RecordSize is what a record takes with its head.
+func RecordSize(payload int) int64 { return int64(RecordHeaderSize + payload) }
 
 // Read reads the one record that stands at an offset; b holds it from its head on. The payload lies in b.
-func Read(b []byte, h Head, offset int64) ([]byte, error) {
+func Read(b []byte, h Header, offset int64) ([]byte, error) {
 	n, sum, ok := h.recordHead(b, offset)
-	if !ok || len(b) < RecordHead+n {
+	if !ok || len(b) < RecordHeaderSize+n {
 		return nil, fmt.Errorf("segment %d: no record at %d", h.Number, offset)
 	}
-	payload := b[RecordHead : RecordHead+n]
+	payload := b[RecordHeaderSize : RecordHeaderSize+n]
 	if crc32.Checksum(payload, castagnoli) != sum {
 		return nil, fmt.Errorf("segment %d: the record at %d is damaged", h.Number, offset)
 	}
@@ -117,12 +117,12 @@
 }
 
 // recordHead verifies a record's head.
-func (h Head) recordHead(b []byte, offset int64) (length int, sum uint32, ok bool) {
-	if len(b) < RecordHead {
+func (h Header) recordHead(b []byte, offset int64) (length int, sum uint32, ok bool) {
+	if len(b) < RecordHeaderSize {
 		return 0, 0, false
 	}
 	n := binary.LittleEndian.Uint32(b)
-	if n == 0 || n > MostRecord {
+	if n == 0 || n > MaxPayloadSize {
 		return 0, 0, false
 	}
 	sum = binary.LittleEndian.Uint32(b[4:])
@@ -151,7 +151,7 @@
 
 // Scanner reads a segment's records in order. Its buffer grows to MostRecord and readAhead at the most.
 type Scanner struct {
-	head     Head
+	head     Header
 	r        io.Reader
 	buf      []byte
 	from, to int   // unread: buf[from:to]
@@ -165,20 +165,20 @@
 // NewScanner reads a segment from its first byte on. Its error is ReadHead's, or the reader's.
 func NewScanner(r io.Reader) (*Scanner, error) {
 	s := &Scanner{r: r, buf: make([]byte, readAhead), bad: -1}
-	s.fill(HeadSize)
+	s.fill(HeaderSize)
 	if s.err != nil {
 		return nil, s.err
 	}
-	head, err := ReadHead(s.buf[:s.to])
+	head, err := ReadHeader(s.buf[:s.to])
 	if err != nil {
 		return nil, err
 	}
-	s.head, s.from, s.offset = head, HeadSize, HeadSize
+	s.head, s.from, s.offset = head, HeaderSize, HeaderSize
 	return s, nil
 }
 
-// Head is the segment's.
-func (s *Scanner) Head() Head { return s.head }
+// Header is the segment's.
+func (s *Scanner) Header() Header { return s.head }
 
 // Err is a read that failed, which ends a scan early.
 func (s *Scanner) Err() error { return s.err }
@@ -226,7 +226,7 @@
 // Next gives the next record; false says that there is none, or that a read failed.
 func (s *Scanner) Next() (Record, bool) {
 	for {
-		s.fill(RecordHead)
+		s.fill(RecordHeaderSize)
 		if s.err != nil {
 			return Record{}, false
 		}
@@ -236,7 +236,7 @@
 		}
 		n, sum, ok := s.head.recordHead(s.buf[s.from:s.to], s.offset)
 		if ok {
-			s.fill(RecordHead + n)
+			s.fill(RecordHeaderSize + n)
 		}
 		switch {
 		case s.err != nil:
@@ -245,20 +245,20 @@
 			s.spoilt()
 			s.skip(1)
 			continue
-		case s.to-s.from < RecordHead+n: // it goes beyond the end
+		case s.to-s.from < RecordHeaderSize+n: // it goes beyond the end
 			s.spoilt()
 			s.skip(s.to - s.from)
 			continue
 		}
-		payload := s.buf[s.from+RecordHead : s.from+RecordHead+n]
+		payload := s.buf[s.from+RecordHeaderSize : s.from+RecordHeaderSize+n]
 		if crc32.Checksum(payload, castagnoli) != sum {
 			s.spoilt()
-			s.skip(RecordHead + n)
+			s.skip(RecordHeaderSize + n)
 			continue
 		}
 		s.found(false)
 		rec := Record{Offset: s.offset, Payload: payload}
-		s.skip(RecordHead + n)
+		s.skip(RecordHeaderSize + n)
 		return rec, true
 	}
 }
--- a/internal/routing/wal/segment/segment_test.go
+++ b/internal/routing/wal/segment/segment_test.go
@@ -15,12 +15,12 @@
 	"pgregory.net/rapid"
 )
 
-var head = Head{Store: 0x1234, Number: 7}
+var head = Header{StoreID: 0x1234, Number: 7}
 
 // build writes a segment and tells where its records stand.
-func build(t testing.TB, h Head, payloads ...[]byte) (b []byte, at []int64) {
+func build(t testing.TB, h Header, payloads ...[]byte) (b []byte, at []int64) {
 	t.Helper()
-	b = AppendHead(nil, h)
+	b = AppendHeader(nil, h)
 	for _, p := range payloads {
 		at = append(at, int64(len(b)))
 		var err error
@@ -52,7 +52,7 @@
 func TestRecordsInAnyPieces(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var payloads [][]byte
-	for _, n := range []int{1, 2, 300, 16 << 10, MostRecord, 1, MostRecord - 1, 77} {
+	for _, n := range []int{1, 2, 300, 16 << 10, MaxPayloadSize, 1, MaxPayloadSize - 1, 77} {
 		p := make([]byte, n)
 		for i := range p {
 			p[i] = byte(rng.Uint32())
@@ -71,11 +71,11 @@
 		"whole": bytes.NewReader(b), "halves": iotest.HalfReader(bytes.NewReader(b)), "data with its end": iotest.DataErrReader(bytes.NewReader(b)),
 	} {
 		got, s := scan(t, r)
-		if !cmp.Equal(want, got) || len(s.Findings()) != 0 || s.End() != int64(len(b)) || s.Head() != head || s.Err() != nil {
+		if !cmp.Equal(want, got) || len(s.Findings()) != 0 || s.End() != int64(len(b)) || s.Header() != head || s.Err() != nil {
 			t.Errorf("%s: %d records, %v, end %d of %d", name, len(got), s.Findings(), s.End(), len(b))
 		}
 	}
-	for _, n := range []int{0, MostRecord + 1} {
+	for _, n := range []int{0, MaxPayloadSize + 1} {
 		if _, err := Append(nil, head, 0, make([]byte, n)); !errors.Is(err, ErrSize) {
 			t.Errorf("a payload of %d bytes: %v", n, err)
 		}
@@ -99,7 +99,7 @@
 		for bit := range 8 {
 			hurt := bytes.Clone(b)
 			hurt[i] ^= 1 << bit
-			if i < HeadSize {
+			if i < HeaderSize {
 				if _, err := NewScanner(bytes.NewReader(hurt)); !errors.Is(err, ErrNotSegment) && !errors.Is(err, ErrVersion) {
 					t.Fatalf("byte %d: %v", i, err)
 				}
@@ -124,11 +124,11 @@
 // Cut anywhere, a segment holds what stands whole before the cut, and the rest is a tail.
 func TestCutAnywhere(t *testing.T) {
 	b, at := build(t, head, []byte("first"), []byte("second record"))
-	for cut := HeadSize; cut <= len(b); cut++ {
+	for cut := HeaderSize; cut <= len(b); cut++ {
 		got, s := scan(t, bytes.NewReader(b[:cut]))
 		whole := 0
-		end := int64(HeadSize)
-		for i, size := range []int64{Size(5), Size(13)} {
+		end := int64(HeaderSize)
+		for i, size := range []int64{RecordSize(5), RecordSize(13)} {
 			if at[i]+size <= int64(cut) {
 				whole, end = whole+1, at[i]+size
 			}
@@ -137,7 +137,7 @@
 			t.Fatalf("cut at %d: %d records, end %d, %v", cut, len(got), s.End(), s.Findings())
 		}
 	}
-	for cut := range HeadSize {
+	for cut := range HeaderSize {
 		if _, err := NewScanner(bytes.NewReader(b[:cut])); !errors.Is(err, ErrNotSegment) {
 			t.Errorf("a head of %d bytes: %v", cut, err)
 		}
@@ -147,8 +147,8 @@
 // A record reads in no other place: not at another offset, in another segment or store, and not out of a payload.
 func TestRecordsReadOnlyInTheirPlace(t *testing.T) {
 	b, at := build(t, head, []byte("first"), []byte("second"))
-	for name, other := range map[string]Head{"segment": {head.Store, 8}, "store": {0x1235, head.Number}} {
-		moved := append(AppendHead(nil, other), b[HeadSize:]...)
+	for name, other := range map[string]Header{"segment": {head.StoreID, 8}, "store": {0x1235, head.Number}} {
+		moved := append(AppendHeader(nil, other), b[HeaderSize:]...)
 		if got, s := scan(t, bytes.NewReader(moved)); len(got) != 0 || len(s.Findings()) != 1 {
 			t.Errorf("in another %s: %v", name, got)
 		}
@@ -158,8 +158,8 @@
 		t.Errorf("doubled: %v", got)
 	}
 	inner, _ := build(t, head, []byte("handed in"))
-	outer, _ := build(t, head, inner[HeadSize:])
-	outer[HeadSize] ^= 1 // the outer record's length: now the bytes of its payload are searched
+	outer, _ := build(t, head, inner[HeaderSize:])
+	outer[HeaderSize] ^= 1 // the outer record's length: now the bytes of its payload are searched
 	if got, _ := scan(t, bytes.NewReader(outer)); len(got) != 0 {
 		t.Errorf("out of a payload: %v", got)
 	}
@@ -182,14 +182,14 @@
 		for range rng.IntN(20) {
 			payloads = append(payloads, bytes.Repeat([]byte{byte(rng.Uint32())}, 1+rng.IntN(3000)))
 		}
-		b := AppendHead(nil, head)
+		b := AppendHeader(nil, head)
 		want := map[int64]string{}
 		for _, p := range payloads {
 			want[int64(len(b))] = string(p)
 			b, _ = Append(b, head, int64(len(b)), p)
 		}
 		for range rapid.IntRange(0, 6).Draw(t, "damages") {
-			at := HeadSize + rng.IntN(len(b)-HeadSize+1)
+			at := HeaderSize + rng.IntN(len(b)-HeaderSize+1)
 			n := min(rng.IntN(500), len(b)-at)
 			switch rng.IntN(4) {
 			case 0: // noise
@@ -208,7 +208,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		covered := int64(HeadSize)
+		covered := int64(HeaderSize)
 		for {
 			rec, ok := s.Next()
 			if !ok {
@@ -217,7 +217,7 @@
 			if got, ok := want[rec.Offset]; !ok || got != string(rec.Payload) {
 				t.Fatalf("at %d stands what was not written there", rec.Offset)
 			}
-			covered += Size(len(rec.Payload))
+			covered += RecordSize(len(rec.Payload))
 		}
 		for _, f := range s.Findings() {
 			covered += f.Bytes
@@ -231,15 +231,15 @@
 // FuzzScanner reads any bytes behind a good head: nothing panics, and all bytes are accounted for.
 func FuzzScanner(f *testing.F) {
 	good, _ := build(f, head, []byte("first"), []byte("second"))
-	f.Add(good[HeadSize:])
+	f.Add(good[HeaderSize:])
 	f.Add([]byte{1, 0, 0, 0, 0, 0, 0, 0})
-	f.Add(good[HeadSize+3:])
+	f.Add(good[HeaderSize+3:])
 	f.Fuzz(func(t *testing.T, tail []byte) {
-		b := append(AppendHead(nil, head), tail...)
+		b := append(AppendHeader(nil, head), tail...)
 		got, s := scan(t, bytes.NewReader(b))
-		covered := int64(HeadSize)
+		covered := int64(HeaderSize)
 		for _, p := range got {
-			covered += Size(len(p))
+			covered += RecordSize(len(p))
 		}
 		for _, f := range s.Findings() {
 			covered += f.Bytes
@@ -254,11 +254,11 @@
 // checksum of all that follows, were their seals not looked at first.
 func BenchmarkScan(b *testing.B) {
 	const size = 3 << 20
-	small := AppendHead(nil, head)
+	small := AppendHeader(nil, head)
 	for len(small) < size {
 		small, _ = Append(small, head, int64(len(small)), bytes.Repeat([]byte("x"), 300))
 	}
-	crafted := AppendHead(nil, head)
+	crafted := AppendHeader(nil, head)
 	for len(crafted) < size {
 		crafted = binary.LittleEndian.AppendUint32(crafted, 200<<10)
 		crafted = binary.LittleEndian.AppendUint32(crafted, crc32.Checksum(nil, castagnoli))
--- a/internal/routing/wal/store/append.go
+++ b/internal/routing/wal/store/append.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return fmt.Errorf("store: segment: %w", err)
 	}
-	head := segment.AppendHead(nil, segment.Head{Store: s.head, Number: g.number})
+	head := segment.AppendHeader(nil, segment.Header{StoreID: s.head, Number: g.number})
 	if _, err = f.Write(head); err != nil {
 		s.leftover[g.name] = leftover{size: int64(len(head)), state: stranded}
 		return errors.Join(fmt.Errorf("store: segment: %w", err), f.Close())
@@ -40,18 +40,18 @@
 			}
 		}
 	}
-	st := plan.State{Active: s.active.size + s.active.torn, Written: s.written, Owed: s.owed + s.reserved, Totals: s.totals}
+	st := plan.State{ActiveBytes: s.active.size + s.active.torn, OutputBytes: s.written, ReservedBytes: s.owed + s.reserved, Totals: s.totals}
 	listed := len(s.files)
 	if s.victim != nil && s.victim.replaced { // it is in the books beside its output, and in no manifest
 		listed--
-		st.Removing = blocks(s.victim.size)
+		st.RemovingBytes = blocks(s.victim.size)
 	}
-	st.Other = 2 * paper(listed)
+	st.OtherBytes = 2 * paper(listed)
 	for _, l := range s.leftover {
 		if l.state == stranded {
-			st.Other += blocks(l.size)
+			st.OtherBytes += blocks(l.size)
 		} else {
-			st.Removing += blocks(l.size)
+			st.RemovingBytes += blocks(l.size)
 		}
 	}
 	return st
@@ -79,7 +79,7 @@
 // planned is a sealed segment in the planner's terms. Its age is told by the records since: they stand for time, so that
 // equal runs give equal choices.
 func (s *Store) planned(g *file) plan.Segment {
-	return plan.Segment{Number: g.number, Size: g.size, Live: g.live, Age: time.Duration(s.record-g.sealed) * time.Millisecond}
+	return plan.Segment{Number: g.number, Size: g.size, LiveBytes: g.live, Age: time.Duration(s.record-g.sealed) * time.Millisecond}
 }
 
 // write appends a record to the active segment; s.mu is held. No half of one is left before the next.
@@ -95,24 +95,24 @@
 	b = binary.AppendUvarint(binary.AppendUvarint(b, num), key)
 	b = append(b, payload...)
 	s.buf = b[:0]
-	size = segment.Size(len(b))
+	size = segment.RecordSize(len(b))
 	if err := s.repair(); err != nil {
 		return 0, 0, err
 	}
-	if s.plan.Seal(plan.State{Active: s.active.size}, size) {
+	if s.plan.ShouldSeal(plan.State{ActiveBytes: s.active.size}, size) {
 		if err := s.seal(); err != nil {
 			return 0, 0, err
 		}
 	}
 	g := s.active
-	rec, err := segment.Append(make([]byte, 0, size), segment.Head{Store: s.head, Number: g.number}, g.size, b)
+	rec, err := segment.Append(make([]byte, 0, size), segment.Header{StoreID: s.head, Number: g.number}, g.size, b)
 	if err != nil {
 		return 0, 0, fmt.Errorf("store: %w", err)
 	}
 	if _, err := g.f.Write(rec); err != nil {
 		g.torn = size          // at the most: a write that fails may leave a part that it does not tell of
 		repaired := s.repair() // else before the next write
-		if errors.Is(err, syscall.EFBIG) && repaired == nil && s.active == g && g.size > segment.HeadSize {
+		if errors.Is(err, syscall.EFBIG) && repaired == nil && s.active == g && g.size > segment.HeaderSize {
 			if s.seal() == nil { // files may not be as large as that: the next one has room again
 				return s.write(k, key, payload)
 			}
@@ -166,7 +166,7 @@
 // served by one sync; appends go on beside it. A sync that failed is final: nobody can tell what of the segments is on the
 // disk. What was not durable is taken back then, so that the next start does not find what was never promised.
 func (s *Store) Commit(num uint64) error {
-	if s.o.Durability == Process {
+	if s.o.Durability == SyncNever {
 		return nil
 	}
 	s.syncing.Lock()
@@ -187,8 +187,8 @@
 	return err
 }
 
-// Durable is the number up to which all records are known to outlast the machine.
-func (s *Store) Durable() uint64 {
+// DurableSequence is the number up to which all records are known to outlast the machine.
+func (s *Store) DurableSequence() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.synced
@@ -246,7 +246,7 @@
 
 // settle is the end of an append: with Each it waits for the disk. s.mu is not held.
 func (s *Store) settle(num uint64) error {
-	if s.o.Durability != Each {
+	if s.o.Durability != SyncEach {
 		return nil
 	}
 	return s.Commit(num)
@@ -262,31 +262,31 @@
 
 func (s *Store) fits(payload int, owed int64) bool {
 	st := s.space()
-	st.Other += s.o.Spare
-	return s.plan.Admit(st, segment.Size(payload+mostFixed), owed+EndSize)
+	st.OtherBytes += s.o.SpareBytes
+	return s.plan.Admit(st, segment.RecordSize(payload+mostFixed), owed+MaxTombstoneSize)
 }
 
-// Refused tells that work was turned away for want of room: what can be gained is compacted now, and as fast as it goes.
-func (s *Store) Refused() {
+// NoteRefusal tells that work was turned away for want of room: what can be gained is compacted now, and as fast as it goes.
+func (s *Store) NoteRefusal() {
 	s.mu.Lock()
 	s.refused = true
 	s.mu.Unlock()
 }
 
-// Pace is how many bytes a second the compaction under way should move, with so many bytes a second appended beside it.
-func (s *Store) Pace(rate float64) float64 {
+// CompactionRate is how many bytes a second the compaction under way should move, with so many bytes a second appended beside it.
+func (s *Store) CompactionRate(rate float64) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed || s.active == nil {
 		return math.Inf(1)
 	}
 	st := s.space()
-	st.Rate = rate
+	st.AppendRate = rate
 	if s.victim != nil && !s.victim.replaced {
 		v := s.planned(s.victim)
 		st.Victim = &v
 	}
-	return s.plan.Pace(st, s.refused)
+	return s.plan.CompactionRate(st, s.refused)
 }
 
 // Put appends the first record of a key that lives from now on, and sets room aside for what follows it: its end, and owed
@@ -324,7 +324,7 @@
 	if covered {
 		reserved.release()
 	}
-	e := &entry{owed: owed + EndSize, first: place{s.active.number, s.active.size - size, size}}
+	e := &entry{owed: owed + MaxTombstoneSize, first: place{s.active.number, s.active.size - size, size}}
 	s.owed += e.owed
 	s.addPart(e, s.active, size, true)
 	s.keys[key] = e
@@ -335,8 +335,8 @@
 // Add appends a further record of a living key, if there is room; what new keys leave is for these.
 func (s *Store) Add(key uint64, payload []byte) (uint64, error) { return s.addOut(key, payload, false) }
 
-// AddOwed appends one out of the room that is set aside for its key, and beyond that as Add does.
-func (s *Store) AddOwed(key uint64, payload []byte) (uint64, error) {
+// AddReserved appends one out of the room that is set aside for its key, and beyond that as Add does.
+func (s *Store) AddReserved(key uint64, payload []byte) (uint64, error) {
 	return s.addOut(key, payload, true)
 }
 
@@ -353,10 +353,10 @@
 	defer s.mu.Unlock()
 	e := s.keys[key]
 	if e == nil || e.ended {
-		return 0, ErrUnknown
+		return 0, ErrUnknownKey
 	}
-	most := segment.Size(len(payload) + mostFixed)
-	if owed = owed && e.owed >= most+EndSize; !owed && !s.plan.Admit(s.space(), most, 0) {
+	most := segment.RecordSize(len(payload) + mostFixed)
+	if owed = owed && e.owed >= most+MaxTombstoneSize; !owed && !s.plan.Admit(s.space(), most, 0) {
 		s.refused = true
 		return 0, ErrFull
 	}
@@ -372,8 +372,8 @@
 	return num, nil
 }
 
-// End ends a key: none of its records is given at a later start. Room for it is always set aside.
-func (s *Store) End(key uint64) (uint64, error) {
+// Delete ends a key: none of its records is given at a later start. Room for it is always set aside.
+func (s *Store) Delete(key uint64) (uint64, error) {
 	num, err := s.end(key)
 	if err != nil {
 		return 0, err
@@ -386,7 +386,7 @@
 	defer s.mu.Unlock()
 	e := s.keys[key]
 	if e == nil || e.ended {
-		return 0, ErrUnknown
+		return 0, ErrUnknownKey
 	}
 	num, size, err := s.write(kindEnd, key, nil)
 	if err != nil {
@@ -439,8 +439,8 @@
 	if !s.closed {
 		state := s.state()
 		st.Used, st.Free = s.plan.Used(state), s.plan.Free(state)
-		_, worth := s.plan.Pick(state, s.refused)
-		st.Due = s.victim != nil || (worth || state.Removing > 0) && s.failed == nil && !s.stuck
+		_, worth := s.plan.PickVictim(state, s.refused)
+		st.Due = s.victim != nil || (worth || state.RemovingBytes > 0) && s.failed == nil && !s.stuck
 	}
 	return st
 }
@@ -455,7 +455,7 @@
 		return nil
 	}
 	var err error
-	if s.o.Durability != Process && s.failed == nil && s.synced < s.record-1 {
+	if s.o.Durability != SyncNever && s.failed == nil && s.synced < s.record-1 {
 		err = s.syncAll()
 	}
 	s.closed = true
--- a/internal/routing/wal/store/compact.go
+++ b/internal/routing/wal/store/compact.go
@@ -35,7 +35,7 @@
 		defer s.mu.Unlock()
 		return false, s.failed
 	}
-	pick, ok := s.plan.Pick(s.state(), s.refused)
+	pick, ok := s.plan.PickVictim(s.state(), s.refused)
 	if !ok {
 		s.mu.Unlock()
 		return false, nil
@@ -66,7 +66,7 @@
 // machine that stays so until the next start: a sync that works tells nothing of what one that failed has lost.
 func (s *Store) settleManifest() error {
 	s.mu.Lock()
-	if !s.stuck || s.closed || s.o.Durability != Process {
+	if !s.stuck || s.closed || s.o.Durability != SyncNever {
 		s.mu.Unlock()
 		return nil
 	}
@@ -95,7 +95,7 @@
 	defer s.mu.Unlock()
 	s.victim, s.written, s.totals = nil, 0, nil
 	if err != nil {
-		if s.stuck = errors.Is(err, errUncertain); s.stuck && s.o.Durability != Process {
+		if s.stuck = errors.Is(err, errUncertain); s.stuck && s.o.Durability != SyncNever {
 			s.breakDown()
 		}
 		if out.f != nil {
@@ -145,7 +145,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	head := segment.Head{Store: s.head, Number: out.number}
+	head := segment.Header{StoreID: s.head, Number: out.number}
 	var buf []byte
 	flush := func() error {
 		if len(buf) == 0 {
@@ -178,8 +178,8 @@
 			return nil, nil, err // it could be read a moment ago
 		}
 		if out.size == 0 {
-			buf = segment.AppendHead(buf, head)
-			out.size = segment.HeadSize
+			buf = segment.AppendHeader(buf, head)
+			out.size = segment.HeaderSize
 		}
 		before := len(buf)
 		if buf, err = segment.Append(buf, head, out.size, rec.Payload); err != nil {
@@ -197,7 +197,7 @@
 	if err := errors.Join(sc.Err(), flush()); err != nil {
 		return nil, nil, err
 	}
-	if out.f != nil && s.o.Durability != Process {
+	if out.f != nil && s.o.Durability != SyncNever {
 		if err := out.f.Sync(); err != nil {
 			return nil, nil, err
 		}
--- a/internal/routing/wal/store/damage_test.go
+++ b/internal/routing/wal/store/damage_test.go
@@ -80,27 +80,27 @@
 		{"output created, and its name lost", fsys.OpWrite, outPrefix, fsys.LoseUnsynced},
 		{"output written, nothing of it lasts", fsys.OpSync, outPrefix, fsys.LoseUnsynced},
 		{"output half written", fsys.OpSync, outPrefix, fsys.LoseTail},
-		{"output whole, no new manifest", fsys.OpCreate, manifestIn, fsys.LoseProcess},
+		{"output whole, no new manifest", fsys.OpCreate, manifestIn, fsys.LoseNothing},
 		{"output whole, its name lost", fsys.OpCreate, manifestIn, fsys.LoseUnsynced},
 		{"mid-manifest: written, nothing of it lasts", fsys.OpSync, manifestIn, fsys.LoseUnsynced},
 		{"mid-manifest: half written", fsys.OpSync, manifestIn, fsys.LoseTail},
-		{"mid-manifest: in any order", fsys.OpSync, manifestIn, fsys.LoseAnyUnsync},
+		{"mid-manifest: in any order", fsys.OpSync, manifestIn, fsys.LoseAnyUnsynced},
 		{"before the rename", fsys.OpRename, manifestIn, fsys.LoseUnsynced},
 		{"mid-rename: done, and lost", fsys.OpSyncDir, "", fsys.LoseUnsynced},
-		{"mid-rename: done, and got through by itself", fsys.OpSyncDir, "", fsys.LoseProcess},
-		{"mid-rename: some names got through", fsys.OpSyncDir, "", fsys.LoseAnyUnsync},
+		{"mid-rename: done, and got through by itself", fsys.OpSyncDir, "", fsys.LoseNothing},
+		{"mid-rename: some names got through", fsys.OpSyncDir, "", fsys.LoseAnyUnsynced},
 		{"before the removal", fsys.OpRemove, segPrefix, fsys.LoseUnsynced},
 		{"mid-removal: done, and lost", fsys.OpList, "", fsys.LoseUnsynced},
-		{"mid-removal: done, and got through", fsys.OpList, "", fsys.LoseProcess},
+		{"mid-removal: done, and got through", fsys.OpList, "", fsys.LoseNothing},
 	} {
 		t.Run(at.name, func(t *testing.T) {
 			for seed := range uint64(6) {
-				mem, m := worked(t, Each, seed)
-				faults := &fsys.Faults{FS: mem}
-				s, _ := open(t, options(faults, Each))
+				mem, m := worked(t, SyncEach, seed)
+				faults := &fsys.FaultFS{FS: mem}
+				s, _ := open(t, options(faults, SyncEach))
 				for key := uint64(1); key < m.next; key += 2 { // so that something is worth it
 					if _, lives := m.keys[key]; lives {
-						if _, err := s.End(key); err != nil {
+						if _, err := s.Delete(key); err != nil {
 							t.Fatal(err)
 						}
 						delete(m.keys, key)
@@ -117,7 +117,7 @@
 				faults.Set(cut)
 				for did := true; did && left == nil; {
 					var err error
-					s.Refused()
+					s.NoteRefusal()
 					if did, err = s.Compact(nil); err != nil {
 						t.Fatal(err)
 					}
@@ -126,7 +126,7 @@
 				if left == nil {
 					t.Fatal("the compaction never got there")
 				}
-				again, got := open(t, options(left, Each))
+				again, got := open(t, options(left, SyncEach))
 				if diff := cmp.Diff(m.keys, got); diff != "" {
 					t.Fatalf("seed %d:\n%s", seed, diff)
 				}
@@ -136,7 +136,7 @@
 				for range 40 {
 					m.operate(t, again, rng, nothing)
 				}
-				if _, got := open(t, options(left, Each)); !cmp.Equal(m.keys, got) {
+				if _, got := open(t, options(left, SyncEach)); !cmp.Equal(m.keys, got) {
 					t.Fatalf("seed %d, later:\n%s", seed, cmp.Diff(m.keys, got))
 				}
 			}
@@ -196,7 +196,7 @@
 	for name, f := range spoil {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(25) {
-				mem, m := worked(t, Process, seed)
+				mem, m := worked(t, SyncNever, seed)
 				hurt := map[uint64]bool{} // keys with a record, or their end, in a spoilt file
 				rng := rand.New(rand.NewPCG(seed, 17))
 				before := fsys.NewMem()
@@ -215,14 +215,14 @@
 				}
 				var told []string
 				reads := 0
-				faults := &fsys.Faults{FS: mem}
+				faults := &fsys.FaultFS{FS: mem}
 				faults.Set(func(op fsys.Op, _ string, n int) (int, error) {
 					if op == fsys.OpRead {
 						reads += n
 					}
 					return n, nil
 				})
-				o := options(faults, Process)
+				o := options(faults, SyncNever)
 				o.Report = func(line string) { told = append(told, line) }
 				s, got := open(t, o)
 				for key, list := range got {
@@ -249,7 +249,7 @@
 					if _, err := s.Put(key, []byte("new"), 10); err != nil && !errors.Is(err, ErrFull) {
 						t.Fatal(err)
 					} else if err == nil {
-						if _, err := s.End(key); err != nil {
+						if _, err := s.Delete(key); err != nil {
 							t.Fatal(err)
 						}
 					}
@@ -264,8 +264,8 @@
 // While a sync is out appends go on, and all that wait for the next one share it.
 func TestGroupCommit(t *testing.T) {
 	const n = 50
-	faults := &fsys.Faults{FS: fsys.NewMem()}
-	s, _ := open(t, options(faults, Batch))
+	faults := &fsys.FaultFS{FS: fsys.NewMem()}
+	s, _ := open(t, options(faults, SyncBatch))
 	first, err := s.Put(1, []byte("x"), 10)
 	if err != nil {
 		t.Fatal(err)
@@ -291,7 +291,7 @@
 	for range n - 1 {
 		go func() { errs <- s.Commit(last) }()
 	}
-	if s.Durable() >= first {
+	if s.DurableSequence() >= first {
 		t.Error("durable before its sync has ended")
 	}
 	close(goOn)
@@ -300,8 +300,8 @@
 			t.Fatal(err)
 		}
 	}
-	if syncs := s.Stats().Syncs - before; syncs != 2 || s.Durable() < last {
-		t.Errorf("%d syncs for %d that waited; durable to %d of %d", syncs, n, s.Durable(), last)
+	if syncs := s.Stats().Syncs - before; syncs != 2 || s.DurableSequence() < last {
+		t.Errorf("%d syncs for %d that waited; durable to %d of %d", syncs, n, s.DurableSequence(), last)
 	}
 }
 
@@ -311,8 +311,8 @@
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 6))
 		mem := fsys.NewMem()
-		faults := &fsys.Faults{FS: mem}
-		s, _ := open(t, options(faults, Batch))
+		faults := &fsys.FaultFS{FS: mem}
+		s, _ := open(t, options(faults, SyncBatch))
 		m := newModel()
 		for range 40 {
 			m.operate(t, s, rng, nothing)
@@ -348,8 +348,8 @@
 		if _, err := s.Compact(nil); !errors.Is(err, ErrFailed) {
 			t.Errorf("seed %d: a compaction went on: %v", seed, err)
 		}
-		for _, loss := range []fsys.Loss{fsys.LoseProcess, fsys.LoseUnsynced} {
-			if _, got := open(t, options(mem.Crash(loss, rng), Batch)); !cmp.Equal(durable, got) {
+		for _, loss := range []fsys.Loss{fsys.LoseNothing, fsys.LoseUnsynced} {
+			if _, got := open(t, options(mem.Crash(loss, rng), SyncBatch)); !cmp.Equal(durable, got) {
 				t.Fatalf("seed %d, loss %d:\n%s", seed, loss, cmp.Diff(durable, got))
 			}
 		}
@@ -360,7 +360,7 @@
 func TestFilesOfLimitedSize(t *testing.T) {
 	const most = testSegment / 2
 	mem := fsys.NewMem()
-	faults := &fsys.Faults{FS: mem}
+	faults := &fsys.FaultFS{FS: mem}
 	faults.Set(func(op fsys.Op, name string, n int) (int, error) {
 		if op != fsys.OpWrite {
 			return n, nil
@@ -374,7 +374,7 @@
 		}
 		return n, nil
 	})
-	s, _ := open(t, options(faults, Process))
+	s, _ := open(t, options(faults, SyncNever))
 	want := map[uint64][]string{}
 	for key := uint64(1); key <= 300; key++ {
 		body := strings.Repeat("x", 200+int(key)%300)
@@ -382,7 +382,7 @@
 			t.Fatalf("key %d: %v", key, err)
 		}
 		if want[key] = []string{body}; key > 20 {
-			if _, err := s.End(key - 20); err != nil {
+			if _, err := s.Delete(key - 20); err != nil {
 				t.Fatal(err)
 			}
 			delete(want, key-20)
@@ -391,7 +391,7 @@
 			t.Fatal(fmt.Errorf("key %d: %w", key, err))
 		}
 	}
-	if _, got := open(t, options(mem, Process)); !cmp.Equal(want, got) {
+	if _, got := open(t, options(mem, SyncNever)); !cmp.Equal(want, got) {
 		t.Error(cmp.Diff(want, got))
 	}
 }
--- a/internal/routing/wal/store/hidden_test.go
+++ b/internal/routing/wal/store/hidden_test.go
@@ -12,8 +12,8 @@
 func TestWhatAFailedWriteHidesIsTakenBack(t *testing.T) {
 	for name, truncates := range map[string]bool{"truncate works": true, "truncate fails": false} {
 		folder := fsys.NewMem()
-		faults := &fsys.Faults{FS: folder, HideParts: true}
-		s, _ := open(t, options(faults, Process))
+		faults := &fsys.FaultFS{FS: folder, HidePartialWrites: true}
+		s, _ := open(t, options(faults, SyncNever))
 		if _, err := s.Put(1, []byte("before"), 64); err != nil {
 			t.Fatal(err)
 		}
@@ -35,7 +35,7 @@
 				t.Fatal(err)
 			}
 		}
-		_, got := open(t, options(folder, Process)) // as after a kill
+		_, got := open(t, options(folder, SyncNever)) // as after a kill
 		if len(got) != 4 || got[2] != nil || len(got[5]) != 1 {
 			t.Errorf("%s: a start finds %v", name, got)
 		}
--- a/internal/routing/wal/store/inspect.go
+++ b/internal/routing/wal/store/inspect.go
@@ -13,7 +13,7 @@
 // scanFile reads a segment: each record in order, and a line for whatever can't be read. A later version, or a read that
 // fails, is an error; a file that is no segment of the store is a finding. store 0 stands for any.
 func scanFile(f fsys.File, name string, number, store uint64,
-	each func(k kind, num, key uint64, data []byte, offset, size int64)) (head segment.Head, size int64, findings []string, err error) {
+	each func(k kind, num, key uint64, data []byte, offset, size int64)) (head segment.Header, size int64, findings []string, err error) {
 	if size, err = f.Size(); err != nil {
 		return head, 0, nil, fmt.Errorf("store: size: %w", err)
 	}
@@ -26,7 +26,7 @@
 		return head, size, findings, nil
 	case err != nil:
 		return head, size, nil, fmt.Errorf("store: %s: %w", name, err)
-	case sc.Head().Number != number || store != 0 && sc.Head().Store != store:
+	case sc.Header().Number != number || store != 0 && sc.Header().StoreID != store:
 		return head, size, []string{fmt.Sprintf("segment %s belongs elsewhere; %d bytes passed over", name, size)}, nil
 	}
 	for rec, ok := sc.Next(); ok; rec, ok = sc.Next() {
@@ -35,7 +35,7 @@
 			findings = append(findings, fmt.Sprintf("segment %s: record at %d has no known form, passed over", name, rec.Offset))
 			continue
 		}
-		each(k, num, key, data, rec.Offset, segment.Size(len(rec.Payload)))
+		each(k, num, key, data, rec.Offset, segment.RecordSize(len(rec.Payload)))
 	}
 	if err := sc.Err(); err != nil {
 		return head, size, findings, fmt.Errorf("store: %s: %w", name, err)
@@ -43,22 +43,22 @@
 	for _, finding := range sc.Findings() {
 		findings = append(findings, fmt.Sprintf("segment %s: %v passed over", name, finding))
 	}
-	return sc.Head(), size, findings, nil
+	return sc.Header(), size, findings, nil
 }
 
 // SegmentInfo tells of one segment.
 type SegmentInfo struct {
 	Name    string `json:"name"`
-	Counts  bool   `json:"counts"` // by the manifest; else it goes at the next start
+	Referenced  bool   `json:"counts"` // by the manifest; else it goes at the next start
 	Bytes   int64  `json:"bytes"`
 	Records int    `json:"records"`
-	Live    int64  `json:"live"` // bytes of living keys' records
+	LiveBytes    int64  `json:"live"` // bytes of living keys' records
 }
 
 // Inspection is what a look at a store's folder finds, without changing anything.
 type Inspection struct {
 	Segments []SegmentInfo `json:"segments"`
-	Living   int           `json:"living"`  // keys
+	LiveKeys   int           `json:"living"`  // keys
 	Records  int           `json:"records"` // of all segments that count
 	Bytes    int64         `json:"bytes"`   // of all files, in whole blocks
 	Findings []string      `json:"findings"`
@@ -100,7 +100,7 @@
 		}
 		s.files[g.number] = g // kept open, so that it can be read to the end though it goes
 		var items []item
-		info := SegmentInfo{Name: name, Counts: listed[name] || seg && n >= s.next}
+		info := SegmentInfo{Name: name, Referenced: listed[name] || seg && n >= s.next}
 		head, size, findings, err := scanFile(g.f, name, g.number, s.head, func(k kind, num, key uint64, _ []byte, at, size int64) {
 			if info.Records++; k == kindEnd {
 				ends[key] = true
@@ -115,10 +115,10 @@
 			runs = append(runs, items)
 		}
 		if s.head == 0 { // no manifest yet
-			s.head = head.Store
+			s.head = head.StoreID
 		}
 		g.size = size
-		if info.Bytes = size; info.Counts {
+		if info.Bytes = size; info.Referenced {
 			in.Findings = append(in.Findings, findings...)
 			in.Records += info.Records
 		}
@@ -137,8 +137,8 @@
 	items := slices.DeleteFunc(inOrder(runs), func(it item) bool { return ends[it.key] })
 	for _, it := range items {
 		living[it.key] = true
-		at[it.seg.name].Live += int64(it.size)
+		at[it.seg.name].LiveBytes += int64(it.size)
 	}
-	in.Living = len(living)
+	in.LiveKeys = len(living)
 	return s.give(items, visit)
 }
--- a/internal/routing/wal/store/manifest.go
+++ b/internal/routing/wal/store/manifest.go
@@ -55,7 +55,7 @@
 			return damaged(err)
 		}
 	}
-	s.head = sc.Head().Store
+	s.head = sc.Header().StoreID
 	return listed, nil
 }
 
@@ -71,13 +71,13 @@
 
 // replaceManifest replaces the manifest whole.
 func (s *Store) replaceManifest(text []byte) error {
-	h := segment.Head{Store: s.head}
-	b := segment.AppendHead(nil, h)
+	h := segment.Header{StoreID: s.head}
+	b := segment.AppendHeader(nil, h)
 	b, err := segment.Append(b, h, int64(len(b)), text)
 	if err != nil {
 		return fmt.Errorf("store: manifest: %w", err)
 	}
-	there, err := fsys.Replace(s.o.FS, manifest, b, s.o.Durability != Process)
+	there, err := fsys.Replace(s.o.FS, manifest, b, s.o.Durability != SyncNever)
 	switch {
 	case err != nil && there:
 		return fmt.Errorf("store: manifest: %w: %w", errUncertain, err)
--- a/internal/routing/wal/store/reservation.go
+++ b/internal/routing/wal/store/reservation.go
@@ -9,7 +9,7 @@
 }
 
 // room is what a key takes, with a first payload of so many bytes and owed bytes for all that will follow.
-func room(payload int, owed int64) int64 { return segment.Size(payload+mostFixed) + owed + EndSize }
+func room(payload int, owed int64) int64 { return segment.RecordSize(payload+mostFixed) + owed + MaxTombstoneSize }
 
 // Reserve sets room aside for a key, as Put would take it; false says that there is none now. It is given back by Release, unless a Put
 // has used it.
--- a/internal/routing/wal/store/room_test.go
+++ b/internal/routing/wal/store/room_test.go
@@ -19,7 +19,7 @@
 	}
 	for key := uint64(1); key <= puts; key++ {
 		if rng.IntN(3) == 0 {
-			if _, err := s.End(key); err != nil {
+			if _, err := s.Delete(key); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -31,8 +31,8 @@
 func TestACompactionNeverLowersTheFreeRoom(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 11))
-		faults := &fsys.Faults{FS: fsys.NewMem()}
-		s, _ := open(t, options(faults, Process))
+		faults := &fsys.FaultFS{FS: fsys.NewMem()}
+		s, _ := open(t, options(faults, SyncNever))
 		fill(t, s, rng)
 		free := s.Stats().Free
 		failing := rng.IntN(3) == 0
@@ -41,7 +41,7 @@
 			if now.Free < free {
 				t.Errorf("seed %d: %d bytes free at %s of %s, %d before", seed, now.Free, op, name, free)
 			}
-			if taken := used(t, faults.FS); taken > options(nil, Process).Bound {
+			if taken := used(t, faults.FS); taken > options(nil, SyncNever).MaxBytes {
 				t.Errorf("seed %d: %d bytes on the disk at %s of %s", seed, taken, op, name)
 			}
 			free = max(free, now.Free)
@@ -67,11 +67,11 @@
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 12))
 		mem := fsys.NewMem()
-		faults := &fsys.Faults{FS: mem}
-		s, _ := open(t, options(faults, Process))
+		faults := &fsys.FaultFS{FS: mem}
+		s, _ := open(t, options(faults, SyncNever))
 		next := fill(t, s, rng)
 		check := func(when string) {
-			if taken := used(t, mem); taken > options(nil, Process).Bound {
+			if taken := used(t, mem); taken > options(nil, SyncNever).MaxBytes {
 				t.Fatalf("seed %d: %d bytes on the disk %s", seed, taken, when)
 			}
 		}
@@ -86,12 +86,12 @@
 			if _, err := s.Compact(nil); err != nil {
 				t.Fatal(err)
 			}
-			_, _ = s.End(key)
+			_, _ = s.Delete(key)
 			check("behind an end")
 		}
 		faults.Set(nil)
 		for range 100 {
-			s.Refused()
+			s.NoteRefusal()
 			_, _ = s.Compact(nil)
 		}
 		if !s.Fits(1000, 64) {
@@ -105,8 +105,8 @@
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 15))
 		mem := fsys.NewMem()
-		faults := &fsys.Faults{FS: mem}
-		s, _ := open(t, options(faults, Process))
+		faults := &fsys.FaultFS{FS: mem}
+		s, _ := open(t, options(faults, SyncNever))
 		next := fill(t, s, rng)
 		faults.Set(func(op fsys.Op, name string, n int) (int, error) {
 			if op == fsys.OpRemove && name != manifestIn && seed%2 == 0 {
@@ -138,7 +138,7 @@
 		if s.reserved != 0 {
 			t.Errorf("seed %d: %d bytes stay reserved", seed, s.reserved)
 		}
-		if taken := used(t, mem); taken > options(nil, Process).Bound {
+		if taken := used(t, mem); taken > options(nil, SyncNever).MaxBytes {
 			t.Errorf("seed %d: %d bytes on the disk", seed, taken)
 		}
 	}
--- a/internal/routing/wal/store/store.go
+++ b/internal/routing/wal/store/store.go
@@ -29,19 +29,19 @@
 
 // The durabilities.
 const (
-	Process Durability = iota // the process's end: nothing is synced
-	Batch                     // the machine's end, once Commit has returned
-	Each                      // the machine's end, once the append has returned
+	SyncNever Durability = iota // the process's end: nothing is synced
+	SyncBatch                     // the machine's end, once Commit has returned
+	SyncEach                      // the machine's end, once the append has returned
 )
 
 // Options are what a store is opened with.
 type Options struct {
 	FS         fsys.FS
-	Bound      int64 // bytes of all files together, each in whole blocks
-	Segment    int64 // size at which a segment is sealed
+	MaxBytes      int64 // bytes of all files together, each in whole blocks
+	SegmentBytes    int64 // size at which a segment is sealed
 	Durability Durability
-	Other      int64        // bytes set aside for files that are not the store's
-	Spare      int64        // bytes that new keys leave to the further records of those that live
+	OtherBytes      int64        // bytes set aside for files that are not the store's
+	SpareBytes      int64        // bytes that new keys leave to the further records of those that live
 	Seed       uint64       // draws the store's number, if there is none yet
 	Report     func(string) // told of what was damaged or cut off
 }
@@ -49,14 +49,14 @@
 // Record is one of a key.
 type Record struct {
 	Key     uint64
-	Number  uint64 // orders the records of a store
+	Sequence  uint64 // orders the records of a store
 	Payload []byte // holds until the visit returns
 }
 
 // The errors of a store. Those of the file system come wrapped.
 var (
 	ErrFull    = errors.New("store: no room")
-	ErrUnknown = errors.New("store: no such key")
+	ErrUnknownKey = errors.New("store: no such key")
 	ErrFailed  = errors.New("store: a write failed and could not be taken back")
 	ErrClosed  = errors.New("store: closed")
 )
@@ -81,8 +81,8 @@
 // blocks is a file's size as it counts.
 func blocks(n int64) int64 { return (n + block - 1) / block * block }
 
-// EndSize is what ending a key may take, at the most.
-const EndSize = segment.RecordHead + mostFixed
+// MaxTombstoneSize is what ending a key may take, at the most.
+const MaxTombstoneSize = segment.RecordHeaderSize + mostFixed
 
 // place is where a record stands.
 type place struct {
@@ -179,10 +179,10 @@
 	}
 	s := &Store{
 		o: o, broken: make(chan struct{}), files: map[uint64]*file{}, keys: map[uint64]*entry{}, leftover: map[string]leftover{}, next: 1, record: 1,
-		plan: plan.Config{Bound: o.Bound - o.Other, Segment: o.Segment, Block: block, Head: segment.HeadSize},
+		plan: plan.Config{MaxBytes: o.MaxBytes - o.OtherBytes, SegmentBytes: o.SegmentBytes, BlockSize: block, HeaderSize: segment.HeaderSize},
 	}
-	if o.Bound-o.Other < 4*(o.Segment+block) || o.Segment < segment.HeadSize+EndSize {
-		return nil, fmt.Errorf("store: %d bytes are too few for segments of %d", o.Bound-o.Other, o.Segment)
+	if o.MaxBytes-o.OtherBytes < 4*(o.SegmentBytes+block) || o.SegmentBytes < segment.HeaderSize+MaxTombstoneSize {
+		return nil, fmt.Errorf("store: %d bytes are too few for segments of %d", o.MaxBytes-o.OtherBytes, o.SegmentBytes)
 	}
 	if err := s.load(visit); err != nil {
 		s.closeFiles()
@@ -287,7 +287,7 @@
 		for _, finding := range findings {
 			s.o.Report("journal: " + finding)
 		}
-		if s.o.Durability != Process { // what is built on from here on must not be taken back by a power cut
+		if s.o.Durability != SyncNever { // what is built on from here on must not be taken back by a power cut
 			if err := g.f.Sync(); err != nil {
 				return fmt.Errorf("store: %s: %w", g.name, err)
 			}
@@ -296,7 +296,7 @@
 			runs = append(runs, items)
 		}
 		if g.size = size; s.head == 0 {
-			s.head = head.Store
+			s.head = head.StoreID
 		}
 	}
 	return s.index(inOrder(runs), ends, visit)
@@ -364,7 +364,7 @@
 		if err != nil {
 			return err
 		}
-		visit(Record{Key: it.key, Number: it.number, Payload: data})
+		visit(Record{Key: it.key, Sequence: it.number, Payload: data})
 	}
 	return nil
 }
@@ -398,7 +398,7 @@
 
 // parse gives the payload of a record that stands at an offset of a segment.
 func (s *Store) parse(g *file, offset int64, b []byte) (data []byte, err error) {
-	payload, err := segment.Read(b, segment.Head{Store: s.head, Number: g.number}, offset)
+	payload, err := segment.Read(b, segment.Header{StoreID: s.head, Number: g.number}, offset)
 	if err == nil {
 		_, _, _, data, err = decode(payload)
 	}
@@ -414,7 +414,7 @@
 	e := s.keys[key]
 	if e == nil || e.ended {
 		s.mu.Unlock()
-		return nil, ErrUnknown
+		return nil, ErrUnknownKey
 	} else if s.closed {
 		s.mu.Unlock()
 		return nil, ErrClosed
@@ -501,7 +501,7 @@
 }
 
 func (s *Store) syncDir() error {
-	if s.o.Durability == Process {
+	if s.o.Durability == SyncNever {
 		return nil
 	}
 	return s.o.FS.Sync()
--- a/internal/routing/wal/store/store_test.go
+++ b/internal/routing/wal/store/store_test.go
@@ -18,7 +18,7 @@
 const testSegment = 4 << 10
 
 func options(m fsys.FS, d Durability) Options {
-	return Options{FS: m, Bound: 64 << 10, Segment: testSegment, Durability: d, Seed: 7}
+	return Options{FS: m, MaxBytes: 64 << 10, SegmentBytes: testSegment, Durability: d, Seed: 7}
 }
 
 // open opens a store and gives what it holds: by key, its payloads in order.
@@ -26,10 +26,10 @@
 	got := map[uint64][]string{}
 	last := uint64(0)
 	s, err := Open(o, func(r Record) {
-		if r.Number <= last {
-			t.Fatalf("record %d behind record %d", r.Number, last)
+		if r.Sequence <= last {
+			t.Fatalf("record %d behind record %d", r.Sequence, last)
 		}
-		last = r.Number
+		last = r.Sequence
 		got[r.Key] = append(got[r.Key], string(r.Payload))
 	})
 	if err != nil {
@@ -113,7 +113,7 @@
 			key = living[rng.IntN(len(living))]
 		}
 		before(key, nil, true)
-		if _, err := s.End(key); err != nil {
+		if _, err := s.Delete(key); err != nil {
 			t.Fatalf("end: %v", err)
 		}
 		delete(m.keys, key)
@@ -150,8 +150,8 @@
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 4))
 		m := newModel()
 		mem := fsys.NewMem()
-		d := rapid.SampledFrom([]Durability{Process, Batch, Each}).Draw(t, "durability")
-		mem.Step = func() {
+		d := rapid.SampledFrom([]Durability{SyncNever, SyncBatch, SyncEach}).Draw(t, "durability")
+		mem.OnChange = func() {
 			if n := used(t, mem); n > 64<<10 {
 				t.Fatalf("%d bytes on disk", n)
 			}
@@ -174,7 +174,7 @@
 			}
 		}
 		for _, key := range m.living() {
-			if _, err := s.End(key); err != nil {
+			if _, err := s.Delete(key); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -195,7 +195,7 @@
 // holds: what was accepted and is durable is there, what ended stays ended, nothing is doubled or torn.
 func TestCrashAtEveryInstant(t *testing.T) {
 	states := 0
-	for _, d := range []Durability{Process, Batch, Each} {
+	for _, d := range []Durability{SyncNever, SyncBatch, SyncEach} {
 		for seed := range uint64(2) {
 			rng := rand.New(rand.NewPCG(seed, uint64(d)))
 			crashes := rand.New(rand.NewPCG(seed, 99))
@@ -208,8 +208,8 @@
 			var inAfter []string
 			var inEnds bool
 			check := func() {
-				for _, how := range []fsys.Loss{fsys.LoseProcess, fsys.LoseUnsynced, fsys.LoseTail, fsys.LoseAnyUnsync, fsys.LoseAnyUnsync} {
-					if d == Process && how != fsys.LoseProcess {
+				for _, how := range []fsys.Loss{fsys.LoseNothing, fsys.LoseUnsynced, fsys.LoseTail, fsys.LoseAnyUnsynced, fsys.LoseAnyUnsynced} {
+					if d == SyncNever && how != fsys.LoseNothing {
 						continue
 					}
 					states++
@@ -218,7 +218,7 @@
 					for key, list := range got {
 						now, lives := m.keys[key]
 						ok := lives && slices.Equal(now, list) || key == inKey && !inEnds && slices.Equal(inAfter, list)
-						if how != fsys.LoseProcess && d == Batch && touched[key] { // any of its records since the commit may be gone
+						if how != fsys.LoseNothing && d == SyncBatch && touched[key] { // any of its records since the commit may be gone
 							all := now
 							if key == inKey && !inEnds {
 								all = inAfter
@@ -232,11 +232,11 @@
 						}
 					}
 					want := m.keys
-					if d == Batch && how != fsys.LoseProcess {
+					if d == SyncBatch && how != fsys.LoseNothing {
 						want = durable
 					}
 					for key := range want {
-						if _, there := got[key]; !there && !(key == inKey && inEnds) && !(d == Batch && m.ended[key]) {
+						if _, there := got[key]; !there && !(key == inKey && inEnds) && !(d == SyncBatch && m.ended[key]) {
 							t.Fatalf("seed %d, durability %d, loss %d: key %d is lost", seed, d, how, key)
 						}
 					}
@@ -246,7 +246,7 @@
 				}
 			}
 			s, _ := open(t, options(mem, d))
-			mem.Step = check
+			mem.OnChange = check
 			for i := range 120 {
 				m.operate(t, s, rng, func(key uint64, after []string, ends bool) {
 					inKey, inAfter, inEnds = key, after, ends
@@ -255,7 +255,7 @@
 					}
 				})
 				inKey, inAfter, inEnds = 0, nil, false
-				if d == Batch && i%7 == 0 {
+				if d == SyncBatch && i%7 == 0 {
 					if err := s.Commit(1 << 60); err != nil {
 						t.Fatal(err)
 					}
@@ -267,7 +267,7 @@
 						sure[key] = true
 					}
 				}
-				if d != Batch {
+				if d != SyncBatch {
 					for key := range m.ended {
 						sure[key] = true
 					}
@@ -300,8 +300,8 @@
 	for _, why := range []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EIO} {
 		for seed := range uint64(40) {
 			rng := rand.New(rand.NewPCG(seed, 8))
-			mem := &fsys.Faults{FS: fsys.NewMem()}
-			s, _ := open(t, options(mem, Process))
+			mem := &fsys.FaultFS{FS: fsys.NewMem()}
+			s, _ := open(t, options(mem, SyncNever))
 			m := newModel()
 			for range 250 {
 				mem.Set(nil)
@@ -324,7 +324,7 @@
 						m.next++
 					}
 				case r < 8:
-					if _, err = s.End(living[0]); err == nil {
+					if _, err = s.Delete(living[0]); err == nil {
 						delete(m.keys, living[0])
 					}
 				default:
@@ -336,12 +336,12 @@
 			}
 			mem.Set(nil)
 			if living := m.living(); len(living) > 0 {
-				if _, err := s.End(living[0]); err != nil {
+				if _, err := s.Delete(living[0]); err != nil {
 					t.Fatalf("%v, seed %d, with the disk back: %v", why, seed, err)
 				}
 				delete(m.keys, living[0])
 			}
-			if _, got := open(t, options(mem, Process)); !cmp.Equal(m.keys, got) {
+			if _, got := open(t, options(mem, SyncNever)); !cmp.Equal(m.keys, got) {
 				t.Fatalf("%v, seed %d:\n%s", why, seed, cmp.Diff(m.keys, got))
 			}
 		}
@@ -351,8 +351,8 @@
 // After a sync that failed nothing more is promised, and what was durable before is there at the next start.
 func TestSyncFails(t *testing.T) {
 	mem := fsys.NewMem()
-	faults := &fsys.Faults{FS: mem}
-	s, _ := open(t, options(faults, Batch))
+	faults := &fsys.FaultFS{FS: mem}
+	s, _ := open(t, options(faults, SyncBatch))
 	num, err := s.Put(1, []byte("kept"), 100)
 	if err != nil || s.Commit(num) != nil {
 		t.Fatal(err)
@@ -377,7 +377,7 @@
 		t.Errorf("put: %v", err)
 	}
 	left := mem.Crash(fsys.LoseUnsynced, rand.New(rand.NewPCG(1, 1)))
-	if _, got := open(t, options(left, Batch)); !cmp.Equal(map[uint64][]string{1: {"kept"}}, got) {
+	if _, got := open(t, options(left, SyncBatch)); !cmp.Equal(map[uint64][]string{1: {"kept"}}, got) {
 		t.Errorf("%v", got)
 	}
 }
@@ -385,7 +385,7 @@
 // A segment of a later version ends the start with a clear error, and is left as it is.
 func TestLaterVersionIsLeftAlone(t *testing.T) {
 	mem := fsys.NewMem()
-	s, _ := open(t, options(mem, Process))
+	s, _ := open(t, options(mem, SyncNever))
 	if _, err := s.Put(1, []byte("x"), 0); err != nil {
 		t.Fatal(err)
 	}
@@ -395,7 +395,7 @@
 		t.Fatal(err)
 	}
 	_, _ = f.Write([]byte("larkseg\n\x02\x00\x00\x00something else"))
-	if _, err := Open(options(mem, Process), nil); err == nil || !bytes.Contains([]byte(err.Error()), []byte("later version")) {
+	if _, err := Open(options(mem, SyncNever), nil); err == nil || !bytes.Contains([]byte(err.Error()), []byte("later version")) {
 		t.Fatalf("%v", err)
 	}
 	if n, _ := f.Size(); n != 26 {
--- a/internal/routing/wal/store/uncertain_test.go
+++ b/internal/routing/wal/store/uncertain_test.go
@@ -13,12 +13,12 @@
 
 // Guards against the removal of either file of a compaction whose manifest may or may not last.
 func TestACompactionWithAnUncertainManifestLosesNothing(t *testing.T) {
-	for _, loss := range []fsys.Loss{fsys.LoseProcess, fsys.LoseUnsynced, fsys.LoseTail, fsys.LoseAnyUnsync} {
+	for _, loss := range []fsys.Loss{fsys.LoseNothing, fsys.LoseUnsynced, fsys.LoseTail, fsys.LoseAnyUnsynced} {
 		for seed := range uint64(20) {
 			rng := rand.New(rand.NewPCG(seed, 13))
 			mem := fsys.NewMem()
-			faults := &fsys.Faults{FS: mem}
-			s, _ := open(t, options(faults, Batch))
+			faults := &fsys.FaultFS{FS: mem}
+			s, _ := open(t, options(faults, SyncBatch))
 			m := newModel()
 			for range 120 {
 				m.operate(t, s, rng, nothing)
@@ -34,12 +34,12 @@
 				}
 				return n, nil
 			})
-			s.Refused()
+			s.NoteRefusal()
 			for range 3 {
 				_, _ = s.Compact(nil)
 			}
 			left := mem.Crash(loss, rng)
-			if _, got := open(t, options(left, Batch)); !cmp.Equal(m.keys, got) {
+			if _, got := open(t, options(left, SyncBatch)); !cmp.Equal(m.keys, got) {
 				t.Fatalf("loss %v, seed %d:\n%s", loss, seed, cmp.Diff(m.keys, got))
 			}
 		}
@@ -76,7 +76,7 @@
 		rng := rand.New(rand.NewPCG(seed, 14))
 		mem := fsys.NewMem()
 		folder := &brokenRename{FS: mem}
-		o := options(folder, Process)
+		o := options(folder, SyncNever)
 		var reported []string
 		o.Report = func(line string) { reported = append(reported, line) }
 		s, _ := open(t, o)
@@ -84,13 +84,13 @@
 		for range 120 {
 			m.operate(t, s, rng, nothing)
 		}
-		s.Refused()
+		s.NoteRefusal()
 		folder.broken = true
 		for range 3 {
 			_, _ = s.Compact(nil)
 		}
 		folder.unreadable = false
-		if _, got := open(t, options(mem.Crash(fsys.LoseProcess, rng), Process)); !cmp.Equal(m.keys, got) {
+		if _, got := open(t, options(mem.Crash(fsys.LoseNothing, rng), SyncNever)); !cmp.Equal(m.keys, got) {
 			t.Fatalf("seed %d, while it is not known:\n%s", seed, cmp.Diff(m.keys, got))
 		}
 		folder.broken = false
@@ -106,7 +106,7 @@
 		if strings.Contains(strings.Join(reported, "\n"), "no compaction until") {
 			uncertain++
 		}
-		if _, got := open(t, options(mem.Crash(fsys.LoseProcess, rng), Process)); !cmp.Equal(m.keys, got) {
+		if _, got := open(t, options(mem.Crash(fsys.LoseNothing, rng), SyncNever)); !cmp.Equal(m.keys, got) {
 			t.Fatalf("seed %d, afterwards:\n%s", seed, cmp.Diff(m.keys, got))
 		}
 	}
--- a/internal/routing/wal/waiting.go
+++ b/internal/routing/wal/waiting.go
@@ -151,13 +151,13 @@
 	write := l.store.Add
 	switch {
 	case payload == nil:
-		write = func(seq uint64, _ []byte) (uint64, error) { return l.store.End(seq) }
+		write = func(seq uint64, _ []byte) (uint64, error) { return l.store.Delete(seq) }
 	case ends(payload):
-		write = l.store.AddOwed
+		write = l.store.AddReserved
 	}
 	number, err := write(seq, payload)
-	l.wrote(number, max(len(payload), store.EndSize))
-	if err != nil && !errors.Is(err, store.ErrUnknown) {
+	l.wrote(number, max(len(payload), store.MaxTombstoneSize))
+	if err != nil && !errors.Is(err, store.ErrUnknownKey) {
 		return fmt.Errorf("wal: %w", err)
 	}
 	return nil
--- a/internal/routing/wal/wal.go
+++ b/internal/routing/wal/wal.go
@@ -201,14 +201,14 @@
 	if o.FS == nil {
 		o.FS = fsys.Dir(dir)
 	}
-	o.FS = fsys.Few(o.FS, openFiles)
+	o.FS = fsys.LimitDescriptors(o.FS, openFiles)
 	l.store, err = store.Open(store.Options{
-		FS: o.FS, Bound: bound, Segment: size, Durability: o.Durability, Seed: uint64(time.Now().UnixNano()),
-		Spare: bound / spareShare, Report: report,
+		FS: o.FS, MaxBytes: bound, SegmentBytes: size, Durability: o.Durability, Seed: uint64(time.Now().UnixNano()),
+		SpareBytes: bound / spareShare, Report: report,
 	}, func(r store.Record) {
-		l.last = max(l.last, r.Number)
+		l.last = max(l.last, r.Sequence)
 		if err := l.apply(r.Payload); err != nil {
-			report(fmt.Sprintf("journal: record %d of %d bytes has no known form, passed over", r.Number, len(r.Payload)))
+			report(fmt.Sprintf("journal: record %d of %d bytes has no known form, passed over", r.Sequence, len(r.Payload)))
 		}
 	})
 	if err != nil {
@@ -218,7 +218,7 @@
 	if err := l.takeOver(dir); err != nil {
 		return nil, errors.Join(err, l.store.Close(), l.lock.Close())
 	}
-	if o.Durability == store.Batch {
+	if o.Durability == store.SyncBatch {
 		l.commits = startCommitter(l.store, func(err error) {
 			report(fmt.Sprintf("journal: nothing is taken on or sent until the next start: %v", err))
 		})
@@ -296,7 +296,7 @@
 	began, from := time.Now(), l.appended.Load()
 	return func(bytes int) {
 		rate := float64(l.appended.Load()-from) / max(0.001, time.Since(began).Seconds())
-		pace := l.store.Pace(rate)
+		pace := l.store.CompactionRate(rate)
 		if pace <= 0 || math.IsInf(pace, 1) {
 			return
 		}
@@ -353,12 +353,12 @@
 }
 
 func (l *Log) reserve(size int) (*Reservation, bool) {
-	if size > segment.MostRecord-64 {
+	if size > segment.MaxPayloadSize-64 {
 		return nil, false
 	}
 	room, fits := l.store.Reserve(size, owedFor)
 	if !fits {
-		l.store.Refused()
+		l.store.NoteRefusal()
 		l.wake()
 		return nil, false
 	}
--- a/internal/routing/wal/wal_test.go
+++ b/internal/routing/wal/wal_test.go
@@ -81,7 +81,7 @@
 			l.Fits(&Message{Body: make([]byte, 2<<20)})
 			for did := true; did; {
 				var err error
-				l.store.Refused()
+				l.store.NoteRefusal()
 				did, err = l.store.Compact(nil)
 				steps = append(steps, err)
 			}
