--- a/internal/routing/disk_faults_test.go
+++ b/internal/routing/disk_faults_test.go
@@ -13,12 +13,12 @@
 
 // faultyDisk is a folder whose writes fail while failing is set.
 type faultyDisk struct {
-	fsys.Faults
+	fsys.FaultFS
 	failing atomic.Bool
 }
 
 func newFaultyDisk(dir string) *faultyDisk {
-	d := &faultyDisk{Faults: fsys.Faults{FS: fsys.Dir(dir)}}
+	d := &faultyDisk{FaultFS: fsys.FaultFS{FS: fsys.Dir(dir)}}
 	d.Set(func(op fsys.Op, _ string, n int) (int, error) {
 		switch op {
 		case fsys.OpWrite, fsys.OpCreate, fsys.OpTruncate, fsys.OpRename:
--- a/internal/routing/durability_test.go
+++ b/internal/routing/durability_test.go
@@ -51,10 +51,10 @@
 }
 
 // newGatedRouter runs a router on a journal whose syncs the test delays.
-func newGatedRouter(t *testing.T, o wal.Options) (*Router, fakeTransport, *syncGate, *fsys.Faults) {
+func newGatedRouter(t *testing.T, o wal.Options) (*Router, fakeTransport, *syncGate, *fsys.FaultFS) {
 	t.Helper()
 	dir, g := t.TempDir(), &syncGate{tried: make(chan struct{}, 64)}
-	faults := &fsys.Faults{FS: fsys.Dir(dir)}
+	faults := &fsys.FaultFS{FS: fsys.Dir(dir)}
 	o.MaxBytes, o.FS = 3e6, faults
 	journal, err := wal.Open(dir, o, func(string) {})
 	if err != nil {
@@ -68,7 +68,7 @@
 // Neither the answer to a client nor a call's first byte may precede the sync of its record; the router serves other
 // events meanwhile.
 func TestNoAnswerBeforeRecordIsDurable(t *testing.T) {
-	r, s, g, _ := newGatedRouter(t, wal.Options{Durability: store.Batch})
+	r, s, g, _ := newGatedRouter(t, wal.Options{Durability: store.SyncBatch})
 	g.shut()
 	verdicts, begun := make(chan Verdict, 2), make(chan bool, 1)
 	go func() { verdicts <- r.Accept(message("m")) }()
@@ -98,7 +98,7 @@
 
 // An endpoint that starts draining while a call's start record is synced does not get the call.
 func TestListIsCheckedAfterSync(t *testing.T) {
-	r, s, g, _ := newGatedRouter(t, wal.Options{Durability: store.Batch})
+	r, s, g, _ := newGatedRouter(t, wal.Options{Durability: store.SyncBatch})
 	if v := r.Accept(message("m")); v.Kind != Accepted {
 		t.Fatal(v)
 	}
@@ -120,7 +120,7 @@
 
 // After a failed sync the client is refused with a retry-after, and no call of the message starts.
 func TestNoCallAfterFailedSync(t *testing.T) {
-	r, s, g, _ := newGatedRouter(t, wal.Options{Durability: store.Batch})
+	r, s, g, _ := newGatedRouter(t, wal.Options{Durability: store.SyncBatch})
 	g.shut()
 	verdict, begun := make(chan Verdict, 1), make(chan bool, 1)
 	go func() { verdict <- r.Accept(message("m")) }()
@@ -145,7 +145,7 @@
 // A delivery report waits for the sync of the end's record: otherwise a power cut could revive the message after its
 // report.
 func TestReportWaitsForSync(t *testing.T) {
-	r, s, g, _ := newGatedRouter(t, wal.Options{Durability: store.Batch})
+	r, s, g, _ := newGatedRouter(t, wal.Options{Durability: store.SyncBatch})
 	r.Accept(message("m"))
 	if c := <-s.calls; !c.Begin() {
 		t.Fatal("the call did not begin")
