--- a/cmd/larkreach/cli.go
+++ b/cmd/larkreach/cli.go
@@ -71,7 +71,7 @@
 	}
 	if b := f.Bodies; b != nil {
 		fmt.Fprintf(io.out, "%s: long bodies on: %d at once, %d of them out, %d bytes held of each direction\n",
-			c.File, b.AtOnce(), b.Slots, b.Window)
+			c.File, b.MaxConcurrent(), b.Slots, b.WindowBytes)
 	} else {
 		fmt.Fprintf(io.out, "%s: long bodies off\n", c.File)
 	}
--- a/cmd/larkreach/fleet_on.go
+++ b/cmd/larkreach/fleet_on.go
@@ -30,7 +30,7 @@
 // openFleet opens this forwarder's part in a fleet.
 func openFleet(own settings.File, cfg config, logger zerolog.Logger) (fleet, error) {
 	c := own.Cluster
-	founders, err := c.Council()
+	founders, err := c.VoterList()
 	if err != nil {
 		return nil, err
 	}
@@ -39,11 +39,11 @@
 		return nil, err
 	}
 	setup := node.Config{
-		Name: cfg.Name, Zone: c.Zone, Region: c.Region, Listen: c.Listen, DialAddresses: c.Via, Copies: c.Copies, ReplicaSpace: int64(c.Space),
+		Name: cfg.Name, Zone: c.Zone, Region: c.Region, Listen: c.Listen, DialAddresses: c.DialAddresses, Copies: c.Copies, ReplicaSpace: int64(c.ReplicaSpace),
 		Timing:         controlplane.Timing{Tick: time.Duration(c.Tick), Lease: time.Duration(c.Lease), Margin: time.Duration(c.Margin)},
-		ReplicaTimeout: time.Duration(c.Patience), AllowUnreplicated: map[string]bool{}, Folder: filepath.Clean(cfg.State), CheckInterval: time.Duration(c.Check),
-		Durability: store.Process, Logger: logger, GossipInterval: time.Duration(c.Beat), CatchUpRate: int64(c.CatchUp),
-		ObservationHalfLife: time.Duration(c.Believe),
+		ReplicaTimeout: time.Duration(c.ReplicaTimeout), AllowUnreplicated: map[string]bool{}, Folder: filepath.Clean(cfg.State), CheckInterval: time.Duration(c.CheckInterval),
+		Durability: store.Process, Logger: logger, GossipInterval: time.Duration(c.GossipInterval), CatchUpRate: int64(c.CatchUpRate),
+		ObservationHalfLife: time.Duration(c.ObservationHalfLife),
 	}
 	for _, f := range founders {
 		setup.Founders = append(setup.Founders, controlplane.Voter{Name: f.Name, Address: f.Address})
@@ -51,14 +51,14 @@
 	for _, r := range relays {
 		setup.Relays = append(setup.Relays, controlplane.Relay{Zone: r.Zone, Address: r.Address})
 	}
-	for _, class := range c.Alone {
+	for _, class := range c.AllowUnreplicated {
 		setup.AllowUnreplicated[class] = true
 	}
 	for _, class := range cfg.Settings.Classes {
 		setup.DedupWindow = max(setup.DedupWindow, class.DeliveryTimeout)
 	}
 	if own.Bodies != nil {
-		setup.DedupWindow = max(setup.DedupWindow, time.Duration(own.Bodies.Longest))
+		setup.DedupWindow = max(setup.DedupWindow, time.Duration(own.Bodies.MaxTimeLeft))
 	}
 	if own.Journal != nil && own.Journal.Durability != settings.DurabilityNone {
 		setup.Durability = store.Batch
@@ -81,7 +81,7 @@
 	}
 	out := &node.LocalityConfig{
 		Topology: plan.Topology{Region: p.Regions, Within: crossing(p.Within), Across: crossing(p.Across), Pairs: map[[2]string]plan.Link{}},
-		Planner:  plan.Defaults(), Window: time.Duration(p.Window), MaxMembers: p.Members, RecordFile: p.Record,
+		Planner:  plan.Defaults(), Window: time.Duration(p.Window), MaxMembers: p.MaxMembers, RecordFile: p.RecordFile,
 		Worth: map[string]float64{},
 	}
 	out.Planner.Hold, out.Planner.Reserve = time.Duration(p.Hold), p.Reserve
--- a/cmd/larkreach/main.go
+++ b/cmd/larkreach/main.go
@@ -211,19 +211,19 @@
 		report(fmt.Sprintf("times go by the wall clock: %v", err))
 	}
 	o := memory.Options{
-		FS: fsys.Dir(cfg.State), Name: cfg.Name, Most: int64(own.Learned.Size), IDs: own.Learned.IDs,
-		Sync: own.Journal != nil && own.Journal.Durability != settings.DurabilityNone, Figures: memory.DefaultFigures,
+		FS: fsys.Dir(cfg.State), Name: cfg.Name, MaxBytes: int64(own.Learned.Size), MaxIDs: own.Learned.MaxIDs,
+		Sync: own.Journal != nil && own.Journal.Durability != settings.DurabilityNone, Decay: memory.DefaultDecay,
 		Clock: clock, Report: report,
 	}
 	for _, c := range cfg.Settings.Classes {
-		o.IDFor = max(o.IDFor, c.DeliveryTimeout)
+		o.IDRetention = max(o.IDRetention, c.DeliveryTimeout)
 	}
 	if own.Bodies != nil {
-		o.IDFor = max(o.IDFor, time.Duration(own.Bodies.Longest))
+		o.IDRetention = max(o.IDRetention, time.Duration(own.Bodies.MaxTimeLeft))
 	}
 	m := memory.Open(o)
-	if l := m.Learned(); len(l.Circuits) > 0 || m.IDs() > 0 {
-		logger.Info().Str("part", "learned").Int("partners", len(l.Circuits)).Int("ids", m.IDs()).Msg("recalled from an earlier life")
+	if l := m.Learned(); len(l.Circuits) > 0 || m.EndedCount() > 0 {
+		logger.Info().Str("part", "learned").Int("partners", len(l.Circuits)).Int("ids", m.EndedCount()).Msg("recalled from an earlier life")
 	}
 	return m
 }
@@ -233,7 +233,7 @@
 	l, ids := router.Learned()
 	s := memory.Snapshot{Learned: l}
 	for _, id := range ids {
-		s.Ended = append(s.Ended, memory.Ended{ID: id.ID, Delivered: id.Delivered, Ago: id.Age})
+		s.Ended = append(s.Ended, memory.Ended{ID: id.ID, Delivered: id.Delivered, Age: id.Age})
 	}
 	return s
 }
@@ -243,7 +243,7 @@
 
 // MarshalZerologObject writes the group.
 func (s saves) MarshalZerologObject(e *zerolog.Event) {
-	e.Int64("files", s.Files).Int64("bytes", s.Bytes).Int64("last", s.Last).Int64("failed", s.Failed)
+	e.Int64("files", s.Files).Int64("bytes", s.Bytes).Int64("last", s.LastBytes).Int64("failed", s.Failed)
 }
 
 var durabilities = map[settings.Durability]store.Durability{
@@ -256,16 +256,16 @@
 	if b == nil {
 		return routing.LongLimits{}, nil, 0, nil
 	}
-	limits := routing.LongLimits{MaxMessages: b.AtOnce(), Slots: b.Slots, MaxTimeLeft: time.Duration(b.Longest)}
+	limits := routing.LongLimits{MaxMessages: b.MaxConcurrent(), Slots: b.Slots, MaxTimeLeft: time.Duration(b.MaxTimeLeft)}
 	files := limits.MaxMessages + filesPerLong*limits.Slots
 	if files > l.Sockets/2 {
 		return limits, nil, 0, fmt.Errorf("settings: bodies.total: %d long messages at once and %d calls take more than half of"+
 			" the %d descriptors", limits.MaxMessages, limits.Slots, l.Sockets)
 	}
-	if share := int64(heapShare * float64(l.MemoryMB<<20)); int64(b.Total) > share {
-		return limits, nil, 0, fmt.Errorf("settings: bodies.total: %d bytes of %d that may be held in all", b.Total, share)
+	if share := int64(heapShare * float64(l.MemoryMB<<20)); int64(b.TotalWindowBytes) > share {
+		return limits, nil, 0, fmt.Errorf("settings: bodies.total: %d bytes of %d that may be held in all", b.TotalWindowBytes, share)
 	}
-	return limits, &transport.Streams{MaxBodyBytes: int64(b.Most), IdleTimeout: time.Duration(b.Idle), WindowBytes: int(b.Window)}, files, nil
+	return limits, &transport.Streams{MaxBodyBytes: int64(b.MaxBodyBytes), IdleTimeout: time.Duration(b.IdleTimeout), WindowBytes: int(b.WindowBytes)}, files, nil
 }
 
 // errBroken ends the process where its supervisor's next start is the way out.
--- a/cmd/larkreach/relay_on.go
+++ b/cmd/larkreach/relay_on.go
@@ -21,7 +21,7 @@
 
 // Run serves until a signal ends it.
 func (c relayCmd) Run(io streams) error {
-	voters, err := settings.Cluster{Founders: c.Voters}.Council()
+	voters, err := settings.Cluster{Voters: c.Voters}.VoterList()
 	if err != nil {
 		return err
 	}
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -38,7 +38,7 @@
 	load     float64   // factor
 	nextID   mb.MessageID
 	list     []mb.Entry
-	figures  memory.Figures
+	figures  memory.DecayConfig
 	without  map[scenario.Mend]bool
 	result   Result
 	checks   checker
@@ -58,7 +58,7 @@
 		return nil, fmt.Errorf("world: %w", err)
 	}
 	w := &World{
-		s: s, rng: rand.New(rand.NewPCG(seed, 1)), byName: map[mb.EndpointID]*partner{}, load: 1, figures: memory.DefaultFigures,
+		s: s, rng: rand.New(rand.NewPCG(seed, 1)), byName: map[mb.EndpointID]*partner{}, load: 1, figures: memory.DefaultDecay,
 		result: Result{Scenario: s.Name, Seed: seed, Classes: map[string]*ClassResult{}},
 	}
 	w.checks.w = w
--- a/internal/memory/clock_test.go
+++ b/internal/memory/clock_test.go
@@ -23,7 +23,7 @@
 			lane := mb.LearnedCircuit{Destination: 1, Wait: 10 * time.Second, GuardFrom: -1, LastBad: -1, LastOK: -1}
 			err := first.Save(Snapshot{
 				Learned: mb.LearnedState{Circuits: []mb.LearnedCircuit{lane}},
-				Ended:   []Ended{{ID: "young", Ago: time.Second}, {ID: "old", Ago: 19 * time.Second}},
+				Ended:   []Ended{{ID: "young", Age: time.Second}, {ID: "old", Age: 19 * time.Second}},
 			})
 			if err != nil {
 				t.Fatal(err)
--- a/internal/memory/memory.go
+++ b/internal/memory/memory.go
@@ -34,11 +34,11 @@
 type Options struct {
 	FS      fsys.FS
 	Name    string        // the forwarder's: what another has learned is not taken over
-	Most    int64         // bytes of the file; while it is replaced two of them are there
-	IDs     int           // ended ids that are kept at the most
-	IDFor   time.Duration // how long an ended id may still be meant
+	MaxBytes    int64         // bytes of the file; while it is replaced two of them are there
+	MaxIDs     int           // ended ids that are kept at the most
+	IDRetention   time.Duration // how long an ended id may still be meant
 	Sync    bool          // it is to outlast the machine as well
-	Figures Figures
+	Decay DecayConfig
 	Now     func() time.Time
 	Clock   *bootclock.Clock // by which times outlast the process; nil has them go by the wall clock
 	Report  func(string)
@@ -54,7 +54,7 @@
 type Ended struct {
 	ID        string
 	Delivered bool
-	Ago       time.Duration
+	Age       time.Duration
 }
 
 // Memory is what an earlier life has left, and where this one leaves its own. Its methods may be called from any goroutine.
@@ -70,7 +70,7 @@
 type Saves struct {
 	Files  int64
 	Bytes  int64 // of all of them
-	Last   int64 // bytes of the last
+	LastBytes   int64 // bytes of the last
 	Failed int64
 }
 
@@ -103,17 +103,17 @@
 		o.Report(fmt.Sprintf("the wall clock was set by %v since the file was saved; times go by the boot's clock", stepped.Round(time.Millisecond)))
 	}
 	age := now.Sub(saved)
-	jumped := age < -o.Figures.Behind
+	jumped := age < -o.Decay.ClockTolerance
 	if jumped {
 		o.Report(fmt.Sprintf("the clock is %v behind the file's: what says go is not believed", -age))
 	}
-	m.learned = o.Figures.Weigh(c.learned, max(0, age), jumped)
+	m.learned = o.Decay.Weigh(c.learned, max(0, age), jumped)
 	for _, e := range c.ended {
 		left := e.until.Sub(c.saved) - age
 		if jumped { // its time counts anew: rather too long than not at all
-			left = o.IDFor
+			left = o.IDRetention
 		}
-		if left > 0 && left <= o.IDFor {
+		if left > 0 && left <= o.IDRetention {
 			e.until = now.Add(left) // by the clock of this process, which nobody sets
 			m.ids[e.id] = e
 		}
@@ -132,8 +132,8 @@
 	if err != nil {
 		return content{}, err
 	}
-	if size > m.o.Most {
-		return content{}, fmt.Errorf("%w: %d bytes, %d are the most", ErrDamaged, size, m.o.Most)
+	if size > m.o.MaxBytes {
+		return content{}, fmt.Errorf("%w: %d bytes, %d are the most", ErrDamaged, size, m.o.MaxBytes)
 	}
 	b, err := io.ReadAll(io.NewSectionReader(f, 0, size))
 	if err != nil {
@@ -148,8 +148,8 @@
 // hash names an id in the file. It is bound to the forwarder's name, and 128 bits wide: ids that differ don't meet.
 func (m *Memory) hash(id string) xxh3.Uint128 { return xxh3.HashString128(m.o.Name + "\x00" + id) }
 
-// IDs is how many ids of ended messages are known of earlier lives.
-func (m *Memory) IDs() int {
+// EndedCount is how many ids of ended messages are known of earlier lives.
+func (m *Memory) EndedCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.ids)
@@ -181,7 +181,7 @@
 	}
 	m.saves.Files++
 	m.saves.Bytes += int64(len(b))
-	m.saves.Last = int64(len(b))
+	m.saves.LastBytes = int64(len(b))
 	return nil
 }
 
@@ -199,7 +199,7 @@
 	c.ended = m.endedNow(s.Ended, now)
 	for {
 		b := encode(c)
-		over := int64(len(b)) - m.o.Most
+		over := int64(len(b)) - m.o.MaxBytes
 		switch {
 		case over <= 0:
 			return b
@@ -229,12 +229,12 @@
 		out = append(out, e)
 	}
 	for _, e := range list {
-		if until := now.Add(m.o.IDFor - e.Ago); now.Before(until) {
+		if until := now.Add(m.o.IDRetention - e.Age); now.Before(until) {
 			out = append(out, ended{m.hash(e.ID), e.Delivered, until})
 		}
 	}
 	slices.SortFunc(out, func(a, b ended) int { return a.until.Compare(b.until) })
-	return out[max(0, len(out)-m.o.IDs):]
+	return out[max(0, len(out)-m.o.MaxIDs):]
 }
 
 // Run saves what take gives, at intervals and once more when ctx ends. A failure is reported once until a save succeeds.
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -27,7 +27,7 @@
 // options are those of a memory whose reports the test reads.
 func options(fs fsys.FS, c *clock, told *[]string) Options {
 	return Options{
-		FS: fs, Name: "n1", Most: 64 << 10, IDs: 100, IDFor: 20 * time.Second, Figures: DefaultFigures, Now: c.now,
+		FS: fs, Name: "n1", MaxBytes: 64 << 10, MaxIDs: 100, IDRetention: 20 * time.Second, Decay: DefaultDecay, Now: c.now,
 		Report: func(line string) { *told = append(*told, line) },
 	}
 }
@@ -253,7 +253,7 @@
 		{5 * time.Hour, false, 0, 0, 0.001, true}, // healthy or not: by now it may be cold
 		{time.Hour, true, 90 * time.Second, 0, 0, true},
 	} {
-		got := DefaultFigures.Weigh(l, c.age, c.jumped).Circuits[0]
+		got := DefaultDecay.Weigh(l, c.age, c.jumped).Circuits[0]
 		if got.Breaker != mb.BreakerOpen || !got.Guard || got.Wait != c.wait || got.Trust < c.least || got.Trust > c.most || got.Cold != c.cold {
 			t.Errorf("after %v, jumped %v: %+v", c.age, c.jumped, got)
 		}
@@ -367,26 +367,26 @@
 		})
 	}
 	for i := range 100 {
-		s.Ended = append(s.Ended, Ended{ID: fmt.Sprint(i), Ago: time.Duration(100-i) * time.Millisecond})
+		s.Ended = append(s.Ended, Ended{ID: fmt.Sprint(i), Age: time.Duration(100-i) * time.Millisecond})
 	}
-	o.Most = 1 << 20
+	o.MaxBytes = 1 << 20
 	m := Open(o)
 	if err := m.Save(s); err != nil {
 		t.Fatal(err)
 	}
-	whole := m.Saves().Last
+	whole := m.Saves().LastBytes
 	t.Logf("1,000 partners with two endpoints each and 100 ids: %d bytes", whole)
-	if l := Open(o); len(l.Learned().Circuits) != 1000 || l.IDs() != 100 {
-		t.Errorf("%d partners, %d ids", len(l.Learned().Circuits), l.IDs())
+	if l := Open(o); len(l.Learned().Circuits) != 1000 || l.EndedCount() != 100 {
+		t.Errorf("%d partners, %d ids", len(l.Learned().Circuits), l.EndedCount())
 	}
 	for _, most := range []int64{whole - 1, whole - 50*endedSize, whole / 2, 2000} {
-		o.Most = most
+		o.MaxBytes = most
 		if err := m.Save(s); err != nil {
 			t.Fatal(err)
 		}
-		m.o.Most = most
-		if err := m.Save(s); err != nil || m.Saves().Last > most {
-			t.Errorf("%d bytes of %d: %v", m.Saves().Last, most, err)
+		m.o.MaxBytes = most
+		if err := m.Save(s); err != nil || m.Saves().LastBytes > most {
+			t.Errorf("%d bytes of %d: %v", m.Saves().LastBytes, most, err)
 		}
 		l := Open(o).Learned().Circuits
 		for _, lane := range l {
--- a/internal/settings/entries.go
+++ b/internal/settings/entries.go
@@ -61,7 +61,7 @@
 		table := "destination." + name
 		number, err := strconv.ParseInt(name, 10, 64)
 		if err != nil {
-			return nil, &Error{Path: path, Line: lines[table], Key: table, What: fmt.Sprintf("%q is no number of a destination", name)}
+			return nil, &Error{Path: path, Line: lines[table], Key: table, Problem: fmt.Sprintf("%q is no number of a destination", name)}
 		}
 		entries = append(entries, entry.Entry{Destination: file.Destination[name].destination(number)})
 		if err := checkEntry(path, lines, table, entries[len(entries)-1]); err != nil {
@@ -75,7 +75,7 @@
 		}
 	}
 	if len(entries) == 0 {
-		return nil, &Error{Path: path, What: "no [destination.NUMBER] and no [class.NAME] in it"}
+		return nil, &Error{Path: path, Problem: "no [destination.NUMBER] and no [class.NAME] in it"}
 	}
 	return entries, nil
 }
@@ -103,7 +103,7 @@
 	if field := invalid.Field; field != "class" && field != "destination" && field != "size" { // these are the table's own
 		key += "." + field
 	}
-	return &Error{Path: path, Line: line, Key: key, What: invalid.Problem}
+	return &Error{Path: path, Line: line, Key: key, Problem: invalid.Problem}
 }
 
 // FormatEntries writes entries as a file that ParseEntries reads.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -35,8 +35,8 @@
 	Hold      Duration          `toml:"hold"`    // how long a plan holds for one that hears of no other
 	Window    Duration          `toml:"window"`  // in which evidence is gathered, and from plan to plan
 	Reserve   float64           `toml:"reserve"` // share of each place's capacity for those without a plan
-	Record    string            `toml:"record"`  // a file of the planner's evidence, for larklab plan; "" is none
-	Members   int               `toml:"members"` // forwarders that there may be at the most: their parts of the reserve
+	RecordFile    string            `toml:"record"`  // a file of the planner's evidence, for larklab plan; "" is none
+	MaxMembers   int               `toml:"members"` // forwarders that there may be at the most: their parts of the reserve
 }
 
 // Crossing is what it costs to go from one place to another.
@@ -55,7 +55,7 @@
 
 var placeDefaults = Place{
 	Within: Crossing{Delay: Duration(2 * time.Millisecond)}, Across: Crossing{Delay: Duration(30 * time.Millisecond)},
-	Hold: Duration(6 * time.Second), Window: Duration(time.Second), Reserve: 0.04, Members: 300,
+	Hold: Duration(6 * time.Second), Window: Duration(time.Second), Reserve: 0.04, MaxMembers: 300,
 }
 
 func (c Crossing) absurd() bool {
@@ -86,8 +86,8 @@
 		return "place.hold", fmt.Sprintf("%v; from three windows to 1h are possible", time.Duration(p.Hold))
 	case !(p.Reserve >= 0 && p.Reserve <= 0.5):
 		return "place.reserve", "it is from 0 to 0.5"
-	case p.Members < 1 || p.Members > mostMembers:
-		return "place.members", fmt.Sprintf("%d; from 1 to %d are possible", p.Members, mostMembers)
+	case p.MaxMembers < 1 || p.MaxMembers > mostMembers:
+		return "place.members", fmt.Sprintf("%d; from 1 to %d are possible", p.MaxMembers, mostMembers)
 	}
 	return "", ""
 }
@@ -97,26 +97,26 @@
 	Listen   string            `toml:"listen"`   // host:port of the links between members; also what others dial
 	Zone     string            `toml:"zone"`     //
 	Region   string            `toml:"region"`   //
-	Founders []string          `toml:"founders"` // of the council, name@host:port each; 1, 3, 5 or 7
+	Voters []string          `toml:"founders"` // of the council, name@host:port each; 1, 3, 5 or 7
 	Copies   int               `toml:"copies"`   // of each message, its owner's own included
-	Alone    []string          `toml:"alone"`    // classes that go on without a copy when nobody can keep one
-	Space    Bytes             `toml:"space"`    // of the state folder, for copies that are kept for others
+	AllowUnreplicated    []string          `toml:"alone"`    // classes that go on without a copy when nobody can keep one
+	ReplicaSpace    Bytes             `toml:"space"`    // of the state folder, for copies that are kept for others
 	Lease    Duration          `toml:"lease"`    // how long a member may act after it has asked
 	Margin   Duration          `toml:"margin"`   // by which the council waits longer
 	Tick     Duration          `toml:"tick"`     // of the council's clock; a lost leader is missed after 10 to 20
-	Patience Duration          `toml:"patience"` // how long a keeper may be out of reach before another is chosen
-	Check    Duration          `toml:"check"`    // between two comparisons of copies; 0 is never
-	CatchUp  Bytes             `toml:"catch-up"` // a second, to a keeper that is brought up to date while others count
-	Beat     Duration          `toml:"beat"`     // between two tellings of what was seen of partners; 0 is none
-	Believe  Duration          `toml:"believe"`  // how long one member's word of a partner counts by itself
-	Via      map[string]string `toml:"via"`      // what is dialled for an address, where that differs
+	ReplicaTimeout Duration          `toml:"patience"` // how long a keeper may be out of reach before another is chosen
+	CheckInterval    Duration          `toml:"check"`    // between two comparisons of copies; 0 is never
+	CatchUpRate  Bytes             `toml:"catch-up"` // a second, to a keeper that is brought up to date while others count
+	GossipInterval     Duration          `toml:"beat"`     // between two tellings of what was seen of partners; 0 is none
+	ObservationHalfLife  Duration          `toml:"believe"`  // how long one member's word of a partner counts by itself
+	DialAddresses      map[string]string `toml:"via"`      // what is dialled for an address, where that differs
 	Relays   []string          `toml:"relays"`   // that carry requests to the voters, zone@host:port each; none: voters are asked
 }
 
 var clusterDefaults = Cluster{
-	Copies: 2, Space: 64 << 20, Lease: Duration(time.Second), Margin: Duration(200 * time.Millisecond), Tick: Duration(100 * time.Millisecond),
-	Patience: Duration(500 * time.Millisecond), Check: Duration(10 * time.Second),
-	CatchUp: 2 << 20, Beat: Duration(100 * time.Millisecond), Believe: Duration(10 * time.Second), Relays: []string{},
+	Copies: 2, ReplicaSpace: 64 << 20, Lease: Duration(time.Second), Margin: Duration(200 * time.Millisecond), Tick: Duration(100 * time.Millisecond),
+	ReplicaTimeout: Duration(500 * time.Millisecond), CheckInterval: Duration(10 * time.Second),
+	CatchUpRate: 2 << 20, GossipInterval: Duration(100 * time.Millisecond), ObservationHalfLife: Duration(10 * time.Second), Relays: []string{},
 }
 
 // Bounds of what a fleet can be told.
@@ -135,12 +135,12 @@
 	mostBelieve   = 10 * time.Minute
 )
 
-// Founder is one of the council's.
-type Founder struct{ Name, Address string }
+// Voter is one of the council's.
+type Voter struct{ Name, Address string }
 
-// Council reads the founders.
-func (c Cluster) Council() (out []Founder, err error) {
-	for _, f := range c.Founders {
+// VoterList reads the founders.
+func (c Cluster) VoterList() (out []Voter, err error) {
+	for _, f := range c.Voters {
 		name, address, ok := strings.Cut(f, "@")
 		if _, port, bad := net.SplitHostPort(address); !ok || name == "" || bad != nil || port == "" {
 			return nil, fmt.Errorf("%q is no founder: name@host:port", f)
@@ -150,7 +150,7 @@
 				return nil, fmt.Errorf("%q is named twice", f)
 			}
 		}
-		out = append(out, Founder{name, address})
+		out = append(out, Voter{name, address})
 	}
 	return out, nil
 }
@@ -184,7 +184,7 @@
 	if _, err := c.RelayList(); err != nil {
 		return "cluster.relays", err.Error()
 	}
-	founders, err := c.Council()
+	founders, err := c.VoterList()
 	switch _, port, bad := net.SplitHostPort(c.Listen); {
 	case bad != nil || port == "":
 		return "cluster.listen", fmt.Sprintf("%q is no host:port", c.Listen)
@@ -194,24 +194,24 @@
 		return "cluster.founders", fmt.Sprintf("%d of them; 1, 3, 5 or 7 are possible", len(founders))
 	case c.Copies < 1 || c.Copies > mostCopies:
 		return "cluster.copies", fmt.Sprintf("%d; from 1 to %d are possible", c.Copies, mostCopies)
-	case c.Space < leastSpace:
-		return "cluster.space", fmt.Sprintf("%d bytes; at least %d are needed", c.Space, leastSpace)
+	case c.ReplicaSpace < leastSpace:
+		return "cluster.space", fmt.Sprintf("%d bytes; at least %d are needed", c.ReplicaSpace, leastSpace)
 	case time.Duration(c.Lease) < leastLease || time.Duration(c.Lease) > mostLease:
 		return "cluster.lease", fmt.Sprintf("%v; from %v to %v are possible", time.Duration(c.Lease), leastLease, mostLease)
 	case c.Margin < c.Lease/20 || c.Margin > c.Lease:
 		return "cluster.margin", fmt.Sprintf("%v; from a twentieth of the lease to all of it is possible", time.Duration(c.Margin))
 	case c.Tick < Duration(10*time.Millisecond) || c.Tick > c.Lease:
 		return "cluster.tick", fmt.Sprintf("%v; from 10ms to the lease is possible", time.Duration(c.Tick))
-	case time.Duration(c.Patience) < leastPatience || c.Patience > Duration(time.Minute):
-		return "cluster.patience", fmt.Sprintf("%v; from %v to 1m are possible", time.Duration(c.Patience), leastPatience)
-	case c.Check < 0:
+	case time.Duration(c.ReplicaTimeout) < leastPatience || c.ReplicaTimeout > Duration(time.Minute):
+		return "cluster.patience", fmt.Sprintf("%v; from %v to 1m are possible", time.Duration(c.ReplicaTimeout), leastPatience)
+	case c.CheckInterval < 0:
 		return "cluster.check", "it is below 0"
-	case c.CatchUp < leastCatchUp:
-		return "cluster.catch-up", fmt.Sprintf("%d bytes; at least %d are needed", c.CatchUp, leastCatchUp)
-	case c.Beat != 0 && (time.Duration(c.Beat) < leastBeat || c.Beat > c.Believe):
-		return "cluster.beat", fmt.Sprintf("%v; 0s, or from %v to believe is possible", time.Duration(c.Beat), leastBeat)
-	case time.Duration(c.Believe) < leastBelieve || time.Duration(c.Believe) > mostBelieve:
-		return "cluster.believe", fmt.Sprintf("%v; from %v to %v are possible", time.Duration(c.Believe), leastBelieve, mostBelieve)
+	case c.CatchUpRate < leastCatchUp:
+		return "cluster.catch-up", fmt.Sprintf("%d bytes; at least %d are needed", c.CatchUpRate, leastCatchUp)
+	case c.GossipInterval != 0 && (time.Duration(c.GossipInterval) < leastBeat || c.GossipInterval > c.ObservationHalfLife):
+		return "cluster.beat", fmt.Sprintf("%v; 0s, or from %v to believe is possible", time.Duration(c.GossipInterval), leastBeat)
+	case time.Duration(c.ObservationHalfLife) < leastBelieve || time.Duration(c.ObservationHalfLife) > mostBelieve:
+		return "cluster.believe", fmt.Sprintf("%v; from %v to %v are possible", time.Duration(c.ObservationHalfLife), leastBelieve, mostBelieve)
 	}
 	return "", ""
 }
@@ -220,10 +220,10 @@
 type Learned struct {
 	Interval Duration `toml:"interval"` // between two saves
 	Size     Bytes    `toml:"size"`     // of the file; for a moment two of them are there
-	IDs      int      `toml:"ids"`      // of ended messages, at the most
+	MaxIDs      int      `toml:"ids"`      // of ended messages, at the most
 }
 
-var learnedDefaults = Learned{Interval: Duration(2 * time.Second), Size: 256 << 10, IDs: 4096}
+var learnedDefaults = Learned{Interval: Duration(2 * time.Second), Size: 256 << 10, MaxIDs: 4096}
 
 // Journal says how what was taken on is kept.
 type Journal struct {
@@ -247,18 +247,18 @@
 
 // Bodies says how bodies longer than the journalled kind are passed on.
 type Bodies struct {
-	Most    Bytes    `toml:"most"`    // of one body, in either direction
-	Window  Bytes    `toml:"window"`  // held of one body, in either direction
-	Total   Bytes    `toml:"total"`   // of all windows
+	MaxBodyBytes    Bytes    `toml:"most"`    // of one body, in either direction
+	WindowBytes  Bytes    `toml:"window"`  // held of one body, in either direction
+	TotalWindowBytes   Bytes    `toml:"total"`   // of all windows
 	Slots   int      `toml:"slots"`   // calls with long bodies out at once
-	Idle    Duration `toml:"idle"`    // no byte moved in either direction for so long ends a call
-	Longest Duration `toml:"longest"` // how long a long message may live
+	IdleTimeout    Duration `toml:"idle"`    // no byte moved in either direction for so long ends a call
+	MaxTimeLeft Duration `toml:"longest"` // how long a long message may live
 }
 
 // Defaults for the keys that a table leaves out.
 var bodiesDefaults = Bodies{
-	Most: 16 << 30, Window: 256 << 10, Total: 24 << 20, Slots: 4, Idle: Duration(20 * time.Second),
-	Longest: Duration(30 * time.Minute),
+	MaxBodyBytes: 16 << 30, WindowBytes: 256 << 10, TotalWindowBytes: 24 << 20, Slots: 4, IdleTimeout: Duration(20 * time.Second),
+	MaxTimeLeft: Duration(30 * time.Minute),
 }
 
 // Bounds of what can be meant.
@@ -280,8 +280,8 @@
 	mostDuration = 24 * time.Hour
 )
 
-// AtOnce is how many long messages the total has room for, each with a window for either direction.
-func (b Bodies) AtOnce() int { return int(b.Total / (2 * b.Window)) }
+// MaxConcurrent is how many long messages the total has room for, each with a window for either direction.
+func (b Bodies) MaxConcurrent() int { return int(b.TotalWindowBytes / (2 * b.WindowBytes)) }
 
 // Bytes is an amount: a whole number with one of the units B, KiB, MiB, GiB, TiB, KB, MB, GB, TB.
 type Bytes int64
@@ -330,7 +330,7 @@
 	Path string
 	Line int    // 0: it is in no one line
 	Key  string // "" where there is none
-	What string
+	Problem string
 }
 
 func (e *Error) Error() string {
@@ -341,7 +341,7 @@
 	if e.Key != "" {
 		at += ": " + e.Key
 	}
-	return "settings: " + at + ": " + e.What
+	return "settings: " + at + ": " + e.Problem
 }
 
 // Load reads and checks a file. Its errors are *Error, or say that the file can't be read.
@@ -382,25 +382,25 @@
 		return File{}, located(path, err)
 	}
 	bad := func(key, format string, args ...any) (File, error) {
-		return File{}, &Error{Path: path, Line: lineOf(lines, key), Key: key, What: fmt.Sprintf(format, args...)}
+		return File{}, &Error{Path: path, Line: lineOf(lines, key), Key: key, Problem: fmt.Sprintf(format, args...)}
 	}
 	if b := f.Bodies; b != nil {
 		switch {
-		case b.Window < leastWindow || b.Window > mostWindow:
-			return bad("bodies.window", "%d bytes; from %d to %d are possible", b.Window, leastWindow, mostWindow)
-		case b.Total < 2*b.Window:
-			return bad("bodies.total", "%d bytes have no room for the two windows of one message, %d bytes", b.Total, 2*b.Window)
-		case b.Most < leastWindow:
-			return bad("bodies.most", "%d bytes; at least %d are needed", b.Most, leastWindow)
+		case b.WindowBytes < leastWindow || b.WindowBytes > mostWindow:
+			return bad("bodies.window", "%d bytes; from %d to %d are possible", b.WindowBytes, leastWindow, mostWindow)
+		case b.TotalWindowBytes < 2*b.WindowBytes:
+			return bad("bodies.total", "%d bytes have no room for the two windows of one message, %d bytes", b.TotalWindowBytes, 2*b.WindowBytes)
+		case b.MaxBodyBytes < leastWindow:
+			return bad("bodies.most", "%d bytes; at least %d are needed", b.MaxBodyBytes, leastWindow)
 		case b.Slots < 1 || b.Slots > mostSlots:
 			return bad("bodies.slots", "%d; from 1 to %d are possible", b.Slots, mostSlots)
-		case b.Slots > b.AtOnce():
-			return bad("bodies.slots", "%d calls at once; the windows of total have room for %d", b.Slots, b.AtOnce())
-		case time.Duration(b.Idle) < leastIdle || time.Duration(b.Idle) > mostDuration:
-			return bad("bodies.idle", "%v; from %v to %v are possible", time.Duration(b.Idle), leastIdle, mostDuration)
-		case b.Longest < b.Idle || time.Duration(b.Longest) > mostDuration:
-			return bad("bodies.longest", "%v; from idle, %v, to %v are possible", time.Duration(b.Longest),
-				time.Duration(b.Idle), mostDuration)
+		case b.Slots > b.MaxConcurrent():
+			return bad("bodies.slots", "%d calls at once; the windows of total have room for %d", b.Slots, b.MaxConcurrent())
+		case time.Duration(b.IdleTimeout) < leastIdle || time.Duration(b.IdleTimeout) > mostDuration:
+			return bad("bodies.idle", "%v; from %v to %v are possible", time.Duration(b.IdleTimeout), leastIdle, mostDuration)
+		case b.MaxTimeLeft < b.IdleTimeout || time.Duration(b.MaxTimeLeft) > mostDuration:
+			return bad("bodies.longest", "%v; from idle, %v, to %v are possible", time.Duration(b.MaxTimeLeft),
+				time.Duration(b.IdleTimeout), mostDuration)
 		}
 	}
 	if l := f.Learned; l != nil {
@@ -409,8 +409,8 @@
 			return bad("learned.interval", "%v; from %v to %v are possible", time.Duration(l.Interval), leastSave, mostSave)
 		case l.Size < leastLearned || l.Size > mostLearned:
 			return bad("learned.size", "%d bytes; from %d to %d are possible", l.Size, leastLearned, mostLearned)
-		case l.IDs < 0 || l.IDs > mostIDs:
-			return bad("learned.ids", "%d; from 0 to %d are possible", l.IDs, mostIDs)
+		case l.MaxIDs < 0 || l.MaxIDs > mostIDs:
+			return bad("learned.ids", "%d; from 0 to %d are possible", l.MaxIDs, mostIDs)
 		}
 	}
 	if c := f.Cluster; c != nil {
@@ -444,16 +444,16 @@
 	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
 		first := &unknown.Errors[0]
 		line, _ := first.Position()
-		return &Error{Path: path, Line: line, Key: strings.Join(first.Key(), "."), What: "no such key"}
+		return &Error{Path: path, Line: line, Key: strings.Join(first.Key(), "."), Problem: "no such key"}
 	}
 	var wrong *toml.DecodeError
 	if errors.As(err, &wrong) {
 		line, _ := wrong.Position()
 		return &Error{
-			Path: path, Line: line, Key: strings.Join(wrong.Key(), "."), What: strings.TrimPrefix(wrong.Error(), "toml: "),
+			Path: path, Line: line, Key: strings.Join(wrong.Key(), "."), Problem: strings.TrimPrefix(wrong.Error(), "toml: "),
 		}
 	}
-	return &Error{Path: path, What: err.Error()}
+	return &Error{Path: path, Problem: err.Error()}
 }
 
 // lineOf is the line of a key, or else of the table it belongs in.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -59,9 +59,9 @@
 		t.Fatal(err)
 	}
 	want := bodiesDefaults
-	want.Window, want.Idle = 1<<20, Duration(90*time.Second)
-	if diff := cmp.Diff(want, *f.Bodies); diff != "" || f.Bodies.AtOnce() != 12 {
-		t.Errorf("%d at once\n%s", f.Bodies.AtOnce(), diff)
+	want.WindowBytes, want.IdleTimeout = 1<<20, Duration(90*time.Second)
+	if diff := cmp.Diff(want, *f.Bodies); diff != "" || f.Bodies.MaxConcurrent() != 12 {
+		t.Errorf("%d at once\n%s", f.Bodies.MaxConcurrent(), diff)
 	}
 	raw, err := os.ReadFile("../../deploy/larkreach.toml")
 	if err != nil {
@@ -79,8 +79,8 @@
 		t.Fatal(err)
 	}
 	wanted := clusterDefaults
-	wanted.Listen, wanted.Zone, wanted.Region, wanted.Founders, wanted.Alone = c.Cluster.Listen, c.Cluster.Zone, c.Cluster.Region, c.Cluster.Founders, c.Cluster.Alone
-	if diff := cmp.Diff(&wanted, c.Cluster); diff != "" || len(wanted.Founders) != 3 {
+	wanted.Listen, wanted.Zone, wanted.Region, wanted.Voters, wanted.AllowUnreplicated = c.Cluster.Listen, c.Cluster.Zone, c.Cluster.Region, c.Cluster.Voters, c.Cluster.AllowUnreplicated
+	if diff := cmp.Diff(&wanted, c.Cluster); diff != "" || len(wanted.Voters) != 3 {
 		t.Errorf("the fleet's example differs from the defaults:\n%s", diff)
 	}
 	place, err := os.ReadFile("../../deploy/place.toml")
@@ -91,7 +91,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p := both.Place; p.Hold != placeDefaults.Hold || p.Window != placeDefaults.Window || p.Reserve != placeDefaults.Reserve || p.Members != placeDefaults.Members ||
+	if p := both.Place; p.Hold != placeDefaults.Hold || p.Window != placeDefaults.Window || p.Reserve != placeDefaults.Reserve || p.MaxMembers != placeDefaults.MaxMembers ||
 		len(p.Crossings) != 1 || p.Crossings[0].Price != 0.3 || p.Regions["z3"] != "r2" {
 		t.Errorf("the example of places: %+v", p)
 	}
