--- a/internal/memory/memory.go
+++ b/internal/memory/memory.go
@@ -32,16 +32,16 @@
 
 // Options are what a memory is opened with.
 type Options struct {
-	FS      fsys.FS
-	Name    string        // the forwarder's: what another has learned is not taken over
+	FS          fsys.FS
+	Name        string        // the forwarder's: what another has learned is not taken over
 	MaxBytes    int64         // bytes of the file; while it is replaced two of them are there
-	MaxIDs     int           // ended ids that are kept at the most
-	IDRetention   time.Duration // how long an ended id may still be meant
-	Sync    bool          // it is to outlast the machine as well
-	Decay DecayConfig
-	Now     func() time.Time
-	Clock   *bootclock.Clock // by which times outlast the process; nil has them go by the wall clock
-	Report  func(string)
+	MaxIDs      int           // ended ids that are kept at the most
+	IDRetention time.Duration // how long an ended id may still be meant
+	Sync        bool          // it is to outlast the machine as well
+	Decay       DecayConfig
+	Now         func() time.Time
+	Clock       *bootclock.Clock // by which times outlast the process; nil has them go by the wall clock
+	Report      func(string)
 }
 
 // Snapshot is what is kept.
@@ -68,10 +68,10 @@
 
 // Saves counts what was written.
 type Saves struct {
-	Files  int64
-	Bytes  int64 // of all of them
-	LastBytes   int64 // bytes of the last
-	Failed int64
+	Files     int64
+	Bytes     int64 // of all of them
+	LastBytes int64 // bytes of the last
+	Failed    int64
 }
 
 // Open reads what an earlier life has left. It has no error: what can't be used is told to Report, and the start is cold.
--- a/internal/memory/trust.go
+++ b/internal/memory/trust.go
@@ -9,8 +9,8 @@
 
 // Decay says what a learned fact is worth by its age: half of it after a half-life, and never less than the floor.
 type Decay struct {
-	HalfLife  time.Duration
-	Floor float64
+	HalfLife time.Duration
+	Floor    float64
 }
 
 // at is the trust in a fact of an age.
@@ -20,11 +20,11 @@
 
 // DecayConfig are the trusts of each kind of fact, and the bounds beyond which one is not believed at all.
 type DecayConfig struct {
-	Rate   Decay         // to what a partner is paced, its reported limit, how many calls it takes at once
-	Class  Decay         // how long a class's calls take
-	Losses   Decay         // what connections and chance failures were like
-	ColdAfter   time.Duration // a partner of which nothing was seen for so long may be cold
-	MaxWait   time.Duration // the longest wait that is believed
+	Rate           Decay         // to what a partner is paced, its reported limit, how many calls it takes at once
+	Class          Decay         // how long a class's calls take
+	Losses         Decay         // what connections and chance failures were like
+	ColdAfter      time.Duration // a partner of which nothing was seen for so long may be cold
+	MaxWait        time.Duration // the longest wait that is believed
 	ClockTolerance time.Duration // a clock that far behind the file's was set back; less is drift
 }
 
--- a/internal/settings/entries.go
+++ b/internal/settings/entries.go
@@ -15,9 +15,8 @@
 	"mulleinbeam/internal/cluster/entry"
 )
 
-// Files of configuration entries, which a fleet decides in common: [destination.7] with its [[destination.7.endpoint]], and [class.NAME].
-
-// entriesFile is such a file.
+// entriesFile is a file of configuration entries, which the control plane commits for the whole fleet: tables [destination.7] with
+// their [[destination.7.endpoint]], and [class.NAME].
 type entriesFile struct {
 	Destination map[string]destinationTable `toml:"destination,omitempty"`
 	Class       map[string]classTable       `toml:"class,omitempty"`
@@ -32,15 +31,15 @@
 	Address  string  `toml:"address"`
 	Zone     string  `toml:"zone,omitempty"`
 	Kind     string  `toml:"kind,omitempty"`
-	Capacity float64 `toml:"capacity"` // calls a second
+	Capacity float64 `toml:"capacity"` // calls per second
 	Draining bool    `toml:"draining,omitempty"`
 }
 
 type classTable struct {
-	Rate float64 `toml:"rate"` // messages a second of one forwarder
+	Rate float64 `toml:"rate"` // messages per second and forwarder
 }
 
-// LoadEntries reads and checks a file of entries. Its errors are *Error, or say that the file can't be read.
+// LoadEntries reads and validates a file of entries. It returns an *Error if the content is invalid.
 func LoadEntries(path string) ([]entry.Entry, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -49,11 +48,11 @@
 	return ParseEntries(path, raw)
 }
 
-// ParseEntries checks a file's content and gives its entries in the order of their keys; path is for its errors.
+// ParseEntries validates the content of a file of entries and returns the entries, sorted by key; path appears in errors only.
 func ParseEntries(path string, raw []byte) ([]entry.Entry, error) {
 	var file entriesFile
 	if err := toml.NewDecoder(strings.NewReader(string(raw))).DisallowUnknownFields().Decode(&file); err != nil {
-		return nil, located(path, err)
+		return nil, decodeError(path, err)
 	}
 	lines := keyLines(raw)
 	var entries []entry.Entry
@@ -61,52 +60,52 @@
 		table := "destination." + name
 		number, err := strconv.ParseInt(name, 10, 64)
 		if err != nil {
-			return nil, &Error{Path: path, Line: lines[table], Key: table, Problem: fmt.Sprintf("%q is no number of a destination", name)}
+			return nil, &Error{Path: path, Line: lines[table], Key: table, Problem: fmt.Sprintf("%q is not a destination number", name)}
 		}
 		entries = append(entries, entry.Entry{Destination: file.Destination[name].destination(number)})
-		if err := checkEntry(path, lines, table, entries[len(entries)-1]); err != nil {
+		if err := validateEntry(path, lines, table, entries[len(entries)-1]); err != nil {
 			return nil, err
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(file.Class)) {
 		entries = append(entries, entry.Entry{Class: &entry.Class{Name: name, Rate: file.Class[name].Rate}})
-		if err := checkEntry(path, lines, "class."+name, entries[len(entries)-1]); err != nil {
+		if err := validateEntry(path, lines, "class."+name, entries[len(entries)-1]); err != nil {
 			return nil, err
 		}
 	}
 	if len(entries) == 0 {
-		return nil, &Error{Path: path, Problem: "no [destination.NUMBER] and no [class.NAME] in it"}
+		return nil, &Error{Path: path, Problem: "no [destination.NUMBER] or [class.NAME] table"}
 	}
 	return entries, nil
 }
 
 func (t destinationTable) destination(number int64) *entry.Destination {
-	out := &entry.Destination{Number: number}
+	destination := &entry.Destination{Number: number}
 	for _, e := range t.Endpoint {
-		out.Endpoints = append(out.Endpoints, entry.Endpoint(e))
+		destination.Endpoints = append(destination.Endpoints, entry.Endpoint(e))
 	}
-	return out
+	return destination
 }
 
-// checkEntry gives an entry's error with the line and key at fault.
-func checkEntry(path string, lines map[string]int, table string, e entry.Entry) error {
+// validateEntry returns the error of an invalid entry, with the line and key of the invalid field.
+func validateEntry(path string, lines map[string]int, table string, e entry.Entry) error {
 	_, err := e.Encode()
 	var invalid *entry.InvalidError
 	if !errors.As(err, &invalid) {
 		return err
 	}
-	key, at := table, table
+	key, position := table, table
 	if invalid.Index >= 0 {
-		key, at = table+".endpoint", numbered(table+".endpoint", invalid.Index+1)
+		key, position = table+".endpoint", arrayTableKey(table+".endpoint", invalid.Index+1)
 	}
-	line := cmp.Or(lines[at+"."+invalid.Field], lines[at], lines[table])
-	if field := invalid.Field; field != "class" && field != "destination" && field != "size" { // these are the table's own
+	line := cmp.Or(lines[position+"."+invalid.Field], lines[position], lines[table])
+	if field := invalid.Field; field != "class" && field != "destination" && field != "size" { // errors of the table itself
 		key += "." + field
 	}
 	return &Error{Path: path, Line: line, Key: key, Problem: invalid.Problem}
 }
 
-// FormatEntries writes entries as a file that ParseEntries reads.
+// FormatEntries encodes entries as a file that ParseEntries accepts.
 func FormatEntries(entries []entry.Entry) ([]byte, error) {
 	file := entriesFile{Destination: map[string]destinationTable{}, Class: map[string]classTable{}}
 	for _, e := range entries {
--- a/internal/settings/entries_test.go
+++ b/internal/settings/entries_test.go
@@ -32,7 +32,7 @@
 rate = 100
 `
 
-// A file of entries is read, and what is written of them is read as the same.
+// A file of entries is parsed, and formatting the entries yields a file that parses to the same entries.
 func TestEntries(t *testing.T) {
 	want := []entry.Entry{
 		{Destination: &entry.Destination{Number: 7, Endpoints: []entry.Endpoint{
@@ -50,7 +50,7 @@
 		t.Fatalf("%v\n%s", err, diff)
 	}
 	if example, err := LoadEntries("../../deploy/entries.toml"); err != nil || len(example) != 2 {
-		t.Errorf("the example: %v, %v", example, err)
+		t.Errorf("deploy/entries.toml: %v, %v", example, err)
 	}
 	text, err := FormatEntries(got)
 	if err != nil {
@@ -62,38 +62,38 @@
 	}
 }
 
-// An error names file, line and key of the entry at fault.
+// Errors name the file, line and key of the invalid entry.
 func TestErrorsOfEntries(t *testing.T) {
-	swap := func(from, to string) string {
+	replace := func(from, to string) string {
 		if !strings.Contains(entriesText, from) {
 			t.Fatal(from)
 		}
 		return strings.Replace(entriesText, from, to, 1)
 	}
-	var many strings.Builder
+	var tooMany strings.Builder
 	for i := range 300 {
-		fmt.Fprintf(&many, "[[destination.7.endpoint]]\nname=\"p%d\"\naddress=\"h:1\"\ncapacity=1\n", i)
+		fmt.Fprintf(&tooMany, "[[destination.7.endpoint]]\nname=\"p%d\"\naddress=\"h:1\"\ncapacity=1\n", i)
 	}
 	for name, c := range map[string]struct{ text, want string }{
-		"no TOML":           {"[destination", "e.toml:1: expected"},
-		"empty":             {"", "e.toml: no [destination.NUMBER]"},
-		"unknown table":     {"[weather]\n", "e.toml:1: weather: no such key"},
-		"unknown key":       {swap(`kind     = "shared"`, `color    = "red"`), "e.toml:13: destination.7.endpoint.color: no such key"},
-		"no number":         {swap("[class.safe]", "[destination.x]\nendpoint = []\n[class.safe]"), `e.toml:17: destination.x: "x" is no number`},
-		"no endpoint":       {"[destination.8]\n", "e.toml:1: destination.8.endpoint: 0 endpoints; must be from 1"},
-		"too many":          {many.String(), "e.toml:1: destination.7.endpoint: 300 endpoints; must be from 1"},
-		"second's capacity": {swap("12.5", "-1"), "e.toml:14: destination.7.endpoint.capacity: -1; must be above 0"},
-		"second's name":     {swap(`"p1"`, `"p0"`), `e.toml:10: destination.7.endpoint.name: duplicate name "p0"`},
-		"first's address":   {swap("10.0.0.1:80", "10.0.0.1"), `e.toml:5: destination.7.endpoint.address: "10.0.0.1" is not a host:port address`},
-		"missing capacity":  {swap("capacity = 12.5\n", ""), "e.toml:9: destination.7.endpoint.capacity: 0; must be above 0"},
-		"rate":              {swap("rate = 100", "rate = 1e99"), "e.toml:18: class.safe.rate: 1e+99; must be above 0"},
-		"wrong type":        {swap("rate = 100", `rate = "much"`), "e.toml:18: class.safe.rate: "},
+		"invalid TOML":       {"[destination", "e.toml:1: expected"},
+		"empty":              {"", "e.toml: no [destination.NUMBER]"},
+		"unknown table":      {"[weather]\n", "e.toml:1: weather: no such key"},
+		"unknown key":        {replace(`kind     = "shared"`, `color    = "red"`), "e.toml:13: destination.7.endpoint.color: no such key"},
+		"invalid number":     {replace("[class.safe]", "[destination.x]\nendpoint = []\n[class.safe]"), `e.toml:17: destination.x: "x" is not a destination number`},
+		"no endpoints":       {"[destination.8]\n", "e.toml:1: destination.8.endpoint: 0 endpoints; must be from 1"},
+		"too many endpoints": {tooMany.String(), "e.toml:1: destination.7.endpoint: 300 endpoints; must be from 1"},
+		"second capacity":    {replace("12.5", "-1"), "e.toml:14: destination.7.endpoint.capacity: -1; must be above 0"},
+		"second name":        {replace(`"p1"`, `"p0"`), `e.toml:10: destination.7.endpoint.name: duplicate name "p0"`},
+		"first address":      {replace("10.0.0.1:80", "10.0.0.1"), `e.toml:5: destination.7.endpoint.address: "10.0.0.1" is not a host:port address`},
+		"missing capacity":   {replace("capacity = 12.5\n", ""), "e.toml:9: destination.7.endpoint.capacity: 0; must be above 0"},
+		"rate too high":      {replace("rate = 100", "rate = 1e99"), "e.toml:18: class.safe.rate: 1e+99; must be above 0"},
+		"wrong type":         {replace("rate = 100", `rate = "much"`), "e.toml:18: class.safe.rate: "},
 	} {
 		if _, err := ParseEntries("e.toml", []byte(c.text)); err == nil || !strings.HasPrefix(err.Error(), "settings: "+c.want) {
 			t.Errorf("%s: %v, want %s", name, err, c.want)
 		}
 	}
 	if _, err := LoadEntries(filepath.Join(t.TempDir(), "none")); err == nil {
-		t.Error("a file that is not there")
+		t.Error("LoadEntries succeeded for a missing file")
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the program's own settings: a TOML file beside the platform's configuration. Every key is
-// checked against one schema, and an error names file, line and key. Nothing here opens a socket or starts anything.
+// Package settings reads the program's own settings, a TOML file used in addition to the platform's configuration. Every key
+// is validated, and errors name the file, line and key. The package has no side effects: it opens no sockets and starts nothing.
 package settings
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// File is all that can be set. What a file does not name is off.
+// File is the content of a settings file. The feature of a missing table is disabled.
 type File struct {
 	Bodies  *Bodies  `toml:"bodies"`
 	Journal *Journal `toml:"journal"`
@@ -26,27 +26,27 @@
 	Place   *Place   `toml:"place"`
 }
 
-// Place says how this fleet's places lie to each other, and that where traffic goes is decided in common.
+// Place enables fleet-wide traffic planning and describes the links between zones.
 type Place struct {
-	Regions   map[string]string `toml:"regions"` // of zones; one that is not named is a region of its own
-	Within    Crossing          `toml:"within"`  // between two zones of a region
-	Across    Crossing          `toml:"across"`  // between two regions
-	Crossings []OneWay          `toml:"crossing"`
-	Hold      Duration          `toml:"hold"`    // how long a plan holds for one that hears of no other
-	Window    Duration          `toml:"window"`  // in which evidence is gathered, and from plan to plan
-	Reserve   float64           `toml:"reserve"` // share of each place's capacity for those without a plan
-	RecordFile    string            `toml:"record"`  // a file of the planner's evidence, for larklab plan; "" is none
-	MaxMembers   int               `toml:"members"` // forwarders that there may be at the most: their parts of the reserve
+	Regions    map[string]string `toml:"regions"` // region by zone; an unlisted zone is a region of its own
+	Within     Crossing          `toml:"within"`  // link between two zones of a region
+	Across     Crossing          `toml:"across"`  // link between two regions
+	Crossings  []OneWay          `toml:"crossing"`
+	Hold       Duration          `toml:"hold"`    // how long a forwarder follows a plan without receiving a newer one
+	Window     Duration          `toml:"window"`  // sampling window of the observations, and interval between plans
+	Reserve    float64           `toml:"reserve"` // share of each zone's capacity for forwarders without a plan
+	RecordFile string            `toml:"record"`  // file that records the planner's input, for larklab plan; "" disables recording
+	MaxMembers int               `toml:"members"` // maximum number of forwarders, among which the reserve is divided
 }
 
-// Crossing is what it costs to go from one place to another.
+// Crossing describes the link from one zone to another.
 type Crossing struct {
 	Delay    Duration `toml:"delay"`
-	Price    float64  `toml:"price"`    // of a call
-	Capacity float64  `toml:"capacity"` // calls a second; 0 is no bound
+	Price    float64  `toml:"price"`    // per call
+	Capacity float64  `toml:"capacity"` // calls per second; 0 is unlimited
 }
 
-// OneWay is one that differs from the others.
+// OneWay overrides the link from one zone to another, in this direction only.
 type OneWay struct {
 	From string `toml:"from"`
 	To   string `toml:"to"`
@@ -58,59 +58,59 @@
 	Hold: Duration(6 * time.Second), Window: Duration(time.Second), Reserve: 0.04, MaxMembers: 300,
 }
 
-func (c Crossing) absurd() bool {
-	amount := func(f float64) bool { return f >= 0 && !math.IsInf(f, 1) }
-	return c.Delay < 0 || !amount(c.Price) || !amount(c.Capacity)
+func (c Crossing) invalid() bool {
+	valid := func(f float64) bool { return f >= 0 && !math.IsInf(f, 1) }
+	return c.Delay < 0 || !valid(c.Price) || !valid(c.Capacity)
 }
 
-// check gives the key that can't be used, and why.
-func (p Place) check(c *Cluster) (key, what string) {
-	const amounts = "a delay, price or capacity is below 0, or no number"
-	for _, o := range p.Crossings {
-		if o.From == "" || o.To == "" || o.From == o.To || o.absurd() {
-			return "place.crossing", fmt.Sprintf("from %q to %q: two zones are needed, and no delay, price or capacity below 0", o.From, o.To)
+// validate returns the first invalid key and what is wrong with it, or empty strings.
+func (p Place) validate(cluster *Cluster) (key, problem string) {
+	const invalidAmount = "a delay, price or capacity is below 0, or no number"
+	for _, override := range p.Crossings {
+		if override.From == "" || override.To == "" || override.From == override.To || override.invalid() {
+			return "place.crossing", fmt.Sprintf("from %q to %q: must name two different zones, with no delay, price or capacity below 0", override.From, override.To)
 		}
 	}
 	switch {
-	case c == nil:
-		return "place", "it needs [cluster]: plans are decided by the council"
-	case c.Zone == "":
+	case cluster == nil:
+		return "place", "it needs [cluster]: plans are committed by the control plane"
+	case cluster.Zone == "":
 		return "place", "it needs [cluster] zone"
-	case p.Within.absurd():
-		return "place.within", amounts
-	case p.Across.absurd():
-		return "place.across", amounts
-	case time.Duration(p.Window) < leastWindowOf || time.Duration(p.Window) > time.Minute:
-		return "place.window", fmt.Sprintf("%v; from %v to 1m are possible", time.Duration(p.Window), leastWindowOf)
+	case p.Within.invalid():
+		return "place.within", invalidAmount
+	case p.Across.invalid():
+		return "place.across", invalidAmount
+	case time.Duration(p.Window) < minPlanWindow || time.Duration(p.Window) > time.Minute:
+		return "place.window", fmt.Sprintf("%v; must be from %v to 1m", time.Duration(p.Window), minPlanWindow)
 	case p.Hold < 3*p.Window || time.Duration(p.Hold) > time.Hour:
-		return "place.hold", fmt.Sprintf("%v; from three windows to 1h are possible", time.Duration(p.Hold))
+		return "place.hold", fmt.Sprintf("%v; must be from three windows to 1h", time.Duration(p.Hold))
 	case !(p.Reserve >= 0 && p.Reserve <= 0.5):
-		return "place.reserve", "it is from 0 to 0.5"
-	case p.MaxMembers < 1 || p.MaxMembers > mostMembers:
-		return "place.members", fmt.Sprintf("%d; from 1 to %d are possible", p.MaxMembers, mostMembers)
+		return "place.reserve", "must be from 0 to 0.5"
+	case p.MaxMembers < 1 || p.MaxMembers > maxMembers:
+		return "place.members", fmt.Sprintf("%d; must be from 1 to %d", p.MaxMembers, maxMembers)
 	}
 	return "", ""
 }
 
-// Cluster says how this forwarder belongs to a fleet that keeps copies of what each owes.
+// Cluster makes this forwarder a member of a fleet whose members replicate each other's journals.
 type Cluster struct {
-	Listen   string            `toml:"listen"`   // host:port of the links between members; also what others dial
-	Zone     string            `toml:"zone"`     //
-	Region   string            `toml:"region"`   //
-	Voters []string          `toml:"founders"` // of the council, name@host:port each; 1, 3, 5 or 7
-	Copies   int               `toml:"copies"`   // of each message, its owner's own included
-	AllowUnreplicated    []string          `toml:"alone"`    // classes that go on without a copy when nobody can keep one
-	ReplicaSpace    Bytes             `toml:"space"`    // of the state folder, for copies that are kept for others
-	Lease    Duration          `toml:"lease"`    // how long a member may act after it has asked
-	Margin   Duration          `toml:"margin"`   // by which the council waits longer
-	Tick     Duration          `toml:"tick"`     // of the council's clock; a lost leader is missed after 10 to 20
-	ReplicaTimeout Duration          `toml:"patience"` // how long a keeper may be out of reach before another is chosen
-	CheckInterval    Duration          `toml:"check"`    // between two comparisons of copies; 0 is never
-	CatchUpRate  Bytes             `toml:"catch-up"` // a second, to a keeper that is brought up to date while others count
-	GossipInterval     Duration          `toml:"beat"`     // between two tellings of what was seen of partners; 0 is none
-	ObservationHalfLife  Duration          `toml:"believe"`  // how long one member's word of a partner counts by itself
-	DialAddresses      map[string]string `toml:"via"`      // what is dialled for an address, where that differs
-	Relays   []string          `toml:"relays"`   // that carry requests to the voters, zone@host:port each; none: voters are asked
+	Listen              string            `toml:"listen"` // host:port for links between members: the address listened on and advertised
+	Zone                string            `toml:"zone"`
+	Region              string            `toml:"region"`
+	Voters              []string          `toml:"founders"` // voters of the control plane, each name@host:port; 1, 3, 5 or 7
+	Copies              int               `toml:"copies"`   // copies of each message, including the owner's own
+	AllowUnreplicated   []string          `toml:"alone"`    // classes that are accepted without a replica when none is available
+	ReplicaSpace        Bytes             `toml:"space"`    // part of the state folder for replicas of other members' journals
+	Lease               Duration          `toml:"lease"`    // how long a member may act after it sent the request that renewed its lease
+	Margin              Duration          `toml:"margin"`   // how long the control plane waits after a lease has expired
+	Tick                Duration          `toml:"tick"`     // period of the control plane's clock; an election starts 10 to 20 ticks after the leader is lost
+	ReplicaTimeout      Duration          `toml:"patience"` // how long a replica may be unreachable before it is replaced
+	CheckInterval       Duration          `toml:"check"`    // time between two comparisons of replicas; 0 disables them
+	CatchUpRate         Bytes             `toml:"catch-up"` // bytes per second sent to a replica that is catching up while others are in sync
+	GossipInterval      Duration          `toml:"beat"`     // time between two gossip rounds of observations of destinations; 0 disables gossip
+	ObservationHalfLife Duration          `toml:"believe"`  // how long a single member's observation of a destination counts
+	DialAddresses       map[string]string `toml:"via"`      // addresses to dial instead of the advertised ones
+	Relays              []string          `toml:"relays"`   // relays that carry requests to the voters, each zone@host:port; without relays, voters are called directly
 }
 
 var clusterDefaults = Cluster{
@@ -119,171 +119,171 @@
 	CatchUpRate: 2 << 20, GossipInterval: Duration(100 * time.Millisecond), ObservationHalfLife: Duration(10 * time.Second), Relays: []string{},
 }
 
-// Bounds of what a fleet can be told.
+// Bounds of the values in [cluster] and [place].
 const (
-	mostCopies    = 5
-	mostFounders  = 7
-	leastSpace    = 1 << 20
-	leastLease    = 100 * time.Millisecond
-	mostLease     = time.Minute
-	leastPatience = 50 * time.Millisecond
-	leastCatchUp  = 64 << 10
-	leastWindowOf = 100 * time.Millisecond
-	mostMembers   = 100_000
-	leastBeat     = 10 * time.Millisecond
-	leastBelieve  = time.Second
-	mostBelieve   = 10 * time.Minute
+	maxCopies                = 5
+	maxVoters                = 7
+	minReplicaBytes          = 1 << 20
+	minLease                 = 100 * time.Millisecond
+	maxLease                 = time.Minute
+	minReplicaTimeout        = 50 * time.Millisecond
+	minCatchUpBytesPerSecond = 64 << 10
+	minPlanWindow            = 100 * time.Millisecond
+	maxMembers               = 100_000
+	minGossipInterval        = 10 * time.Millisecond
+	minObservationHalfLife   = time.Second
+	maxObservationHalfLife   = 10 * time.Minute
 )
 
-// Voter is one of the council's.
+// Voter is a voter of the control plane.
 type Voter struct{ Name, Address string }
 
-// VoterList reads the founders.
-func (c Cluster) VoterList() (out []Voter, err error) {
-	for _, f := range c.Voters {
-		name, address, ok := strings.Cut(f, "@")
-		if _, port, bad := net.SplitHostPort(address); !ok || name == "" || bad != nil || port == "" {
-			return nil, fmt.Errorf("%q is no founder: name@host:port", f)
+// VoterList parses the voters.
+func (c Cluster) VoterList() (voters []Voter, err error) {
+	for _, text := range c.Voters {
+		name, address, ok := strings.Cut(text, "@")
+		if _, port, splitErr := net.SplitHostPort(address); !ok || name == "" || splitErr != nil || port == "" {
+			return nil, fmt.Errorf("%q is not a name@host:port address", text)
 		}
-		for _, other := range out {
+		for _, other := range voters {
 			if other.Name == name || other.Address == address {
-				return nil, fmt.Errorf("%q is named twice", f)
+				return nil, fmt.Errorf("%q has a duplicate name or address", text)
 			}
 		}
-		out = append(out, Voter{name, address})
+		voters = append(voters, Voter{name, address})
 	}
-	return out, nil
+	return voters, nil
 }
 
 // Relay is a process that carries members' requests to the voters.
 type Relay struct{ Zone, Address string }
 
-// mostRelays bounds those that a member is told of.
-const mostRelays = 64
+// maxRelays bounds the relays of one member.
+const maxRelays = 64
 
-// RelayList reads the relays.
-func (c Cluster) RelayList() (out []Relay, err error) {
-	if len(c.Relays) > mostRelays {
-		return nil, fmt.Errorf("%d of them; %d at the most are possible", len(c.Relays), mostRelays)
+// RelayList parses the relays.
+func (c Cluster) RelayList() (relays []Relay, err error) {
+	if len(c.Relays) > maxRelays {
+		return nil, fmt.Errorf("%d relays; must be at most %d", len(c.Relays), maxRelays)
 	}
 	for _, text := range c.Relays {
 		zone, address, ok := strings.Cut(text, "@")
-		if _, port, bad := net.SplitHostPort(address); !ok || bad != nil || port == "" {
-			return nil, fmt.Errorf("%q is no relay: zone@host:port", text)
+		if _, port, splitErr := net.SplitHostPort(address); !ok || splitErr != nil || port == "" {
+			return nil, fmt.Errorf("%q is not a zone@host:port address", text)
 		}
-		if slices.ContainsFunc(out, func(r Relay) bool { return r.Address == address }) {
-			return nil, fmt.Errorf("%q is named twice", text)
+		if slices.ContainsFunc(relays, func(r Relay) bool { return r.Address == address }) {
+			return nil, fmt.Errorf("%q has a duplicate address", text)
 		}
-		out = append(out, Relay{zone, address})
+		relays = append(relays, Relay{zone, address})
 	}
-	return out, nil
+	return relays, nil
 }
 
-// check gives the key that can't be used, and why.
-func (c Cluster) check() (key, what string) {
+// validate returns the first invalid key and what is wrong with it, or empty strings.
+func (c Cluster) validate() (key, problem string) {
 	if _, err := c.RelayList(); err != nil {
 		return "cluster.relays", err.Error()
 	}
-	founders, err := c.VoterList()
-	switch _, port, bad := net.SplitHostPort(c.Listen); {
-	case bad != nil || port == "":
-		return "cluster.listen", fmt.Sprintf("%q is no host:port", c.Listen)
+	voters, err := c.VoterList()
+	switch _, port, splitErr := net.SplitHostPort(c.Listen); {
+	case splitErr != nil || port == "":
+		return "cluster.listen", fmt.Sprintf("%q is not a host:port address", c.Listen)
 	case err != nil:
 		return "cluster.founders", err.Error()
-	case len(founders) == 0 || len(founders) > mostFounders || len(founders)%2 == 0:
-		return "cluster.founders", fmt.Sprintf("%d of them; 1, 3, 5 or 7 are possible", len(founders))
-	case c.Copies < 1 || c.Copies > mostCopies:
-		return "cluster.copies", fmt.Sprintf("%d; from 1 to %d are possible", c.Copies, mostCopies)
-	case c.ReplicaSpace < leastSpace:
-		return "cluster.space", fmt.Sprintf("%d bytes; at least %d are needed", c.ReplicaSpace, leastSpace)
-	case time.Duration(c.Lease) < leastLease || time.Duration(c.Lease) > mostLease:
-		return "cluster.lease", fmt.Sprintf("%v; from %v to %v are possible", time.Duration(c.Lease), leastLease, mostLease)
+	case len(voters) == 0 || len(voters) > maxVoters || len(voters)%2 == 0:
+		return "cluster.founders", fmt.Sprintf("%d voters; must be 1, 3, 5 or 7", len(voters))
+	case c.Copies < 1 || c.Copies > maxCopies:
+		return "cluster.copies", fmt.Sprintf("%d; must be from 1 to %d", c.Copies, maxCopies)
+	case c.ReplicaSpace < minReplicaBytes:
+		return "cluster.space", fmt.Sprintf("%d bytes; must be at least %d", c.ReplicaSpace, minReplicaBytes)
+	case time.Duration(c.Lease) < minLease || time.Duration(c.Lease) > maxLease:
+		return "cluster.lease", fmt.Sprintf("%v; must be from %v to %v", time.Duration(c.Lease), minLease, maxLease)
 	case c.Margin < c.Lease/20 || c.Margin > c.Lease:
-		return "cluster.margin", fmt.Sprintf("%v; from a twentieth of the lease to all of it is possible", time.Duration(c.Margin))
+		return "cluster.margin", fmt.Sprintf("%v; must be from a twentieth of the lease to the whole lease", time.Duration(c.Margin))
 	case c.Tick < Duration(10*time.Millisecond) || c.Tick > c.Lease:
-		return "cluster.tick", fmt.Sprintf("%v; from 10ms to the lease is possible", time.Duration(c.Tick))
-	case time.Duration(c.ReplicaTimeout) < leastPatience || c.ReplicaTimeout > Duration(time.Minute):
-		return "cluster.patience", fmt.Sprintf("%v; from %v to 1m are possible", time.Duration(c.ReplicaTimeout), leastPatience)
+		return "cluster.tick", fmt.Sprintf("%v; must be from 10ms to the lease", time.Duration(c.Tick))
+	case time.Duration(c.ReplicaTimeout) < minReplicaTimeout || c.ReplicaTimeout > Duration(time.Minute):
+		return "cluster.patience", fmt.Sprintf("%v; must be from %v to 1m", time.Duration(c.ReplicaTimeout), minReplicaTimeout)
 	case c.CheckInterval < 0:
-		return "cluster.check", "it is below 0"
-	case c.CatchUpRate < leastCatchUp:
-		return "cluster.catch-up", fmt.Sprintf("%d bytes; at least %d are needed", c.CatchUpRate, leastCatchUp)
-	case c.GossipInterval != 0 && (time.Duration(c.GossipInterval) < leastBeat || c.GossipInterval > c.ObservationHalfLife):
-		return "cluster.beat", fmt.Sprintf("%v; 0s, or from %v to believe is possible", time.Duration(c.GossipInterval), leastBeat)
-	case time.Duration(c.ObservationHalfLife) < leastBelieve || time.Duration(c.ObservationHalfLife) > mostBelieve:
-		return "cluster.believe", fmt.Sprintf("%v; from %v to %v are possible", time.Duration(c.ObservationHalfLife), leastBelieve, mostBelieve)
+		return "cluster.check", "must not be below 0"
+	case c.CatchUpRate < minCatchUpBytesPerSecond:
+		return "cluster.catch-up", fmt.Sprintf("%d bytes; must be at least %d", c.CatchUpRate, minCatchUpBytesPerSecond)
+	case c.GossipInterval != 0 && (time.Duration(c.GossipInterval) < minGossipInterval || c.GossipInterval > c.ObservationHalfLife):
+		return "cluster.beat", fmt.Sprintf("%v; must be 0s or from %v to believe", time.Duration(c.GossipInterval), minGossipInterval)
+	case time.Duration(c.ObservationHalfLife) < minObservationHalfLife || time.Duration(c.ObservationHalfLife) > maxObservationHalfLife:
+		return "cluster.believe", fmt.Sprintf("%v; must be from %v to %v", time.Duration(c.ObservationHalfLife), minObservationHalfLife, maxObservationHalfLife)
 	}
 	return "", ""
 }
 
-// Learned says how what was learned of partners is kept over restarts.
+// Learned configures how the state learned about destinations is kept across restarts.
 type Learned struct {
-	Interval Duration `toml:"interval"` // between two saves
-	Size     Bytes    `toml:"size"`     // of the file; for a moment two of them are there
-	MaxIDs      int      `toml:"ids"`      // of ended messages, at the most
+	Interval Duration `toml:"interval"` // time between two saves
+	Size     Bytes    `toml:"size"`     // maximum size of the file; while it is replaced, two files exist
+	MaxIDs   int      `toml:"ids"`      // maximum number of ids of ended messages
 }
 
 var learnedDefaults = Learned{Interval: Duration(2 * time.Second), Size: 256 << 10, MaxIDs: 4096}
 
-// Journal says how what was taken on is kept.
+// Journal configures how accepted messages are stored.
 type Journal struct {
 	Durability Durability `toml:"durability"`
-	Disk       Bytes      `toml:"disk"`    // of all files in the state folder; 0 is the platform's disk_mb
-	Segment    Bytes      `toml:"segment"` // of one file; 0 is a share of the disk
-	Memory     Bytes      `toml:"memory"`  // of bodies that are kept in memory as well as on the disk
+	Disk       Bytes      `toml:"disk"`    // maximum size of all files in the state folder; 0 uses the platform's disk_mb
+	Segment    Bytes      `toml:"segment"` // size of one segment file; 0 derives it from the disk size
+	Memory     Bytes      `toml:"memory"`  // maximum size of the bodies that are cached in memory
 }
 
-// Durability says what a message that was taken on outlasts.
+// Durability names the failures that an accepted message survives.
 type Durability string
 
-// The durabilities.
+// Durability levels.
 const (
-	DurabilityNone  Durability = "none"  // the process's end
-	DurabilityBatch Durability = "batch" // the machine's end: one sync for all that came within a few milliseconds
-	DurabilityEach  Durability = "each"  // the machine's end: a sync for each record
+	DurabilityNone  Durability = "none"  // survives a process crash
+	DurabilityBatch Durability = "batch" // survives a machine crash: one sync for all records of a few milliseconds
+	DurabilityEach  Durability = "each"  // survives a machine crash: one sync per record
 )
 
 var journalDefaults = Journal{Durability: DurabilityNone, Memory: 16 << 20}
 
-// Bodies says how bodies longer than the journalled kind are passed on.
+// Bodies configures how bodies too long for the journal are streamed.
 type Bodies struct {
-	MaxBodyBytes    Bytes    `toml:"most"`    // of one body, in either direction
-	WindowBytes  Bytes    `toml:"window"`  // held of one body, in either direction
-	TotalWindowBytes   Bytes    `toml:"total"`   // of all windows
-	Slots   int      `toml:"slots"`   // calls with long bodies out at once
-	IdleTimeout    Duration `toml:"idle"`    // no byte moved in either direction for so long ends a call
-	MaxTimeLeft Duration `toml:"longest"` // how long a long message may live
+	MaxBodyBytes     Bytes    `toml:"most"`    // maximum size of one body, in either direction
+	WindowBytes      Bytes    `toml:"window"`  // buffered bytes of one body, in either direction
+	TotalWindowBytes Bytes    `toml:"total"`   // total size of all windows
+	Slots            int      `toml:"slots"`   // concurrent calls with long bodies
+	IdleTimeout      Duration `toml:"idle"`    // ends a call when no byte moved in either direction for this long
+	MaxTimeLeft      Duration `toml:"longest"` // maximum time to the deadline of a long message
 }
 
-// Defaults for the keys that a table leaves out.
+// bodiesDefaults are the values of keys missing from the table.
 var bodiesDefaults = Bodies{
 	MaxBodyBytes: 16 << 30, WindowBytes: 256 << 10, TotalWindowBytes: 24 << 20, Slots: 4, IdleTimeout: Duration(20 * time.Second),
 	MaxTimeLeft: Duration(30 * time.Minute),
 }
 
-// Bounds of what can be meant.
+// Bounds of the values in the other tables.
 const (
-	leastWindow  = 128 << 10
-	mostWindow   = 64 << 20
-	mostBody     = 1 << 50
-	mostSlots    = 4096
-	leastDisk    = 288 << 10
-	leastSegment = 64 << 10
-	mostSegment  = 1 << 30
-	leastShares  = 8 // segments that a disk must have room for
-	leastLearned = 4 << 10
-	mostLearned  = 64 << 20
-	mostIDs      = 1 << 20
-	leastSave    = 200 * time.Millisecond
-	mostSave     = 10 * time.Minute
-	leastIdle    = 100 * time.Millisecond
-	mostDuration = 24 * time.Hour
+	minWindowBytes  = 128 << 10
+	maxWindowBytes  = 64 << 20
+	maxSizeBytes    = 1 << 50
+	maxSlots        = 4096
+	minDiskBytes    = 288 << 10
+	minSegmentBytes = 64 << 10
+	maxSegmentBytes = 1 << 30
+	minSegments     = 8 // number of segments that must fit on the disk
+	minLearnedBytes = 4 << 10
+	maxLearnedBytes = 64 << 20
+	maxIDs          = 1 << 20
+	minSaveInterval = 200 * time.Millisecond
+	maxSaveInterval = 10 * time.Minute
+	minIdleTimeout  = 100 * time.Millisecond
+	maxDuration     = 24 * time.Hour
 )
 
-// MaxConcurrent is how many long messages the total has room for, each with a window for either direction.
+// MaxConcurrent returns how many long messages fit into TotalWindowBytes, each with one window per direction.
 func (b Bodies) MaxConcurrent() int { return int(b.TotalWindowBytes / (2 * b.WindowBytes)) }
 
-// Bytes is an amount: a whole number with one of the units B, KiB, MiB, GiB, TiB, KB, MB, GB, TB.
+// Bytes is a size in bytes, written as a whole number with one of the units B, KiB, MiB, GiB, TiB, KB, MB, GB, TB.
 type Bytes int64
 
 var units = []struct {
@@ -294,7 +294,7 @@
 	{"B", 1},
 }
 
-// UnmarshalText reads an amount; its errors say what is wrong with it.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (b *Bytes) UnmarshalText(text []byte) error {
 	s := string(text)
 	for _, u := range units {
@@ -303,48 +303,48 @@
 			continue
 		}
 		n, err := strconv.ParseInt(strings.TrimSpace(digits), 10, 64)
-		if err != nil || n < 0 || n > mostBody/u.size {
+		if err != nil || n < 0 || n > maxSizeBytes/u.size {
 			break
 		}
 		*b = Bytes(n * u.size)
 		return nil
 	}
-	return fmt.Errorf("%q is no size: a whole number and a unit, such as 256KiB", s)
+	return fmt.Errorf("%q is not a size: a whole number and a unit, such as 256KiB", s)
 }
 
-// Duration is a time such as 20s or 30m.
+// Duration is a duration, written as in 20s or 30m.
 type Duration time.Duration
 
-// UnmarshalText reads a time.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("%q is no time: a number and a unit, such as 20s", text)
+		return fmt.Errorf("%q is not a duration: a number and a unit, such as 20s", text)
 	}
 	*d = Duration(v)
 	return nil
 }
 
-// Error is a setting that can't be used.
+// Error reports an invalid setting.
 type Error struct {
-	Path string
-	Line int    // 0: it is in no one line
-	Key  string // "" where there is none
+	Path    string
+	Line    int    // 0 if the error has no single line
+	Key     string // "" if the error has no key
 	Problem string
 }
 
 func (e *Error) Error() string {
-	at := e.Path
+	location := e.Path
 	if e.Line > 0 {
-		at += ":" + strconv.Itoa(e.Line)
+		location += ":" + strconv.Itoa(e.Line)
 	}
 	if e.Key != "" {
-		at += ": " + e.Key
+		location += ": " + e.Key
 	}
-	return "settings: " + at + ": " + e.Problem
+	return "settings: " + location + ": " + e.Problem
 }
 
-// Load reads and checks a file. Its errors are *Error, or say that the file can't be read.
+// Load reads and validates a settings file. It returns an *Error if the content is invalid.
 func Load(path string) (File, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -353,7 +353,7 @@
 	return Parse(path, raw)
 }
 
-// Parse checks a file's content; path is for its errors.
+// Parse validates the content of a settings file; path appears in errors only.
 func Parse(path string, raw []byte) (File, error) {
 	var f File
 	lines := keyLines(raw)
@@ -379,84 +379,84 @@
 	}
 	dec := toml.NewDecoder(strings.NewReader(string(raw))).DisallowUnknownFields()
 	if err := dec.Decode(&f); err != nil {
-		return File{}, located(path, err)
+		return File{}, decodeError(path, err)
 	}
-	bad := func(key, format string, args ...any) (File, error) {
+	invalid := func(key, format string, args ...any) (File, error) {
 		return File{}, &Error{Path: path, Line: lineOf(lines, key), Key: key, Problem: fmt.Sprintf(format, args...)}
 	}
 	if b := f.Bodies; b != nil {
 		switch {
-		case b.WindowBytes < leastWindow || b.WindowBytes > mostWindow:
-			return bad("bodies.window", "%d bytes; from %d to %d are possible", b.WindowBytes, leastWindow, mostWindow)
+		case b.WindowBytes < minWindowBytes || b.WindowBytes > maxWindowBytes:
+			return invalid("bodies.window", "%d bytes; must be from %d to %d", b.WindowBytes, minWindowBytes, maxWindowBytes)
 		case b.TotalWindowBytes < 2*b.WindowBytes:
-			return bad("bodies.total", "%d bytes have no room for the two windows of one message, %d bytes", b.TotalWindowBytes, 2*b.WindowBytes)
-		case b.MaxBodyBytes < leastWindow:
-			return bad("bodies.most", "%d bytes; at least %d are needed", b.MaxBodyBytes, leastWindow)
-		case b.Slots < 1 || b.Slots > mostSlots:
-			return bad("bodies.slots", "%d; from 1 to %d are possible", b.Slots, mostSlots)
+			return invalid("bodies.total", "%d bytes; must hold the two windows of one message, %d bytes", b.TotalWindowBytes, 2*b.WindowBytes)
+		case b.MaxBodyBytes < minWindowBytes:
+			return invalid("bodies.most", "%d bytes; must be at least %d", b.MaxBodyBytes, minWindowBytes)
+		case b.Slots < 1 || b.Slots > maxSlots:
+			return invalid("bodies.slots", "%d; must be from 1 to %d", b.Slots, maxSlots)
 		case b.Slots > b.MaxConcurrent():
-			return bad("bodies.slots", "%d calls at once; the windows of total have room for %d", b.Slots, b.MaxConcurrent())
-		case time.Duration(b.IdleTimeout) < leastIdle || time.Duration(b.IdleTimeout) > mostDuration:
-			return bad("bodies.idle", "%v; from %v to %v are possible", time.Duration(b.IdleTimeout), leastIdle, mostDuration)
-		case b.MaxTimeLeft < b.IdleTimeout || time.Duration(b.MaxTimeLeft) > mostDuration:
-			return bad("bodies.longest", "%v; from idle, %v, to %v are possible", time.Duration(b.MaxTimeLeft),
-				time.Duration(b.IdleTimeout), mostDuration)
+			return invalid("bodies.slots", "%d concurrent calls; total has windows for %d", b.Slots, b.MaxConcurrent())
+		case time.Duration(b.IdleTimeout) < minIdleTimeout || time.Duration(b.IdleTimeout) > maxDuration:
+			return invalid("bodies.idle", "%v; must be from %v to %v", time.Duration(b.IdleTimeout), minIdleTimeout, maxDuration)
+		case b.MaxTimeLeft < b.IdleTimeout || time.Duration(b.MaxTimeLeft) > maxDuration:
+			return invalid("bodies.longest", "%v; must be from idle, %v, to %v", time.Duration(b.MaxTimeLeft),
+				time.Duration(b.IdleTimeout), maxDuration)
 		}
 	}
 	if l := f.Learned; l != nil {
 		switch {
-		case time.Duration(l.Interval) < leastSave || time.Duration(l.Interval) > mostSave:
-			return bad("learned.interval", "%v; from %v to %v are possible", time.Duration(l.Interval), leastSave, mostSave)
-		case l.Size < leastLearned || l.Size > mostLearned:
-			return bad("learned.size", "%d bytes; from %d to %d are possible", l.Size, leastLearned, mostLearned)
-		case l.MaxIDs < 0 || l.MaxIDs > mostIDs:
-			return bad("learned.ids", "%d; from 0 to %d are possible", l.MaxIDs, mostIDs)
+		case time.Duration(l.Interval) < minSaveInterval || time.Duration(l.Interval) > maxSaveInterval:
+			return invalid("learned.interval", "%v; must be from %v to %v", time.Duration(l.Interval), minSaveInterval, maxSaveInterval)
+		case l.Size < minLearnedBytes || l.Size > maxLearnedBytes:
+			return invalid("learned.size", "%d bytes; must be from %d to %d", l.Size, minLearnedBytes, maxLearnedBytes)
+		case l.MaxIDs < 0 || l.MaxIDs > maxIDs:
+			return invalid("learned.ids", "%d; must be from 0 to %d", l.MaxIDs, maxIDs)
 		}
 	}
 	if c := f.Cluster; c != nil {
-		if key, what := c.check(); key != "" {
-			return bad(key, "%s", what)
+		if key, problem := c.validate(); key != "" {
+			return invalid(key, "%s", problem)
 		}
 	}
 	if p := f.Place; p != nil {
-		if key, what := p.check(f.Cluster); key != "" {
-			return bad(key, "%s", what)
+		if key, problem := p.validate(f.Cluster); key != "" {
+			return invalid(key, "%s", problem)
 		}
 	}
 	if j := f.Journal; j != nil {
 		switch {
 		case j.Durability != DurabilityNone && j.Durability != DurabilityBatch && j.Durability != DurabilityEach:
-			return bad("journal.durability", "%q is no durability: none, batch or each", j.Durability)
-		case j.Disk != 0 && j.Disk < leastDisk:
-			return bad("journal.disk", "%d bytes; at least %d are needed", j.Disk, leastDisk)
-		case j.Segment != 0 && (j.Segment < leastSegment || j.Segment > mostSegment):
-			return bad("journal.segment", "%d bytes; from %d to %d are possible", j.Segment, leastSegment, mostSegment)
-		case j.Segment != 0 && j.Disk != 0 && j.Segment > j.Disk/leastShares:
-			return bad("journal.segment", "%d bytes; a disk of %d has room for segments of %d", j.Segment, j.Disk, j.Disk/leastShares)
+			return invalid("journal.durability", "%q; must be none, batch or each", j.Durability)
+		case j.Disk != 0 && j.Disk < minDiskBytes:
+			return invalid("journal.disk", "%d bytes; must be at least %d", j.Disk, minDiskBytes)
+		case j.Segment != 0 && (j.Segment < minSegmentBytes || j.Segment > maxSegmentBytes):
+			return invalid("journal.segment", "%d bytes; must be from %d to %d", j.Segment, minSegmentBytes, maxSegmentBytes)
+		case j.Segment != 0 && j.Disk != 0 && j.Segment > j.Disk/minSegments:
+			return invalid("journal.segment", "%d bytes; with disk = %d bytes, must be at most %d", j.Segment, j.Disk, j.Disk/minSegments)
 		}
 	}
 	return f, nil
 }
 
-// located puts a decoder's error in this package's form.
-func located(path string, err error) error {
+// decodeError converts an error of the TOML decoder to an *Error.
+func decodeError(path string, err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
 		first := &unknown.Errors[0]
 		line, _ := first.Position()
 		return &Error{Path: path, Line: line, Key: strings.Join(first.Key(), "."), Problem: "no such key"}
 	}
-	var wrong *toml.DecodeError
-	if errors.As(err, &wrong) {
-		line, _ := wrong.Position()
+	var malformed *toml.DecodeError
+	if errors.As(err, &malformed) {
+		line, _ := malformed.Position()
 		return &Error{
-			Path: path, Line: line, Key: strings.Join(wrong.Key(), "."), Problem: strings.TrimPrefix(wrong.Error(), "toml: "),
+			Path: path, Line: line, Key: strings.Join(malformed.Key(), "."), Problem: strings.TrimPrefix(malformed.Error(), "toml: "),
 		}
 	}
 	return &Error{Path: path, Problem: err.Error()}
 }
 
-// lineOf is the line of a key, or else of the table it belongs in.
+// lineOf returns the line of a key, or the line of its table if the key is missing.
 func lineOf(lines map[string]int, key string) int {
 	if line, ok := lines[key]; ok {
 		return line
@@ -465,16 +465,16 @@
 	return lines[table]
 }
 
-// numbered is the key of a table of an array, counted from 1.
-func numbered(table string, number int) string {
+// arrayTableKey returns the key of keyLines for one table of an array of tables; number counts from 1.
+func arrayTableKey(table string, number int) string {
 	if number == 1 {
 		return table
 	}
 	return fmt.Sprintf("%s#%d", table, number)
 }
 
-// keyLines finds the line of each table and key. The second table of an array and those behind it are numbered: a.b#2. What can't be parsed
-// ends it; the decoder tells of that.
+// keyLines returns the line of each table and key. The second and later tables of an array of tables are numbered, as in a.b#2.
+// It stops at the first syntax error, which the decoder reports.
 func keyLines(raw []byte) map[string]int {
 	lines, tables := map[string]int{}, map[string]int{}
 	var p unstable.Parser
@@ -494,7 +494,7 @@
 		switch e.Kind {
 		case unstable.ArrayTable:
 			if tables[key]++; tables[key] > 1 {
-				key = numbered(key, tables[key])
+				key = arrayTableKey(key, tables[key])
 			}
 			table = key
 		case unstable.Table:
