--- a/internal/memory/sum_test.go
+++ b/internal/memory/checksum_test.go
@@ -6,8 +6,8 @@
 	"github.com/zeebo/xxh3"
 )
 
-// resum puts the checksum at a file's end right.
-func resum(b []byte) []byte {
+// fixChecksum returns a copy of a file with a valid checksum.
+func fixChecksum(b []byte) []byte {
 	b = append([]byte(nil), b...)
 	end := len(b) - 8
 	binary.LittleEndian.PutUint64(b[end:], xxh3.Hash(b[:end]))
--- a/internal/memory/codec.go
+++ b/internal/memory/codec.go
@@ -13,97 +13,99 @@
 	"mulleinbeam/internal/bootclock"
 )
 
-// The file: a magic, a version, fields, and a checksum over all before it. A field is a tag, a length and that many bytes;
-// some hold fields of their own. Who reads skips tags that it does not know and leaves out what is not there, so that a file
-// of an older or a newer version is read for what both know. A version changes only when a known field's meaning does.
+// A file consists of a magic, a version, fields, and a checksum over everything before it. A field is a tag, a length and that
+// many bytes; the value of some fields is a list of fields. The decoder skips unknown tags and accepts missing fields, so that
+// files of older and newer programs are read for the fields both know. The version changes only if the meaning of a field does.
 const version = 1
 
 var magic = []byte("larkmem\n")
 
-// The errors of a file that can't be used.
+// Errors of a file that cannot be used.
 var (
-	ErrDamaged = errors.New("memory: damaged")
-	ErrVersion = errors.New("memory: of a later version whose fields mean something else")
+	ErrDamaged = errors.New("memory: file is damaged")
+	ErrVersion = errors.New("memory: unsupported file version")
 )
 
-// The tags of the file's fields.
+// Tags of the file's fields.
 const (
 	tagName = iota + 1
 	tagSaved
-	tagLane
+	tagCircuit
 	tagClass
-	tagLost
+	tagLosses
 	tagEnded
 	tagSavedBoot
 	tagSavedSinceBoot
 )
 
-// The tags of a lane's fields.
+// Tags of a circuit's fields.
 const (
-	laneDestination = iota + 1
-	laneEndpoint
-	laneListed
-	laneSeen
-	laneBreaker
-	laneOpenFor
-	laneOpenLeft
-	laneWait
-	laneRate
-	laneLimit
-	lanePace
-	laneCap
-	laneGuard
-	laneWeak
-	laneGuardSince
-	laneGuardFrom
-	laneLastBad
-	laneLastOK
-	laneTrust
-	laneCold
+	circuitDestination = iota + 1
+	circuitEndpoint
+	circuitEndpoints
+	circuitSeen
+	circuitBreaker
+	circuitOpenFor
+	circuitOpenLeft
+	circuitWait
+	circuitRate
+	circuitLimit
+	circuitPace
+	circuitCap
+	circuitSlowStart
+	circuitWeak
+	circuitSlowStartSince
+	circuitSlowStartFrom
+	circuitLastBad
+	circuitLastOK
+	circuitTrust
+	circuitCold
 )
 
-// The tags of a class's fields, and of the losses'.
+// Tags of a class's fields.
 const (
 	className = iota + 1
 	classMean
 	classTrust
 )
 
+// Tags of the fields of the loss counts.
 const (
-	lostPaused = iota + 1
-	lostOthers
-	lostKept
-	lostFresh
-	lostStrayBad
-	lostStrayFull
-	lostIdleBound
-	lostTells
+	lossAfterIdle = iota + 1
+	lossOthers
+	lossReusedConnection
+	lossNewConnection
+	lossStrayFailures
+	lossStrayRefusals
+	lossIdleLimit
+	lossRetryAfterSeen
 )
 
-// content is what a file holds.
-type content struct {
+// fileContent is the decoded content of a file.
+type fileContent struct {
 	name    string
 	saved   time.Time
-	stamp   bootclock.Stamp // of saved
+	stamp   bootclock.Stamp // boot clock's time of saved
 	learned mb.LearnedState
-	ended   []ended
+	ended   []endedID
 }
 
-// ended is the id of a message that has ended, as its hash.
-type ended struct {
+// endedID is the hash of the id of an ended message.
+type endedID struct {
 	id        xxh3.Uint128
 	delivered bool
-	until     time.Time // nobody means it any more then
+	until     time.Time // when the id expires
 }
 
-const endedSize = 16 + 8 + 1
+// endedIDSize is the encoded size of an endedID in bytes.
+const endedIDSize = 16 + 8 + 1
 
-// fields is an encoder.
-type fields struct{ b []byte }
+// fields encodes a list of fields.
+type fields struct{ buf []byte }
 
 func (f *fields) put(tag uint64, v []byte) {
-	f.b = binary.AppendUvarint(binary.AppendUvarint(f.b, tag), uint64(len(v)))
-	f.b = append(f.b, v...)
+	f.buf = binary.AppendUvarint(binary.AppendUvarint(f.buf, tag), uint64(len(v)))
+	f.buf = append(f.buf, v...)
 }
 
 func (f *fields) text(tag uint64, s string) { f.put(tag, []byte(s)) }
@@ -125,10 +127,10 @@
 	f.put(tag, binary.LittleEndian.AppendUint64(b, math.Float64bits(v[1])))
 }
 
-// encode writes a file's content.
-func encode(c content) []byte {
+// encode encodes a file.
+func encode(c fileContent) []byte {
 	f := fields{append([]byte(nil), magic...)}
-	f.b = binary.LittleEndian.AppendUint32(f.b, version)
+	f.buf = binary.LittleEndian.AppendUint32(f.buf, version)
 	f.text(tagName, c.name)
 	f.number(tagSaved, c.saved.UnixNano())
 	if c.stamp.Boot != 0 {
@@ -136,18 +138,18 @@
 		f.number(tagSavedSinceBoot, int64(c.stamp.At))
 	}
 	for _, l := range c.learned.Circuits {
-		f.put(tagLane, encodeLane(l))
+		f.put(tagCircuit, encodeCircuit(l))
 	}
 	for _, k := range c.learned.Classes {
 		var g fields
 		g.text(className, k.Name)
 		g.float(classMean, k.MeanSeconds)
 		g.float(classTrust, k.Trust)
-		f.put(tagClass, g.b)
+		f.put(tagClass, g.buf)
 	}
-	f.put(tagLost, encodeLost(c.learned.Losses))
+	f.put(tagLosses, encodeLosses(c.learned.Losses))
 	if len(c.ended) > 0 {
-		b := make([]byte, 0, len(c.ended)*endedSize)
+		b := make([]byte, 0, len(c.ended)*endedIDSize)
 		for _, e := range c.ended {
 			b = binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(b, e.id.Hi), e.id.Lo)
 			b = binary.LittleEndian.AppendUint64(b, uint64(e.until.UnixNano()))
@@ -159,71 +161,72 @@
 		}
 		f.put(tagEnded, b)
 	}
-	return binary.LittleEndian.AppendUint64(f.b, xxh3.Hash(f.b))
+	return binary.LittleEndian.AppendUint64(f.buf, xxh3.Hash(f.buf))
 }
 
-// laneDurations and laneFloats say which of a lane's fields have which tags, for both directions.
-func laneDurations(l *mb.LearnedCircuit) map[uint64]*time.Duration {
+// circuitDurations maps the tags of a circuit's durations to its fields, for encoding and decoding.
+func circuitDurations(l *mb.LearnedCircuit) map[uint64]*time.Duration {
 	return map[uint64]*time.Duration{
-		laneSeen: &l.Seen, laneOpenFor: &l.OpenFor, laneOpenLeft: &l.OpenLeft, laneWait: &l.Wait, laneGuardSince: &l.GuardSince,
-		laneGuardFrom: &l.GuardFrom, laneLastBad: &l.LastBad, laneLastOK: &l.LastOK,
+		circuitSeen: &l.Seen, circuitOpenFor: &l.OpenFor, circuitOpenLeft: &l.OpenLeft, circuitWait: &l.Wait, circuitSlowStartSince: &l.GuardSince,
+		circuitSlowStartFrom: &l.GuardFrom, circuitLastBad: &l.LastBad, circuitLastOK: &l.LastOK,
 	}
 }
 
-func laneFloats(l *mb.LearnedCircuit) map[uint64]*float64 {
+// circuitFloats maps the tags of a circuit's floats to its fields, for encoding and decoding.
+func circuitFloats(l *mb.LearnedCircuit) map[uint64]*float64 {
 	return map[uint64]*float64{
-		laneRate: &l.Rate, laneLimit: &l.Limit, lanePace: &l.Pace, laneCap: &l.Cap, laneTrust: &l.Trust,
+		circuitRate: &l.Rate, circuitLimit: &l.Limit, circuitPace: &l.Pace, circuitCap: &l.Cap, circuitTrust: &l.Trust,
 	}
 }
 
-// lostPairs does so for the tallies of losses.
-func lostPairs(l *mb.LossCounts) map[uint64]*[2]float64 {
+// lossPairs maps the tags of the loss counts to their fields, for encoding and decoding.
+func lossPairs(l *mb.LossCounts) map[uint64]*[2]float64 {
 	return map[uint64]*[2]float64{
-		lostPaused: &l.AfterIdle, lostOthers: &l.Others, lostKept: &l.ReusedConnection, lostFresh: &l.NewConnection, lostStrayBad: &l.StrayFailures,
-		lostStrayFull: &l.StrayRefusals,
+		lossAfterIdle: &l.AfterIdle, lossOthers: &l.Others, lossReusedConnection: &l.ReusedConnection, lossNewConnection: &l.NewConnection,
+		lossStrayFailures: &l.StrayFailures, lossStrayRefusals: &l.StrayRefusals,
 	}
 }
 
-func encodeLane(l mb.LearnedCircuit) []byte {
+func encodeCircuit(l mb.LearnedCircuit) []byte {
 	var f fields
-	f.number(laneDestination, int64(l.Destination))
+	f.number(circuitDestination, int64(l.Destination))
 	if l.Endpoint != "" {
-		f.text(laneEndpoint, string(l.Endpoint))
+		f.text(circuitEndpoint, string(l.Endpoint))
 	}
 	for _, id := range l.Endpoints {
-		f.text(laneListed, string(id))
+		f.text(circuitEndpoints, string(id))
 	}
-	for tag, d := range laneDurations(&l) { // each once: their order in the file means nothing
+	for tag, d := range circuitDurations(&l) { // in any order: the order of fields in the file has no meaning
 		f.number(tag, int64(*d))
 	}
-	for tag, v := range laneFloats(&l) {
+	for tag, v := range circuitFloats(&l) {
 		f.float(tag, *v)
 	}
-	f.number(laneBreaker, int64(l.Breaker))
-	f.flag(laneGuard, l.Guard)
-	f.flag(laneWeak, l.Weak)
-	f.flag(laneCold, l.Cold)
-	return f.b
+	f.number(circuitBreaker, int64(l.Breaker))
+	f.flag(circuitSlowStart, l.Guard)
+	f.flag(circuitWeak, l.Weak)
+	f.flag(circuitCold, l.Cold)
+	return f.buf
 }
 
-func encodeLost(l mb.LossCounts) []byte {
+func encodeLosses(l mb.LossCounts) []byte {
 	var f fields
-	for tag, t := range lostPairs(&l) {
+	for tag, t := range lossPairs(&l) {
 		f.pair(tag, *t)
 	}
-	f.number(lostIdleBound, int64(l.IdleLimit))
-	f.flag(lostTells, l.RetryAfterSeen)
-	return f.b
+	f.number(lossIdleLimit, int64(l.IdleLimit))
+	f.flag(lossRetryAfterSeen, l.RetryAfterSeen)
+	return f.buf
 }
 
-// field is one that is read. Its value is taken for what the tag says; what can't be is as if the field were not there.
+// field is a decoded field. Its methods decode the value; they leave the target unchanged if the value is invalid.
 type field struct {
-	tag uint64
-	v   []byte
+	tag   uint64
+	value []byte
 }
 
 func (f field) number(to *int64) {
-	if n, size := binary.Varint(f.v); size > 0 {
+	if n, size := binary.Varint(f.value); size > 0 {
 		*to = n
 	}
 }
@@ -231,16 +234,16 @@
 func (f field) duration(to *time.Duration) { f.number((*int64)(to)) }
 
 func (f field) float(to *float64) {
-	if len(f.v) != 8 {
+	if len(f.value) != 8 {
 		return
 	}
-	if v := math.Float64frombits(binary.LittleEndian.Uint64(f.v)); !math.IsNaN(v) && !math.IsInf(v, 0) {
+	if v := math.Float64frombits(binary.LittleEndian.Uint64(f.value)); !math.IsNaN(v) && !math.IsInf(v, 0) {
 		*to = v
 	}
 }
 
-// positive is a float that can't be below zero.
-func (f field) positive(to *float64) {
+// nonNegative decodes a float that must not be below zero.
+func (f field) nonNegative(to *float64) {
 	v := *to
 	if f.float(&v); v >= 0 {
 		*to = v
@@ -248,19 +251,19 @@
 }
 
 func (f field) pair(to *[2]float64) {
-	if len(f.v) != 16 {
+	if len(f.value) != 16 {
 		return
 	}
 	v := *to
-	field{v: f.v[:8]}.positive(&v[0])
-	field{v: f.v[8:]}.positive(&v[1])
+	field{value: f.value[:8]}.nonNegative(&v[0])
+	field{value: f.value[8:]}.nonNegative(&v[1])
 	if v[1] <= v[0] {
 		*to = v
 	}
 }
 
-// each goes through fields; an error is one that is cut short.
-func each(b []byte, f func(field)) error {
+// eachField calls visit for each field in b and returns an error if a field is truncated.
+func eachField(b []byte, visit func(field)) error {
 	for len(b) > 0 {
 		tag, n := binary.Uvarint(b)
 		if n <= 0 {
@@ -270,32 +273,32 @@
 		if m <= 0 || size > uint64(len(b)-n-m) {
 			return ErrDamaged
 		}
-		f(field{tag, b[n+m : n+m+int(size)]})
+		visit(field{tag, b[n+m : n+m+int(size)]})
 		b = b[n+m+int(size):]
 	}
 	return nil
 }
 
-// decode reads a file's content.
-func decode(b []byte) (content, error) {
-	var c content
-	head := len(magic) + 4
-	if len(b) < head+8 || string(b[:len(magic)]) != string(magic) {
-		return c, fmt.Errorf("%w: no such file", ErrDamaged)
+// decode decodes a file.
+func decode(b []byte) (fileContent, error) {
+	var c fileContent
+	headerSize := len(magic) + 4
+	if len(b) < headerSize+8 || string(b[:len(magic)]) != string(magic) {
+		return c, fmt.Errorf("%w: not a file of learned state", ErrDamaged)
 	}
 	if v := binary.LittleEndian.Uint32(b[len(magic):]); v > version {
-		return c, fmt.Errorf("%w: version %d, this program knows %d", ErrVersion, v, version)
+		return c, fmt.Errorf("%w: version %d, this program supports up to %d", ErrVersion, v, version)
 	}
 	end := len(b) - 8
 	if xxh3.Hash(b[:end]) != binary.LittleEndian.Uint64(b[end:]) {
-		return c, fmt.Errorf("%w: its checksum differs", ErrDamaged)
+		return c, fmt.Errorf("%w: checksum mismatch", ErrDamaged)
 	}
 	var inner error
-	err := each(b[head:end], func(f field) {
+	err := eachField(b[headerSize:end], func(f field) {
 		var err error
 		switch f.tag {
 		case tagName:
-			c.name = string(f.v)
+			c.name = string(f.value)
 		case tagSaved:
 			var n int64
 			f.number(&n)
@@ -306,18 +309,18 @@
 			c.stamp.Boot = uint64(n)
 		case tagSavedSinceBoot:
 			f.duration(&c.stamp.At)
-		case tagLane:
+		case tagCircuit:
 			var l mb.LearnedCircuit
-			l, err = decodeLane(f.v)
+			l, err = decodeCircuit(f.value)
 			c.learned.Circuits = append(c.learned.Circuits, l)
 		case tagClass:
 			var k mb.LearnedClass
-			k, err = decodeClass(f.v)
+			k, err = decodeClass(f.value)
 			c.learned.Classes = append(c.learned.Classes, k)
-		case tagLost:
-			c.learned.Losses, err = decodeLost(f.v)
+		case tagLosses:
+			c.learned.Losses, err = decodeLosses(f.value)
 		case tagEnded:
-			c.ended = decodeEnded(f.v)
+			c.ended = decodeEnded(f.value)
 		}
 		if err != nil {
 			inner = err
@@ -326,37 +329,37 @@
 	return c, errors.Join(err, inner)
 }
 
-func decodeLane(b []byte) (mb.LearnedCircuit, error) {
+func decodeCircuit(b []byte) (mb.LearnedCircuit, error) {
 	l := mb.LearnedCircuit{GuardFrom: -1, LastBad: -1, LastOK: -1, Trust: 1, Pace: 1, Cap: 1}
 	var n int64
-	durations, floats := laneDurations(&l), laneFloats(&l)
-	err := each(b, func(f field) {
+	durations, floats := circuitDurations(&l), circuitFloats(&l)
+	err := eachField(b, func(f field) {
 		if d := durations[f.tag]; d != nil {
 			f.duration(d)
 			return
 		}
 		if v := floats[f.tag]; v != nil {
-			f.positive(v)
+			f.nonNegative(v)
 			return
 		}
 		switch f.tag {
-		case laneDestination:
+		case circuitDestination:
 			f.number(&n)
 			l.Destination = mb.DestinationID(n)
-		case laneEndpoint:
-			l.Endpoint = mb.EndpointID(f.v)
-		case laneListed:
-			l.Endpoints = append(l.Endpoints, mb.EndpointID(f.v))
-		case laneBreaker:
+		case circuitEndpoint:
+			l.Endpoint = mb.EndpointID(f.value)
+		case circuitEndpoints:
+			l.Endpoints = append(l.Endpoints, mb.EndpointID(f.value))
+		case circuitBreaker:
 			var state int64
-			if f.number(&state); state != int64(mb.BreakerClosed) { // one that this version does not know is careful, too
+			if f.number(&state); state != int64(mb.BreakerClosed) { // a state unknown to this version counts as open, too
 				l.Breaker = mb.BreakerOpen
 			}
-		case laneGuard:
+		case circuitSlowStart:
 			l.Guard = true
-		case laneWeak:
+		case circuitWeak:
 			l.Weak = true
-		case laneCold:
+		case circuitCold:
 			l.Cold = true
 		}
 	})
@@ -367,32 +370,32 @@
 
 func decodeClass(b []byte) (mb.LearnedClass, error) {
 	k := mb.LearnedClass{Trust: 1}
-	err := each(b, func(f field) {
+	err := eachField(b, func(f field) {
 		switch f.tag {
 		case className:
-			k.Name = string(f.v)
+			k.Name = string(f.value)
 		case classMean:
-			f.positive(&k.MeanSeconds)
+			f.nonNegative(&k.MeanSeconds)
 		case classTrust:
-			f.positive(&k.Trust)
+			f.nonNegative(&k.Trust)
 		}
 	})
 	k.Trust = min(1, k.Trust)
 	return k, err
 }
 
-func decodeLost(b []byte) (mb.LossCounts, error) {
+func decodeLosses(b []byte) (mb.LossCounts, error) {
 	var l mb.LossCounts
-	pairs := lostPairs(&l)
-	err := each(b, func(f field) {
+	pairs := lossPairs(&l)
+	err := eachField(b, func(f field) {
 		if p := pairs[f.tag]; p != nil {
 			f.pair(p)
 			return
 		}
 		switch f.tag {
-		case lostIdleBound:
+		case lossIdleLimit:
 			f.duration(&l.IdleLimit)
-		case lostTells:
+		case lossRetryAfterSeen:
 			l.RetryAfterSeen = true
 		}
 	})
@@ -400,9 +403,9 @@
 	return l, err
 }
 
-func decodeEnded(b []byte) (list []ended) {
-	for ; len(b) >= endedSize; b = b[endedSize:] {
-		list = append(list, ended{
+func decodeEnded(b []byte) (list []endedID) {
+	for ; len(b) >= endedIDSize; b = b[endedIDSize:] {
+		list = append(list, endedID{
 			id:    xxh3.Uint128{Hi: binary.LittleEndian.Uint64(b), Lo: binary.LittleEndian.Uint64(b[8:])},
 			until: time.Unix(0, int64(binary.LittleEndian.Uint64(b[16:]))), delivered: b[24] == 1,
 		})
--- a/internal/memory/memory.go
+++ b/internal/memory/memory.go
@@ -1,9 +1,8 @@
-// Package memory keeps what a forwarder has learned over its lives: breakers, waits, paces and guards of its partners, what
-// connections were like, and the ids of messages that have ended of late. It is a help, not a promise: a file that is
-// missing, damaged or somebody else's means a cold start, and nothing else.
+// Package memory keeps what a forwarder has learned across restarts: breakers, waits, rate limits and slow start of its
+// destinations, loss counts of connections, and the ids of recently ended messages. Keeping it is best-effort: a file that is
+// missing, damaged or another forwarder's leads to a cold start and has no other effect.
 //
-// The file is replaced whole, under another name first. What is read from it is weighed by its age (Figures) before it is
-// given out.
+// The file is replaced atomically, by renaming a new one. The state read from it is weighted by its age, see DecayConfig.
 package memory
 
 import (
@@ -25,56 +24,57 @@
 
 const (
 	fileName = "learned"
-	// steppedFrom is the least step of the wall clock that is reported.
-	steppedFrom = time.Second
-	fileNew     = fileName + fsys.NewSuffix
+	// minReportedStep is the smallest step of the wall clock that is reported.
+	minReportedStep = time.Second
+	tempFileName    = fileName + fsys.NewSuffix
 )
 
-// Options are what a memory is opened with.
+// Options configures a Memory.
 type Options struct {
 	FS          fsys.FS
-	Name        string        // the forwarder's: what another has learned is not taken over
-	MaxBytes    int64         // bytes of the file; while it is replaced two of them are there
-	MaxIDs      int           // ended ids that are kept at the most
-	IDRetention time.Duration // how long an ended id may still be meant
-	Sync        bool          // it is to outlast the machine as well
+	Name        string        // name of the forwarder; a file of another forwarder is not used
+	MaxBytes    int64         // maximum size of the file; while it is replaced, two files exist
+	MaxIDs      int           // maximum number of ids of ended messages in the file
+	IDRetention time.Duration // how long the id of an ended message is kept, for deduplication
+	Sync        bool          // sync the file, so that it survives a machine crash
 	Decay       DecayConfig
 	Now         func() time.Time
-	Clock       *bootclock.Clock // by which times outlast the process; nil has them go by the wall clock
+	Clock       *bootclock.Clock // keeps times valid across processes if the wall clock is set; nil uses the wall clock
 	Report      func(string)
 }
 
-// Snapshot is what is kept.
+// Snapshot is the state to save.
 type Snapshot struct {
 	Learned mb.LearnedState
 	Ended   []Ended // oldest first
 }
 
-// Ended is a message that has ended.
+// Ended describes an ended message.
 type Ended struct {
 	ID        string
 	Delivered bool
 	Age       time.Duration
 }
 
-// Memory is what an earlier life has left, and where this one leaves its own. Its methods may be called from any goroutine.
+// Memory holds the state restored from an earlier process and saves that of this one. It is safe for concurrent use.
 type Memory struct {
-	o       Options
+	opts    Options
 	learned mb.LearnedState
 	mu      sync.Mutex
-	ids     map[xxh3.Uint128]ended // of earlier lives
+	ids     map[xxh3.Uint128]endedID // ids of messages that ended in earlier processes
 	saves   Saves
 }
 
-// Saves counts what was written.
+// Saves counts the saves of the file.
 type Saves struct {
 	Files     int64
-	Bytes     int64 // of all of them
-	LastBytes int64 // bytes of the last
+	Bytes     int64 // bytes of all saved files
+	LastBytes int64 // bytes of the latest saved file
 	Failed    int64
 }
 
-// Open reads what an earlier life has left. It has no error: what can't be used is told to Report, and the start is cold.
+// Open restores the state saved by an earlier process. It does not fail: if the file cannot be used, it calls Report and
+// starts without learned state.
 func Open(o Options) *Memory {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -82,9 +82,9 @@
 	if o.Clock == nil {
 		o.Clock = &bootclock.Clock{}
 	}
-	m := &Memory{o: o, ids: map[xxh3.Uint128]ended{}}
-	if err := o.FS.Remove(fileNew); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		o.Report(fmt.Sprintf("leftover: %v", err))
+	m := &Memory{opts: o, ids: map[xxh3.Uint128]endedID{}}
+	if err := o.FS.Remove(tempFileName); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		o.Report(fmt.Sprintf("removing a leftover temporary file: %v", err))
 	}
 	c, err := m.read()
 	switch {
@@ -94,68 +94,68 @@
 		o.Report(fmt.Sprintf("cold start: %v", err))
 		return m
 	case c.name != o.Name:
-		o.Report(fmt.Sprintf("cold start: the file is %q's", c.name))
+		o.Report(fmt.Sprintf("cold start: the file belongs to forwarder %q", c.name))
 		return m
 	}
 	now := o.Now()
 	saved, stepped := o.Clock.Time(c.saved, c.stamp)
-	if stepped.Abs() > steppedFrom {
-		o.Report(fmt.Sprintf("the wall clock was set by %v since the file was saved; times go by the boot's clock", stepped.Round(time.Millisecond)))
+	if stepped.Abs() > minReportedStep {
+		o.Report(fmt.Sprintf("the wall clock was set by %v since the file was saved; using the boot clock", stepped.Round(time.Millisecond)))
 	}
 	age := now.Sub(saved)
-	jumped := age < -o.Decay.ClockTolerance
-	if jumped {
-		o.Report(fmt.Sprintf("the clock is %v behind the file's: what says go is not believed", -age))
+	clockSetBack := age < -o.Decay.ClockTolerance
+	if clockSetBack {
+		o.Report(fmt.Sprintf("the clock is %v behind the file's timestamp: learned rates and latencies get their lowest weight", -age))
 	}
-	m.learned = o.Decay.Weigh(c.learned, max(0, age), jumped)
+	m.learned = o.Decay.Weigh(c.learned, max(0, age), clockSetBack)
 	for _, e := range c.ended {
-		left := e.until.Sub(c.saved) - age
-		if jumped { // its time counts anew: rather too long than not at all
-			left = o.IDRetention
+		remaining := e.until.Sub(c.saved) - age
+		if clockSetBack { // retention starts anew: keeping an id too long is better than forgetting it
+			remaining = o.IDRetention
 		}
-		if left > 0 && left <= o.IDRetention {
-			e.until = now.Add(left) // by the clock of this process, which nobody sets
+		if remaining > 0 && remaining <= o.IDRetention {
+			e.until = now.Add(remaining) // by this process's monotonic clock, which is never set
 			m.ids[e.id] = e
 		}
 	}
 	return m
 }
 
-// read reads the file.
-func (m *Memory) read() (content, error) {
-	f, err := m.o.FS.Open(fileName)
+// read reads and decodes the file.
+func (m *Memory) read() (fileContent, error) {
+	f, err := m.opts.FS.Open(fileName)
 	if err != nil {
-		return content{}, err
+		return fileContent{}, err
 	}
 	defer f.Close()
 	size, err := f.Size()
 	if err != nil {
-		return content{}, err
+		return fileContent{}, err
 	}
-	if size > m.o.MaxBytes {
-		return content{}, fmt.Errorf("%w: %d bytes, %d are the most", ErrDamaged, size, m.o.MaxBytes)
+	if size > m.opts.MaxBytes {
+		return fileContent{}, fmt.Errorf("%w: %d bytes exceed the limit of %d", ErrDamaged, size, m.opts.MaxBytes)
 	}
 	b, err := io.ReadAll(io.NewSectionReader(f, 0, size))
 	if err != nil {
-		return content{}, err
+		return fileContent{}, err
 	}
 	return decode(b)
 }
 
-// Learned is what an earlier life had learned, weighed by its age when it was read.
+// Learned returns the learned state of an earlier process, weighted by its age when it was read.
 func (m *Memory) Learned() mb.LearnedState { return m.learned }
 
-// hash names an id in the file. It is bound to the forwarder's name, and 128 bits wide: ids that differ don't meet.
-func (m *Memory) hash(id string) xxh3.Uint128 { return xxh3.HashString128(m.o.Name + "\x00" + id) }
+// hash returns the hash that stands for an id in the file. It includes the forwarder's name; 128 bits make collisions negligible.
+func (m *Memory) hash(id string) xxh3.Uint128 { return xxh3.HashString128(m.opts.Name + "\x00" + id) }
 
-// EndedCount is how many ids of ended messages are known of earlier lives.
+// EndedCount returns the number of known ids of messages that ended in earlier processes.
 func (m *Memory) EndedCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.ids)
 }
 
-// Ended says whether a message of that id has ended in an earlier life, and how.
+// Ended reports whether the message with the given id ended in an earlier process, and whether it was delivered.
 func (m *Memory) Ended(id string) (delivered, known bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -163,16 +163,16 @@
 		return false, false
 	}
 	e, known := m.ids[m.hash(id)]
-	if known && !m.o.Now().Before(e.until) {
+	if known && !m.opts.Now().Before(e.until) {
 		return false, false
 	}
 	return e.delivered, known
 }
 
-// Save replaces the file.
+// Save replaces the file atomically.
 func (m *Memory) Save(s Snapshot) error {
 	b := m.encode(s)
-	_, err := fsys.Replace(m.o.FS, fileName, b, m.o.Sync)
+	_, err := fsys.Replace(m.opts.FS, fileName, b, m.opts.Sync)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err != nil {
@@ -185,67 +185,69 @@
 	return nil
 }
 
-// Saves tells what was written.
+// Saves returns the counts of saves so far.
 func (m *Memory) Saves() Saves {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.saves
 }
 
-// encode writes what fits: lanes first, those seen last before the others, then ids, the youngest before the others.
+// encode encodes as much of a snapshot as fits into MaxBytes. It drops the oldest ids first, then the circuits that were seen
+// least recently.
 func (m *Memory) encode(s Snapshot) []byte {
-	now := m.o.Now()
-	c := content{name: m.o.Name, saved: now, stamp: m.o.Clock.Stamp(now), learned: s.Learned}
-	c.ended = m.endedNow(s.Ended, now)
+	now := m.opts.Now()
+	c := fileContent{name: m.opts.Name, saved: now, stamp: m.opts.Clock.Stamp(now), learned: s.Learned}
+	c.ended = m.currentIDs(s.Ended, now)
 	for {
 		b := encode(c)
-		over := int64(len(b)) - m.o.MaxBytes
+		excess := int64(len(b)) - m.opts.MaxBytes
 		switch {
-		case over <= 0:
+		case excess <= 0:
 			return b
 		case len(c.ended) > 0:
-			c.ended = c.ended[min(len(c.ended), int(over/endedSize)+1):]
+			c.ended = c.ended[min(len(c.ended), int(excess/endedIDSize)+1):]
 		case len(c.learned.Circuits) > 0:
-			lanes := slices.Clone(c.learned.Circuits)
-			slices.SortStableFunc(lanes, func(a, b mb.LearnedCircuit) int { return int(min(1, max(-1, a.Seen-b.Seen))) })
-			c.learned.Circuits = lanes[:len(lanes)*9/10]
+			circuits := slices.Clone(c.learned.Circuits)
+			slices.SortStableFunc(circuits, func(a, b mb.LearnedCircuit) int { return int(min(1, max(-1, a.Seen-b.Seen))) })
+			c.learned.Circuits = circuits[:len(circuits)*9/10]
 		default:
 			return b
 		}
 	}
 }
 
-// endedNow are the ids that may still be meant, oldest first: this life's and those of earlier ones.
-func (m *Memory) endedNow(list []Ended, now time.Time) []ended {
+// currentIDs returns the ids that have not expired, oldest first: those in list and those of earlier processes.
+func (m *Memory) currentIDs(list []Ended, now time.Time) []endedID {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	out := make([]ended, 0, len(list)+len(m.ids))
+	out := make([]endedID, 0, len(list)+len(m.ids))
 	for id, e := range m.ids {
 		if !now.Before(e.until) {
 			delete(m.ids, id)
 			continue
 		}
-		e.until = now.Add(e.until.Sub(now)) // the wall clock may have been set since it was read
+		e.until = now.Add(e.until.Sub(now)) // the wall clock may have been set since the file was read
 		out = append(out, e)
 	}
 	for _, e := range list {
-		if until := now.Add(m.o.IDRetention - e.Age); now.Before(until) {
-			out = append(out, ended{m.hash(e.ID), e.Delivered, until})
+		if until := now.Add(m.opts.IDRetention - e.Age); now.Before(until) {
+			out = append(out, endedID{m.hash(e.ID), e.Delivered, until})
 		}
 	}
-	slices.SortFunc(out, func(a, b ended) int { return a.until.Compare(b.until) })
-	return out[max(0, len(out)-m.o.MaxIDs):]
+	slices.SortFunc(out, func(a, b endedID) int { return a.until.Compare(b.until) })
+	return out[max(0, len(out)-m.opts.MaxIDs):]
 }
 
-// Run saves what take gives, at intervals and once more when ctx ends. A failure is reported once until a save succeeds.
-func (m *Memory) Run(ctx context.Context, interval time.Duration, take func() Snapshot) {
+// Run saves the result of snapshot at each interval and once more when ctx is done. After a failure, further failures are not
+// reported until a save succeeds.
+func (m *Memory) Run(ctx context.Context, interval time.Duration, snapshot func() Snapshot) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	failing := false
 	save := func() {
-		err := m.Save(take())
+		err := m.Save(snapshot())
 		if err != nil && !failing {
-			m.o.Report(fmt.Sprintf("not saved, tried again: %v", err))
+			m.opts.Report(fmt.Sprintf("save failed, retrying: %v", err))
 		}
 		failing = err != nil
 	}
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -17,18 +17,18 @@
 	"mulleinbeam/internal/routing/wal/fsys"
 )
 
-// clock is one that the test sets.
+// clock is a clock set by the test.
 type clock struct{ at time.Time }
 
 func (c *clock) now() time.Time { return c.at }
 
 func newClock() *clock { return &clock{time.Unix(1_900_000_000, 0)} }
 
-// options are those of a memory whose reports the test reads.
-func options(fs fsys.FS, c *clock, told *[]string) Options {
+// options returns options of a Memory that appends its reports to reports.
+func options(fs fsys.FS, c *clock, reports *[]string) Options {
 	return Options{
 		FS: fs, Name: "n1", MaxBytes: 64 << 10, MaxIDs: 100, IDRetention: 20 * time.Second, Decay: DefaultDecay, Now: c.now,
-		Report: func(line string) { *told = append(*told, line) },
+		Report: func(line string) { *reports = append(*reports, line) },
 	}
 }
 
@@ -36,70 +36,70 @@
 	return time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, name))
 }
 
-// drawLearned draws what a courier may have learned.
+// drawLearned draws a learned state.
 func drawLearned(t *rapid.T) mb.LearnedState {
 	var l mb.LearnedState
-	for i := range rapid.IntRange(0, 8).Draw(t, "lanes") {
-		lane := mb.LearnedCircuit{
+	for i := range rapid.IntRange(0, 8).Draw(t, "circuits") {
+		circuit := mb.LearnedCircuit{
 			Destination: mb.DestinationID(i), Seen: duration(t, "seen"), Breaker: mb.Breaker(rapid.IntRange(0, 1).Draw(t, "breaker")),
 			OpenFor: duration(t, "open"), OpenLeft: duration(t, "left"), Wait: duration(t, "wait"),
 			Rate: rapid.Float64Range(0, 1e4).Draw(t, "rate"), Limit: rapid.Float64Range(0, 1e4).Draw(t, "limit"),
 			Pace: rapid.Float64Range(0, 99).Draw(t, "pace"), Cap: rapid.Float64Range(1, 30).Draw(t, "cap"),
-			Guard: rapid.Bool().Draw(t, "guard"), Weak: rapid.Bool().Draw(t, "weak"), GuardSince: duration(t, "since"),
+			Guard: rapid.Bool().Draw(t, "slow start"), Weak: rapid.Bool().Draw(t, "weak"), GuardSince: duration(t, "since"),
 			GuardFrom: -1, LastBad: -1, LastOK: duration(t, "ok"), Trust: rapid.Float64Range(0, 1).Draw(t, "trust"),
 			Cold: rapid.Bool().Draw(t, "cold"),
 		}
 		for j := range rapid.IntRange(0, 3).Draw(t, "endpoints") {
-			lane.Endpoints = append(lane.Endpoints, mb.EndpointID(fmt.Sprintf("e%d-%d", i, j)))
+			circuit.Endpoints = append(circuit.Endpoints, mb.EndpointID(fmt.Sprintf("e%d-%d", i, j)))
 		}
 		if rapid.Bool().Draw(t, "route") {
-			lane.Endpoint = mb.EndpointID(fmt.Sprint("e", i))
+			circuit.Endpoint = mb.EndpointID(fmt.Sprint("e", i))
 		}
-		l.Circuits = append(l.Circuits, lane)
+		l.Circuits = append(l.Circuits, circuit)
 	}
 	l.Classes = []mb.LearnedClass{{Name: "fee", MeanSeconds: rapid.Float64Range(0, 9).Draw(t, "mean"), Trust: 0.5}}
 	l.Losses = mb.LossCounts{AfterIdle: [2]float64{9, 3}, StrayRefusals: [2]float64{2, 1}, IdleLimit: duration(t, "idle"), RetryAfterSeen: true}
 	return l
 }
 
-// What is written is what is read.
+// Decoding an encoded file yields the same content.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		want := content{name: "n1", saved: time.Unix(0, rapid.Int64().Draw(t, "saved")), learned: drawLearned(t)}
+		want := fileContent{name: "n1", saved: time.Unix(0, rapid.Int64().Draw(t, "saved")), learned: drawLearned(t)}
 		for i := range rapid.IntRange(0, 5).Draw(t, "ids") {
-			want.ended = append(want.ended, ended{(&Memory{}).hash(fmt.Sprint(i)), i%2 == 0, time.Unix(int64(i), 5)})
+			want.ended = append(want.ended, endedID{(&Memory{}).hash(fmt.Sprint(i)), i%2 == 0, time.Unix(int64(i), 5)})
 		}
 		got, err := decode(encode(want))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(want, got, cmp.AllowUnexported(content{}, ended{}), cmpopts.EquateEmpty()); diff != "" {
+		if diff := cmp.Diff(want, got, cmp.AllowUnexported(fileContent{}, endedID{}), cmpopts.EquateEmpty()); diff != "" {
 			t.Fatal(diff)
 		}
 	})
 }
 
-// seal puts a file together from its fields.
-func seal(v uint32, b []byte) []byte {
+// buildFile returns a file with the given version and encoded fields.
+func buildFile(v uint32, fields []byte) []byte {
 	f := append(append([]byte(nil), magic...), byte(v), byte(v>>8), 0, 0)
-	return resum(append(append(f, b...), make([]byte, 8)...))
+	return fixChecksum(append(append(f, fields...), make([]byte, 8)...))
 }
 
-// A file of a newer program has fields that this one does not know, at each level; an older one lacks some. Both are read for
-// what is known. A version whose known fields mean something else is not.
+// A file of a newer program has unknown fields at each level, and one of an older program lacks fields: the known fields of both
+// are read. A file of a later version is rejected.
 func TestOlderAndNewerFiles(t *testing.T) {
 	var newer fields
 	newer.text(tagName, "n1")
-	newer.put(99, []byte("a whole new kind of thing"))
+	newer.put(99, []byte("unknown field"))
 	newer.number(tagSaved, 5)
-	var lane fields
-	lane.number(laneDestination, 7)
-	lane.put(200, nil)
-	lane.text(laneListed, "e1")
-	lane.number(laneBreaker, 5) // a state that came later
-	lane.put(laneRate, []byte("not eight"))
-	newer.put(tagLane, lane.b)
-	c, err := decode(seal(version, newer.b))
+	var circuit fields
+	circuit.number(circuitDestination, 7)
+	circuit.put(200, nil)
+	circuit.text(circuitEndpoints, "e1")
+	circuit.number(circuitBreaker, 5) // unknown state
+	circuit.put(circuitRate, []byte("not eight"))
+	newer.put(tagCircuit, circuit.buf)
+	c, err := decode(buildFile(version, newer.buf))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,78 +112,78 @@
 	}
 	var older fields
 	older.text(tagName, "n1")
-	if c, err := decode(seal(version, older.b)); err != nil || c.name != "n1" || len(c.learned.Circuits) != 0 {
+	if c, err := decode(buildFile(version, older.buf)); err != nil || c.name != "n1" || len(c.learned.Circuits) != 0 {
 		t.Errorf("%+v, %v", c, err)
 	}
-	if _, err := decode(seal(version+1, older.b)); !errors.Is(err, ErrVersion) {
-		t.Errorf("a later version: %v", err)
+	if _, err := decode(buildFile(version+1, older.buf)); !errors.Is(err, ErrVersion) {
+		t.Errorf("later version: %v", err)
 	}
 }
 
-// Any byte that differs, and any cut, means a cold start and one line, and the next save mends it.
+// A file with any byte changed, or truncated anywhere, leads to a cold start with one report, and the next save replaces it.
 func TestDamage(t *testing.T) {
-	c, told := newClock(), []string{}
+	c, reports := newClock(), []string{}
 	mem := fsys.NewMem()
-	o := options(mem, c, &told)
+	o := options(mem, c, &reports)
 	m := Open(o)
-	lane := mb.LearnedCircuit{Destination: 1, Endpoints: []mb.EndpointID{"e"}, Rate: 5, Trust: 1, Breaker: mb.BreakerOpen}
-	if err := m.Save(Snapshot{Learned: mb.LearnedState{Circuits: []mb.LearnedCircuit{lane}}}); err != nil || len(told) != 0 {
-		t.Fatal(err, told)
+	circuit := mb.LearnedCircuit{Destination: 1, Endpoints: []mb.EndpointID{"e"}, Rate: 5, Trust: 1, Breaker: mb.BreakerOpen}
+	if err := m.Save(Snapshot{Learned: mb.LearnedState{Circuits: []mb.LearnedCircuit{circuit}}}); err != nil || len(reports) != 0 {
+		t.Fatal(err, reports)
 	}
 	f, _ := mem.Open(fileName)
 	size, _ := f.Size()
 	good := make([]byte, size)
 	_, _ = f.ReadAt(good, 0)
-	try := func(bad []byte) {
+	expectColdStart := func(damaged []byte) {
 		t.Helper()
-		told = nil
+		reports = nil
 		fs := fsys.NewMem()
 		g, _ := fs.Create(fileName)
-		_, _ = g.Write(bad)
+		_, _ = g.Write(damaged)
 		o.FS = fs
 		m := Open(o)
-		if len(m.Learned().Circuits) != 0 || len(told) != 1 || !strings.Contains(told[0], "cold start") {
-			t.Fatalf("%d bytes: %v, told %q", len(bad), m.Learned(), told)
+		if len(m.Learned().Circuits) != 0 || len(reports) != 1 || !strings.Contains(reports[0], "cold start") {
+			t.Fatalf("%d bytes: %v, reports %q", len(damaged), m.Learned(), reports)
 		}
-		if err := m.Save(Snapshot{Learned: mb.LearnedState{Circuits: []mb.LearnedCircuit{lane}}}); err != nil || len(Open(o).Learned().Circuits) != 1 {
-			t.Fatalf("not mended: %v", err)
+		if err := m.Save(Snapshot{Learned: mb.LearnedState{Circuits: []mb.LearnedCircuit{circuit}}}); err != nil || len(Open(o).Learned().Circuits) != 1 {
+			t.Fatalf("not replaced: %v", err)
 		}
 	}
 	for i := range good {
-		bad := append([]byte(nil), good...)
-		bad[i] ^= 1 << (i % 8)
-		try(bad)
-		try(good[:i])
+		damaged := append([]byte(nil), good...)
+		damaged[i] ^= 1 << (i % 8)
+		expectColdStart(damaged)
+		expectColdStart(good[:i])
 	}
-	told = nil
+	reports = nil
 	o.FS, o.Name = mem, "n2"
-	if l := Open(o).Learned(); len(l.Circuits) != 0 || len(told) != 1 || !strings.Contains(told[0], `"n1"`) {
-		t.Errorf("another's file: %v, told %q", l, told)
+	if l := Open(o).Learned(); len(l.Circuits) != 0 || len(reports) != 1 || !strings.Contains(reports[0], `"n1"`) {
+		t.Errorf("file of another forwarder: %v, reports %q", l, reports)
 	}
 }
 
-// The process or the machine ends at any step of a save: the next start finds the old content or the new, whole.
+// If the process or the machine crashes at any step of a save, the next start reads either the old or the new content, complete.
 func TestCrashAtEachStep(t *testing.T) {
 	for _, sync := range []bool{false, true} {
 		losses := []fsys.Loss{fsys.LoseProcess}
 		if sync {
 			losses = append(losses, fsys.LoseUnsynced, fsys.LoseTail, fsys.LoseAnyUnsync)
 		}
-		c, told := newClock(), []string{}
+		c, reports := newClock(), []string{}
 		mem := fsys.NewMem()
-		o := options(mem, c, &told)
+		o := options(mem, c, &reports)
 		o.Sync = sync
 		m := Open(o)
 		rng := rand.New(rand.NewPCG(1, 1))
 		states, saved := 0, 0
 		mem.Step = func() {
 			for _, loss := range losses {
-				after := o
-				after.FS = mem.Crash(loss, rng)
-				l := Open(after).Learned()
+				restarted := o
+				restarted.FS = mem.Crash(loss, rng)
+				l := Open(restarted).Learned()
 				states++
-				if saved > 0 && len(l.Circuits) != saved && len(l.Circuits) != saved+1 || len(told) != 0 {
-					t.Fatalf("sync %v, loss %d: %d lanes, %d and %d were saved; told %q", sync, loss, len(l.Circuits), saved, saved+1, told)
+				if saved > 0 && len(l.Circuits) != saved && len(l.Circuits) != saved+1 || len(reports) != 0 {
+					t.Fatalf("sync %v, loss %d: %d circuits, %d and %d were saved; reports %q", sync, loss, len(l.Circuits), saved, saved+1, reports)
 				}
 			}
 		}
@@ -203,12 +203,12 @@
 	}
 }
 
-// A disk that fails costs the save and nothing else: the old file stands, what was half written goes, the next save counts.
+// A disk error fails the save only: the old file is kept, the partly written one is removed, and the next save succeeds.
 func TestDiskFails(t *testing.T) {
 	for _, op := range []fsys.Op{fsys.OpCreate, fsys.OpWrite, fsys.OpSync, fsys.OpRename} {
-		c, told := newClock(), []string{}
+		c, reports := newClock(), []string{}
 		faults := &fsys.Faults{FS: fsys.NewMem()}
-		o := options(faults, c, &told)
+		o := options(faults, c, &reports)
 		o.Sync = true
 		m := Open(o)
 		two := Snapshot{Learned: mb.LearnedState{Circuits: []mb.LearnedCircuit{{Destination: 1}, {Destination: 2}}}}
@@ -226,55 +226,55 @@
 		}
 		faults.Set(nil)
 		if got := Open(o).Learned(); len(got.Circuits) != 1 {
-			t.Errorf("%s: %d lanes", op, len(got.Circuits))
+			t.Errorf("%s: %d circuits", op, len(got.Circuits))
 		}
 		if err := m.Save(two); err != nil || len(Open(o).Learned().Circuits) != 2 {
-			t.Errorf("%s, later: %v", op, err)
+			t.Errorf("%s, next save: %v", op, err)
 		}
 	}
 }
 
-// What says careful holds whatever its age; what says go fades, by its own age and not by the file's.
+// State that restrains traffic holds at any age. State that permits traffic loses weight by its own age, not by the file's.
 func TestWeigh(t *testing.T) {
 	l := mb.LearnedState{Circuits: []mb.LearnedCircuit{{
 		Destination: 1, Breaker: mb.BreakerOpen, OpenLeft: time.Second, Wait: 90 * time.Second, Rate: 100, Trust: 1, Guard: true,
 		GuardFrom: -1, LastBad: 0, LastOK: 20 * time.Second, Seen: 10 * time.Second,
 	}}, Classes: []mb.LearnedClass{{Name: "c", MeanSeconds: 1, Trust: 1}}}
 	for _, c := range []struct {
-		age         time.Duration
-		jumped      bool
-		wait        time.Duration
-		least, most float64 // trust
-		cold        bool
+		age                time.Duration
+		clockSetBack       bool
+		wait               time.Duration
+		minTrust, maxTrust float64
+		cold               bool
 	}{
 		{time.Second, false, 89 * time.Second, 0.9, 0.99, false},
 		{time.Minute, false, 30 * time.Second, 0.6, 0.7, false},
 		{10 * time.Minute, false, 0, 0.02, 0.04, false},
-		{5 * time.Hour, false, 0, 0, 0.001, true}, // healthy or not: by now it may be cold
+		{5 * time.Hour, false, 0, 0, 0.001, true}, // the destination may be cold by now
 		{time.Hour, true, 90 * time.Second, 0, 0, true},
 	} {
-		got := DefaultDecay.Weigh(l, c.age, c.jumped).Circuits[0]
-		if got.Breaker != mb.BreakerOpen || !got.Guard || got.Wait != c.wait || got.Trust < c.least || got.Trust > c.most || got.Cold != c.cold {
-			t.Errorf("after %v, jumped %v: %+v", c.age, c.jumped, got)
+		got := DefaultDecay.Weigh(l, c.age, c.clockSetBack).Circuits[0]
+		if got.Breaker != mb.BreakerOpen || !got.Guard || got.Wait != c.wait || got.Trust < c.minTrust || got.Trust > c.maxTrust || got.Cold != c.cold {
+			t.Errorf("after %v, clock set back %v: %+v", c.age, c.clockSetBack, got)
 		}
 	}
-	if was := l.Circuits[0]; was.Wait != 90*time.Second {
-		t.Error("what was given was changed")
+	if original := l.Circuits[0]; original.Wait != 90*time.Second {
+		t.Error("Weigh changed its argument")
 	}
 }
 
-// Killed every second for ten minutes and saving each time, a forwarder that sees nothing of a partner believes ever less of
-// what it once knew.
+// A forwarder that is restarted every second for ten minutes, saving each time, must not renew the weight of what it learned
+// about a destination that it no longer observes.
 func TestRestartLoopDoesNotMakeTrustGrow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c, told := newClock(), []string{}
+		c, reports := newClock(), []string{}
 		mem := fsys.NewMem()
-		o := options(mem, c, &told)
-		lane := mb.LearnedCircuit{
+		o := options(mem, c, &reports)
+		circuit := mb.LearnedCircuit{
 			Destination: 1, Endpoints: []mb.EndpointID{"e"}, Rate: 900, Trust: 1, Cap: 8, Pace: 1, GuardFrom: -1, LastBad: -1,
 			Seen: duration(t, "seen"), Breaker: mb.Breaker(rapid.IntRange(0, 1).Draw(t, "breaker")),
 		}
-		if err := Open(o).Save(Snapshot{Learned: mb.LearnedState{Circuits: []mb.LearnedCircuit{lane}}}); err != nil {
+		if err := Open(o).Save(Snapshot{Learned: mb.LearnedState{Circuits: []mb.LearnedCircuit{circuit}}}); err != nil {
 			t.Fatal(err)
 		}
 		settings := mb.Settings{
@@ -287,7 +287,7 @@
 			c.at = c.at.Add(time.Second)
 			m := Open(o)
 			weighed := m.Learned()
-			if got := weighed.Circuits[0]; got.Trust > last+1e-9 || lane.Breaker == mb.BreakerOpen && got.Breaker == mb.BreakerClosed {
+			if got := weighed.Circuits[0]; got.Trust > last+1e-9 || circuit.Breaker == mb.BreakerOpen && got.Breaker == mb.BreakerClosed {
 				t.Fatalf("trust %v after %v: %+v", got.Trust, last, got)
 			}
 			d, err := mb.New(settings, 1)
@@ -301,7 +301,7 @@
 			}}})
 			l := d.Snapshot(now + 500*time.Millisecond)
 			if rate := l.Circuits[0].Rate; rate > lastRate+1e-6 || rate < 50-1e-6 {
-				t.Fatalf("paced at %v, before %v", rate, lastRate)
+				t.Fatalf("rate limit %v, before %v", rate, lastRate)
 			} else {
 				lastRate = rate
 			}
@@ -310,55 +310,55 @@
 			}
 		}
 		if lastRate > 60 {
-			t.Fatalf("paced at %v after ten minutes", lastRate)
+			t.Fatalf("rate limit %v after ten minutes", lastRate)
 		}
 	})
 }
 
-// Ids of ended messages are known for as long as they may be meant, over several lives, and no longer.
+// Ids of ended messages are known until they expire, across several restarts, and no longer.
 func TestEndedIds(t *testing.T) {
-	c, told := newClock(), []string{}
+	c, reports := newClock(), []string{}
 	mem := fsys.NewMem()
-	o := options(mem, c, &told)
-	known := func(m *Memory, id string, wantDelivered, wantKnown bool) {
+	o := options(mem, c, &reports)
+	expectEnded := func(m *Memory, id string, wantDelivered, wantKnown bool) {
 		t.Helper()
 		if delivered, known := m.Ended(id); delivered != wantDelivered || known != wantKnown {
 			t.Errorf("%s: delivered %v, known %v", id, delivered, known)
 		}
 	}
 	first := Open(o)
-	known(first, "a", false, false)
+	expectEnded(first, "a", false, false)
 	if err := first.Save(Snapshot{Ended: []Ended{{"a", true, 5 * time.Second}, {"b", false, 0}}}); err != nil {
 		t.Fatal(err)
 	}
 	c.at = c.at.Add(10 * time.Second)
 	second := Open(o)
-	known(second, "a", true, true)
-	known(second, "b", false, true)
-	known(second, "c", false, false)
+	expectEnded(second, "a", true, true)
+	expectEnded(second, "b", false, true)
+	expectEnded(second, "c", false, false)
 	if err := second.Save(Snapshot{Ended: []Ended{{"c", true, 0}}}); err != nil {
 		t.Fatal(err)
 	}
 	c.at = c.at.Add(6 * time.Second)
-	known(second, "a", false, false)
+	expectEnded(second, "a", false, false)
 	third := Open(o)
-	known(third, "a", false, false)
-	known(third, "b", false, true)
-	known(third, "c", true, true)
-	c.at = c.at.Add(-time.Hour) // set back: they are kept their time from now
-	back := Open(o)
-	known(back, "b", false, true)
-	if len(told) != 1 || !strings.Contains(told[0], "clock") {
-		t.Errorf("told %q", told)
+	expectEnded(third, "a", false, false)
+	expectEnded(third, "b", false, true)
+	expectEnded(third, "c", true, true)
+	c.at = c.at.Add(-time.Hour) // set back: the retention starts anew
+	fourth := Open(o)
+	expectEnded(fourth, "b", false, true)
+	if len(reports) != 1 || !strings.Contains(reports[0], "clock") {
+		t.Errorf("reports %q", reports)
 	}
 	c.at = c.at.Add(21 * time.Second)
-	known(back, "b", false, false)
+	expectEnded(fourth, "b", false, false)
 }
 
-// The file keeps its bound: what was seen long ago goes first, and ids before partners.
-func TestSize(t *testing.T) {
-	c, told := newClock(), []string{}
-	o := options(fsys.NewMem(), c, &told)
+// The file stays within its size limit: ids are dropped before circuits, and the circuits seen least recently first.
+func TestFileSizeIsBounded(t *testing.T) {
+	c, reports := newClock(), []string{}
+	o := options(fsys.NewMem(), c, &reports)
 	var s Snapshot
 	for i := range 1000 {
 		s.Learned.Circuits = append(s.Learned.Circuits, mb.LearnedCircuit{
@@ -374,48 +374,48 @@
 	if err := m.Save(s); err != nil {
 		t.Fatal(err)
 	}
-	whole := m.Saves().LastBytes
-	t.Logf("1,000 partners with two endpoints each and 100 ids: %d bytes", whole)
+	fullSize := m.Saves().LastBytes
+	t.Logf("1,000 circuits with two endpoints each and 100 ids: %d bytes", fullSize)
 	if l := Open(o); len(l.Learned().Circuits) != 1000 || l.EndedCount() != 100 {
-		t.Errorf("%d partners, %d ids", len(l.Learned().Circuits), l.EndedCount())
+		t.Errorf("%d circuits, %d ids", len(l.Learned().Circuits), l.EndedCount())
 	}
-	for _, most := range []int64{whole - 1, whole - 50*endedSize, whole / 2, 2000} {
-		o.MaxBytes = most
+	for _, maxBytes := range []int64{fullSize - 1, fullSize - 50*endedIDSize, fullSize / 2, 2000} {
+		o.MaxBytes = maxBytes
 		if err := m.Save(s); err != nil {
 			t.Fatal(err)
 		}
-		m.o.MaxBytes = most
-		if err := m.Save(s); err != nil || m.Saves().LastBytes > most {
-			t.Errorf("%d bytes of %d: %v", m.Saves().LastBytes, most, err)
+		m.opts.MaxBytes = maxBytes
+		if err := m.Save(s); err != nil || m.Saves().LastBytes > maxBytes {
+			t.Errorf("%d bytes of %d: %v", m.Saves().LastBytes, maxBytes, err)
 		}
 		l := Open(o).Learned().Circuits
-		for _, lane := range l {
-			if lane.Seen > time.Duration(len(l))*time.Second {
-				t.Errorf("most %d: %d partners kept, one of them seen %v ago", most, len(l), lane.Seen)
+		for _, circuit := range l {
+			if circuit.Seen > time.Duration(len(l))*time.Second {
+				t.Errorf("limit %d: %d circuits kept, one of them seen %v ago", maxBytes, len(l), circuit.Seen)
 				break
 			}
 		}
 	}
 }
 
-// FuzzDecode reads any bytes behind a good checksum: nothing panics, and what comes out is within its bounds.
+// FuzzDecode checks that decoding arbitrary bytes with a valid checksum never panics and yields values within their bounds.
 func FuzzDecode(f *testing.F) {
-	c := content{name: "n", saved: time.Unix(1, 0), learned: mb.LearnedState{Circuits: []mb.LearnedCircuit{{Destination: 1, Rate: 2, Trust: 1}}}}
+	c := fileContent{name: "n", saved: time.Unix(1, 0), learned: mb.LearnedState{Circuits: []mb.LearnedCircuit{{Destination: 1, Rate: 2, Trust: 1}}}}
 	f.Add(encode(c))
-	f.Add(append(append([]byte(nil), magic...), 1, 0, 0, 0, tagLane, 3, laneRate, 8, 1))
+	f.Add(append(append([]byte(nil), magic...), 1, 0, 0, 0, tagCircuit, 3, circuitRate, 8, 1))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if c, err := decode(b); err == nil {
-			check(t, c)
+			checkBounds(t, c)
 		}
-		if len(b) >= len(magic)+12 { // and with the checksum put right
-			if c, err := decode(resum(b)); err == nil {
-				check(t, c)
+		if len(b) >= len(magic)+12 { // again with a valid checksum
+			if c, err := decode(fixChecksum(b)); err == nil {
+				checkBounds(t, c)
 			}
 		}
 	})
 }
 
-func check(t *testing.T, c content) {
+func checkBounds(t *testing.T, c fileContent) {
 	for _, l := range c.learned.Circuits {
 		if l.Trust < 0 || l.Trust > 1 || l.Rate < 0 || l.Wait < 0 || l.Seen < 0 || l.Breaker > mb.BreakerHalfOpen {
 			t.Fatalf("%+v", l)
