--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter hosts instances of the decision module on the JSON lines of
-// package wire: batches on standard input, one reply each on standard output.
+// Command adapter runs instances of the decision module on the JSON lines of package wire: it reads batches from standard input
+// and writes one reply per batch to standard output.
 package main
 
 import (
@@ -21,7 +21,7 @@
 	}
 }
 
-// host keeps the running instances and the numbered lists.
+// host holds the running instances by name and the endpoint lists by id.
 type host struct {
 	instances map[string]*mb.Decider
 	lists     map[int][]mb.Entry
@@ -35,9 +35,9 @@
 	for {
 		line, err := r.ReadBytes('\n')
 		if len(line) > 0 && !(len(line) == 1 && line[0] == '\n') {
-			reply, herr := h.handle(line)
-			if herr != nil {
-				return herr
+			reply, handleErr := h.handle(line)
+			if handleErr != nil {
+				return handleErr
 			}
 			if err := enc.Encode(reply); err != nil {
 				return fmt.Errorf("write reply: %w", err)
@@ -55,7 +55,7 @@
 	}
 }
 
-// handle answers one batch.
+// handle returns the reply to one batch.
 func (h *host) handle(line []byte) (*wire.Reply, error) {
 	batch, err := wire.ParseBatch(line)
 	if err != nil {
@@ -74,6 +74,7 @@
 	return reply, nil
 }
 
+// handlePart feeds the input of one instance to it and returns the instance's decisions.
 func (h *host) handlePart(moment int64, part wire.Part) ([]any, error) {
 	var decisions []any
 	var events []mb.Event
@@ -83,7 +84,7 @@
 			events = nil
 			return nil
 		}
-		actions, fault := safely(d, moment, events)
+		actions, fault := handleRecovering(d, moment, events)
 		events = nil
 		if fault != "" {
 			decisions = append(decisions, wire.Bug(fault))
@@ -117,11 +118,11 @@
 		case wire.Catalog:
 			h.lists[ev.ID] = ev.Entries
 		case wire.ListRef:
-			m := mb.EndpointUpdate{Scope: ev.Scope}
+			update := mb.EndpointUpdate{Scope: ev.Scope}
 			if ev.Scope != mb.ListError {
-				m.Entries = h.lists[ev.List]
+				update.Entries = h.lists[ev.List]
 			}
-			events = append(events, m)
+			events = append(events, update)
 		case mb.Event:
 			events = append(events, ev)
 		}
@@ -132,8 +133,8 @@
 	return decisions, nil
 }
 
-// safely lets the module decide and turns a panic into a fault text.
-func safely(d *mb.Decider, moment int64, events []mb.Event) (actions []mb.Action, fault string) {
+// handleRecovering passes events to the decision module and returns the text of a panic as fault.
+func handleRecovering(d *mb.Decider, moment int64, events []mb.Event) (actions []mb.Action, fault string) {
 	defer func() {
 		if p := recover(); p != nil {
 			actions, fault = nil, fmt.Sprint("panic: ", p)
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -12,15 +12,16 @@
 const settings = `{"balancers":2,"family-info":{"calls-out":4},"limits":{"max-attempts":3,"most-held":20},
 	"services":[{"name":"c","effect":"safe","give-up":6000000,"target":1000000,"credit":1}]}`
 
-// script starts an instance, lists an endpoint and hands in a message.
-func script(who string) string {
+// script returns a part that starts an instance, lists an endpoint and submits a message.
+func script(instance string) string {
 	s := strings.ReplaceAll(settings, "\n", "")
 	return fmt.Sprintf(`{"who":%q,"input":[{"type":"provision","random-seed":5,"settings":%s},`+
 		`{"type":"catalog","roster-id":0,"rows-in":[{"endpoint":"e","shape":"k","destination":1,"readiness":"SERVING"}]},`+
 		`{"type":"members","scope":"Persisted","roster-id":0},`+
-		`{"type":"submit","rid":8,"band":"c","left":6000000,"to-exchange":1}]}`, who, s)
+		`{"type":"submit","rid":8,"band":"c","left":6000000,"to-exchange":1}]}`, instance, s)
 }
 
+// batch returns the line of the nth batch.
 func batch(n int, parts ...string) string {
 	return fmt.Sprintf(`{"moment":%d,"batch":%d,"parts":[%s]}`, 1000000+5000*n, n, strings.Join(parts, ",")) + "\n"
 }
@@ -48,10 +49,10 @@
 		}
 		return out.String()
 	}
-	alone, beside := reply(script("courier-0")), reply(script("courier-0"), script("courier-1"))
+	alone, together := reply(script("courier-0")), reply(script("courier-0"), script("courier-1"))
 	part := strings.TrimSuffix(strings.TrimPrefix(alone, `{"batch":1,"parts":[`), "]}\n")
-	if !strings.Contains(beside, part) {
-		t.Errorf("beside another the instance acts differently:\n%s\n%s", alone, beside)
+	if !strings.Contains(together, part) {
+		t.Errorf("the instance acts differently next to another one:\n%s\n%s", alone, together)
 	}
 }
 
@@ -69,17 +70,17 @@
 
 func TestPanicBecomesAFault(t *testing.T) {
 	var broken *mb.Decider
-	if _, fault := safely(broken, 1, []mb.Event{mb.Timer{}}); !strings.HasPrefix(fault, "panic: ") {
+	if _, fault := handleRecovering(broken, 1, []mb.Event{mb.Timer{}}); !strings.HasPrefix(fault, "panic: ") {
 		t.Errorf("fault %q", fault)
 	}
 }
 
-// A killed courier comes back with an empty memory: it acts like a new one.
+// A destroyed and provisioned instance keeps no state: it acts like a new one.
 func TestRestartHasNoMemory(t *testing.T) {
 	var out bytes.Buffer
 	start := script("courier-0")
-	again := strings.Replace(start, `"input":[`, `"input":[{"type":"destroy"},`, 1)
-	if err := run(strings.NewReader(batch(1, start)+batch(1, again)), &out); err != nil {
+	restart := strings.Replace(start, `"input":[`, `"input":[{"type":"destroy"},`, 1)
+	if err := run(strings.NewReader(batch(1, start)+batch(1, restart)), &out); err != nil {
 		t.Fatal(err)
 	}
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
--- a/internal/asynclog/asynclog_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -13,9 +13,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// pipe is a writer that may be stopped, and that may fail.
+// pipe is a writer that can be blocked and made to fail.
 type pipe struct {
-	mu   sync.Mutex // held while nobody reads
+	mu   sync.Mutex // held by a test to block writes
 	text strings.Builder
 	fail func(line []byte) (int, error)
 }
@@ -36,13 +36,13 @@
 func (w *Writer) queued() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.bytes
+	return w.queuedBytes
 }
 
 func notice(lines int64) []byte { return fmt.Appendf(nil, "dropped %d\n", lines) }
 
-// closed closes a writer and gives what was written.
-func closed(t *testing.T, w *Writer, p *pipe) string {
+// closeAndRead closes a Writer and returns what it wrote.
+func closeAndRead(t *testing.T, w *Writer, p *pipe) string {
 	t.Helper()
 	if err := w.Close(time.Minute); err != nil {
 		t.Fatal(err)
@@ -50,8 +50,9 @@
 	return p.text.String()
 }
 
-// count holds lines against what was logged: in order, whole, and every one that is missing told of in its place.
-func count(t *testing.T, text string, logged int) (dropped int) {
+// countDropped checks that the lines are complete and in order and that notices account for all missing lines. It returns the
+// number of dropped lines.
+func countDropped(t *testing.T, text string, logged int) (dropped int) {
 	t.Helper()
 	next := 0
 	for line := range strings.Lines(text) {
@@ -62,40 +63,40 @@
 			continue
 		}
 		if _, err := fmt.Sscanf(line, "line %d\n", &n); err != nil || n != next {
-			t.Fatalf("%q where line %d was to come", line, next)
+			t.Fatalf("%q, want line %d", line, next)
 		}
 		next++
 	}
 	if next != logged {
-		t.Fatalf("%d lines written or told of as dropped, of %d", next, logged)
+		t.Fatalf("%d lines written or reported as dropped, want %d", next, logged)
 	}
 	return dropped
 }
 
-// Guards against a caller that waits for a reader that has stopped, a queue that grows without bound, and lines that are torn, out of
-// order or missing without a word.
-func TestAStoppedReaderHoldsUpNobody(t *testing.T) {
+// If the reader has stopped, the caller must not block, the queue must not grow without bound, and lines must not be torn, out of
+// order or missing without a notice.
+func TestStoppedReaderDoesNotBlockLogging(t *testing.T) {
 	p := &pipe{}
 	w := New(p, notice)
 	p.mu.Lock()
 	const lines = 40_000
 	for i := range lines {
 		fmt.Fprintf(w, "line %d\n", i)
-		if bytes := w.queued(); bytes > mostQueued {
+		if bytes := w.queued(); bytes > maxQueuedBytes {
 			t.Fatalf("%d bytes are queued", bytes)
 		}
 	}
 	if err := w.Close(time.Millisecond); err == nil {
-		t.Error("closed, with lines that nobody has read")
+		t.Error("Close succeeded with lines left")
 	}
 	p.mu.Unlock()
-	if dropped := count(t, closed(t, w, p), lines); dropped == 0 || int64(dropped) != w.Dropped() {
-		t.Errorf("%d lines told of as dropped, %d counted", dropped, w.Dropped())
+	if dropped := countDropped(t, closeAndRead(t, w, p), lines); dropped == 0 || int64(dropped) != w.Dropped() {
+		t.Errorf("%d lines reported as dropped, %d counted", dropped, w.Dropped())
 	}
 }
 
-// Guards against lines that are lost though they are read at once.
-func TestNothingIsLostWhileTheReaderKeepsUp(t *testing.T) {
+// No line may be dropped while the reader keeps up.
+func TestNoLinesAreDroppedWhileReaderKeepsUp(t *testing.T) {
 	p := &pipe{}
 	w := New(p, notice)
 	var logging sync.WaitGroup
@@ -112,13 +113,13 @@
 		})
 	}
 	logging.Wait()
-	if dropped := count(t, closed(t, w, p), 8000); dropped != 0 {
+	if dropped := countDropped(t, closeAndRead(t, w, p), 8000); dropped != 0 {
 		t.Errorf("%d lines dropped", dropped)
 	}
 }
 
-// Guards against a dropped line that is not told of until the next one comes.
-func TestDroppedLinesAreToldOfOnceWritingGoesOn(t *testing.T) {
+// Dropped lines must be reported once writing resumes, not only with the next line.
+func TestDroppedLinesAreReportedOnceWritingResumes(t *testing.T) {
 	p := &pipe{}
 	w := New(p, notice)
 	p.mu.Lock()
@@ -126,17 +127,17 @@
 		fmt.Fprintf(w, "line %d\n", i)
 	}
 	p.mu.Unlock()
-	for told := false; !told; {
+	for reported := false; !reported; {
 		p.mu.Lock()
-		told = strings.Contains(p.text.String(), "dropped")
+		reported = strings.Contains(p.text.String(), "dropped")
 		p.mu.Unlock()
-		time.Sleep(time.Millisecond) // polls
+		time.Sleep(time.Millisecond) // poll
 	}
-	_ = closed(t, w, p)
+	_ = closeAndRead(t, w, p)
 }
 
-// Guards against a failed write that tears the next line, is not counted, or is tried without end.
-func TestAFailedWriteIsCounted(t *testing.T) {
+// A failed write must not tear the next line, must be counted, and must not be retried forever.
+func TestFailedWriteIsCounted(t *testing.T) {
 	p := &pipe{}
 	failures := 0
 	p.fail = func(line []byte) (int, error) {
@@ -150,13 +151,13 @@
 		fmt.Fprintf(w, "line %d\n", i)
 	}
 	for w.Dropped() < 3 {
-		time.Sleep(time.Millisecond) // polls
+		time.Sleep(time.Millisecond) // poll
 	}
 	p.mu.Lock()
 	p.fail = nil
 	p.mu.Unlock()
 	fmt.Fprint(w, "line 3\n")
-	text := closed(t, w, p)
+	text := closeAndRead(t, w, p)
 	if !strings.HasSuffix(text, "dropped 3\nline 3\n") {
 		t.Errorf("written: %q", text)
 	}
--- a/internal/oplog/sampler.go
+++ b/internal/oplog/sampler.go
@@ -1,4 +1,4 @@
-// Package oplog keeps the log short where the same thing happens to many requests.
+// Package oplog samples log lines about events that occur for many requests.
 package oplog
 
 import (
@@ -9,71 +9,71 @@
 )
 
 const (
-	// lineEvery is the least time between two lines of one kind and reason.
-	lineEvery = 10 * time.Second
-	// mostKinds bounds what is remembered; beyond it nothing new is logged.
-	mostKinds = 256
+	// logInterval is the minimum time between two lines with the same message and reason.
+	logInterval = 10 * time.Second
+	// maxKinds bounds the pairs of message and reason; further ones are not logged.
+	maxKinds = 256
 )
 
-// Sampler logs the first of what happens for a reason at once, with what it happened to, and after that one in lineEvery, with the number
-// of times since the line before. Its methods may be called from any goroutine; a nil Sampler logs nothing.
+// Sampler logs the first event of each message and reason at once and then at most one per logInterval, with the number of events
+// since the previous line. It is safe for concurrent use; a nil Sampler logs nothing.
 type Sampler struct {
 	logger zerolog.Logger
 	now    func() time.Time
 
 	mu    sync.Mutex
-	kinds map[kind]*sample
+	kinds map[eventKind]*sample
 }
 
-// kind is what has happened, and why.
-type kind struct{ message, reason string }
+// eventKind identifies the events that are sampled together.
+type eventKind struct{ message, reason string }
 
 type sample struct {
-	logged time.Time
-	since  int // times that were not logged
+	logged     time.Time
+	suppressed int // events not logged since then
 }
 
-// NewSampler writes to a logger.
+// NewSampler returns a Sampler that writes to logger.
 func NewSampler(logger zerolog.Logger) *Sampler {
-	return &Sampler{logger: logger, now: time.Now, kinds: map[kind]*sample{}}
+	return &Sampler{logger: logger, now: time.Now, kinds: map[eventKind]*sample{}}
 }
 
-// Note tells of something that has happened, and why. describe adds to the line what it happened to; it is called only for a line.
+// Note records an event and its reason. describe adds fields to the log line; it is called only if a line is logged.
 func (s *Sampler) Note(message, reason string, describe func(*zerolog.Event)) {
 	if s == nil {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	k, now := kind{message, reason}, s.now()
-	last := s.kinds[k]
+	k, now := eventKind{message, reason}, s.now()
+	previous := s.kinds[k]
 	switch {
-	case last == nil && len(s.kinds) >= mostKinds:
+	case previous == nil && len(s.kinds) >= maxKinds:
 		return
-	case last == nil:
-		last = &sample{}
-		s.kinds[k] = last
-	case now.Sub(last.logged) < lineEvery:
-		last.since++
+	case previous == nil:
+		previous = &sample{}
+		s.kinds[k] = previous
+	case now.Sub(previous.logged) < logInterval:
+		previous.suppressed++
 		return
 	}
-	line := s.logger.Info().Str("reason", reason).Int("times", last.since+1)
+	line := s.logger.Info().Str("reason", reason).Int("times", previous.suppressed+1)
 	describe(line)
 	line.Msg(message)
-	last.logged, last.since = now, 0
+	previous.logged, previous.suppressed = now, 0
 }
 
-// Close logs what was counted and not told yet.
+// Close logs the counts of events that were not logged yet.
 func (s *Sampler) Close() {
 	if s == nil {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for k, last := range s.kinds {
-		if last.since > 0 {
-			s.logger.Info().Str("reason", k.reason).Int("times", last.since).Msg(k.message)
-			last.since = 0
+	for k, previous := range s.kinds {
+		if previous.suppressed > 0 {
+			s.logger.Info().Str("reason", k.reason).Int("times", previous.suppressed).Msg(k.message)
+			previous.suppressed = 0
 		}
 	}
 }
--- a/internal/oplog/sampler_test.go
+++ b/internal/oplog/sampler_test.go
@@ -9,8 +9,8 @@
 	"github.com/rs/zerolog"
 )
 
-// Guards against a log that grows with each request while something fails, and against one that is silent about it.
-func TestSamplerLogsTheFirstAndThenNowAndThen(t *testing.T) {
+// While something fails, the log must neither grow with each request nor omit the failure.
+func TestSamplerLogsFirstAndThenAtIntervals(t *testing.T) {
 	var out bytes.Buffer
 	s := NewSampler(zerolog.New(&out))
 	at := time.Unix(1000, 0)
@@ -24,7 +24,7 @@
 			note("full", "b")
 		}
 	}
-	at = at.Add(lineEvery)
+	at = at.Add(logInterval)
 	note("journal", "c")
 	note("journal", "d")
 	s.Close()
@@ -37,10 +37,10 @@
 		t.Errorf("logged\n%s", got)
 	}
 	(*Sampler)(nil).Note("nothing", "", nil)
-	for i := range 2 * mostKinds {
+	for i := range 2 * maxKinds {
 		note(strings.Repeat("x", i), "")
 	}
-	if len(s.kinds) != mostKinds {
-		t.Errorf("%d kinds are remembered", len(s.kinds))
+	if len(s.kinds) != maxKinds {
+		t.Errorf("%d kinds are kept", len(s.kinds))
 	}
 }
--- a/internal/settings/entries_test.go
+++ b/internal/settings/entries_test.go
@@ -33,7 +33,7 @@
 `
 
 // A file of entries is parsed, and formatting the entries yields a file that parses to the same entries.
-func TestEntries(t *testing.T) {
+func TestEntriesRoundTrip(t *testing.T) {
 	want := []entry.Entry{
 		{Destination: &entry.Destination{Number: 7, Endpoints: []entry.Endpoint{
 			{Name: "p0", Address: "10.0.0.1:80", Zone: "z0", Capacity: 60},
@@ -63,7 +63,7 @@
 }
 
 // Errors name the file, line and key of the invalid entry.
-func TestErrorsOfEntries(t *testing.T) {
+func TestInvalidEntries(t *testing.T) {
 	replace := func(from, to string) string {
 		if !strings.Contains(entriesText, from) {
 			t.Fatal(from)
