--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter runs instances of the decision module on the JSON lines of package wire: it reads batches from standard input
-// and writes one reply per batch to standard output.
+// Command adapter runs instances of the decision module on the JSON lines of package wire: it reads batches from
+// standard input and writes one reply per batch to standard output.
 package main
 
 import (
--- a/internal/asynclog/asynclog.go
+++ b/internal/asynclog/asynclog.go
@@ -1,5 +1,5 @@
-// Package asynclog writes log lines to a writer that may block forever, such as a pipe that nobody reads, without blocking the
-// caller.
+// Package asynclog writes log lines to a writer that may block forever, such as a pipe that nobody reads, without
+// blocking the caller.
 package asynclog
 
 import (
@@ -19,9 +19,9 @@
 	dropped int64 // number of dropped lines that the line reports; 0 unless it is a notice
 }
 
-// Writer queues lines and writes them from its own goroutine, in order and with one call each. A line that does not fit into the
-// queue is dropped as a whole and counted. A notice, which reports the number of dropped lines, takes their place once the queue
-// is half empty. Writer is safe for concurrent use.
+// Writer queues lines and writes them from its own goroutine, in order and with one call each. A line that does not fit
+// into the queue is dropped as a whole and counted. A notice, which reports the number of dropped lines, takes their
+// place once the queue is half empty. Writer is safe for concurrent use.
 type Writer struct {
 	out     io.Writer
 	wake    chan struct{}
@@ -167,8 +167,8 @@
 	return w.dropped
 }
 
-// Close waits up to timeout until the queued lines are written; its error tells how many are left. Later lines are dropped. A
-// write still blocked after the timeout is abandoned.
+// Close waits up to timeout until the queued lines are written; its error tells how many are left. Later lines are
+// dropped. A write still blocked after the timeout is abandoned.
 func (w *Writer) Close(timeout time.Duration) error {
 	w.mu.Lock()
 	w.closed = true
--- a/internal/asynclog/asynclog_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -50,8 +50,8 @@
 	return p.text.String()
 }
 
-// countDropped checks that the lines are complete and in order and that notices account for all missing lines. It returns the
-// number of dropped lines.
+// countDropped checks that the lines are complete and in order and that notices account for all missing lines. It
+// returns the number of dropped lines.
 func countDropped(t *testing.T, text string, logged int) (dropped int) {
 	t.Helper()
 	next := 0
@@ -73,8 +73,8 @@
 	return dropped
 }
 
-// If the reader has stopped, the caller must not block, the queue must not grow without bound, and lines must not be torn, out of
-// order or missing without a notice.
+// If the reader has stopped, the caller must not block, the queue must not grow without bound, and lines must not be
+// torn, out of order or missing without a notice.
 func TestStoppedReaderDoesNotBlockLogging(t *testing.T) {
 	p := &pipe{}
 	w := New(p, notice)
--- a/internal/bootclock/bootclock_test.go
+++ b/internal/bootclock/bootclock_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Deadlines and windows must not move when the wall clock is set forward or back between two processes of the same boot. After
-// another boot, the wall clock is used.
+// Deadlines and windows must not move when the wall clock is set forward or back between two processes of the same
+// boot. After another boot, the wall clock is used.
 func TestStampSurvivesWallClockStep(t *testing.T) {
 	const uptime, elapsed = time.Hour, 3 * time.Second
 	now := time.Now()
@@ -25,8 +25,8 @@
 		"another boot": {"other", time.Hour, 7*time.Second - time.Hour, 0},
 		"no boot":      {"", 0, 7 * time.Second, 0},
 	} {
-		// The second process starts with a wall clock that has advanced by elapsed and the step, so the stored wall clock time
-		// appears that much earlier.
+		// The second process starts with a wall clock that has advanced by elapsed and the step, so the stored wall
+		// clock time appears that much earlier.
 		second := New(c.boot, uptime+elapsed, now)
 		wall := deadline.Add(-elapsed - c.step).Round(0)
 		at, stepped := second.Time(wall, stamp)
--- a/internal/memory/clock_test.go
+++ b/internal/memory/clock_test.go
@@ -9,8 +9,8 @@
 	"mulleinbeam/internal/routing/wal/fsys"
 )
 
-// If the wall clock is set while the process is down, ids must not be forgotten, or a resubmitted message is sent again, and
-// Retry-After waits must not end early.
+// If the wall clock is set while the process is down, ids must not be forgotten, or a resubmitted message is sent
+// again, and Retry-After waits must not end early.
 func TestLearnedTimesSurviveWallClockStep(t *testing.T) {
 	const downtime, sinceBoot = 2 * time.Second, time.Hour
 	for name, step := range map[string]time.Duration{"none": 0, "forward": time.Hour, "back": -time.Hour} {
--- a/internal/memory/codec.go
+++ b/internal/memory/codec.go
@@ -13,9 +13,10 @@
 	"mulleinbeam/internal/bootclock"
 )
 
-// A file consists of a magic, a version, fields, and a checksum over everything before it. A field is a tag, a length and that
-// many bytes; the value of some fields is a list of fields. The decoder skips unknown tags and accepts missing fields, so that
-// files of older and newer programs are read for the fields both know. The version changes only if the meaning of a field does.
+// A file consists of a magic, a version, fields, and a checksum over everything before it. A field is a tag, a length
+// and that many bytes; the value of some fields is a list of fields. The decoder skips unknown tags and accepts missing
+// fields, so that files of older and newer programs are read for the fields both know. The version changes only if the
+// meaning of a field does.
 const version = 1
 
 var magic = []byte("larkmem\n")
@@ -128,29 +129,29 @@
 }
 
 // encode encodes a file.
-func encode(c fileContent) []byte {
+func encode(content fileContent) []byte {
 	f := fields{append([]byte(nil), magic...)}
 	f.buf = binary.LittleEndian.AppendUint32(f.buf, version)
-	f.text(tagName, c.name)
-	f.number(tagSaved, c.saved.UnixNano())
-	if c.stamp.Boot != 0 {
-		f.number(tagSavedBoot, int64(c.stamp.Boot))
-		f.number(tagSavedSinceBoot, int64(c.stamp.At))
+	f.text(tagName, content.name)
+	f.number(tagSaved, content.saved.UnixNano())
+	if content.stamp.Boot != 0 {
+		f.number(tagSavedBoot, int64(content.stamp.Boot))
+		f.number(tagSavedSinceBoot, int64(content.stamp.At))
 	}
-	for _, l := range c.learned.Circuits {
+	for _, l := range content.learned.Circuits {
 		f.put(tagCircuit, encodeCircuit(l))
 	}
-	for _, k := range c.learned.Classes {
+	for _, k := range content.learned.Classes {
 		var g fields
 		g.text(className, k.Name)
 		g.float(classMean, k.MeanSeconds)
 		g.float(classTrust, k.Trust)
 		f.put(tagClass, g.buf)
 	}
-	f.put(tagLosses, encodeLosses(c.learned.Losses))
-	if len(c.ended) > 0 {
-		b := make([]byte, 0, len(c.ended)*endedIDSize)
-		for _, e := range c.ended {
+	f.put(tagLosses, encodeLosses(content.learned.Losses))
+	if len(content.ended) > 0 {
+		b := make([]byte, 0, len(content.ended)*endedIDSize)
+		for _, e := range content.ended {
 			b = binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(b, e.id.Hi), e.id.Lo)
 			b = binary.LittleEndian.AppendUint64(b, uint64(e.until.UnixNano()))
 			if e.delivered {
@@ -280,59 +281,59 @@
 }
 
 // decode decodes a file.
-func decode(b []byte) (fileContent, error) {
-	var c fileContent
+func decode(data []byte) (fileContent, error) {
+	var content fileContent
 	headerSize := len(magic) + 4
-	if len(b) < headerSize+8 || string(b[:len(magic)]) != string(magic) {
-		return c, fmt.Errorf("%w: not a file of learned state", ErrDamaged)
+	if len(data) < headerSize+8 || string(data[:len(magic)]) != string(magic) {
+		return content, fmt.Errorf("%w: not a file of learned state", ErrDamaged)
 	}
-	if v := binary.LittleEndian.Uint32(b[len(magic):]); v > version {
-		return c, fmt.Errorf("%w: version %d, this program supports up to %d", ErrVersion, v, version)
+	if v := binary.LittleEndian.Uint32(data[len(magic):]); v > version {
+		return content, fmt.Errorf("%w: version %d, this program supports up to %d", ErrVersion, v, version)
 	}
-	end := len(b) - 8
-	if xxh3.Hash(b[:end]) != binary.LittleEndian.Uint64(b[end:]) {
-		return c, fmt.Errorf("%w: checksum mismatch", ErrDamaged)
+	end := len(data) - 8
+	if xxh3.Hash(data[:end]) != binary.LittleEndian.Uint64(data[end:]) {
+		return content, fmt.Errorf("%w: checksum mismatch", ErrDamaged)
 	}
 	var inner error
-	err := eachField(b[headerSize:end], func(f field) {
+	err := eachField(data[headerSize:end], func(f field) {
 		var err error
 		switch f.tag {
 		case tagName:
-			c.name = string(f.value)
+			content.name = string(f.value)
 		case tagSaved:
 			var n int64
 			f.number(&n)
-			c.saved = time.Unix(0, n)
+			content.saved = time.Unix(0, n)
 		case tagSavedBoot:
 			var n int64
 			f.number(&n)
-			c.stamp.Boot = uint64(n)
+			content.stamp.Boot = uint64(n)
 		case tagSavedSinceBoot:
-			f.duration(&c.stamp.At)
+			f.duration(&content.stamp.At)
 		case tagCircuit:
 			var l mb.LearnedCircuit
 			l, err = decodeCircuit(f.value)
-			c.learned.Circuits = append(c.learned.Circuits, l)
+			content.learned.Circuits = append(content.learned.Circuits, l)
 		case tagClass:
 			var k mb.LearnedClass
 			k, err = decodeClass(f.value)
-			c.learned.Classes = append(c.learned.Classes, k)
+			content.learned.Classes = append(content.learned.Classes, k)
 		case tagLosses:
-			c.learned.Losses, err = decodeLosses(f.value)
+			content.learned.Losses, err = decodeLosses(f.value)
 		case tagEnded:
-			c.ended = decodeEnded(f.value)
+			content.ended = decodeEnded(f.value)
 		}
 		if err != nil {
 			inner = err
 		}
 	})
-	return c, errors.Join(err, inner)
+	return content, errors.Join(err, inner)
 }
 
 func decodeCircuit(b []byte) (mb.LearnedCircuit, error) {
-	l := mb.LearnedCircuit{GuardFrom: -1, LastBad: -1, LastOK: -1, Trust: 1, Pace: 1, Cap: 1}
+	circuit := mb.LearnedCircuit{GuardFrom: -1, LastBad: -1, LastOK: -1, Trust: 1, Pace: 1, Cap: 1}
 	var n int64
-	durations, floats := circuitDurations(&l), circuitFloats(&l)
+	durations, floats := circuitDurations(&circuit), circuitFloats(&circuit)
 	err := eachField(b, func(f field) {
 		if d := durations[f.tag]; d != nil {
 			f.duration(d)
@@ -345,27 +346,27 @@
 		switch f.tag {
 		case circuitDestination:
 			f.number(&n)
-			l.Destination = mb.DestinationID(n)
+			circuit.Destination = mb.DestinationID(n)
 		case circuitEndpoint:
-			l.Endpoint = mb.EndpointID(f.value)
+			circuit.Endpoint = mb.EndpointID(f.value)
 		case circuitEndpoints:
-			l.Endpoints = append(l.Endpoints, mb.EndpointID(f.value))
+			circuit.Endpoints = append(circuit.Endpoints, mb.EndpointID(f.value))
 		case circuitBreaker:
 			var state int64
-			if f.number(&state); state != int64(mb.BreakerClosed) { // a state unknown to this version counts as open, too
-				l.Breaker = mb.BreakerOpen
+			if f.number(&state); state != int64(mb.BreakerClosed) { // unknown states count as open, too
+				circuit.Breaker = mb.BreakerOpen
 			}
 		case circuitSlowStart:
-			l.Guard = true
+			circuit.Guard = true
 		case circuitWeak:
-			l.Weak = true
+			circuit.Weak = true
 		case circuitCold:
-			l.Cold = true
+			circuit.Cold = true
 		}
 	})
-	l.Trust = min(1, l.Trust)
-	l.Seen, l.OpenLeft, l.Wait, l.GuardSince = max(0, l.Seen), max(0, l.OpenLeft), max(0, l.Wait), max(0, l.GuardSince)
-	return l, err
+	circuit.Trust = min(1, circuit.Trust)
+	circuit.Seen, circuit.OpenLeft, circuit.Wait, circuit.GuardSince = max(0, circuit.Seen), max(0, circuit.OpenLeft), max(0, circuit.Wait), max(0, circuit.GuardSince)
+	return circuit, err
 }
 
 func decodeClass(b []byte) (mb.LearnedClass, error) {
--- a/internal/memory/decay.go
+++ b/internal/memory/decay.go
@@ -28,17 +28,18 @@
 	ClockTolerance time.Duration // a clock further behind the file's timestamp was set back; less is drift
 }
 
-// DefaultDecay suits destinations whose rates change within minutes and classes whose work changes over hours. A destination is
-// cold after a quarter of an hour without calls.
+// DefaultDecay suits destinations whose rates change within minutes and classes whose work changes over hours. A
+// destination is cold after a quarter of an hour without calls.
 var DefaultDecay = DecayConfig{
 	Rate: Decay{HalfLife: 2 * time.Minute}, Class: Decay{HalfLife: time.Hour, Floor: 0.1}, Losses: Decay{HalfLife: 5 * time.Minute},
 	ColdAfter: 15 * time.Minute, MaxWait: 10 * time.Minute, ClockTolerance: 2 * time.Second,
 }
 
-// Weigh returns the learned state age after it was saved. State that restrains traffic holds at any age: an open breaker, slow
-// start, a wait that has not ended. State that permits traffic loses weight. The age of a value counts from when it was observed,
-// not from when it was saved, so that saving it again does not restore its weight. clockSetBack tells that the clock was set back
-// since: then state that permits traffic gets its lowest weight, and waits start anew.
+// Weigh returns the learned state age after it was saved. State that restrains traffic holds at any age: an open
+// breaker, slow start, a wait that has not ended. State that permits traffic loses weight. The age of a value counts
+// from when it was observed, not from when it was saved, so that saving it again does not restore its weight.
+// clockSetBack tells that the clock was set back since: then state that permits traffic gets its lowest weight, and
+// waits start anew.
 func (c DecayConfig) Weigh(l mb.LearnedState, age time.Duration, clockSetBack bool) mb.LearnedState {
 	if clockSetBack {
 		age = 0
--- a/internal/memory/memory.go
+++ b/internal/memory/memory.go
@@ -1,8 +1,9 @@
 // Package memory keeps what a forwarder has learned across restarts: breakers, waits, rate limits and slow start of its
-// destinations, loss counts of connections, and the ids of recently ended messages. Keeping it is best-effort: a file that is
-// missing, damaged or another forwarder's leads to a cold start and has no other effect.
+// destinations, loss counts of connections, and the ids of recently ended messages. Keeping it is best-effort: a file
+// that is missing, damaged or another forwarder's leads to a cold start and has no other effect.
 //
-// The file is replaced atomically, by renaming a new one. The state read from it is weighted by its age, see DecayConfig.
+// The file is replaced atomically, by renaming a new one. The state read from it is weighted by its age, see
+// DecayConfig.
 package memory
 
 import (
@@ -73,8 +74,8 @@
 	Failed    int64
 }
 
-// Open restores the state saved by an earlier process. It does not fail: if the file cannot be used, it calls Report and
-// starts without learned state.
+// Open restores the state saved by an earlier process. It does not fail: if the file cannot be used, it calls Report
+// and starts without learned state.
 func Open(o Options) *Memory {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -86,19 +87,19 @@
 	if err := o.FS.Remove(tempFileName); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		o.Report(fmt.Sprintf("removing a leftover temporary file: %v", err))
 	}
-	c, err := m.read()
+	content, err := m.read()
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		return m
 	case err != nil:
 		o.Report(fmt.Sprintf("cold start: %v", err))
 		return m
-	case c.name != o.Name:
-		o.Report(fmt.Sprintf("cold start: the file belongs to forwarder %q", c.name))
+	case content.name != o.Name:
+		o.Report(fmt.Sprintf("cold start: the file belongs to forwarder %q", content.name))
 		return m
 	}
 	now := o.Now()
-	saved, stepped := o.Clock.Time(c.saved, c.stamp)
+	saved, stepped := o.Clock.Time(content.saved, content.stamp)
 	if stepped.Abs() > minReportedStep {
 		o.Report(fmt.Sprintf("the wall clock was set by %v since the file was saved; using the boot clock", stepped.Round(time.Millisecond)))
 	}
@@ -107,9 +108,9 @@
 	if clockSetBack {
 		o.Report(fmt.Sprintf("the clock is %v behind the file's timestamp: learned rates and latencies get their lowest weight", -age))
 	}
-	m.learned = o.Decay.Weigh(c.learned, max(0, age), clockSetBack)
-	for _, e := range c.ended {
-		remaining := e.until.Sub(c.saved) - age
+	m.learned = o.Decay.Weigh(content.learned, max(0, age), clockSetBack)
+	for _, e := range content.ended {
+		remaining := e.until.Sub(content.saved) - age
 		if clockSetBack { // retention starts anew: keeping an id too long is better than forgetting it
 			remaining = o.IDRetention
 		}
@@ -145,7 +146,8 @@
 // Learned returns the learned state of an earlier process, weighted by its age when it was read.
 func (m *Memory) Learned() mb.LearnedState { return m.learned }
 
-// hash returns the hash that stands for an id in the file. It includes the forwarder's name; 128 bits make collisions negligible.
+// hash returns the hash that stands for an id in the file. It includes the forwarder's name; 128 bits make collisions
+// negligible.
 func (m *Memory) hash(id string) xxh3.Uint128 { return xxh3.HashString128(m.opts.Name + "\x00" + id) }
 
 // EndedCount returns the number of known ids of messages that ended in earlier processes.
@@ -192,24 +194,24 @@
 	return m.saves
 }
 
-// encode encodes as much of a snapshot as fits into MaxBytes. It drops the oldest ids first, then the circuits that were seen
-// least recently.
+// encode encodes as much of a snapshot as fits into MaxBytes. It drops the oldest ids first, then the circuits that
+// were seen least recently.
 func (m *Memory) encode(s Snapshot) []byte {
 	now := m.opts.Now()
-	c := fileContent{name: m.opts.Name, saved: now, stamp: m.opts.Clock.Stamp(now), learned: s.Learned}
-	c.ended = m.currentIDs(s.Ended, now)
+	content := fileContent{name: m.opts.Name, saved: now, stamp: m.opts.Clock.Stamp(now), learned: s.Learned}
+	content.ended = m.currentIDs(s.Ended, now)
 	for {
-		b := encode(c)
+		b := encode(content)
 		excess := int64(len(b)) - m.opts.MaxBytes
 		switch {
 		case excess <= 0:
 			return b
-		case len(c.ended) > 0:
-			c.ended = c.ended[min(len(c.ended), int(excess/endedIDSize)+1):]
-		case len(c.learned.Circuits) > 0:
-			circuits := slices.Clone(c.learned.Circuits)
+		case len(content.ended) > 0:
+			content.ended = content.ended[min(len(content.ended), int(excess/endedIDSize)+1):]
+		case len(content.learned.Circuits) > 0:
+			circuits := slices.Clone(content.learned.Circuits)
 			slices.SortStableFunc(circuits, func(a, b mb.LearnedCircuit) int { return int(min(1, max(-1, a.Seen-b.Seen))) })
-			c.learned.Circuits = circuits[:len(circuits)*9/10]
+			content.learned.Circuits = circuits[:len(circuits)*9/10]
 		default:
 			return b
 		}
@@ -238,8 +240,8 @@
 	return out[max(0, len(out)-m.opts.MaxIDs):]
 }
 
-// Run saves the result of snapshot at each interval and once more when ctx is done. After a failure, further failures are not
-// reported until a save succeeds.
+// Run saves the result of snapshot at each interval and once more when ctx is done. After a failure, further failures
+// are not reported until a save succeeds.
 func (m *Memory) Run(ctx context.Context, interval time.Duration, snapshot func() Snapshot) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -85,8 +85,8 @@
 	return fixChecksum(append(append(f, fields...), make([]byte, 8)...))
 }
 
-// A file of a newer program has unknown fields at each level, and one of an older program lacks fields: the known fields of both
-// are read. A file of a later version is rejected.
+// A file of a newer program has unknown fields at each level, and one of an older program lacks fields: the known
+// fields of both are read. A file of a later version is rejected.
 func TestOlderAndNewerFiles(t *testing.T) {
 	var newer fields
 	newer.text(tagName, "n1")
@@ -120,7 +120,8 @@
 	}
 }
 
-// A file with any byte changed, or truncated anywhere, leads to a cold start with one report, and the next save replaces it.
+// A file with any byte changed, or truncated anywhere, leads to a cold start with one report, and the next save
+// replaces it.
 func TestDamage(t *testing.T) {
 	c, reports := newClock(), []string{}
 	mem := fsys.NewMem()
@@ -162,7 +163,8 @@
 	}
 }
 
-// If the process or the machine crashes at any step of a save, the next start reads either the old or the new content, complete.
+// If the process or the machine crashes at any step of a save, the next start reads either the old or the new content,
+// complete.
 func TestCrashAtEachStep(t *testing.T) {
 	for _, sync := range []bool{false, true} {
 		losses := []fsys.Loss{fsys.LoseProcess}
@@ -203,7 +205,8 @@
 	}
 }
 
-// A disk error fails the save only: the old file is kept, the partly written one is removed, and the next save succeeds.
+// A disk error fails the save only: the old file is kept, the partly written one is removed, and the next save
+// succeeds.
 func TestDiskFails(t *testing.T) {
 	for _, op := range []fsys.Op{fsys.OpCreate, fsys.OpWrite, fsys.OpSync, fsys.OpRename} {
 		c, reports := newClock(), []string{}
@@ -234,7 +237,8 @@
 	}
 }
 
-// State that restrains traffic holds at any age. State that permits traffic loses weight by its own age, not by the file's.
+// State that restrains traffic holds at any age. State that permits traffic loses weight by its own age, not by the
+// file's.
 func TestWeigh(t *testing.T) {
 	l := mb.LearnedState{Circuits: []mb.LearnedCircuit{{
 		Destination: 1, Breaker: mb.BreakerOpen, OpenLeft: time.Second, Wait: 90 * time.Second, Rate: 100, Trust: 1, Guard: true,
@@ -263,8 +267,8 @@
 	}
 }
 
-// A forwarder that is restarted every second for ten minutes, saving each time, must not renew the weight of what it learned
-// about a destination that it no longer observes.
+// A forwarder that is restarted every second for ten minutes, saving each time, must not renew the weight of what it
+// learned about a destination that it no longer observes.
 func TestRestartLoopDoesNotMakeTrustGrow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c, reports := newClock(), []string{}
@@ -398,7 +402,8 @@
 	}
 }
 
-// FuzzDecode checks that decoding arbitrary bytes with a valid checksum never panics and yields values within their bounds.
+// FuzzDecode checks that decoding arbitrary bytes with a valid checksum never panics and yields values within their
+// bounds.
 func FuzzDecode(f *testing.F) {
 	c := fileContent{name: "n", saved: time.Unix(1, 0), learned: mb.LearnedState{Circuits: []mb.LearnedCircuit{{Destination: 1, Rate: 2, Trust: 1}}}}
 	f.Add(encode(c))
--- a/internal/oplog/sampler.go
+++ b/internal/oplog/sampler.go
@@ -15,8 +15,8 @@
 	maxKinds = 256
 )
 
-// Sampler logs the first event of each message and reason at once and then at most one per logInterval, with the number of events
-// since the previous line. It is safe for concurrent use; a nil Sampler logs nothing.
+// Sampler logs the first event of each message and reason at once and then at most one per logInterval, with the number
+// of events since the previous line. It is safe for concurrent use; a nil Sampler logs nothing.
 type Sampler struct {
 	logger zerolog.Logger
 	now    func() time.Time
--- a/internal/settings/entries.go
+++ b/internal/settings/entries.go
@@ -15,8 +15,8 @@
 	"mulleinbeam/internal/cluster/entry"
 )
 
-// entriesFile is a file of configuration entries, which the control plane commits for the whole fleet: tables [destination.7] with
-// their [[destination.7.endpoint]], and [class.NAME].
+// entriesFile is a file of configuration entries, which the control plane commits for the whole fleet: tables
+// [destination.7] with their [[destination.7.endpoint]], and [class.NAME].
 type entriesFile struct {
 	Destination map[string]destinationTable `toml:"destination,omitempty"`
 	Class       map[string]classTable       `toml:"class,omitempty"`
@@ -48,7 +48,8 @@
 	return ParseEntries(path, raw)
 }
 
-// ParseEntries validates the content of a file of entries and returns the entries, sorted by key; path appears in errors only.
+// ParseEntries validates the content of a file of entries and returns the entries, sorted by key; path appears in
+// errors only.
 func ParseEntries(path string, raw []byte) ([]entry.Entry, error) {
 	var file entriesFile
 	if err := toml.NewDecoder(strings.NewReader(string(raw))).DisallowUnknownFields().Decode(&file); err != nil {
@@ -99,7 +100,7 @@
 		key, position = table+".endpoint", arrayTableKey(table+".endpoint", invalid.Index+1)
 	}
 	line := cmp.Or(lines[position+"."+invalid.Field], lines[position], lines[table])
-	if field := invalid.Field; field != "class" && field != "destination" && field != "size" { // errors of the table itself
+	if field := invalid.Field; field != "class" && field != "destination" && field != "size" { // of the table itself
 		key += "." + field
 	}
 	return &Error{Path: path, Line: line, Key: key, Problem: invalid.Problem}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads the program's own settings, a TOML file used in addition to the platform's configuration. Every key
-// is validated, and errors name the file, line and key. The package has no side effects: it opens no sockets and starts nothing.
+// Package settings reads the program's own settings, a TOML file used in addition to the platform's configuration.
+// Every key is validated, and errors name the file, line and key. The package has no side effects: it opens no sockets
+// and starts nothing.
 package settings
 
 import (
@@ -35,7 +36,7 @@
 	Hold       Duration          `toml:"hold"`    // how long a forwarder follows a plan without receiving a newer one
 	Window     Duration          `toml:"window"`  // sampling window of the observations, and interval between plans
 	Reserve    float64           `toml:"reserve"` // share of each zone's capacity for forwarders without a plan
-	RecordFile string            `toml:"record"`  // file that records the planner's input, for larklab plan; "" disables recording
+	RecordFile string            `toml:"record"`  // file of planner inputs for larklab plan; "" disables it
 	MaxMembers int               `toml:"members"` // maximum number of forwarders, among which the reserve is divided
 }
 
@@ -94,23 +95,23 @@
 
 // Cluster makes this forwarder a member of a fleet whose members replicate each other's journals.
 type Cluster struct {
-	Listen              string            `toml:"listen"` // host:port for links between members: the address listened on and advertised
+	Listen              string            `toml:"listen"` // host:port to listen on and to advertise
 	Zone                string            `toml:"zone"`
 	Region              string            `toml:"region"`
-	Voters              []string          `toml:"founders"` // voters of the control plane, each name@host:port; 1, 3, 5 or 7
+	Voters              []string          `toml:"founders"` // 1, 3, 5 or 7 voters, each name@host:port
 	Copies              int               `toml:"copies"`   // copies of each message, including the owner's own
-	AllowUnreplicated   []string          `toml:"alone"`    // classes that are accepted without a replica when none is available
-	ReplicaSpace        Bytes             `toml:"space"`    // part of the state folder for replicas of other members' journals
-	Lease               Duration          `toml:"lease"`    // how long a member may act after it sent the request that renewed its lease
-	Margin              Duration          `toml:"margin"`   // how long the control plane waits after a lease has expired
-	Tick                Duration          `toml:"tick"`     // period of the control plane's clock; an election starts 10 to 20 ticks after the leader is lost
-	ReplicaTimeout      Duration          `toml:"patience"` // how long a replica may be unreachable before it is replaced
-	CheckInterval       Duration          `toml:"check"`    // time between two comparisons of replicas; 0 disables them
-	CatchUpRate         Bytes             `toml:"catch-up"` // bytes per second sent to a replica that is catching up while others are in sync
-	GossipInterval      Duration          `toml:"beat"`     // time between two gossip rounds of observations of destinations; 0 disables gossip
-	ObservationHalfLife Duration          `toml:"believe"`  // how long a single member's observation of a destination counts
+	AllowUnreplicated   []string          `toml:"alone"`    // classes accepted without an available replica
+	ReplicaSpace        Bytes             `toml:"space"`    // for replicas of other members' journals
+	Lease               Duration          `toml:"lease"`    // validity from sending the renewal request
+	Margin              Duration          `toml:"margin"`   // extra wait of the control plane after expiry
+	Tick                Duration          `toml:"tick"`     // consensus clock; elections start after 10 to 20 ticks
+	ReplicaTimeout      Duration          `toml:"patience"` // time before an unreachable replica is replaced
+	CheckInterval       Duration          `toml:"check"`    // time between two replica comparisons; 0 disables them
+	CatchUpRate         Bytes             `toml:"catch-up"` // bytes per second to a replica while others are in sync
+	GossipInterval      Duration          `toml:"beat"`     // time between two gossip rounds; 0 disables gossip
+	ObservationHalfLife Duration          `toml:"believe"`  // of a single member's observation of a destination
 	DialAddresses       map[string]string `toml:"via"`      // addresses to dial instead of the advertised ones
-	Relays              []string          `toml:"relays"`   // relays that carry requests to the voters, each zone@host:port; without relays, voters are called directly
+	Relays              []string          `toml:"relays"`   // each zone@host:port; if empty, voters are called directly
 }
 
 var clusterDefaults = Cluster{
@@ -228,7 +229,7 @@
 // Journal configures how accepted messages are stored.
 type Journal struct {
 	Durability Durability `toml:"durability"`
-	Disk       Bytes      `toml:"disk"`    // maximum size of all files in the state folder; 0 uses the platform's disk_mb
+	Disk       Bytes      `toml:"disk"`    // size limit of the state folder; 0 uses the platform's disk_mb
 	Segment    Bytes      `toml:"segment"` // size of one segment file; 0 derives it from the disk size
 	Memory     Bytes      `toml:"memory"`  // maximum size of the bodies that are cached in memory
 }
@@ -355,36 +356,36 @@
 
 // Parse validates the content of a settings file; path appears in errors only.
 func Parse(path string, raw []byte) (File, error) {
-	var f File
+	var file File
 	lines := keyLines(raw)
 	if _, ok := lines["bodies"]; ok {
 		b := bodiesDefaults
-		f.Bodies = &b
+		file.Bodies = &b
 	}
 	if _, ok := lines["journal"]; ok {
 		j := journalDefaults
-		f.Journal = &j
+		file.Journal = &j
 	}
 	if _, ok := lines["learned"]; ok {
 		l := learnedDefaults
-		f.Learned = &l
+		file.Learned = &l
 	}
 	if _, ok := lines["cluster"]; ok {
 		c := clusterDefaults
-		f.Cluster = &c
+		file.Cluster = &c
 	}
 	if _, ok := lines["place"]; ok {
 		p := placeDefaults
-		f.Place = &p
+		file.Place = &p
 	}
 	dec := toml.NewDecoder(strings.NewReader(string(raw))).DisallowUnknownFields()
-	if err := dec.Decode(&f); err != nil {
+	if err := dec.Decode(&file); err != nil {
 		return File{}, decodeError(path, err)
 	}
 	invalid := func(key, format string, args ...any) (File, error) {
 		return File{}, &Error{Path: path, Line: lineOf(lines, key), Key: key, Problem: fmt.Sprintf(format, args...)}
 	}
-	if b := f.Bodies; b != nil {
+	if b := file.Bodies; b != nil {
 		switch {
 		case b.WindowBytes < minWindowBytes || b.WindowBytes > maxWindowBytes:
 			return invalid("bodies.window", "%d bytes; must be from %d to %d", b.WindowBytes, minWindowBytes, maxWindowBytes)
@@ -403,7 +404,7 @@
 				time.Duration(b.IdleTimeout), maxDuration)
 		}
 	}
-	if l := f.Learned; l != nil {
+	if l := file.Learned; l != nil {
 		switch {
 		case time.Duration(l.Interval) < minSaveInterval || time.Duration(l.Interval) > maxSaveInterval:
 			return invalid("learned.interval", "%v; must be from %v to %v", time.Duration(l.Interval), minSaveInterval, maxSaveInterval)
@@ -413,17 +414,17 @@
 			return invalid("learned.ids", "%d; must be from 0 to %d", l.MaxIDs, maxIDs)
 		}
 	}
-	if c := f.Cluster; c != nil {
+	if c := file.Cluster; c != nil {
 		if key, problem := c.validate(); key != "" {
 			return invalid(key, "%s", problem)
 		}
 	}
-	if p := f.Place; p != nil {
-		if key, problem := p.validate(f.Cluster); key != "" {
+	if p := file.Place; p != nil {
+		if key, problem := p.validate(file.Cluster); key != "" {
 			return invalid(key, "%s", problem)
 		}
 	}
-	if j := f.Journal; j != nil {
+	if j := file.Journal; j != nil {
 		switch {
 		case j.Durability != DurabilityNone && j.Durability != DurabilityBatch && j.Durability != DurabilityEach:
 			return invalid("journal.durability", "%q; must be none, batch or each", j.Durability)
@@ -435,7 +436,7 @@
 			return invalid("journal.segment", "%d bytes; with disk = %d bytes, must be at most %d", j.Segment, j.Disk, j.Disk/minSegments)
 		}
 	}
-	return f, nil
+	return file, nil
 }
 
 // decodeError converts an error of the TOML decoder to an *Error.
@@ -473,25 +474,25 @@
 	return fmt.Sprintf("%s#%d", table, number)
 }
 
-// keyLines returns the line of each table and key. The second and later tables of an array of tables are numbered, as in a.b#2.
-// It stops at the first syntax error, which the decoder reports.
+// keyLines returns the line of each table and key. The second and later tables of an array of tables are numbered, as
+// in a.b#2. It stops at the first syntax error, which the decoder reports.
 func keyLines(raw []byte) map[string]int {
 	lines, tables := map[string]int{}, map[string]int{}
-	var p unstable.Parser
-	p.Reset(raw)
+	var parser unstable.Parser
+	parser.Reset(raw)
 	table := ""
-	for p.NextExpression() {
-		e := p.Expression()
+	for parser.NextExpression() {
+		expression := parser.Expression()
 		var parts []string
 		line := 0
-		for it := e.Key(); it.Next(); {
+		for it := expression.Key(); it.Next(); {
 			if line == 0 {
-				line = p.Shape(it.Node().Raw).Start.Line
+				line = parser.Shape(it.Node().Raw).Start.Line
 			}
 			parts = append(parts, string(it.Node().Data))
 		}
 		key := strings.Join(parts, ".")
-		switch e.Kind {
+		switch expression.Kind {
 		case unstable.ArrayTable:
 			if tables[key]++; tables[key] > 1 {
 				key = arrayTableKey(key, tables[key])
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -49,7 +49,8 @@
 	}
 }
 
-// Missing keys of a table have their default values, a missing table is nil, and the example files in deploy hold the defaults.
+// Missing keys of a table have their default values, a missing table is nil, and the example files in deploy hold the
+// defaults.
 func TestDefaultsAndExample(t *testing.T) {
 	if f, err := Parse("f.toml", nil); err != nil || f.Bodies != nil || f.Journal != nil || f.Learned != nil {
 		t.Errorf("empty file: %+v, %v", f, err)
