--- a/internal/routing/wal/bench_test.go
+++ b/internal/routing/wal/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkLife takes messages through their whole life, a share of the disk being live, and tells the longest that one
-// append has taken: what the router's goroutine stands still for.
+// BenchmarkLife journals whole message lifecycles while a share of the disk is live, and reports the longest single
+// append, for which the router's goroutine is blocked.
 //
 //	go test -run XXX -bench Life -benchtime 20000x ./internal/routing/wal
 func BenchmarkLife(b *testing.B) {
@@ -23,11 +23,11 @@
 			}
 			defer l.Close()
 			body := make([]byte, c.body)
-			most := max(1, int(c.live*float64(c.disk))/(c.body+300))
+			maxHeld := max(1, int(c.live*float64(c.disk))/(c.body+300))
 			var held []uint64
 			var longest time.Duration
 			refused := 0
-			clock := func(f func() error) error {
+			timed := func(f func() error) error {
 				from := time.Now()
 				err := f()
 				longest = max(longest, time.Since(from))
@@ -35,23 +35,23 @@
 			}
 			b.ResetTimer()
 			for range b.N {
-				for len(held) >= most {
+				for len(held) >= maxHeld {
 					seq := held[0]
 					held = held[1:]
-					_ = clock(func() error { return l.Started(seq, epoch, "z") })
-					_ = clock(func() error { return l.Outcome(seq, true) })
-					if err := clock(func() error { return l.End(seq, Completed, 0) }); err != nil {
+					_ = timed(func() error { return l.Started(seq, epoch, "z") })
+					_ = timed(func() error { return l.Outcome(seq, true) })
+					if err := timed(func() error { return l.End(seq, Completed, 0) }); err != nil {
 						b.Fatal(err)
 					}
 				}
 				m := &Message{Seq: l.NextSeq(), Deadline: epoch, ID: "0123456789abcdef", Class: "c", Body: body}
-				for waits := 0; !l.Fits(m); waits++ { // come again, as a client would, only sooner
-					if refused++; waits > 20000 {
-						b.Skip("no room for so much")
+				for retries := 0; !l.Fits(m); retries++ { // retry as a client would, only sooner
+					if refused++; retries > 20000 {
+						b.Skip("the disk is too small for the live share")
 					}
 					time.Sleep(50 * time.Microsecond)
 				}
-				if err := clock(func() error { return l.Accept(m) }); err != nil {
+				if err := timed(func() error { return l.Accept(m) }); err != nil {
 					b.Fatal(err)
 				}
 				held = append(held, m.Seq)
--- a/internal/routing/wal/commit.go
+++ b/internal/routing/wal/commit.go
@@ -9,54 +9,55 @@
 	"mulleinbeam/internal/routing/wal/store"
 )
 
-// gather is how long the first record that is not durable waits for others to share its sync.
-const gather = 2 * time.Millisecond
+// commitDelay is how long the first record that is not durable waits for others to share its sync.
+const commitDelay = 2 * time.Millisecond
 
 var errClosed = errors.New("wal: closed before the records were durable")
 
-// committer syncs what was appended, in a goroutine of its own, with one sync for all that came within gather. Nobody who
-// appends waits for it; who promises something does.
+// committer syncs appended records in its own goroutine, with one sync for all records within commitDelay. Appends do
+// not wait for it; callers that need durability do.
 type committer struct {
-	store *store.Store
-	dirty chan struct{}
-	stop  chan struct{}
-	ended chan struct{}
-	fail  func(error) // told once
-
-	mu      sync.Mutex
-	durable uint64
-	err     error
-	waiting []waiter
+	store   *store.Store
+	dirty   chan struct{}
+	stop    chan struct{}
+	done    chan struct{}
+	onError func(error) // called once
+
+	mu          sync.Mutex
+	durableUpTo uint64
+	err         error
+	waiters     []waiter
 }
 
-// waiter is told once records up to a number are durable, or never will be in this life.
+// waiter is notified once records up to a number are durable, or once it is certain that this process cannot make them
+// durable.
 type waiter struct {
-	num  uint64
-	told func(error)
+	record uint64
+	notify func(error)
 }
 
-func startCommitter(s *store.Store, fail func(error)) *committer {
+func startCommitter(s *store.Store, onError func(error)) *committer {
 	c := &committer{
-		store: s, dirty: make(chan struct{}, 1), stop: make(chan struct{}), ended: make(chan struct{}), fail: fail,
+		store: s, dirty: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{}), onError: onError,
 	}
 	go c.run()
 	return c
 }
 
 func (c *committer) run() {
-	defer close(c.ended)
-	pause := time.NewTimer(gather)
-	defer pause.Stop()
-	for last := false; !last; {
+	defer close(c.done)
+	timer := time.NewTimer(commitDelay)
+	defer timer.Stop()
+	for stopping := false; !stopping; {
 		select {
 		case <-c.dirty:
-			pause.Reset(gather)
+			timer.Reset(commitDelay)
 			select {
-			case <-pause.C:
+			case <-timer.C:
 			case <-c.stop:
 			}
 		case <-c.stop:
-			last = true
+			stopping = true
 		}
 		c.commit()
 	}
@@ -65,107 +66,108 @@
 		c.err = errClosed
 	}
 	c.mu.Unlock()
-	c.tell()
+	c.notifyWaiters()
 }
 
 func (c *committer) commit() {
 	err := c.store.Commit(math.MaxUint64)
 	c.mu.Lock()
-	c.durable = c.store.DurableSequence()
-	first := err != nil && c.err == nil
-	if first {
+	c.durableUpTo = c.store.DurableSequence()
+	firstFailure := err != nil && c.err == nil
+	if firstFailure {
 		c.err = err
 	}
 	c.mu.Unlock()
-	if first {
-		c.fail(err)
+	if firstFailure {
+		c.onError(err)
 	}
-	c.tell()
+	c.notifyWaiters()
 }
 
-// tell tells those whose wait is over, in the order in which they came.
-func (c *committer) tell() {
+// notifyWaiters notifies the waiters whose records are durable or have failed, in the order in which they were added.
+func (c *committer) notifyWaiters() {
 	c.mu.Lock()
-	durable, err := c.durable, c.err
-	var over []waiter
-	rest := c.waiting[:0]
-	for _, w := range c.waiting {
-		if w.num <= durable || err != nil {
-			over = append(over, w)
+	durable, err := c.durableUpTo, c.err
+	var ready []waiter
+	remaining := c.waiters[:0]
+	for _, w := range c.waiters {
+		if w.record <= durable || err != nil {
+			ready = append(ready, w)
 		} else {
-			rest = append(rest, w)
+			remaining = append(remaining, w)
 		}
 	}
-	clear(c.waiting[len(rest):])
-	c.waiting = rest
+	clear(c.waiters[len(remaining):])
+	c.waiters = remaining
 	c.mu.Unlock()
-	for _, w := range over {
-		if w.num <= durable {
-			w.told(nil)
+	for _, w := range ready {
+		if w.record <= durable {
+			w.notify(nil)
 		} else {
-			w.told(err)
+			w.notify(err)
 		}
 	}
 }
 
-// after has told called once records up to num are durable: at once if they are.
-func (c *committer) after(num uint64, told func(error)) {
+// notifyAt calls notify once records up to a number are durable: at once if they already are.
+func (c *committer) notifyAt(record uint64, notify func(error)) {
 	c.mu.Lock()
 	switch {
-	case num <= c.durable:
+	case record <= c.durableUpTo:
 		c.mu.Unlock()
-		told(nil)
+		notify(nil)
 	case c.err != nil:
 		err := c.err
 		c.mu.Unlock()
-		told(err)
+		notify(err)
 	default:
-		c.waiting = append(c.waiting, waiter{num, told})
+		c.waiters = append(c.waiters, waiter{record, notify})
 		c.mu.Unlock()
 	}
 }
 
-// appended lets the next commit begin.
-func (c *committer) appended() {
+// wake triggers the next commit.
+func (c *committer) wake() {
 	select {
 	case c.dirty <- struct{}{}:
 	default:
 	}
 }
 
-// close commits a last time and ends the goroutine.
+// close commits a last time and stops the goroutine.
 func (c *committer) close() {
 	close(c.stop)
-	<-c.ended
+	<-c.done
 }
 
-// NeedsCommit says whether a record that was appended is not durable by that alone: Commit or AfterCommit tells when it is.
-func (l *Log) NeedsCommit() bool { return l.commits != nil }
+// NeedsCommit reports whether appended records are durable only after a commit; Commit or AfterCommit reports when they
+// are.
+func (l *Log) NeedsCommit() bool { return l.committer != nil }
 
-// Broken is closed once this life's journal can promise nothing any more, and the next life's can.
+// Broken returns a channel that is closed once this process can no longer make records durable. The next start can.
 func (l *Log) Broken() <-chan struct{} { return l.store.Broken() }
 
-// LastRecord is the number of the latest record, for Commit.
-func (l *Log) LastRecord() uint64 { return l.last }
+// LastRecord returns the number of the latest record, for Commit.
+func (l *Log) LastRecord() uint64 { return l.lastRecord }
 
-// Commit returns once the records up to a number outlast what the journal's durability says; an error says that this life
-// will not know. It may be called from any goroutine.
-func (l *Log) Commit(num uint64) error {
-	if l.commits == nil {
+// Commit returns once the records up to a number are as durable as the journal's durability requires. An error means
+// that this process cannot tell whether they are. It is safe for concurrent use.
+func (l *Log) Commit(record uint64) error {
+	if l.committer == nil {
 		return nil
 	}
-	told := make(chan error, 1)
-	l.commits.after(num, func(err error) { told <- err })
-	return <-told
+	result := make(chan error, 1)
+	l.committer.notifyAt(record, func(err error) { result <- err })
+	return <-result
 }
 
-// AfterCommit has f called once the records up to now outlast what the journal's durability says; with an error, this life
-// will not know. Where nothing has to be waited for, that is before it returns; else in another goroutine, which f must
-// not hold up.
+// AfterCommit has f called once the records so far are as durable as the journal's durability requires. An error means
+// that this process cannot tell whether they are. If there is nothing to wait for, f is called before AfterCommit
+// returns; otherwise in another goroutine. f must not block.
 func (l *Log) AfterCommit(f func(error)) {
-	if l.commits == nil {
+	if l.committer == nil {
 		f(nil)
 		return
 	}
-	l.commits.after(l.last, f)
+	l.committer.notifyAt(l.lastRecord, f)
 }
--- a/internal/routing/wal/files_test.go
+++ b/internal/routing/wal/descriptors_test.go
@@ -9,10 +9,10 @@
 	"mulleinbeam/internal/routing/wal/fsys"
 )
 
-// countedFS counts the files that are open, and keeps the most there were.
+// countedFS counts the open files and records their maximum.
 type countedFS struct {
 	fsys.FS
-	open, most atomic.Int64
+	open, maxOpen atomic.Int64
 }
 
 func (c *countedFS) count(f fsys.File, err error) (fsys.File, error) {
@@ -20,7 +20,7 @@
 		return nil, err
 	}
 	n := c.open.Add(1)
-	for most := c.most.Load(); n > most && !c.most.CompareAndSwap(most, n); most = c.most.Load() {
+	for maxSeen := c.maxOpen.Load(); n > maxSeen && !c.maxOpen.CompareAndSwap(maxSeen, n); maxSeen = c.maxOpen.Load() {
 	}
 	return countedFile{f, c}, nil
 }
@@ -38,14 +38,15 @@
 	return f.File.Close()
 }
 
-// However many segments there are, and however messages come and end, a journal has no more files open than it says.
-func TestAJournalKeepsToItsDescriptors(t *testing.T) {
+// A journal keeps no more than maxOpenFiles segment files open, however many segments there are and in whatever order
+// messages end.
+func TestOpenFileLimit(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	dir := t.TempDir()
 	counted := &countedFS{FS: fsys.Dir(dir)}
 	segments := 0
-	for life := range 3 {
-		l, err := Open(dir, Options{MaxBytes: disk, FS: counted}, func(string) {})
+	for run := range 3 {
+		l, err := Open(dir, Options{MaxBytes: diskBytes, FS: counted}, func(string) {})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -56,7 +57,7 @@
 		for range 4000 {
 			m := &Message{Seq: l.NextSeq(), Deadline: epoch, Destination: 7, ID: "id", Class: "c", Body: make([]byte, rng.IntN(9000))}
 			if !l.Fits(m) {
-				for range min(len(held), 1+rng.IntN(20)) { // any of them: segments empty in no order
+				for range min(len(held), 1+rng.IntN(20)) { // in random order, so that segments empty in random order
 					i := rng.IntN(len(held))
 					if err := l.End(held[i], Completed, 0); err != nil {
 						t.Fatal(err)
@@ -76,10 +77,10 @@
 			t.Fatal(err)
 		}
 		if got := counted.open.Load(); got != 0 {
-			t.Errorf("life %d: %d files stay open", life, got)
+			t.Errorf("run %d: %d files stay open", run, got)
 		}
 	}
-	if got := counted.most.Load(); got > openFiles || segments <= openFiles {
+	if got := counted.maxOpen.Load(); got > maxOpenFiles || segments <= maxOpenFiles {
 		t.Errorf("%d files were open at once, of %d segments", got, segments)
 	}
 }
--- a/internal/routing/wal/lasting_test.go
+++ b/internal/routing/wal/durability_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// openWith opens a journal that the test closes.
+// openWith opens a journal that is closed at the end of the test.
 func openWith(t *testing.T, dir string, o Options) *Log {
 	t.Helper()
 	l, err := Open(dir, o, func(string) {})
@@ -31,28 +31,28 @@
 
 func bodyOf(seq uint64) []byte { return bytes.Repeat([]byte{byte(seq)}, 1000+int(seq%7)*3000) }
 
-// Bodies beyond the memory for them stay on the disk and read back byte for byte, over compactions and starts; what is in
-// memory stays within its bound.
+// Bodies beyond the memory limit stay on disk and read back byte for byte across compactions and restarts; those in
+// memory stay within the limit.
 func TestBodiesStayOnDisk(t *testing.T) {
 	const memory = 64 << 10
 	dir := t.TempDir()
-	o := Options{MaxBytes: disk, BodyMemory: memory}
+	o := Options{MaxBytes: diskBytes, BodyMemory: memory}
 	l := openWith(t, dir, o)
 	live := []uint64{}
 	check := func() {
 		t.Helper()
-		kept, here := int64(0), 0
+		bodyBytes, inMemory := int64(0), 0
 		for _, m := range l.Live() {
-			if kept += int64(len(m.Body)); !m.OnDisk {
-				here++
+			if bodyBytes += int64(len(m.Body)); !m.OnDisk {
+				inMemory++
 			}
 			body, err := l.Body(m.Seq)
 			if err != nil || !bytes.Equal(body, bodyOf(m.Seq)) || !m.OnDisk && !bytes.Equal(m.Body, body) {
 				t.Fatalf("body of %d: %d bytes, %v", m.Seq, len(body), err)
 			}
 		}
-		if kept > memory || kept != l.kept || here == 0 || here == len(live) {
-			t.Fatalf("%d bytes in memory, %d booked, %d of %d messages", kept, l.kept, here, len(live))
+		if bodyBytes > memory || bodyBytes != l.bodyBytes || inMemory == 0 || inMemory == len(live) {
+			t.Fatalf("%d bytes in memory, %d booked, %d of %d messages", bodyBytes, l.bodyBytes, inMemory, len(live))
 		}
 	}
 	compactions := 0
@@ -93,22 +93,23 @@
 	}
 }
 
-// With a durability beyond the process's end, who waits is told once, in order, and only when it is true.
-func TestCommitTells(t *testing.T) {
+// With a durability that survives the process, each AfterCommit callback is called once, in order, and only after its
+// record is durable.
+func TestAfterCommitNotifies(t *testing.T) {
 	for _, d := range []store.Durability{store.SyncNever, store.SyncBatch, store.SyncEach} {
-		l := openWith(t, t.TempDir(), Options{MaxBytes: disk, Durability: d})
+		l := openWith(t, t.TempDir(), Options{MaxBytes: diskBytes, Durability: d})
 		var mu sync.Mutex
-		var told []uint64
+		var notified []uint64
 		done := make(chan struct{}, 200)
 		for range 200 {
 			accept(t, l, "b")
-			num := l.LastRecord()
+			record := l.LastRecord()
 			l.AfterCommit(func(err error) {
-				if err != nil || d == store.SyncBatch && l.store.DurableSequence() < num {
-					t.Errorf("durability %d: told of %d with %d durable, %v", d, num, l.store.DurableSequence(), err)
+				if err != nil || d == store.SyncBatch && l.store.DurableSequence() < record {
+					t.Errorf("durability %d: notified of %d with %d durable, %v", d, record, l.store.DurableSequence(), err)
 				}
 				mu.Lock()
-				told = append(told, num)
+				notified = append(notified, record)
 				mu.Unlock()
 				done <- struct{}{}
 			})
@@ -116,9 +117,9 @@
 		for range 200 {
 			<-done
 		}
-		for i, num := range told {
-			if i > 0 && told[i-1] >= num {
-				t.Fatalf("durability %d: %d behind %d", d, num, told[i-1])
+		for i, record := range notified {
+			if i > 0 && notified[i-1] >= record {
+				t.Fatalf("durability %d: %d after %d", d, record, notified[i-1])
 			}
 		}
 		if err := l.Commit(l.LastRecord()); err != nil || l.NeedsCommit() != (d == store.SyncBatch) {
@@ -127,30 +128,30 @@
 	}
 }
 
-// Who waits when the journal is closed is told the truth: that its record is durable.
+// A caller that waits for a commit while the journal is closed learns that its record is durable.
 func TestCloseCommits(t *testing.T) {
 	dir := t.TempDir()
-	l := openWith(t, dir, Options{MaxBytes: disk, Durability: store.SyncBatch})
+	l := openWith(t, dir, Options{MaxBytes: diskBytes, Durability: store.SyncBatch})
 	accept(t, l, "b")
-	told := make(chan error, 1)
-	l.AfterCommit(func(err error) { told <- err })
+	result := make(chan error, 1)
+	l.AfterCommit(func(err error) { result <- err })
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if err := <-told; err != nil {
+	if err := <-result; err != nil {
 		t.Error(err)
 	}
 	if err := l.Commit(1 << 60); !errors.Is(err, errClosed) {
-		t.Errorf("behind its end: %v", err)
+		t.Errorf("after close: %v", err)
 	}
 }
 
-// After a sync that failed nobody is told that anything lasts, and nothing more is taken on.
+// After a failed sync no record is reported as durable, and no more messages are accepted.
 func TestFailedSync(t *testing.T) {
 	dir := t.TempDir()
 	faults := &fsys.FaultFS{FS: fsys.Dir(dir)}
-	told := make(chan string, 8)
-	l, err := Open(dir, Options{MaxBytes: disk, Durability: store.SyncBatch, FS: faults}, func(line string) { told <- line })
+	reports := make(chan string, 8)
+	l, err := Open(dir, Options{MaxBytes: diskBytes, Durability: store.SyncBatch, FS: faults}, func(line string) { reports <- line })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -165,129 +166,129 @@
 	if err := l.Commit(l.LastRecord()); !errors.Is(err, store.ErrFailed) {
 		t.Errorf("commit: %v", err)
 	}
-	if line := <-told; !strings.Contains(line, "nothing is taken on") {
-		t.Errorf("told %q", line)
+	if line := <-reports; !strings.Contains(line, "no messages are accepted") {
+		t.Errorf("reported %q", line)
 	}
 	if err := l.Accept(&Message{Seq: l.NextSeq(), Deadline: epoch, ID: "i", Class: "c"}); !errors.Is(err, store.ErrFailed) {
 		t.Errorf("accept: %v", err)
 	}
 	l.Close()
-	if again := openWith(t, dir, Options{MaxBytes: disk, Durability: store.SyncBatch}); len(again.Live()) != 0 {
+	if again := openWith(t, dir, Options{MaxBytes: diskBytes, Durability: store.SyncBatch}); len(again.Live()) != 0 {
 		t.Errorf("%d live", len(again.Live()))
 	}
 }
 
-// One folder, one program.
-func TestSecondProgramOnAFolder(t *testing.T) {
+// A folder can be opened by only one process at a time.
+func TestSecondProcessOnFolder(t *testing.T) {
 	dir := t.TempDir()
-	l := openWith(t, dir, Options{MaxBytes: disk})
+	l := openWith(t, dir, Options{MaxBytes: diskBytes})
 	accept(t, l, "b")
-	if _, err := Open(dir, Options{MaxBytes: disk}, nil); err == nil || !strings.Contains(err.Error(), "another program") {
-		t.Errorf("the second: %v", err)
+	if _, err := Open(dir, Options{MaxBytes: diskBytes}, nil); err == nil || !strings.Contains(err.Error(), "another program") {
+		t.Errorf("second open: %v", err)
 	}
-	if _, err := Compact(dir, Options{MaxBytes: disk}, nil); err == nil {
-		t.Error("compacted beside a program")
+	if _, err := Compact(dir, Options{MaxBytes: diskBytes}, nil); err == nil {
+		t.Error("compacted while a program has the journal open")
 	}
 	l.Close()
-	if again := openWith(t, dir, Options{MaxBytes: disk}); len(again.Live()) != 1 {
+	if again := openWith(t, dir, Options{MaxBytes: diskBytes}); len(again.Live()) != 1 {
 		t.Errorf("%d live", len(again.Live()))
 	}
 }
 
-// Small disks get small segments; what is too small is refused.
+// A small disk limit gives small segments; a limit that is too small is refused.
 func TestSmallDisks(t *testing.T) {
-	for most, ok := range map[int64]bool{200 << 10: false, 288 << 10: true, 640 << 10: true, 1 << 20: true} {
+	for limit, ok := range map[int64]bool{200 << 10: false, 288 << 10: true, 640 << 10: true, 1 << 20: true} {
 		dir := t.TempDir()
-		l, err := Open(dir, Options{MaxBytes: most}, func(string) {})
+		l, err := Open(dir, Options{MaxBytes: limit}, func(string) {})
 		if (err == nil) != ok {
-			t.Errorf("%d bytes: %v", most, err)
+			t.Errorf("%d bytes: %v", limit, err)
 		}
 		if err != nil {
 			continue
 		}
-		taken := 0
+		accepted := 0
 		for i := range 400 {
 			m := &Message{Seq: l.NextSeq(), Deadline: epoch, ID: "i", Class: "c", Body: make([]byte, 1000)}
 			if l.Fits(m) {
 				if err := l.Accept(m); err != nil {
 					t.Fatal(err)
 				}
-				taken++
+				accepted++
 			}
-			if n := onDisk(t, dir); n > most {
-				t.Fatalf("%d bytes on a disk of %d", n, most)
+			if n := diskUsage(t, dir); n > limit {
+				t.Fatalf("%d bytes on a disk of %d", n, limit)
 			}
 			if i >= 50 {
 				_ = l.End(uint64(i-49), Completed, 0)
 			}
 		}
-		if taken < 50 {
-			t.Errorf("%d bytes of disk: %d messages of 1000 bytes taken", most, taken)
+		if accepted < 50 {
+			t.Errorf("%d bytes of disk: %d messages of 1000 bytes accepted", limit, accepted)
 		}
 		l.Close()
 	}
 }
 
-// A storm: ten times what ends comes in, all that is held to the bound ends at once, again and again. Disk and memory stay
-// in bounds, and each round takes as much as the first.
-func TestStorm(t *testing.T) {
+// Under repeated overload (ten times more messages arrive than end, then all held messages end at once) disk and memory
+// stay within their limits, and each round accepts about as many messages as the first.
+func TestOverload(t *testing.T) {
 	dir := t.TempDir()
-	l := openWith(t, dir, Options{MaxBytes: disk, BodyMemory: 256 << 10})
+	l := openWith(t, dir, Options{MaxBytes: diskBytes, BodyMemory: 256 << 10})
 	heap := func() uint64 {
 		runtime.GC()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
 		return m.HeapAlloc
 	}
-	took := []int{}
-	const rounds, most = 12, 3 << 20
+	acceptedPerRound := []int{}
+	const rounds, maxHeap = 12, 3 << 20
 	for round := range rounds {
-		taken, refused := []uint64{}, 0
-		for refused < 300 { // they come again, and are refused again
+		accepted, refused := []uint64{}, 0
+		for refused < 300 { // clients retry and are refused again
 			m := &Message{Seq: l.NextSeq(), Deadline: epoch, ID: "storm", Class: "c", Body: make([]byte, 200+int(l.NextSeq()%5)*3000)}
 			if !l.Fits(m) {
-				for l.store.Stats().Due { // the worker comes to it: what is refused behind that finds no room
+				for l.store.Stats().Due { // wait for compaction, so that further refusals are for lack of room
 					l.wake()
 					runtime.Gosched()
 				}
-				if refused++; refused%100 == 0 { // one ends for all these
-					if err := l.End(taken[0], Completed, 0); err != nil {
+				if refused++; refused%100 == 0 { // one message ends per 100 refusals
+					if err := l.End(accepted[0], Completed, 0); err != nil {
 						t.Fatal(err)
 					}
-					taken = taken[1:]
+					accepted = accepted[1:]
 				}
 				continue
 			}
 			if err := l.Accept(m); err != nil {
 				t.Fatal(err)
 			}
-			if taken = append(taken, m.Seq); m.Seq%3 == 0 {
+			if accepted = append(accepted, m.Seq); m.Seq%3 == 0 {
 				if err := errors.Join(l.Started(m.Seq, epoch, "z"), l.Outcome(m.Seq, false)); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if n := onDisk(t, dir); n > disk {
+			if n := diskUsage(t, dir); n > diskBytes {
 				t.Fatalf("round %d: %d bytes on disk", round, n)
 			}
 		}
-		took = append(took, len(taken))
-		for _, seq := range taken {
+		acceptedPerRound = append(acceptedPerRound, len(accepted))
+		for _, seq := range accepted {
 			if err := l.End(seq, Completed, 0); err != nil {
 				t.Fatal(err)
 			}
 		}
-		for l.store.Stats().Used > disk/5 { // the worker comes to it
+		for l.store.Stats().Used > diskBytes/5 { // wait for compaction
 			l.store.NoteRefusal()
 			l.wake()
 			runtime.Gosched()
 		}
 	}
-	if last := heap(); last > most { // what went through is ten times that
-		t.Errorf("%d bytes of memory behind round %d", last, rounds)
+	if last := heap(); last > maxHeap { // ten times as much has passed through the journal
+		t.Errorf("%d bytes of memory after round %d", last, rounds)
 	}
-	for round, n := range took {
-		if 10*n < 9*took[0] {
-			t.Errorf("round %d took %d messages, the first %d", round, n, took[0])
+	for round, n := range acceptedPerRound {
+		if 10*n < 9*acceptedPerRound[0] {
+			t.Errorf("round %d accepted %d messages, the first %d", round, n, acceptedPerRound[0])
 		}
 	}
 }
--- a/internal/routing/wal/faults_test.go
+++ b/internal/routing/wal/faults_test.go
@@ -11,36 +11,37 @@
 	"mulleinbeam/internal/routing/wal/fsys"
 )
 
-// promised is what the journal has promised of one message.
-type promised struct {
-	ended    bool // End was called
-	told     bool // and was known to be written
-	out      bool // an attempt was let go, and has no outcome yet
-	mayRun   bool // an outcome said so
-	attempts int
+// guarantees holds what the journal has guaranteed about one message.
+type guarantees struct {
+	ended      bool // End was called
+	reported   bool // the end was reported as written
+	inFlight   bool // an attempt was started and has no outcome yet
+	mayHaveRun bool // an outcome said that the attempt may have run
+	attempts   int
 }
 
-// flaky is a folder on which operations that write fail by chance, some of them with a part of a write left and not told of.
-type flaky struct {
+// faultyFS is a folder in which write operations fail at random; some failed writes leave a partial write behind
+// without reporting it.
+type faultyFS struct {
 	fsys.FaultFS
 	mu     sync.Mutex
 	rng    *rand.Rand
 	chance float64
 }
 
-func newFlaky(folder fsys.FS, seed uint64) *flaky {
-	f := &flaky{FaultFS: fsys.FaultFS{FS: folder, HidePartialWrites: true}, rng: rand.New(rand.NewPCG(seed, 4))}
+func newFaultyFS(folder fsys.FS, seed uint64) *faultyFS {
+	f := &faultyFS{FaultFS: fsys.FaultFS{FS: folder, HidePartialWrites: true}, rng: rand.New(rand.NewPCG(seed, 4))}
 	f.Set(f.fail)
 	return f
 }
 
-func (f *flaky) become(chance float64) {
+func (f *faultyFS) setChance(chance float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.chance = chance
 }
 
-func (f *flaky) fail(op fsys.Op, _ string, n int) (int, error) {
+func (f *faultyFS) fail(op fsys.Op, _ string, n int) (int, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
@@ -52,106 +53,107 @@
 	return 0, syscall.ENOSPC
 }
 
-// Guards against a life that goes on with what has ended, forgets what was taken on, or takes an attempt that was out for one that
-// never ran, when its process is killed while writes fail and come back (incident 10321).
-func TestAKillWhileWritesFailKeepsWhatWasPromised(t *testing.T) {
+// After a kill while writes fail and recover (incident 10321), the next process must not resume messages that have
+// ended, forget accepted messages, or treat an attempt that was in flight as one that never ran.
+func TestKillDuringWriteFailuresKeepsGuarantees(t *testing.T) {
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		folder := fsys.NewMem()
-		want := map[uint64]*promised{}
-		for life := range 6 {
-			disk := newFlaky(folder, seed+uint64(life))
-			l, err := Open(t.TempDir(), Options{MaxBytes: disk512, FS: disk}, func(string) {})
+		want := map[uint64]*guarantees{}
+		for run := range 6 {
+			disk := newFaultyFS(folder, seed+uint64(run))
+			l, err := Open(t.TempDir(), Options{MaxBytes: smallDiskBytes, FS: disk}, func(string) {})
 			if err != nil {
-				t.Fatalf("seed %d, life %d: %v", seed, life, err)
+				t.Fatalf("seed %d, run %d: %v", seed, run, err)
 			}
-			checkPromises(t, fmt.Sprintf("seed %d, life %d", seed, life), l, want)
+			checkGuarantees(t, fmt.Sprintf("seed %d, run %d", seed, run), l, want)
 			for range 150 {
 				if rng.IntN(10) == 0 {
-					disk.become([]float64{0, 0.3, 0.9}[rng.IntN(3)])
+					disk.setChance([]float64{0, 0.3, 0.9}[rng.IntN(3)])
 				}
-				step(l, rng, want)
+				randomStep(l, rng, want)
 			}
-			disk.become(1) // what the process had not written is lost with it
+			disk.setChance(1) // what the process had not written is lost when it is killed
 			_ = l.Close()
 		}
 	}
 }
 
-const disk512 = 512 << 10
+const smallDiskBytes = 512 << 10
 
-// step does one thing to the journal, as the router would.
-func step(l *Log, rng *rand.Rand, want map[uint64]*promised) {
+// randomStep performs one random operation on the journal, as the router would.
+func randomStep(l *Log, rng *rand.Rand, want map[uint64]*guarantees) {
 	var open []uint64
 	for seq, p := range want {
 		if !p.ended {
 			open = append(open, seq)
 		}
 	}
-	const few = 3 // messages at once, so that records of one meet
-	if what := rng.IntN(6); what < 2 && len(open) < few || len(open) == 0 {
+	const maxOpen = 3 // messages at once, so that several records of one message are queued
+	if choice := rng.IntN(6); choice < 2 && len(open) < maxOpen || len(open) == 0 {
 		m := &Message{Seq: l.NextSeq(), Deadline: epoch, Destination: 7, ID: fmt.Sprint("id", l.NextSeq()), Class: "c", Body: make([]byte, rng.IntN(600))}
 		if l.Fits(m) && l.Accept(m) == nil {
-			want[m.Seq] = &promised{}
+			want[m.Seq] = &guarantees{}
 		}
 		return
 	}
 	seq := open[rng.IntN(len(open))]
 	p := want[seq]
-	switch what := rng.IntN(4); {
-	case p.out:
-		p.out = false
-		ran := rng.IntN(2) == 0
-		p.mayRun = p.mayRun || ran
-		_ = l.Outcome(seq, ran)
-	case what < 2:
+	switch choice := rng.IntN(4); {
+	case p.inFlight:
+		p.inFlight = false
+		mayHaveRun := rng.IntN(2) == 0
+		p.mayHaveRun = p.mayHaveRun || mayHaveRun
+		_ = l.Outcome(seq, mayHaveRun)
+	case choice < 2:
 		if l.Started(seq, epoch, "z") == nil {
-			p.out = true
+			p.inFlight = true
 			p.attempts++
 		}
-	case what == 2:
+	case choice == 2:
 		p.ended = true
 		_ = l.End(seq, Failed, 0)
-		l.AfterMessageCommit(seq, func(error) { p.told = true })
+		l.AfterMessageCommit(seq, func(error) { p.reported = true })
 	default:
 		p.ended = true
 		_ = l.End(seq, Completed, 0)
-		l.AfterMessageCommit(seq, func(error) { p.told = true })
+		l.AfterMessageCommit(seq, func(error) { p.reported = true })
 	}
 }
 
-// checkPromises holds what a life finds against what the one before it had promised, and goes on from what it finds.
-func checkPromises(t *testing.T, when string, l *Log, want map[uint64]*promised) {
+// checkGuarantees compares what a process finds in the journal with what the previous one guaranteed, and updates the
+// guarantees to what it found.
+func checkGuarantees(t *testing.T, when string, l *Log, want map[uint64]*guarantees) {
 	t.Helper()
 	found := map[uint64]*Message{}
 	for _, m := range l.Live() {
 		found[m.Seq] = m
 		if want[m.Seq] == nil {
-			t.Errorf("%s: message %d lives, and was refused", when, m.Seq)
+			t.Errorf("%s: message %d is live, but was refused", when, m.Seq)
 		}
 	}
 	for seq, p := range maps.All(want) {
 		m := found[seq]
 		switch {
-		case p.told && m != nil && m.Status == Pending:
-			t.Errorf("%s: message %d goes on, and its end was told", when, seq)
+		case p.reported && m != nil && m.Status == Pending:
+			t.Errorf("%s: message %d is pending, but its end was reported", when, seq)
 		case m == nil && !p.ended:
-			t.Errorf("%s: message %d is gone, and was owed", when, seq)
-		case m != nil && m.Status == Pending && p.mayRun && !m.MayHaveRun:
-			t.Errorf("%s: message %d may have run, and that is not known", when, seq)
-		case m != nil && m.Status == Pending && p.out && !m.MayHaveRun:
-			t.Errorf("%s: message %d was out, and that is not known", when, seq)
+			t.Errorf("%s: message %d is lost", when, seq)
+		case m != nil && m.Status == Pending && p.mayHaveRun && !m.MayHaveRun:
+			t.Errorf("%s: message %d may have run, but is not marked so", when, seq)
+		case m != nil && m.Status == Pending && p.inFlight && !m.MayHaveRun:
+			t.Errorf("%s: message %d was in flight, but is not marked as one that may have run", when, seq)
 		case m != nil && m.Status == Pending && m.Attempts != p.attempts:
-			t.Errorf("%s: message %d has %d attempts, %d were let go", when, seq, m.Attempts, p.attempts)
+			t.Errorf("%s: message %d has %d attempts, %d were started", when, seq, m.Attempts, p.attempts)
 		}
 		if m == nil {
 			delete(want, seq)
 			continue
 		}
 		if m.Status != Pending {
-			*p = promised{ended: true, told: true}
+			*p = guarantees{ended: true, reported: true}
 			continue
 		}
-		*p = promised{mayRun: m.MayHaveRun, attempts: m.Attempts} // an end that was not told is another life's to tell
+		*p = guarantees{mayHaveRun: m.MayHaveRun, attempts: m.Attempts} // an unreported end is left to the next run
 	}
 }
--- a/internal/routing/wal/legacy.go
+++ b/internal/routing/wal/legacy.go
@@ -13,117 +13,118 @@
 	"mulleinbeam/internal/bootclock"
 )
 
-// This file reads the one-file journal of versions before 0.2.0, once: what lives in it is put into the store, and the
-// file goes.
+// This file imports the single-file journal of versions before 0.2.0: its live messages are written to the store, and
+// the file is removed.
 
 const (
-	oldName     = "messages.wal"
-	oldNewName  = "messages.wal.new"
-	oldHead     = 8         // bytes of a record's head: length and checksum
-	oldPayload  = 256 << 10 // a length above it is damage
-	searchShare = 8         // times the file's size: bytes that are checksummed in search of records among damage
+	legacyName       = "messages.wal"
+	legacyTempName   = "messages.wal.new"
+	legacyHeadBytes  = 8         // size of a record header: length and checksum
+	maxLegacyPayload = 256 << 10 // a greater length means that the record is damaged
+	searchFactor     = 8         // times the file size: maximum bytes checksummed in search of records after damage
 )
 
 var checksums = crc32.MakeTable(crc32.Castagnoli)
 
-// unseal reads the record at the start of b: its payload and its whole size, or 0 where there is none; tried is how many
-// bytes were checksummed.
-func unseal(b []byte) (payload []byte, size, tried int) {
-	if len(b) < oldHead {
+// parseLegacyRecord reads the record at the start of b: its payload and its total size, which is 0 if there is no valid
+// record; tried is the number of bytes that were checksummed.
+func parseLegacyRecord(b []byte) (payload []byte, size, tried int) {
+	if len(b) < legacyHeadBytes {
 		return nil, 0, 0
 	}
 	n := binary.LittleEndian.Uint32(b)
-	if n < 2 || n > oldPayload || int(n) > len(b)-oldHead {
+	if n < 2 || n > maxLegacyPayload || int(n) > len(b)-legacyHeadBytes {
 		return nil, 0, 0
 	}
-	payload = b[oldHead : oldHead+int(n)]
+	payload = b[legacyHeadBytes : legacyHeadBytes+int(n)]
 	if crc32.Checksum(payload, checksums) != binary.LittleEndian.Uint32(b[4:]) {
 		return nil, 0, int(n)
 	}
-	return payload, oldHead + int(n), int(n)
+	return payload, legacyHeadBytes + int(n), int(n)
 }
 
-// takeOver puts what lives in an old file into the store. Cut short, it is done again: what is there already gets the same
-// records once more, which changes nothing.
-func (l *Log) takeOver(dir string) error {
-	path := filepath.Join(dir, oldName)
+// importLegacy writes the live messages of a legacy file to the store. If it is interrupted, the next start repeats it:
+// messages that are already in the store get the same records again, which changes nothing.
+func (l *Log) importLegacy(dir string) error {
+	path := filepath.Join(dir, legacyName)
 	data, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
 	} else if err != nil {
-		return fmt.Errorf("wal: old journal: %w", err)
+		return fmt.Errorf("wal: legacy journal: %w", err)
 	}
-	old := &Log{state: state{live: map[uint64]*Message{}, next: 1, memory: math.MaxInt64}, report: l.report}
-	old.replay(data)
-	live := old.Live()
+	legacy := &Log{state: state{live: map[uint64]*Message{}, nextSeq: 1, bodyLimit: math.MaxInt64}, report: l.report}
+	legacy.replayLegacy(data)
+	live := legacy.Live()
 	for _, m := range live {
-		there := l.live[m.Seq] != nil
-		if !there {
-			if _, err := l.store.Put(m.Seq, appendAccepted(nil, m), owedFor); err != nil {
-				return fmt.Errorf("wal: old journal: %w", err)
+		stored := l.live[m.Seq] != nil
+		if !stored {
+			if _, err := l.store.Put(m.Seq, appendAccepted(nil, m), endReserve); err != nil {
+				return fmt.Errorf("wal: legacy journal: %w", err)
 			}
 		}
-		done := *m
-		if m.out {
-			done.Attempts--
+		progress := *m
+		if m.inFlight {
+			progress.Attempts--
 		}
-		if err := l.write(m.Seq, appendProgress(nil, &done)); err != nil {
-			return fmt.Errorf("wal: old journal: %w", err)
+		if err := l.write(m.Seq, appendProgress(nil, &progress)); err != nil {
+			return fmt.Errorf("wal: legacy journal: %w", err)
 		}
-		if m.out {
-			if err := l.write(m.Seq, appendStarted(nil, m.Seq, m.outAt, m.outZone, bootclock.Stamp{})); err != nil {
-				return fmt.Errorf("wal: old journal: %w", err)
+		if m.inFlight {
+			if err := l.write(m.Seq, appendStarted(nil, m.Seq, m.inFlightSince, m.inFlightZone, bootclock.Stamp{})); err != nil {
+				return fmt.Errorf("wal: legacy journal: %w", err)
 			}
 		}
 		if m.Status != Pending {
 			if err := l.write(m.Seq, appendEnded(nil, m.Seq, m.Status, m.RetryAfter)); err != nil {
-				return fmt.Errorf("wal: old journal: %w", err)
+				return fmt.Errorf("wal: legacy journal: %w", err)
 			}
 		}
-		if there {
-			l.kept -= int64(len(l.live[m.Seq].Body))
+		if stored {
+			l.bodyBytes -= int64(len(l.live[m.Seq].Body))
 		}
 		if m.Status == Pending {
-			l.keep(m)
+			l.cacheBody(m)
 		}
 		l.live[m.Seq] = m
 	}
-	l.next = max(l.next, old.next)
+	l.nextSeq = max(l.nextSeq, legacy.nextSeq)
 	if err := os.Remove(path); err != nil {
-		return fmt.Errorf("wal: old journal: %w", err)
+		return fmt.Errorf("wal: legacy journal: %w", err)
 	}
-	if err := os.Remove(filepath.Join(dir, oldNewName)); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return fmt.Errorf("wal: old journal: %w", err)
+	if err := os.Remove(filepath.Join(dir, legacyTempName)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		return fmt.Errorf("wal: legacy journal: %w", err)
 	}
-	l.report(fmt.Sprintf("journal: %d messages of an older version's file taken over", len(live)))
+	l.report(fmt.Sprintf("journal: %d messages of an older version's file imported", len(live)))
 	return nil
 }
 
-// replay applies all readable records of an old file. Unreadable bytes are passed over up to the next readable record;
-// where none follows they are a torn tail. The search is given up once it has cost so much that the damage was made to.
-func (l *Log) replay(data []byte) {
-	budget := searchShare * len(data)
-	for at := 0; at < len(data); {
-		payload, size, _ := unseal(data[at:])
+// replayLegacy applies all readable records of a legacy file. Unreadable bytes are skipped up to the next readable
+// record; if none follows, they are a torn tail. The search has a budget, because a crafted file could make it
+// arbitrarily expensive.
+func (l *Log) replayLegacy(data []byte) {
+	budget := searchFactor * len(data)
+	for offset := 0; offset < len(data); {
+		payload, size, _ := parseLegacyRecord(data[offset:])
 		if size > 0 {
 			if err := l.apply(payload); err != nil {
-				l.report(fmt.Sprintf("journal: record at %d of %d bytes has no known form, passed over", at, size))
+				l.report(fmt.Sprintf("journal: record at %d of %d bytes has no known form, passed over", offset, size))
 			}
-			at += size
+			offset += size
 			continue
 		}
-		from := at
-		for at++; at < len(data) && budget > 0; at++ {
+		damagedFrom := offset
+		for offset++; offset < len(data) && budget > 0; offset++ {
 			var tried int
-			if _, size, tried = unseal(data[at:]); size > 0 {
+			if _, size, tried = parseLegacyRecord(data[offset:]); size > 0 {
 				break
 			}
 			budget -= tried
 		}
 		if size > 0 {
-			l.report(fmt.Sprintf("journal: %d damaged bytes at %d passed over", at-from, from))
+			l.report(fmt.Sprintf("journal: %d damaged bytes at %d passed over", offset-damagedFrom, damagedFrom))
 		} else {
-			l.report(fmt.Sprintf("journal: torn tail of %d bytes at %d cut off", len(data)-from, from))
+			l.report(fmt.Sprintf("journal: torn tail of %d bytes at %d cut off", len(data)-damagedFrom, damagedFrom))
 			return
 		}
 	}
--- a/internal/routing/wal/lock.go
+++ b/internal/routing/wal/lock.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// lockFor is how long a start waits for an earlier process of the same folder to be gone.
-const lockFor = time.Second
+// lockTimeout is how long opening a journal waits for an earlier process to release the folder.
+const lockTimeout = time.Second
 
-// lockDir keeps a folder for this process: a second program on it would take the first one's segments for leftovers. The
-// kernel gives the lock back when the process ends, however that happens; one that is just ending is waited for. A file system
-// without locks is used without.
+// lockDir locks a folder for this process: a second program in it would treat the first one's segments as leftovers.
+// The kernel releases the lock when the process ends, however it ends; a process that is just exiting is waited for. On
+// a file system without locks the folder is used without one.
 func lockDir(dir string) (*os.File, error) {
 	f, err := os.Open(dir)
 	if err != nil {
 		return nil, fmt.Errorf("wal: %w", err)
 	}
-	for until := time.Now().Add(lockFor); ; time.Sleep(lockFor / 20) {
+	for deadline := time.Now().Add(lockTimeout); ; time.Sleep(lockTimeout / 20) {
 		err = syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
-		waits := errors.Is(err, syscall.EWOULDBLOCK) || errors.Is(err, syscall.EINTR)
-		if !waits || time.Now().After(until) {
+		busy := errors.Is(err, syscall.EWOULDBLOCK) || errors.Is(err, syscall.EINTR)
+		if !busy || time.Now().After(deadline) {
 			break
 		}
 	}
--- a/internal/routing/wal/adopt_test.go
+++ b/internal/routing/wal/takeover_test.go
@@ -8,20 +8,21 @@
 	"mulleinbeam/internal/routing/wal/fsys"
 )
 
-// Guards against a message that is there without its past, so that it is called a second time, when its adoption was cut short.
-func TestAnAdoptionIsWholeOrNotThere(t *testing.T) {
-	whole := 0
-	for writes := range 8 { // that work before the disk fails and the process is killed
+// If a takeover were written as several records, an interrupted one could leave a message without its attempts, and it
+// would be sent a second time.
+func TestTakenOverMessageIsAtomic(t *testing.T) {
+	takenOver := 0
+	for writes := range 8 { // writes that succeed before the disk fails and the process is killed
 		mem := fsys.NewMem()
 		faults := &fsys.FaultFS{FS: mem}
-		l, err := Open(t.TempDir(), Options{MaxBytes: disk, FS: faults}, func(string) {})
+		l, err := Open(t.TempDir(), Options{MaxBytes: diskBytes, FS: faults}, func(string) {})
 		if err != nil {
 			t.Fatal(err)
 		}
-		left := writes
+		remaining := writes
 		faults.Set(func(op fsys.Op, _ string, n int) (int, error) {
 			if op == fsys.OpWrite {
-				if left--; left < 0 {
+				if remaining--; remaining < 0 {
 					return n / 2, syscall.EIO
 				}
 			}
@@ -41,24 +42,24 @@
 		if err := l.Close(); err != nil {
 			t.Fatal(err)
 		}
-		next, err := Open(t.TempDir(), Options{MaxBytes: disk, FS: killed}, func(string) {})
+		reopened, err := Open(t.TempDir(), Options{MaxBytes: diskBytes, FS: killed}, func(string) {})
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, got := range next.Live() {
-			whole++
+		for _, got := range reopened.Live() {
+			takenOver++
 			if !got.MayHaveRun || got.Attempts != 2 || got.Owner != "other" || got.Incarnation != 3 || !got.Unreplicated || string(got.Body) != "body" {
-				t.Errorf("behind %d writes: %v, of %q", writes, got, got.Owner)
+				t.Errorf("after %d writes: %v, of %q", writes, got, got.Owner)
 			}
 		}
-		if body, err := next.Body(m.Seq); len(next.Live()) > 0 && (err != nil || string(body) != "body") {
-			t.Errorf("behind %d writes: body %q, %v", writes, body, err)
+		if body, err := reopened.Body(m.Seq); len(reopened.Live()) > 0 && (err != nil || string(body) != "body") {
+			t.Errorf("after %d writes: body %q, %v", writes, body, err)
 		}
-		if err := next.Close(); err != nil {
+		if err := reopened.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if whole == 0 {
-		t.Error("no adoption came to be")
+	if takenOver == 0 {
+		t.Error("no message was taken over")
 	}
 }
--- a/internal/routing/wal/wal_test.go
+++ b/internal/routing/wal/wal_test.go
@@ -20,17 +20,17 @@
 	"mulleinbeam/internal/routing/wal/store"
 )
 
-const disk = 3e6
+const diskBytes = 3e6
 
 var epoch = time.Unix(1_900_000_000, 0)
 
 func open(t *testing.T, dir string) (*Log, []string) {
 	t.Helper()
-	var told []string
-	ready := false // from then on only the worker reports
-	l, err := Open(dir, Options{MaxBytes: disk}, func(line string) {
+	var reported []string
+	ready := false // from then on only the compaction goroutine reports
+	l, err := Open(dir, Options{MaxBytes: diskBytes}, func(line string) {
 		if !ready {
-			told = append(told, line)
+			reported = append(reported, line)
 		}
 	})
 	if err != nil {
@@ -38,7 +38,7 @@
 	}
 	ready = true
 	t.Cleanup(func() { l.Close() })
-	return l, told
+	return l, reported
 }
 
 func accept(t *testing.T, l *Log, body string) *Message {
@@ -53,27 +53,27 @@
 	return m
 }
 
-// same compares what two logs hold, but for what only a life that goes on knows.
-func same(want, got []*Message) string {
+// diffMessages compares what two logs hold, except for state that only a running process has.
+func diffMessages(want, got []*Message) string {
 	return cmp.Diff(want, got, cmpopts.IgnoreUnexported(Message{}), cmpopts.EquateEmpty())
 }
 
-// A restart finds what each message had come to; the same after compaction.
+// A restart restores the state of each message, with and without compaction.
 func TestRestart(t *testing.T) {
 	for _, compacted := range []bool{false, true} {
 		dir := t.TempDir()
 		l, _ := open(t, dir)
 		at := func(n int) time.Time { return epoch.Add(time.Duration(n) * time.Second) }
-		untouched, ran, never, out := accept(t, l, "b"), accept(t, l, "b"), accept(t, l, ""), accept(t, l, "b")
-		refused, over, acked := accept(t, l, "b"), accept(t, l, "b"), accept(t, l, "b")
+		untouched, ran, neverRan, inFlight := accept(t, l, "b"), accept(t, l, "b"), accept(t, l, ""), accept(t, l, "b")
+		refused, completed, acked := accept(t, l, "b"), accept(t, l, "b"), accept(t, l, "b")
 		steps := []error{
 			l.Started(ran.Seq, at(1), "z1"), l.Outcome(ran.Seq, true), l.Started(ran.Seq, at(2), "z2"), l.Outcome(ran.Seq, true),
-			l.Started(never.Seq, at(1), "z"), l.Outcome(never.Seq, false),
-			l.Started(out.Seq, at(3), "z3"), l.Outcome(out.Seq, false), l.Started(out.Seq, at(4), "z4"),
-			l.End(refused.Seq, Refused, 250*time.Millisecond), l.End(over.Seq, Completed, 0),
+			l.Started(neverRan.Seq, at(1), "z"), l.Outcome(neverRan.Seq, false),
+			l.Started(inFlight.Seq, at(3), "z3"), l.Outcome(inFlight.Seq, false), l.Started(inFlight.Seq, at(4), "z4"),
+			l.End(refused.Seq, Refused, 250*time.Millisecond), l.End(completed.Seq, Completed, 0),
 			l.End(acked.Seq, Failed, 0), l.End(acked.Seq, Completed, 0),
 		}
-		if compacted { // each segment that a start has begun
+		if compacted { // each open begins a new segment
 			for range 3 {
 				l.Close()
 				l, _ = open(t, dir)
@@ -91,40 +91,40 @@
 				t.Fatalf("step %d: %v", i, err)
 			}
 		}
-		l.lock.Close()              // the kernel's part of a kill:
-		again, told := open(t, dir) // the first one is not closed
-		past := func(m *Message, attempts int, ranAt time.Time, zone string) *Message {
+		l.lock.Close()                  // releases the lock, as the kernel does on a kill;
+		again, reported := open(t, dir) // the first log is not closed
+		restored := func(m *Message, attempts int, ranAt time.Time, zone string) *Message {
 			return &Message{
 				Seq: m.Seq, Deadline: m.Deadline, Destination: 7, ID: m.ID, Key: m.Key, Class: m.Class, Body: m.Body,
 				Attempts: attempts, MayHaveRun: zone != "", RanAt: ranAt, RanZone: zone,
 			}
 		}
-		ended := past(refused, 0, time.Time{}, "")
+		ended := restored(refused, 0, time.Time{}, "")
 		ended.Status, ended.RetryAfter, ended.Body = Refused, 250*time.Millisecond, nil
 		want := []*Message{
-			past(untouched, 0, time.Time{}, ""), past(ran, 2, at(1), "z1"), past(never, 1, time.Time{}, ""),
-			past(out, 2, at(4), "z4"), ended,
+			restored(untouched, 0, time.Time{}, ""), restored(ran, 2, at(1), "z1"), restored(neverRan, 1, time.Time{}, ""),
+			restored(inFlight, 2, at(4), "z4"), ended,
 		}
 		got := again.Live()
 		for _, m := range got {
 			if !m.MayHaveRun {
-				m.RanAt = time.Time{} // means nothing then
+				m.RanAt = time.Time{} // not meaningful without MayHaveRun
 			}
 		}
-		if diff := same(want, got); diff != "" || len(told) != 0 {
-			t.Errorf("compacted %v: told %v\n%s", compacted, told, diff)
+		if diff := diffMessages(want, got); diff != "" || len(reported) != 0 {
+			t.Errorf("compacted %v: reported %v\n%s", compacted, reported, diff)
 		}
 	}
 }
 
-// A call that was out when a life was killed may have run, also for the life after the next one: what came of a later call
-// tells nothing of it. The window of a keyed message is counted from it.
-func TestACallOutAtAKillIsKnownToAllLaterLives(t *testing.T) {
+// A call in flight when a process was killed may have run, for all later processes as well: outcomes of later calls say
+// nothing about it. The deduplication window of a keyed message counts from that call.
+func TestCallInFlightAtKillIsKnownToLaterIncarnations(t *testing.T) {
 	dir := t.TempDir()
 	at := func(n int) time.Time { return epoch.Add(time.Duration(n) * time.Second) }
 	l, _ := open(t, dir)
 	m := accept(t, l, "b")
-	begun := func(n int, outcomes ...bool) {
+	startAttempt := func(n int, outcomes ...bool) {
 		t.Helper()
 		if err := l.Started(m.Seq, at(n), "z"+strconv.Itoa(n)); err != nil {
 			t.Fatal(err)
@@ -135,26 +135,26 @@
 			}
 		}
 	}
-	killed := func() {
+	kill := func() {
 		t.Helper()
-		l.lock.Close() // the kernel's part of a kill
+		l.lock.Close() // as the kernel does on a kill
 		l, _ = open(t, dir)
 	}
-	begun(1, false)
-	begun(2)
-	for life := 3; life < 6; life++ {
-		killed()
-		begun(life, false)
+	startAttempt(1, false)
+	startAttempt(2)
+	for run := 3; run < 6; run++ {
+		kill()
+		startAttempt(run, false)
 	}
-	killed()
+	kill()
 	got := l.Live()
 	if len(got) != 1 || !got[0].MayHaveRun || !got[0].RanAt.Equal(at(2)) || got[0].RanZone != "z2" || got[0].Attempts != 5 {
 		t.Errorf("after four kills: %+v", got)
 	}
 }
 
-// newest is the file that was begun last, and its content.
-func newest(t *testing.T, dir string) (name string, data []byte) {
+// newestSegment returns the name and content of the segment that was created last.
+func newestSegment(t *testing.T, dir string) (name string, data []byte) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "seg-*"))
 	if err != nil || len(files) == 0 {
@@ -168,33 +168,33 @@
 	return name, data
 }
 
-// spoilt copies a journal with other content in its newest file.
-func spoilt(t *testing.T, dir string, data []byte) string {
+// withNewestSegment copies a journal, with other content in its newest segment.
+func withNewestSegment(t *testing.T, dir string, data []byte) string {
 	t.Helper()
 	other := t.TempDir()
 	if err := os.CopyFS(other, os.DirFS(dir)); err != nil {
 		t.Fatal(err)
 	}
-	name, _ := newest(t, other)
+	name, _ := newestSegment(t, other)
 	if err := os.WriteFile(name, data, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return other
 }
 
-// Whatever part of the last record a kill left out, all before it holds and the tail is passed over.
+// Wherever a kill cuts off the last record, all records before it are restored and the torn tail is skipped.
 func TestTornTail(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := open(t, dir)
 	first := accept(t, l, "first")
-	_, before := newest(t, dir)
+	_, before := newestSegment(t, dir)
 	accept(t, l, "second")
-	_, whole := newest(t, dir)
+	_, whole := newestSegment(t, dir)
 	for cut := len(before) + 1; cut < len(whole); cut++ {
-		torn := spoilt(t, dir, whole[:cut])
-		got, told := open(t, torn)
-		if diff := same([]*Message{first}, got.Live()); diff != "" || len(told) != 1 || !strings.Contains(told[0], "torn tail") {
-			t.Fatalf("cut at %d: told %v\n%s", cut, told, diff)
+		torn := withNewestSegment(t, dir, whole[:cut])
+		got, reported := open(t, torn)
+		if diff := diffMessages([]*Message{first}, got.Live()); diff != "" || len(reported) != 1 || !strings.Contains(reported[0], "torn tail") {
+			t.Fatalf("cut at %d: reported %v\n%s", cut, reported, diff)
 		}
 		accept(t, got, "third")
 		got.Close()
@@ -204,43 +204,43 @@
 	}
 }
 
-// A damaged record is told of and passed over; those before and after it hold.
+// A damaged record is reported and skipped; the records before and after it are restored.
 func TestDamage(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := open(t, dir)
 	first := accept(t, l, "first")
-	_, before := newest(t, dir)
+	_, before := newestSegment(t, dir)
 	accept(t, l, "second")
-	_, behind := newest(t, dir)
+	_, afterSecond := newestSegment(t, dir)
 	third := accept(t, l, "third")
-	_, whole := newest(t, dir)
-	for at := len(before); at < len(behind); at++ {
-		bad := append([]byte(nil), whole...)
-		bad[at] ^= 0x55
-		got, told := open(t, spoilt(t, dir, bad))
-		if diff := same([]*Message{first, third}, got.Live()); diff != "" || len(told) != 1 || !strings.Contains(told[0], "damaged") {
-			t.Fatalf("byte %d: told %v\n%s", at, told, diff)
+	_, whole := newestSegment(t, dir)
+	for at := len(before); at < len(afterSecond); at++ {
+		damaged := append([]byte(nil), whole...)
+		damaged[at] ^= 0x55
+		got, reported := open(t, withNewestSegment(t, dir, damaged))
+		if diff := diffMessages([]*Message{first, third}, got.Live()); diff != "" || len(reported) != 1 || !strings.Contains(reported[0], "damaged") {
+			t.Fatalf("byte %d: reported %v\n%s", at, reported, diff)
 		}
 	}
 }
 
-// onDisk is what a folder's files take in whole blocks.
-func onDisk(t *testing.T, dir string) (total int64) {
+// diskUsage returns the size of a folder's files in whole blocks.
+func diskUsage(t *testing.T, dir string) (total int64) {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, e := range entries {
-		if info, err := e.Info(); err == nil { // else the worker has just removed it
+		if info, err := e.Info(); err == nil { // otherwise compaction has just removed it
 			total += (info.Size() + 511) / 512 * 512
 		}
 	}
 	return total
 }
 
-// However much goes through, the files together stay within the disk, what doesn't fit is refused, and nothing live is
-// lost. Guards against a compaction whose two files are too much at once.
+// Whatever the volume of messages, the files together stay within the disk limit, what does not fit is refused, and no
+// live message is lost. A compaction that holds two files at once could exceed the limit.
 func TestSpaceIsBounded(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := open(t, dir)
@@ -256,7 +256,7 @@
 		}
 		for _, m := range live {
 			if m.Attempts < 6 {
-				if err := l.Started(m.Seq, epoch, "budova-a"); err != nil && !errors.Is(err, store.ErrFull) { // no call, then
+				if err := l.Started(m.Seq, epoch, "budova-a"); err != nil && !errors.Is(err, store.ErrFull) { // no room, no call
 					t.Fatal(err)
 				}
 				if err := l.Outcome(m.Seq, i%2 == 0); err != nil && !errors.Is(err, store.ErrFull) {
@@ -264,7 +264,7 @@
 				}
 			}
 		}
-		if n := onDisk(t, dir); n > disk {
+		if n := diskUsage(t, dir); n > diskBytes {
 			t.Fatalf("message %d: %d bytes on disk", i, n)
 		}
 		if len(live) > 5 && i%3 != 0 {
@@ -281,15 +281,15 @@
 	}
 }
 
-// sealOld frames a record as the one-file journal did.
-func sealOld(b, payload []byte) []byte {
+// appendLegacyRecord frames a record as the single-file journal did.
+func appendLegacyRecord(b, payload []byte) []byte {
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(payload)))
 	b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(payload, checksums))
 	return append(b, payload...)
 }
 
-// An older version's file is taken over once, with what each message had come to, also if that is cut short half-way.
-func TestOldFileIsTakenOver(t *testing.T) {
+// The file of an older version is imported once, with the state of each message, even if the import is interrupted.
+func TestLegacyFileIsImported(t *testing.T) {
 	at := func(n int) time.Time { return epoch.Add(time.Duration(n) * time.Second) }
 	messages := []*Message{
 		{Seq: 3, Deadline: epoch, Destination: 7, ID: "held", Class: "c", Body: []byte("b")},
@@ -300,13 +300,13 @@
 	}
 	var file []byte
 	for _, m := range messages {
-		file = sealOld(file, appendAccepted(nil, m))
+		file = appendLegacyRecord(file, appendAccepted(nil, m))
 	}
-	file = sealOld(file, appendStarted(nil, 4, at(1), "z1", bootclock.Stamp{}))
-	file = sealOld(file, appendOutcome(nil, 4, true))
-	file = sealOld(file, appendStarted(nil, 5, at(2), "z2", bootclock.Stamp{}))
-	file = sealOld(file, appendEnded(nil, 6, Refused, time.Second))
-	file = sealOld(file, appendEnded(nil, 8, Completed, 0))
+	file = appendLegacyRecord(file, appendStarted(nil, 4, at(1), "z1", bootclock.Stamp{}))
+	file = appendLegacyRecord(file, appendOutcome(nil, 4, true))
+	file = appendLegacyRecord(file, appendStarted(nil, 5, at(2), "z2", bootclock.Stamp{}))
+	file = appendLegacyRecord(file, appendEnded(nil, 6, Refused, time.Second))
+	file = appendLegacyRecord(file, appendEnded(nil, 8, Completed, 0))
 	want := []*Message{
 		messages[0],
 		{Seq: 4, Deadline: epoch, Destination: 7, ID: "ran", Class: "c", Body: []byte("b"), Attempts: 1, MayHaveRun: true, RanAt: at(1), RanZone: "z1"},
@@ -314,9 +314,9 @@
 		{Seq: 6, Deadline: epoch, Destination: 7, ID: "told", Class: "c", Status: Refused, RetryAfter: time.Second},
 	}
 	dir := t.TempDir()
-	for life := range 4 {
-		if life < 3 { // the first lives were killed before the file was removed
-			if err := os.WriteFile(filepath.Join(dir, oldName), file, 0o600); err != nil {
+	for run := range 4 {
+		if run < 3 { // the first runs were killed before the file was removed
+			if err := os.WriteFile(filepath.Join(dir, legacyName), file, 0o600); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -327,12 +327,12 @@
 				m.RanAt = time.Time{}
 			}
 		}
-		if diff := same(want, got); diff != "" || life < 3 && l.NextSeq() != 9 {
-			t.Errorf("life %d: next %d\n%s", life, l.NextSeq(), diff)
+		if diff := diffMessages(want, got); diff != "" || run < 3 && l.NextSeq() != 9 {
+			t.Errorf("run %d: next %d\n%s", run, l.NextSeq(), diff)
 		}
 		l.Close()
-		if _, err := os.Stat(filepath.Join(dir, oldName)); !os.IsNotExist(err) {
-			t.Errorf("life %d: the old file is there: %v", life, err)
+		if _, err := os.Stat(filepath.Join(dir, legacyName)); !os.IsNotExist(err) {
+			t.Errorf("run %d: the legacy file is still there: %v", run, err)
 		}
 	}
 }
