--- a/internal/tools/knownred/list_test.go
+++ b/internal/tools/knownred/list_test.go
@@ -11,8 +11,9 @@
 
 const listed = "TestSlow: go test -race ./internal/a -run TestSlow -count 1200 (no seed: timing); about once, too slow. Issue 35."
 
-// Guards against an entry whose own command is not what runs, or whose name passes over tests of other packages.
-func TestListTellsCommandAndPackage(t *testing.T) {
+// Guards against an entry whose command is not the one that runs, or that skips a test of the same name in another
+// package.
+func TestListParsesCommandAndPackage(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
 	if err := os.WriteFile(path, []byte("# what it is\n\n"+listed+"\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -22,39 +23,39 @@
 		t.Fatalf("%v, %v", entries, err)
 	}
 	want := []string{"go", "test", "-race", "./internal/a", "-run", "TestSlow", "-count", "1200"}
-	if e := entries[0]; e.pkg != "./internal/a" || !cmp.Equal(want, e.command) || e.issue != "35" || e.seen != "about once, too slow." {
+	if e := entries[0]; e.pkg != "./internal/a" || !cmp.Equal(want, e.command) || e.issue != "35" || e.observed != "about once, too slow." {
 		t.Errorf("%+v", e)
 	}
-	if got := skipped(entries, "./internal/a"); !cmp.Equal([]string{"TestSlow"}, got) {
-		t.Errorf("passed over in its package: %q", got)
+	if got := listedTests(entries, "./internal/a"); !cmp.Equal([]string{"TestSlow"}, got) {
+		t.Errorf("listedTests in its package: %q", got)
 	}
-	if got := skipped(entries, "./internal/b"); got != nil {
-		t.Errorf("passed over in another package: %q", got)
+	if got := listedTests(entries, "./internal/b"); got != nil {
+		t.Errorf("listedTests in another package: %q", got)
 	}
 	if entries, err := readList(path + ".none"); err != nil || entries != nil {
-		t.Errorf("without a list: %v, %v", entries, err)
+		t.Errorf("missing list: %v, %v", entries, err)
 	}
 }
 
-// Guards against an entry that is passed over, and that nothing runs or accounts for.
-func TestListRefusesOtherForms(t *testing.T) {
+// Guards against a malformed entry that is ignored, so that its test is skipped and never run.
+func TestListRejectsMalformedEntries(t *testing.T) {
 	for name, text := range map[string]string{
 		"no command":   "TestSlow: fails now and then. Issue 35.",
 		"no issue":     "TestSlow: go test ./internal/a -run TestSlow; about once.",
-		"nothing seen": "TestSlow: go test ./internal/a -run TestSlow; Issue 35.",
+		"no result":    "TestSlow: go test ./internal/a -run TestSlow; Issue 35.",
 		"no package":   "TestSlow: go test -run TestSlow; about once. Issue 35.",
 		"all packages": "TestSlow: go test ./... -run TestSlow; about once. Issue 35.",
 		"two packages": "TestSlow: go test ./a ./b -run TestSlow; about once. Issue 35.",
 		"another test": "TestSlow: go test ./a -run TestOther; about once. Issue 35.",
 		"no test":      "go test ./a -run TestSlow; about once. Issue 35.",
 	} {
-		if _, err := parseEntry(text); !errors.Is(err, errForm) {
+		if _, err := parseEntry(text); !errors.Is(err, errEntryFormat) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-// Guards against flags that are taken for packages.
+// Guards against flags that are treated as packages.
 func TestSplitArgs(t *testing.T) {
 	flags, packages := splitArgs([]string{"-race", "-run", "^TestA", "./a", "./b/..."})
 	if !cmp.Equal([]string{"-race", "-run", "^TestA"}, flags) || !cmp.Equal([]string{"./a", "./b/..."}, packages) {
--- a/internal/tools/knownred/main.go
+++ b/internal/tools/knownred/main.go
@@ -1,8 +1,8 @@
-// Command knownred runs the module's tests without those that KNOWN-RED.txt lists, and those by themselves.
+// Command knownred runs the module's tests except those listed in KNOWN-RED.txt, and runs the listed ones separately.
 //
-//	knownred check                     every entry has the form that is wanted
-//	knownred test FLAGS... PACKAGES... go test, passing over exactly the listed tests of each package
-//	knownred run                       each entry's own command; it tells how each ended, and fails for none of them
+//	knownred check                     validates the format of every entry
+//	knownred test FLAGS... PACKAGES... runs go test, skipping exactly the listed tests of each package
+//	knownred run                       runs each entry's command and reports its result; a failing entry is no error
 package main
 
 import (
@@ -18,9 +18,9 @@
 
 const (
 	listName = "KNOWN-RED.txt"
-	// entryTakes bounds the tests of one entry's command, and builds that may come before them.
-	entryTakes  = 4 * time.Minute
-	entryBuilds = time.Minute
+	// entryTestTimeout bounds the tests of one entry's command, entryBuildTimeout the builds that may precede them.
+	entryTestTimeout  = 4 * time.Minute
+	entryBuildTimeout = time.Minute
 )
 
 func main() {
@@ -42,39 +42,40 @@
 	case "check":
 		return nil
 	case "test":
-		return testOthers(entries, args[1:], out)
+		return testUnlisted(entries, args[1:], out)
 	case "run":
 		runEntries(entries, out)
 		return nil
 	}
-	return fmt.Errorf("no command %q", args[0])
+	return fmt.Errorf("unknown command %q", args[0])
 }
 
-// testOthers runs go test for packages: those without an entry in one go, each of the others without its listed tests.
-func testOthers(entries []entry, args []string, out io.Writer) error {
+// testUnlisted runs go test for the packages: once for all packages without an entry, and once for each of the others,
+// skipping its listed tests.
+func testUnlisted(entries []entry, args []string, out io.Writer) error {
 	flags, patterns := splitArgs(args)
 	packages, err := listPackages(patterns)
 	if err != nil {
 		return err
 	}
-	var free []string
+	var unlisted []string
 	var failed error
 	for _, pkg := range packages {
-		names := skipped(entries, pkg)
+		names := listedTests(entries, pkg)
 		if len(names) == 0 {
-			free = append(free, pkg)
+			unlisted = append(unlisted, pkg)
 			continue
 		}
 		skip := "^(" + strings.Join(names, "|") + ")$"
 		failed = errors.Join(failed, goTest(out, append([]string{"-skip", skip}, flags...), pkg))
 	}
-	if len(free) > 0 {
-		failed = errors.Join(failed, goTest(out, flags, free...))
+	if len(unlisted) > 0 {
+		failed = errors.Join(failed, goTest(out, flags, unlisted...))
 	}
 	return failed
 }
 
-// splitArgs parts the packages, which are at the end, from the flags before them.
+// splitArgs splits the arguments into flags and the packages that follow them.
 func splitArgs(args []string) (flags, packages []string) {
 	for i, arg := range args {
 		if strings.HasPrefix(arg, "./") {
@@ -84,42 +85,42 @@
 	return args, nil
 }
 
-// listPackages gives packages as entries name them, from the module's root.
+// listPackages returns the matching packages as paths relative to the module's root, as entries name them.
 func listPackages(patterns []string) ([]string, error) {
 	raw, err := exec.Command("go", append([]string{"list", "-f", "{{.Module.Path}} {{.ImportPath}}"}, patterns...)...).Output()
 	if err != nil {
 		return nil, fmt.Errorf("go list: %w", err)
 	}
 	var packages []string
-	for text := range strings.Lines(string(raw)) {
-		module, path, _ := strings.Cut(strings.TrimSpace(text), " ")
+	for line := range strings.Lines(string(raw)) {
+		module, path, _ := strings.Cut(strings.TrimSpace(line), " ")
 		packages = append(packages, "."+strings.TrimPrefix(path, module))
 	}
 	return packages, nil
 }
 
 func goTest(out io.Writer, flags []string, packages ...string) error {
-	run := exec.Command("go", append(append([]string{"test"}, flags...), packages...)...)
-	run.Stdout, run.Stderr = out, out
-	return run.Run()
+	cmd := exec.Command("go", append(append([]string{"test"}, flags...), packages...)...)
+	cmd.Stdout, cmd.Stderr = out, out
+	return cmd.Run()
 }
 
-// runEntries runs each entry's command, bounded in time, and tells how it ended.
+// runEntries runs each entry's command with a time limit and reports its result.
 func runEntries(entries []entry, out io.Writer) {
 	for _, e := range entries {
-		began := time.Now()
-		ctx, cancel := context.WithTimeout(context.Background(), entryTakes+entryBuilds)
-		args := append([]string{"test", "-timeout", entryTakes.String()}, e.command[2:]...) // go ends the test's own process
+		start := time.Now()
+		ctx, cancel := context.WithTimeout(context.Background(), entryTestTimeout+entryBuildTimeout)
+		args := append([]string{"test", "-timeout", entryTestTimeout.String()}, e.command[2:]...) // go test ends the test binary too
 		output, err := exec.CommandContext(ctx, "go", args...).CombinedOutput()
-		verdict := "passed"
+		result := "passed"
 		switch {
 		case ctx.Err() != nil || strings.Contains(string(output), "panic: test timed out"):
-			verdict = "did not end"
+			result = "timed out"
 		case err != nil:
-			verdict = fmt.Sprintf("failed, %d times", strings.Count(string(output), "--- FAIL: "+e.test+" "))
+			result = fmt.Sprintf("failed, %d times", strings.Count(string(output), "--- FAIL: "+e.test+" "))
 		}
 		cancel()
-		fmt.Fprintf(out, "known red, %s in %v: %s (issue %s)\n  %s\n  listed for: %s\n",
-			verdict, time.Since(began).Round(time.Second), e.test, e.issue, strings.Join(e.command, " "), e.seen)
+		fmt.Fprintf(out, "known failure, %s in %v: %s (issue %s)\n  %s\n  recorded: %s\n",
+			result, time.Since(start).Round(time.Second), e.test, e.issue, strings.Join(e.command, " "), e.observed)
 	}
 }
