--- a/cmd/larklab/main.go
+++ b/cmd/larklab/main.go
@@ -174,14 +174,14 @@
 		return err
 	}
 	type line struct {
-		at    time.Duration
-		event int64
-		id    mb.MessageID
-		what  string
+		at          time.Duration
+		event       int64
+		id          mb.MessageID
+		description string
 	}
 	var lines []line
-	w.Trace = func(at time.Duration, event int64, id mb.MessageID, what string) {
-		lines = append(lines, line{at, event, id, what})
+	w.Trace = func(at time.Duration, event int64, id mb.MessageID, description string) {
+		lines = append(lines, line{at, event, id, description})
 	}
 	r := w.Run()
 	text, err := toml.Marshal(s)
@@ -191,7 +191,7 @@
 	fmt.Printf("\nsmallest scenario found that breaks a rule with seed %d:\n\n%s\n%s\n", seed, text, strings.Join(r.Broken, "\n"))
 	for _, l := range lines {
 		if l.id == r.Message {
-			fmt.Printf("  %v, event %d: %s\n", l.at, l.event, l.what)
+			fmt.Printf("  %v, event %d: %s\n", l.at, l.event, l.description)
 		}
 	}
 	return nil
--- a/cmd/larklab/plan.go
+++ b/cmd/larklab/plan.go
@@ -10,7 +10,7 @@
 
 // planCmd replays recorded traffic reports.
 type planCmd struct {
-	File     string         `arg:"" type:"existingfile" help:"Record that the setting record of [place] has written."`
+	File     string         `arg:"" type:"existingfile" help:"File written by the record setting of [place]."`
 	Headroom *float64       `help:"Share of a site's capacity that quotas may use."`
 	Reserve  *float64       `help:"Share of it kept for members without a valid plan."`
 	Step     *float64       `help:"Share of a site's spare capacity by which cross-zone traffic to it may grow per window."`
