--- a/internal/routing/wal/fsys/few_test.go
+++ b/internal/routing/wal/fsys/descriptors_test.go
@@ -9,12 +9,12 @@
 	"testing"
 )
 
-// Whatever is done with many files, through few descriptors it goes as it goes without: contents, names, and what was open when
-// its name went.
-func TestFewDescriptorsServeManyFiles(t *testing.T) {
+// Guards against differences between a directory with a limit on descriptors and one without: contents, names, and
+// files whose name was removed while they were open.
+func TestManyFilesWithFewDescriptors(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		plain, few := FS(NewMem()), LimitDescriptors(NewMem(), 1+rng.IntN(3))
+		plain, limited := FS(NewMem()), LimitDescriptors(NewMem(), 1+rng.IntN(3))
 		type pair struct{ a, b File }
 		open := []pair{}
 		for step := range 400 {
@@ -25,20 +25,20 @@
 				var p pair
 				if how := rng.IntN(2); how == 0 {
 					p.a, a = plain.Create(name)
-					p.b, b = few.Create(name)
+					p.b, b = limited.Create(name)
 				} else {
 					p.a, a = plain.Open(name)
-					p.b, b = few.Open(name)
+					p.b, b = limited.Open(name)
 				}
 				if a == nil && b == nil {
 					open = append(open, p)
 				}
 			case what == 2:
-				a, b = plain.Remove(name), few.Remove(name)
+				a, b = plain.Remove(name), limited.Remove(name)
 			case what == 3 && name != other:
-				a, b = plain.Rename(name, other), few.Rename(name, other)
+				a, b = plain.Rename(name, other), limited.Rename(name, other)
 			case len(open) == 0:
-			case what == 4 && len(open) > 2: // what has lost its name keeps its descriptor to its close
+			case what == 4 && len(open) > 2: // a file that has lost its name keeps its descriptor until it is closed
 				i := rng.IntN(len(open))
 				a, b = open[i].a.Close(), open[i].b.Close()
 				open = append(open[:i], open[i+1:]...)
@@ -52,24 +52,24 @@
 			}
 			for i, p := range open {
 				n, err := p.a.Size()
-				m, errFew := p.b.Size()
+				m, errLimited := p.b.Size()
 				got, want := make([]byte, m), make([]byte, n)
 				_, _ = p.a.ReadAt(want, 0)
 				_, _ = p.b.ReadAt(got, 0)
-				if err != nil || errFew != nil || string(got) != string(want) {
-					t.Fatalf("seed %d, step %d: file %d has %v, %v; without it %v, %v", seed, step, i, got, errFew, want, err)
+				if err != nil || errLimited != nil || string(got) != string(want) {
+					t.Fatalf("seed %d, step %d: file %d has %v, %v; without it %v, %v", seed, step, i, got, errLimited, want, err)
 				}
 			}
 		}
 	}
 }
 
-// Many at once wait for a descriptor, and each gets one.
-func TestFewDescriptorsAtOnce(t *testing.T) {
-	few := LimitDescriptors(Dir(t.TempDir()), 2)
+// Guards against goroutines that wait forever for a descriptor.
+func TestConcurrentFilesWithFewDescriptors(t *testing.T) {
+	limited := LimitDescriptors(Dir(t.TempDir()), 2)
 	var all sync.WaitGroup
 	for i := range 16 {
-		f, err := few.Create(fmt.Sprint("f", i))
+		f, err := limited.Create(fmt.Sprint("f", i))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/routing/wal/fsys/faults.go
+++ b/internal/routing/wal/fsys/faults.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// Op names an operation that may be made to fail.
+// Op names an operation that can be made to fail.
 type Op string
 
 // The operations.
@@ -19,17 +19,18 @@
 	OpList     Op = "list"
 )
 
-// FaultFS is a folder whose operations fail when Fail says so.
+// FaultFS is a directory whose operations fail as the function given to Set decides.
 type FaultFS struct {
 	FS
-	HidePartialWrites bool // a write that fails tells of no byte, as the system call does, whatever it has left
+	HidePartialWrites bool // a failed write reports 0 bytes, as the system call does, whatever it has written
 
 	mu   sync.Mutex
 	fail func(op Op, name string, n int) (int, error)
 }
 
-// Set sets which operations fail from now on. fail gets the file's name and, of a write, how many bytes; with its error it
-// says how many of them are written all the same. Nil ends the faults.
+// Set installs the function that decides which operations fail. It is called with the file's name and, for a write or
+// read, the number of bytes. If it returns an error for a write, it also returns how many bytes are written before the
+// failure. A nil function ends the faults.
 func (f *FaultFS) Set(fail func(op Op, name string, n int) (written int, err error)) {
 	f.mu.Lock()
 	f.fail = fail
@@ -46,7 +47,7 @@
 	return fail(op, name, n)
 }
 
-// Create makes a file.
+// Create creates a file.
 func (f *FaultFS) Create(name string) (File, error) {
 	if _, err := f.check(OpCreate, name, 0); err != nil {
 		return nil, err
@@ -55,7 +56,7 @@
 	return faultyFile{file, f, name}, err
 }
 
-// Open opens a file that is there.
+// Open opens an existing file.
 func (f *FaultFS) Open(name string) (File, error) {
 	if _, err := f.check(OpOpen, name, 0); err != nil {
 		return nil, err
@@ -64,7 +65,7 @@
 	return faultyFile{file, f, name}, err
 }
 
-// Rename moves a file.
+// Rename renames a file.
 func (f *FaultFS) Rename(from, to string) error {
 	if _, err := f.check(OpRename, from, 0); err != nil {
 		return err
@@ -80,7 +81,7 @@
 	return f.FS.Remove(name)
 }
 
-// List names the files.
+// List returns the names of the files.
 func (f *FaultFS) List() ([]string, error) {
 	if _, err := f.check(OpList, "", 0); err != nil {
 		return nil, err
@@ -88,7 +89,7 @@
 	return f.FS.List()
 }
 
-// Sync syncs the folder.
+// Sync makes the directory's entries durable.
 func (f *FaultFS) Sync() error {
 	if _, err := f.check(OpSyncDir, "", 0); err != nil {
 		return err
@@ -102,7 +103,7 @@
 	name   string
 }
 
-// Write appends, or a part.
+// Write appends p, or a part of it if the write is to fail.
 func (f faultyFile) Write(p []byte) (int, error) {
 	n, err := f.faults.check(OpWrite, f.name, len(p))
 	if err == nil {
@@ -120,11 +121,11 @@
 }
 
 // ReadAt reads at an offset.
-func (f faultyFile) ReadAt(p []byte, at int64) (int, error) {
+func (f faultyFile) ReadAt(p []byte, offset int64) (int, error) {
 	if _, err := f.faults.check(OpRead, f.name, len(p)); err != nil {
 		return 0, err
 	}
-	return f.File.ReadAt(p, at)
+	return f.File.ReadAt(p, offset)
 }
 
 // Sync makes the content durable.
@@ -135,7 +136,7 @@
 	return f.File.Sync()
 }
 
-// Truncate cuts the file.
+// Truncate shortens the file.
 func (f faultyFile) Truncate(size int64) error {
 	if _, err := f.faults.check(OpTruncate, f.name, int(size)); err != nil {
 		return err
--- a/internal/routing/wal/fsys/fsys.go
+++ b/internal/routing/wal/fsys/fsys.go
@@ -1,5 +1,6 @@
-// Package fsys is the little of a file system that the journal needs: one folder of files that are appended to. Dir is a
-// real one; Mem is one in memory that can be left as a crash would leave it, and Faults makes any of them fail.
+// Package fsys is the part of a file system that the journal needs: one directory of append-only files. Dir is a real
+// directory, and Mem one in memory that can simulate a crash. FaultFS injects failures, and LimitDescriptors bounds
+// the number of open descriptors.
 package fsys
 
 import (
@@ -14,38 +15,40 @@
 	"syscall"
 )
 
-// File is an open file: appended to, and read at any place.
+// File is an open file that is appended to and read at any offset.
 type File interface {
-	io.Writer // at the end; a write that fails may have written a part, as its count says
+	io.Writer // appends; a failed write may have written a part, as its count says
 	io.ReaderAt
-	// Sync makes what was written outlast the machine. After it has failed nothing that was not synced before may be
-	// trusted: the kernel may have dropped it and reports that once.
+	// Sync makes the written content survive a crash of the machine. After a failure, content that was not synced
+	// before must be considered lost: the kernel may have dropped it, and reports that only once.
 	Sync() error
 	Truncate(size int64) error
 	Size() (int64, error)
 	Close() error
 }
 
-// FS is a folder. Its names have no separators.
+// FS is a directory of files. Names contain no separators.
 type FS interface {
-	Create(name string) (File, error) // fs.ErrExist if it is there
-	Open(name string) (File, error)   // fs.ErrNotExist if it is not
-	Rename(from, to string) error     // replaces what has that name
+	Create(name string) (File, error) // fs.ErrExist if it exists
+	Open(name string) (File, error)   // fs.ErrNotExist if it does not exist
+	Rename(from, to string) error     // replaces an existing file
 	Remove(name string) error
-	List() ([]string, error) // in order
-	// Sync makes the creates, renames and removes so far outlast the machine.
+	List() ([]string, error) // sorted
+	// Sync makes all creates, renames and removes so far survive a crash of the machine.
 	Sync() error
 }
 
-// IsNoSpace says that an error tells of a full disk, quota or size limit: what is asked for may succeed once there is room.
+// IsNoSpace reports whether an error means that the disk, a quota or the file size limit is exhausted: the operation
+// may succeed once there is space.
 func IsNoSpace(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EFBIG)
 }
 
-// Replace replaces a file whole: the content is written under another name first, the file's with ".new" behind it. With
-// sync it outlasts the machine. there says that the file has the new content. Beside an error it may: the folder's sync has
-// failed, and a power cut may yet bring the old one back, or a rename has failed and what is there could not be read.
-func Replace(fsys FS, name string, content []byte, sync bool) (there bool, err error) {
+// Replace replaces a file as a whole. The content is written to a file with NewSuffix first, which is then renamed.
+// With sync the new content survives a crash of the machine. replaced reports that the file has, or may have, the new
+// content. It may be true along with an error: if the sync of the directory has failed, a power failure may still
+// restore the old content, and if the rename has failed, the file could not be read to tell which content it has.
+func Replace(fsys FS, name string, content []byte, sync bool) (replaced bool, err error) {
 	next := name + NewSuffix
 	if err := remove(fsys, next); err != nil {
 		return false, err
@@ -59,13 +62,13 @@
 		err = f.Sync()
 	}
 	if err = errors.Join(err, f.Close()); err != nil {
-		return false, errors.Join(err, fsys.Remove(next)) // its room is wanted
+		return false, errors.Join(err, fsys.Remove(next)) // frees its space
 	}
-	if err := fsys.Rename(next, name); err != nil { // it may have been made all the same
-		made, unread := holds(fsys, name, content)
+	if err := fsys.Rename(next, name); err != nil { // the rename may have taken effect nevertheless
+		made, readErr := holds(fsys, name, content)
 		switch {
-		case unread != nil:
-			return true, errors.Join(err, unread)
+		case readErr != nil:
+			return true, errors.Join(err, readErr)
 		case !made:
 			return false, errors.Join(err, remove(fsys, next))
 		}
@@ -76,7 +79,7 @@
 	return true, nil
 }
 
-// remove removes a file that may not be there.
+// remove removes a file that may not exist.
 func remove(fsys FS, name string) error {
 	if err := fsys.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
@@ -84,7 +87,7 @@
 	return nil
 }
 
-// holds says whether a file is there with exactly a content.
+// holds reports whether a file exists and has exactly the given content.
 func holds(fsys FS, name string, content []byte) (bool, error) {
 	f, err := fsys.Open(name)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -93,23 +96,23 @@
 		return false, err
 	}
 	defer f.Close()
-	there := make([]byte, len(content)+1)
-	n, err := f.ReadAt(there, 0)
+	buf := make([]byte, len(content)+1)
+	n, err := f.ReadAt(buf, 0)
 	if err != nil && !errors.Is(err, io.EOF) {
 		return false, err
 	}
-	return bytes.Equal(there[:n], content), nil
+	return bytes.Equal(buf[:n], content), nil
 }
 
-// NewSuffix is what the name of a file ends in while it is written to replace another.
+// NewSuffix is the suffix of a file that is written to replace another.
 const NewSuffix = ".new"
 
-// Dir is a folder of the real file system.
+// Dir is a directory of the real file system.
 type Dir string
 
 type osFile struct{ *os.File }
 
-// Size is how many bytes the file has.
+// Size returns the size of the file in bytes.
 func (f osFile) Size() (int64, error) {
 	info, err := f.Stat()
 	if err != nil {
@@ -126,13 +129,13 @@
 	return osFile{f}, nil
 }
 
-// Create makes a file.
+// Create creates a file.
 func (d Dir) Create(name string) (File, error) { return d.open(name, os.O_CREATE|os.O_EXCL) }
 
-// Open opens a file that is there.
+// Open opens an existing file.
 func (d Dir) Open(name string) (File, error) { return d.open(name, 0) }
 
-// Rename moves a file.
+// Rename renames a file.
 func (d Dir) Rename(from, to string) error {
 	return os.Rename(filepath.Join(string(d), from), filepath.Join(string(d), to))
 }
@@ -140,7 +143,7 @@
 // Remove removes a file.
 func (d Dir) Remove(name string) error { return os.Remove(filepath.Join(string(d), name)) }
 
-// List names the files.
+// List returns the names of the files, sorted.
 func (d Dir) List() ([]string, error) {
 	entries, err := os.ReadDir(string(d))
 	if err != nil {
@@ -156,7 +159,7 @@
 	return names, nil
 }
 
-// Sync syncs the folder.
+// Sync makes the directory's entries durable.
 func (d Dir) Sync() error {
 	f, err := os.Open(string(d))
 	if err != nil {
--- a/internal/routing/wal/fsys/mem.go
+++ b/internal/routing/wal/fsys/mem.go
@@ -10,51 +10,52 @@
 	"sync"
 )
 
-// Mem is a folder in memory that knows what has been synced. Crash gives the folder that a power cut could leave.
+// Mem is a directory in memory that tracks what has been synced. Crash returns the directory as a crash could leave
+// it.
 type Mem struct {
-	// OnChange is called behind each operation that changes something, unless it is nil; it may call Crash.
+	// OnChange, if set, is called after each operation that changes something. It may call Crash.
 	OnChange func()
 
 	mu      sync.Mutex
 	names   map[string]*inode
-	durable map[string]*inode // the names as they were at the last sync of the folder
-	pending []change          // of names since then
+	durable map[string]*inode // the entries as of the last sync of the directory
+	pending []nameChange      // changes of entries since then
 }
 
-// inode is a file's content, whatever its names.
+// inode is the content of a file, independent of its names.
 type inode struct {
 	data   []byte
 	synced []byte
-	writes []write // since the last sync
+	writes []unsyncedWrite // since the last sync
 }
 
-// write is one that was not synced: data at an offset, or a cut to that length where data is nil.
-type write struct {
-	at   int
-	data []byte
+// unsyncedWrite is a write of data at an offset, or a truncation to that length if data is nil.
+type unsyncedWrite struct {
+	offset int
+	data   []byte
 }
 
-// change is one of names: from is "" for a create, to is "" for a remove.
-type change struct {
+// nameChange is a change of a directory entry: from is "" for a create, to is "" for a remove.
+type nameChange struct {
 	from, to string
 	node     *inode
 }
 
-// NewMem is an empty folder.
+// NewMem returns an empty directory.
 func NewMem() *Mem { return &Mem{names: map[string]*inode{}, durable: map[string]*inode{}} }
 
-func (m *Mem) stepped() {
+func (m *Mem) changed() {
 	if m.OnChange != nil {
 		m.OnChange()
 	}
 }
 
 type memFile struct {
-	m    *Mem
+	mem  *Mem
 	node *inode
 }
 
-// Create makes a file.
+// Create creates a file.
 func (m *Mem) Create(name string) (File, error) {
 	m.mu.Lock()
 	if m.names[name] != nil {
@@ -63,13 +64,13 @@
 	}
 	node := &inode{}
 	m.names[name] = node
-	m.pending = append(m.pending, change{to: name, node: node})
+	m.pending = append(m.pending, nameChange{to: name, node: node})
 	m.mu.Unlock()
-	m.stepped()
+	m.changed()
 	return memFile{m, node}, nil
 }
 
-// Open opens a file that is there.
+// Open opens an existing file.
 func (m *Mem) Open(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -80,7 +81,7 @@
 	return memFile{m, node}, nil
 }
 
-// Rename moves a file.
+// Rename renames a file.
 func (m *Mem) Rename(from, to string) error {
 	m.mu.Lock()
 	node := m.names[from]
@@ -90,9 +91,9 @@
 	}
 	delete(m.names, from)
 	m.names[to] = node
-	m.pending = append(m.pending, change{from: from, to: to, node: node})
+	m.pending = append(m.pending, nameChange{from: from, to: to, node: node})
 	m.mu.Unlock()
-	m.stepped()
+	m.changed()
 	return nil
 }
 
@@ -105,113 +106,113 @@
 		return &fs.PathError{Op: "remove", Path: name, Err: fs.ErrNotExist}
 	}
 	delete(m.names, name)
-	m.pending = append(m.pending, change{from: name, node: node})
+	m.pending = append(m.pending, nameChange{from: name, node: node})
 	m.mu.Unlock()
-	m.stepped()
+	m.changed()
 	return nil
 }
 
-// List names the files.
+// List returns the names of the files, sorted.
 func (m *Mem) List() ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Sorted(maps.Keys(m.names)), nil
 }
 
-// Sync makes the names durable.
+// Sync makes the directory's entries durable.
 func (m *Mem) Sync() error {
 	m.mu.Lock()
 	m.durable, m.pending = maps.Clone(m.names), nil
 	m.mu.Unlock()
-	m.stepped()
+	m.changed()
 	return nil
 }
 
-// Write appends.
+// Write appends p.
 func (f memFile) Write(p []byte) (int, error) {
-	f.m.mu.Lock()
-	f.node.writes = append(f.node.writes, write{len(f.node.data), slices.Clone(p)})
+	f.mem.mu.Lock()
+	f.node.writes = append(f.node.writes, unsyncedWrite{len(f.node.data), slices.Clone(p)})
 	f.node.data = append(f.node.data, p...)
-	f.m.mu.Unlock()
-	f.m.stepped()
+	f.mem.mu.Unlock()
+	f.mem.changed()
 	return len(p), nil
 }
 
 // ReadAt reads at an offset.
-func (f memFile) ReadAt(p []byte, at int64) (int, error) {
-	f.m.mu.Lock()
-	defer f.m.mu.Unlock()
-	if at < 0 {
+func (f memFile) ReadAt(p []byte, offset int64) (int, error) {
+	f.mem.mu.Lock()
+	defer f.mem.mu.Unlock()
+	if offset < 0 {
 		return 0, errors.New("fsys: negative offset")
 	}
-	if at >= int64(len(f.node.data)) {
+	if offset >= int64(len(f.node.data)) {
 		return 0, io.EOF
 	}
-	n := copy(p, f.node.data[at:])
+	n := copy(p, f.node.data[offset:])
 	if n < len(p) {
 		return n, io.EOF
 	}
 	return n, nil
 }
 
-// Sync makes the content durable; the file's name is the folder's affair.
+// Sync makes the content durable, but not the directory entry.
 func (f memFile) Sync() error {
-	f.m.mu.Lock()
+	f.mem.mu.Lock()
 	f.node.synced, f.node.writes = slices.Clone(f.node.data), nil
-	f.m.mu.Unlock()
-	f.m.stepped()
+	f.mem.mu.Unlock()
+	f.mem.changed()
 	return nil
 }
 
-// Truncate cuts the file.
+// Truncate shortens the file.
 func (f memFile) Truncate(size int64) error {
-	f.m.mu.Lock()
+	f.mem.mu.Lock()
 	if size < 0 || size > int64(len(f.node.data)) {
-		f.m.mu.Unlock()
-		return errors.New("fsys: files are only cut")
+		f.mem.mu.Unlock()
+		return errors.New("fsys: truncation beyond the end of the file")
 	}
 	f.node.data = f.node.data[:size:size]
-	f.node.writes = append(f.node.writes, write{at: int(size)})
-	f.m.mu.Unlock()
-	f.m.stepped()
+	f.node.writes = append(f.node.writes, unsyncedWrite{offset: int(size)})
+	f.mem.mu.Unlock()
+	f.mem.changed()
 	return nil
 }
 
-// Size is how many bytes the file has.
+// Size returns the size of the file in bytes.
 func (f memFile) Size() (int64, error) {
-	f.m.mu.Lock()
-	defer f.m.mu.Unlock()
+	f.mem.mu.Lock()
+	defer f.mem.mu.Unlock()
 	return int64(len(f.node.data)), nil
 }
 
-// Close closes the file; that syncs nothing.
+// Close does nothing; in particular it does not sync.
 func (f memFile) Close() error { return nil }
 
-// Loss says what a crash may take.
+// Loss states what a crash loses.
 type Loss int
 
-// The losses.
+// The kinds of loss.
 const (
-	LoseNothing   Loss = iota // only the process ends: all that was written is there
-	LoseUnsynced              // all that was not synced is gone
-	LoseTail                  // unsynced writes and changes of names got through in order up to some point, the last torn
-	LoseAnyUnsynced             // any of them got through, in any order, torn at any byte
+	LoseNothing     Loss = iota // only the process ends: all written content remains
+	LoseUnsynced                // all unsynced content and entries are lost
+	LoseTail                    // unsynced writes and entry changes remain in order up to some point; the last write may be torn
+	LoseAnyUnsynced             // any of them remain, in any order, torn at any byte
 )
 
-// Crash gives a folder as a crash at this moment could leave it; all in it is durable.
-func (m *Mem) Crash(how Loss, rng *rand.Rand) *Mem {
+// Crash returns the directory as a crash at this moment could leave it; all of it is durable.
+func (m *Mem) Crash(loss Loss, rng *rand.Rand) *Mem {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	names := maps.Clone(m.durable)
-	if how == LoseNothing {
+	if loss == LoseNothing {
 		names = maps.Clone(m.names)
 	}
 	keep := len(m.pending)
-	if how == LoseTail {
+	if loss == LoseTail {
 		keep = rng.IntN(keep + 1)
 	}
 	for i, c := range m.pending {
-		if how == LoseNothing || how == LoseUnsynced || how == LoseTail && i >= keep || how == LoseAnyUnsynced && rng.IntN(2) == 0 {
+		if loss == LoseNothing || loss == LoseUnsynced || loss == LoseTail && i >= keep || loss == LoseAnyUnsynced && rng.IntN(2) == 0 {
 			continue
 		}
 		if c.from != "" && names[c.from] == c.node {
@@ -222,22 +223,22 @@
 		}
 	}
 	out := NewMem()
-	left := map[*inode]*inode{} // a file that has two names for a moment is one file
+	copies := map[*inode]*inode{} // a file may have two names in between
 	for _, name := range slices.Sorted(maps.Keys(names)) {
 		node := names[name]
-		if left[node] == nil {
-			data := node.crashed(how, rng)
-			left[node] = &inode{data: data, synced: slices.Clone(data)}
+		if copies[node] == nil {
+			data := node.afterCrash(loss, rng)
+			copies[node] = &inode{data: data, synced: slices.Clone(data)}
 		}
-		out.names[name] = left[node]
+		out.names[name] = copies[node]
 	}
 	out.durable = maps.Clone(out.names)
 	return out
 }
 
-// crashed is a file's content as a crash could leave it.
-func (n *inode) crashed(how Loss, rng *rand.Rand) []byte {
-	switch how {
+// afterCrash returns the file's content as a crash could leave it.
+func (n *inode) afterCrash(loss Loss, rng *rand.Rand) []byte {
+	switch loss {
 	case LoseNothing:
 		return slices.Clone(n.data)
 	case LoseUnsynced:
@@ -248,14 +249,14 @@
 	for i, w := range n.writes {
 		torn := false
 		switch {
-		case how == LoseTail && i > keep, how == LoseAnyUnsynced && rng.IntN(3) == 0:
+		case loss == LoseTail && i > keep, loss == LoseAnyUnsynced && rng.IntN(3) == 0:
 			continue
-		case how == LoseTail && i == keep, how == LoseAnyUnsynced && rng.IntN(3) == 0:
+		case loss == LoseTail && i == keep, loss == LoseAnyUnsynced && rng.IntN(3) == 0:
 			torn = true
 		}
 		if w.data == nil {
-			if len(data) > w.at {
-				data = data[:w.at]
+			if len(data) > w.offset {
+				data = data[:w.offset]
 			}
 			continue
 		}
@@ -263,10 +264,10 @@
 		if torn {
 			piece = piece[:rng.IntN(len(piece)+1)]
 		}
-		if end := w.at + len(piece); len(piece) > 0 && end > len(data) {
-			data = append(data, make([]byte, end-len(data))...) // what is missing in between reads as zeros
+		if end := w.offset + len(piece); len(piece) > 0 && end > len(data) {
+			data = append(data, make([]byte, end-len(data))...) // gaps read as zeros
 		}
-		copy(data[min(w.at, len(data)):], piece)
+		copy(data[min(w.offset, len(data)):], piece)
 	}
 	return data
 }
--- a/internal/routing/wal/fsys/replace_test.go
+++ b/internal/routing/wal/fsys/replace_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// lyingRename renames, and says that it has failed.
+// lyingRename renames a file and reports an error.
 type lyingRename struct{ FS }
 
 func (l lyingRename) Rename(from, to string) error {
@@ -14,8 +14,9 @@
 	return syscall.EIO
 }
 
-// Guards against a file that was replaced and is taken for the old one, or the other way round, because a rename has failed.
-func TestReplaceTellsWhatIsThereBehindAFailedRename(t *testing.T) {
+// Guards against a wrong result of Replace after a rename that reported an error: the new content may or may not be in
+// place.
+func TestReplaceAfterFailedRename(t *testing.T) {
 	refusing := &FaultFS{FS: NewMem()}
 	refusing.Set(func(op Op, _ string, n int) (int, error) {
 		if op == OpRename {
@@ -24,8 +25,8 @@
 		return n, nil
 	})
 	for name, c := range map[string]struct {
-		fs    FS
-		there bool
+		fs       FS
+		replaced bool
 	}{"made all the same": {lyingRename{NewMem()}, true}, "not made": {refusing, false}} {
 		f, err := c.fs.Create("m")
 		if err != nil {
@@ -33,17 +34,17 @@
 		}
 		_, _ = f.Write([]byte("old"))
 		_ = f.Close()
-		there, err := Replace(c.fs, "m", []byte("new"), false)
-		if there != c.there || (err == nil) != c.there {
-			t.Errorf("%s: there %v, %v", name, there, err)
+		replaced, err := Replace(c.fs, "m", []byte("new"), false)
+		if replaced != c.replaced || (err == nil) != c.replaced {
+			t.Errorf("%s: replaced %v, %v", name, replaced, err)
 		}
 		f, err = c.fs.Open("m")
 		if err != nil {
 			t.Fatal(err)
 		}
 		content, _ := io.ReadAll(io.NewSectionReader(f, 0, 16))
-		if want := map[bool]string{true: "new", false: "old"}[c.there]; string(content) != want {
-			t.Errorf("%s: %q is there", name, content)
+		if want := map[bool]string{true: "new", false: "old"}[c.replaced]; string(content) != want {
+			t.Errorf("%s: the content is %q", name, content)
 		}
 		if names, _ := c.fs.List(); len(names) != 1 {
 			t.Errorf("%s: %v are left", name, names)
@@ -51,16 +52,17 @@
 	}
 }
 
-// Guards against a file that an open reader can no longer read, because its descriptor could not be had just before its name went.
-func TestANameStaysWhereItsReaderCannotBeKept(t *testing.T) {
+// Guards against an open file that becomes unreadable because its name was removed while no descriptor was available
+// for it.
+func TestRemoveFailsIfOpenFileCannotBePinned(t *testing.T) {
 	faults := &FaultFS{FS: NewMem()}
-	few := LimitDescriptors(faults, 1)
-	a, err := few.Create("a")
+	limited := LimitDescriptors(faults, 1)
+	a, err := limited.Create("a")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, _ = a.Write([]byte("content"))
-	if _, err := few.Create("b"); err != nil { // takes the one descriptor
+	if _, err := limited.Create("b"); err != nil { // takes the only descriptor
 		t.Fatal(err)
 	}
 	faults.Set(func(op Op, name string, n int) (int, error) {
@@ -69,17 +71,17 @@
 		}
 		return n, nil
 	})
-	if err := few.Remove("a"); err == nil {
-		t.Error("removed under its reader")
+	if err := limited.Remove("a"); err == nil {
+		t.Error("removed although an open file needs it")
 	}
 	faults.Set(nil)
 	if n, err := a.ReadAt(make([]byte, 7), 0); n != 7 {
-		t.Errorf("%d bytes are read, %v", n, err)
+		t.Errorf("%d bytes read, %v", n, err)
 	}
-	if err := few.Remove("a"); err != nil {
+	if err := limited.Remove("a"); err != nil {
 		t.Error(err)
 	}
 	if n, _ := a.ReadAt(make([]byte, 7), 0); n != 7 {
-		t.Errorf("%d bytes are read behind the name", n)
+		t.Errorf("%d bytes are read after the removal", n)
 	}
 }
--- a/internal/routing/wal/plan/plan.go
+++ b/internal/routing/wal/plan/plan.go
@@ -1,11 +1,13 @@
-// Package plan decides on the journal's space: what is admitted, when the active segment is sealed, which sealed segment
-// is compacted next and how fast. It does no input or output and has no clock: equal states give equal decisions.
+// Package plan decides how the journal's space is used: which messages are admitted, when the active segment is
+// sealed, which sealed segment is compacted next and at which rate. It does no I/O and has no clock: equal states give
+// equal decisions.
 //
-// The rules it keeps, whatever comes:
+// It maintains these invariants:
 //
-//   - All files together, each in whole blocks, stay within the bound at every instant, a compaction's output included.
-//   - A compaction that was begun can always finish: room for its output is never given to anything else.
-//   - What ends a message that was admitted can always be written: room for that is set aside with its admission.
+//   - All files together, each in whole blocks, stay within the limit at every instant, including the output of a
+//     compaction.
+//   - A compaction that has started can always finish: the space for its output is never given to anything else.
+//   - The records that complete an admitted message can always be written: their space is reserved on admission.
 package plan
 
 import (
@@ -13,60 +15,62 @@
 	"time"
 )
 
-// Config is what does not change while a store is open.
+// Config holds the parameters that do not change while a store is open.
 type Config struct {
-	MaxBytes   int64 // bytes of all files together
+	MaxBytes     int64 // total size of all files
 	SegmentBytes int64 // size at which the active segment is sealed
-	BlockSize   int64 // files are counted in whole ones of these
-	HeaderSize    int64 // bytes of a segment beside its records
+	BlockSize    int64 // file sizes are rounded up to a multiple of this
+	HeaderSize   int64 // of a segment, in bytes
 }
 
-// Segment is a sealed one.
+// Segment is a sealed segment.
 type Segment struct {
-	Number uint64
-	Size   int64         // of its file, in bytes
-	LiveBytes   int64         // of its records, those that are still needed
-	Age    time.Duration // since it was sealed
+	Number    uint64
+	Size      int64         // of the file, in bytes
+	LiveBytes int64         // of records that are still needed
+	Age       time.Duration // since it was sealed
 }
 
-// State is the store as it is now.
+// State is the present state of the store.
 type State struct {
-	ActiveBytes  int64     // bytes of the active segment's file
-	Sealed  []Segment // but for the one that is being compacted,
-	Victim  *Segment  // which is this
-	OutputBytes int64     // bytes of the file that its compaction has written so far, its head included; 0 is no file yet
-	ReservedBytes    int64     // bytes that the records which end all live messages may take, at the most
-	AppendRate    float64   // bytes a second that are appended, of late
-	OtherBytes   int64     // bytes of all other files, in whole blocks
-	// RemovingBytes is bytes, in whole blocks, of files that a compaction has replaced or given up and that are to be removed. No
-	// compaction begins before they are, so that these files stand in room that is set aside for the next output.
+	ActiveBytes   int64     // size of the active segment's file
+	Sealed        []Segment // without Victim
+	Victim        *Segment  // segment that is being compacted, or nil
+	OutputBytes   int64     // size of the compaction's output so far, header included; 0 if there is no file yet
+	ReservedBytes int64     // upper bound of the records that complete all live messages
+	AppendRate    float64   // recent rate of appends, in bytes per second
+	OtherBytes    int64     // size of all other files, in whole blocks
+	// RemovingBytes is the size, in whole blocks, of files that a finished or failed compaction has left to be
+	// removed. No compaction starts before they are removed, so they occupy the space reserved for its output.
 	RemovingBytes int64
-	// Totals are those of Sealed and Victim, for who asks often; nil has them worked out, and a state that carries them
-	// needs the segments themselves only for Pick and Pace.
+	// Totals are the totals of Sealed and Victim, for callers that ask often; if nil they are computed. With Totals
+	// set, only PickVictim and CompactionRate need the segments themselves.
 	Totals *Totals
 }
 
-// Totals are what admission needs of the sealed segments, the victim among them.
+// Totals is what admission needs to know of the sealed segments, including the victim.
 type Totals struct {
-	FileBytes  int64 // bytes of their files, in whole blocks
-	MaxLiveBytes int64 // bytes that are live in any of them, at the most
+	FileBytes    int64 // size of their files, in whole blocks
+	MaxLiveBytes int64 // upper bound of the live bytes of any of them
 }
 
 const (
-	startShare = 0.25 // of the bound: with less free, compaction begins
-	startLeast = 4.0  // segments free, at the least, before it may wait
-	hurryLeast = 2.0  // segments free under which the cheapest is taken, whatever its age
-	gainLeast  = 16   // a compaction frees this part of a segment at the least, unless work is refused
-	slackTime  = 0.5  // of the time until the room is used up: within this a compaction is to be over
-	leastPace  = 1 << 20
+	startFreeShare     = 0.25    // fraction of the limit: compaction starts when less is free
+	startFreeSegments  = 4.0     // in segments: compaction also starts when less is free
+	urgentFreeSegments = 2.0     // in segments: when less is free the cheapest victim is taken, whatever its age
+	minGainDivisor     = 16      // a compaction frees at least 1/16 of a segment, unless work is refused
+	finishShare        = 0.5     // a compaction should finish within this fraction of the time until the free space is used up
+	minBytesPerSecond  = 1 << 20 // lower bound of the compaction rate
 )
 
-// blocks is a file's size as it counts.
-func (c Config) blocks(n int64) int64 { return (n + c.BlockSize - 1) / c.BlockSize * c.BlockSize }
+// roundToBlocks returns the size that a file of n bytes is accounted for.
+func (c Config) roundToBlocks(n int64) int64 {
+	return (n + c.BlockSize - 1) / c.BlockSize * c.BlockSize
+}
 
-// Add books a segment of so many bytes, of which so many are live at the most.
+// Add adds a segment of a size, with an upper bound of its live bytes.
 func (t *Totals) Add(c Config, size, live int64) {
-	t.FileBytes += c.blocks(size)
+	t.FileBytes += c.roundToBlocks(size)
 	t.MaxLiveBytes = max(t.MaxLiveBytes, live)
 }
 
@@ -75,8 +79,8 @@
 		return *s.Totals
 	}
 	var t Totals
-	for _, g := range s.Sealed {
-		t.Add(c, g.Size, g.LiveBytes)
+	for _, seg := range s.Sealed {
+		t.Add(c, seg.Size, seg.LiveBytes)
 	}
 	if s.Victim != nil {
 		t.Add(c, s.Victim.Size, s.Victim.LiveBytes)
@@ -84,94 +88,100 @@
 	return t
 }
 
-// Used is what all files take now.
+// Used returns the size of all files.
 func (c Config) Used(s State) int64 {
-	return c.blocks(s.ActiveBytes) + s.OtherBytes + c.blocks(s.OutputBytes) + s.RemovingBytes + c.totals(s).FileBytes
+	return c.roundToBlocks(s.ActiveBytes) + s.OtherBytes + c.roundToBlocks(s.OutputBytes) + s.RemovingBytes + c.totals(s).FileBytes
 }
 
-// largest is the largest output that a compaction may need: of the victim, or of any segment that may become one.
-func (c Config) largest(s State) int64 {
-	// The active one is sealed some day, and may be all live then.
-	return c.blocks(max(c.SegmentBytes, s.ActiveBytes, c.totals(s).MaxLiveBytes) + c.HeaderSize)
+// maxOutput returns the largest output that a compaction may need, of the victim or of any segment that may become one.
+func (c Config) maxOutput(s State) int64 {
+	// The active segment will be sealed, and may be entirely live then.
+	return c.roundToBlocks(max(c.SegmentBytes, s.ActiveBytes, c.totals(s).MaxLiveBytes) + c.HeaderSize)
 }
 
-// setAside is the room kept for a compaction's files: its output while it is written, then, beside an output that counts as a
-// segment, the replaced file until it is removed.
-func (c Config) setAside(s State) int64 { return max(c.largest(s), s.RemovingBytes) }
+// compactionReserve returns the space reserved for the files of a compaction: its output while it is written, and then
+// the replaced file until it is removed.
+func (c Config) compactionReserve(s State) int64 { return max(c.maxOutput(s), s.RemovingBytes) }
 
-// Free is what may still be appended for new messages: the bound less what is used, what ends messages, and what a
-// compaction needs. It may be negative. No step of a compaction lowers it, but for a removal that fails.
+// Free returns the space for new messages: the limit less what is used, reserved for live messages, and reserved for a
+// compaction. It may be negative. No step of a compaction lowers it, except a failed removal.
 func (c Config) Free(s State) int64 {
-	kept := c.Used(s) - c.blocks(s.OutputBytes) - s.RemovingBytes // all that does not stand in what is set aside
-	return c.room() - kept - s.ReservedBytes - c.setAside(s)
+	used := c.Used(s) - c.roundToBlocks(s.OutputBytes) - s.RemovingBytes // without files in the space reserved for a compaction
+	return c.usableBytes() - used - s.ReservedBytes - c.compactionReserve(s)
 }
 
-// room is the bound less the active segment's last block and the head of the next.
-func (c Config) room() int64 { return c.MaxBytes - c.BlockSize - c.HeaderSize }
+// usableBytes returns the limit less the last block of the active segment and the header of the next.
+func (c Config) usableBytes() int64 { return c.MaxBytes - c.BlockSize - c.HeaderSize }
 
-// outputFits says whether a compaction of a segment stays within the bound, whatever ends messages meanwhile. What is set aside
-// is not there where a replaced file could not be removed. Files beyond the bound, of a store whose bound was lowered, are
-// compacted all the same: nothing else makes them fewer.
-func (c Config) outputFits(s State, g Segment) bool {
+// outputFits reports whether a compaction of a segment stays within the limit, whatever completes messages meanwhile.
+// The reserved space is not available while a replaced file could not be removed. If the files already exceed the
+// limit, because it was lowered, they are compacted all the same: nothing else reduces them.
+func (c Config) outputFits(s State, seg Segment) bool {
 	used := c.Used(s)
-	return used > c.MaxBytes || used+s.ReservedBytes+c.blocks(g.LiveBytes+c.HeaderSize) <= c.room()
+	return used > c.MaxBytes || used+s.ReservedBytes+c.roundToBlocks(seg.LiveBytes+c.HeaderSize) <= c.usableBytes()
 }
 
-// Admit says whether a message may be taken on: need bytes now, and owed bytes for what ends it.
-func (c Config) Admit(s State, need, owed int64) bool {
+// Admit reports whether a message may be admitted that needs so many bytes now and so many reserved bytes for the
+// records that complete it.
+func (c Config) Admit(s State, need, reserve int64) bool {
 	after := s
-	after.ActiveBytes, after.ReservedBytes = s.ActiveBytes+need, s.ReservedBytes+owed
+	after.ActiveBytes, after.ReservedBytes = s.ActiveBytes+need, s.ReservedBytes+reserve
 	return c.Free(after) >= 0
 }
 
-// ShouldSeal says whether a record of need bytes goes into a new segment.
-func (c Config) ShouldSeal(s State, need int64) bool { return s.ActiveBytes > c.HeaderSize && s.ActiveBytes+need > c.SegmentBytes }
+// ShouldSeal reports whether a record of need bytes goes into a new segment.
+func (c Config) ShouldSeal(s State, need int64) bool {
+	return s.ActiveBytes > c.HeaderSize && s.ActiveBytes+need > c.SegmentBytes
+}
 
-// gain is what compacting a segment frees.
-func (c Config) gain(g Segment) int64 {
-	if g.LiveBytes == 0 {
-		return c.blocks(g.Size)
+// gain returns the space that compacting a segment frees.
+func (c Config) gain(seg Segment) int64 {
+	if seg.LiveBytes == 0 {
+		return c.roundToBlocks(seg.Size)
 	}
-	return c.blocks(g.Size) - c.blocks(g.LiveBytes+c.HeaderSize)
+	return c.roundToBlocks(seg.Size) - c.roundToBlocks(seg.LiveBytes+c.HeaderSize)
 }
 
-// PickVictim chooses the segment to compact next; false is none for now. refused says that work is turned away for want of
-// room. A segment with nothing live in it costs nothing and is always taken. Else it waits until room gets short: the
-// longer it waits, the more has died by itself. Then what counts is the room freed for the bytes moved, and how long the
-// rest has stayed, since what is old will stay; when room is very short only the former.
+// PickVictim selects the segment to compact next, or false if there is none now. refused tells that work is refused
+// for lack of space.
+//
+// A segment without live records costs nothing and is always taken. Otherwise compaction is delayed until space runs
+// short: the longer it waits, the more records have become obsolete. Segments are then rated by the space freed per
+// byte read and written, weighted by age, since records that have lived long are likely to stay. If space is very
+// short, or work is refused, age is ignored.
 func (c Config) PickVictim(s State, refused bool) (Segment, bool) {
 	if s.Victim != nil || s.RemovingBytes > 0 {
 		return Segment{}, false
 	}
 	free := float64(c.Free(s))
-	begin := math.Max(startShare*float64(c.MaxBytes), startLeast*float64(c.SegmentBytes))
-	least := c.SegmentBytes / gainLeast
+	startBelow := math.Max(startFreeShare*float64(c.MaxBytes), startFreeSegments*float64(c.SegmentBytes))
+	minGain := c.SegmentBytes / minGainDivisor
 	if refused {
-		least = c.BlockSize
+		minGain = c.BlockSize
 	}
 	var best Segment
 	found, score := false, 0.0
-	for _, g := range s.Sealed {
-		gain := c.gain(g)
-		if g.LiveBytes == 0 {
-			return g, true
+	for _, seg := range s.Sealed {
+		gain := c.gain(seg)
+		if seg.LiveBytes == 0 {
+			return seg, true
 		}
-		if gain < max(1, least) || free > begin && !refused || !c.outputFits(s, g) {
+		if gain < max(1, minGain) || free > startBelow && !refused || !c.outputFits(s, seg) {
 			continue
 		}
-		value := float64(gain) / float64(g.Size+g.LiveBytes)
-		if !refused && free > hurryLeast*float64(c.SegmentBytes) {
-			value *= 1 + g.Age.Seconds()
+		value := float64(gain) / float64(seg.Size+seg.LiveBytes)
+		if !refused && free > urgentFreeSegments*float64(c.SegmentBytes) {
+			value *= 1 + seg.Age.Seconds()
 		}
 		if !found || value > score {
-			best, found, score = g, true, value
+			best, found, score = seg, true, value
 		}
 	}
 	return best, found
 }
 
-// CompactionRate is how many bytes a second the compaction under way should move; +Inf is as many as it can. It is to be over well
-// before what is free is used up at the present rate.
+// CompactionRate returns the bytes per second that the running compaction should copy; +Inf means without a limit. The
+// compaction should finish well before the free space is used up at the present rate of appends.
 func (c Config) CompactionRate(s State, refused bool) float64 {
 	if s.Victim == nil {
 		return 0
@@ -180,6 +190,6 @@
 	if refused || free <= 0 {
 		return math.Inf(1)
 	}
-	left := math.Max(0, float64(s.Victim.LiveBytes+c.HeaderSize-s.OutputBytes))
-	return math.Max(leastPace, left*s.AppendRate/(slackTime*free))
+	remaining := math.Max(0, float64(s.Victim.LiveBytes+c.HeaderSize-s.OutputBytes))
+	return math.Max(minBytesPerSecond, remaining*s.AppendRate/(finishShare*free))
 }
--- a/internal/routing/wal/plan/plan_test.go
+++ b/internal/routing/wal/plan/plan_test.go
@@ -9,80 +9,81 @@
 	"pgregory.net/rapid"
 )
 
-// store plays a journal by the planner's word: messages come and die, and a worker compacts at the pace it is told.
-type store struct {
-	t        fataler
-	c        Config
-	rng      *rand.Rand
-	now      time.Duration
-	next     uint64
-	active   uint64
-	sizes    map[uint64]int64
-	sealedAt map[uint64]time.Duration
-	live     map[uint64]map[int]int64 // by segment: message and bytes
-	bytes    map[uint64]int64         // the sum of these
-	where    map[int]uint64
-	victim   uint64
-	written  int64
-	moved    map[int]bool
-	budget   float64
-	rate     float64
-	appended int64
-	copied   int64
-	accepted int64
-	id       int
-	refused  bool
+// simulation models a journal that follows the planner: messages arrive and complete, and a worker compacts at the given
+// rate.
+type simulation struct {
+	t           fataler
+	config      Config
+	rng         *rand.Rand
+	now         time.Duration
+	next        uint64
+	active      uint64
+	sizes       map[uint64]int64
+	sealedAt    map[uint64]time.Duration
+	live        map[uint64]map[int]int64 // bytes by segment and message
+	liveBytes   map[uint64]int64         // live bytes by segment
+	segmentOf   map[int]uint64
+	victim      uint64
+	outputBytes int64
+	movedIDs    map[int]bool
+	budget      float64
+	rate        float64
+	appended    int64
+	copied      int64
+	accepted    int64
+	lastID      int
+	refused     bool
 }
 
 type fataler interface {
 	Fatalf(format string, args ...any)
 }
 
-const endSize = 64 // of what ends a message
+const completionSize = 64 // bytes of a record that completes a message
 
-func newStore(t fataler, c Config, seed uint64) *store {
-	s := &store{
-		t: t, c: c, rng: rand.New(rand.NewPCG(seed, 5)), sizes: map[uint64]int64{}, sealedAt: map[uint64]time.Duration{},
-		live: map[uint64]map[int]int64{}, bytes: map[uint64]int64{}, where: map[int]uint64{}, moved: map[int]bool{},
+func newSimulation(t fataler, c Config, seed uint64) *simulation {
+	s := &simulation{
+		t: t, config: c, rng: rand.New(rand.NewPCG(seed, 5)), sizes: map[uint64]int64{}, sealedAt: map[uint64]time.Duration{},
+		live: map[uint64]map[int]int64{}, liveBytes: map[uint64]int64{}, segmentOf: map[int]uint64{}, movedIDs: map[int]bool{},
 	}
 	s.open()
 	return s
 }
 
-func (s *store) open() {
+func (s *simulation) open() {
 	s.next++
 	s.active = s.next
-	s.sizes[s.active], s.live[s.active] = s.c.HeaderSize, map[int]int64{}
+	s.sizes[s.active], s.live[s.active] = s.config.HeaderSize, map[int]int64{}
 }
 
-func (s *store) segment(n uint64) Segment {
-	return Segment{Number: n, Size: s.sizes[n], LiveBytes: s.bytes[n], Age: s.now - s.sealedAt[n]}
+func (s *simulation) segment(n uint64) Segment {
+	return Segment{Number: n, Size: s.sizes[n], LiveBytes: s.liveBytes[n], Age: s.now - s.sealedAt[n]}
 }
 
-func (s *store) state() State {
-	st := State{ActiveBytes: s.sizes[s.active], OutputBytes: s.written, ReservedBytes: int64(len(s.where)) * 2 * endSize, AppendRate: s.rate}
+func (s *simulation) state() State {
+	state := State{ActiveBytes: s.sizes[s.active], OutputBytes: s.outputBytes, ReservedBytes: int64(len(s.segmentOf)) * 2 * completionSize, AppendRate: s.rate}
 	for n := range s.sizes {
 		switch n {
 		case s.active:
 		case s.victim:
-			g := s.segment(n)
-			st.Victim = &g
+			seg := s.segment(n)
+			state.Victim = &seg
 		default:
-			st.Sealed = append(st.Sealed, s.segment(n))
+			state.Sealed = append(state.Sealed, s.segment(n))
 		}
 	}
-	return st
+	return state
 }
 
-// check holds the bound, and that what was set aside is there.
-func (s *store) check() {
-	if used := s.c.Used(s.state()); used > s.c.MaxBytes {
-		s.t.Fatalf("%d bytes used of %d", used, s.c.MaxBytes)
+// check fails the test if the files exceed the limit.
+func (s *simulation) check() {
+	if used := s.config.Used(s.state()); used > s.config.MaxBytes {
+		s.t.Fatalf("%d bytes used of %d", used, s.config.MaxBytes)
 	}
 }
 
-func (s *store) append(n int64) {
-	if s.c.ShouldSeal(s.state(), n) {
+func (s *simulation) append(n int64) {
+	if s.config.ShouldSeal(s.state(), n) {
 		s.sealedAt[s.active] = s.now
 		s.open()
 	}
@@ -91,75 +92,75 @@
 	s.check()
 }
 
-// accept hands a message in; false is refused.
-func (s *store) accept(n int64) bool {
-	if !s.c.Admit(s.state(), n, 2*endSize) {
+// accept adds a message; false means that it was refused.
+func (s *simulation) accept(n int64) bool {
+	if !s.config.Admit(s.state(), n, 2*completionSize) {
 		s.refused = true
 		return false
 	}
-	s.id++
+	s.lastID++
 	s.append(n)
 	s.accepted += n
-	s.live[s.active][s.id], s.where[s.id] = n, s.active
-	s.bytes[s.active] += n
+	s.live[s.active][s.lastID], s.segmentOf[s.lastID] = n, s.active
+	s.liveBytes[s.active] += n
 	return true
 }
 
-// end ends a message; its record must always find room.
-func (s *store) end(id int) {
-	s.append(endSize)
-	s.bytes[s.where[id]] -= s.live[s.where[id]][id]
-	delete(s.live[s.where[id]], id)
-	delete(s.where, id)
-	s.refused = false // room may be there now
+// complete completes a message; its record must always find space.
+func (s *simulation) complete(id int) {
+	s.append(completionSize)
+	s.liveBytes[s.segmentOf[id]] -= s.live[s.segmentOf[id]][id]
+	delete(s.live[s.segmentOf[id]], id)
+	delete(s.segmentOf, id)
+	s.refused = false // space may be available now
 }
 
-// work lets the worker go on for a time.
-func (s *store) work(d time.Duration) {
+// compact advances the clock and lets the worker compact meanwhile.
+func (s *simulation) compact(d time.Duration) {
 	s.now += d
 	for {
 		if s.victim == 0 {
-			g, ok := s.c.PickVictim(s.state(), s.refused)
+			seg, ok := s.config.PickVictim(s.state(), s.refused)
 			if !ok {
 				s.budget = 0
 				return
 			}
-			s.victim, s.written, s.moved = g.Number, 0, map[int]bool{}
+			s.victim, s.outputBytes, s.movedIDs = seg.Number, 0, map[int]bool{}
 		}
-		pace := s.c.CompactionRate(s.state(), s.refused)
-		if s.budget += pace * d.Seconds(); math.IsInf(pace, 1) {
+		rate := s.config.CompactionRate(s.state(), s.refused)
+		if s.budget += rate * d.Seconds(); math.IsInf(rate, 1) {
 			s.budget = math.Inf(1)
 		}
 		for id, n := range s.live[s.victim] {
-			if s.moved[id] {
+			if s.movedIDs[id] {
 				continue
 			}
 			if s.budget < float64(n) {
 				return
 			}
 			s.budget -= float64(n)
-			if s.written == 0 {
-				s.written = s.c.HeaderSize
+			if s.outputBytes == 0 {
+				s.outputBytes = s.config.HeaderSize
 			}
-			s.written += n
+			s.outputBytes += n
 			s.copied += n
-			s.moved[id] = true
+			s.movedIDs[id] = true
 			s.check()
 		}
-		// The output takes the victim's place.
+		// The output replaces the victim.
 		s.next++
 		out := map[int]int64{}
 		for id, n := range s.live[s.victim] {
-			out[id], s.where[id] = n, s.next
-			s.bytes[s.next] += n
+			out[id], s.segmentOf[id] = n, s.next
+			s.liveBytes[s.next] += n
 		}
-		if s.written > 0 {
-			s.sizes[s.next], s.live[s.next], s.sealedAt[s.next] = s.written, out, s.now
+		if s.outputBytes > 0 {
+			s.sizes[s.next], s.live[s.next], s.sealedAt[s.next] = s.outputBytes, out, s.now
 		}
 		delete(s.sizes, s.victim)
 		delete(s.live, s.victim)
-		delete(s.bytes, s.victim)
-		s.victim, s.written = 0, 0
+		delete(s.liveBytes, s.victim)
+		s.victim, s.outputBytes = 0, 0
 		s.refused = false
 		s.check()
 		if d = 0; math.IsInf(s.budget, 1) {
@@ -168,48 +169,48 @@
 	}
 }
 
-func config(bound, segment int64) Config {
-	return Config{MaxBytes: bound, SegmentBytes: segment, BlockSize: 512, HeaderSize: 40}
+func config(maxBytes, segmentBytes int64) Config {
+	return Config{MaxBytes: maxBytes, SegmentBytes: segmentBytes, BlockSize: 512, HeaderSize: 40}
 }
 
-// Whatever comes and dies: the bound holds, a compaction finishes, what ends messages finds room, and once enough has died
-// work is taken again.
+// Guards against files that exceed the limit, a compaction that cannot finish, records without space that complete
+// messages, and refusals with nothing live, under random schedules.
 func TestRandomSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		bound := rapid.SampledFrom([]int64{400 << 10, 3e6, 32e6}).Draw(t, "bound")
-		c := config(bound, max(64<<10, bound/rapid.Int64Range(16, 64).Draw(t, "segments")))
-		s := newStore(t, c, rapid.Uint64().Draw(t, "seed"))
+		maxBytes := rapid.SampledFrom([]int64{400 << 10, 3e6, 32e6}).Draw(t, "bound")
+		c := config(maxBytes, max(64<<10, maxBytes/rapid.Int64Range(16, 64).Draw(t, "segments")))
+		s := newSimulation(t, c, rapid.Uint64().Draw(t, "seed"))
 		s.rate = rapid.Float64Range(1e3, 1e8).Draw(t, "rate")
 		var ids []int
 		for range 600 {
 			switch r := s.rng.IntN(100); {
 			case r < 55:
 				if n := 100 + s.rng.Int64N(rapid.SampledFrom([]int64{300, 16 << 10, 60 << 10}).Draw(t, "size")); s.accept(n) {
-					ids = append(ids, s.id)
+					ids = append(ids, s.lastID)
 				}
 			case r < 85 && len(ids) > 0:
 				i := s.rng.IntN(len(ids))
 				if r < 70 {
 					i = 0
 				}
-				s.end(ids[i])
+				s.complete(ids[i])
 				ids = append(ids[:i], ids[i+1:]...)
-			case r < 86: // a storm's end: nearly all at once
+			case r < 86: // nearly all complete at once
 				for len(ids) > 3 {
-					s.end(ids[0])
+					s.complete(ids[0])
 					ids = ids[1:]
 				}
 			default:
-				s.work(time.Duration(s.rng.IntN(100)) * time.Millisecond)
+				s.compact(time.Duration(s.rng.IntN(100)) * time.Millisecond)
 			}
 		}
 		for len(ids) > 0 {
-			s.end(ids[0])
+			s.complete(ids[0])
 			ids = ids[1:]
 		}
 		for range 100 {
 			s.refused = true
-			s.work(time.Second)
+			s.compact(time.Second)
 		}
 		if !s.accept(c.SegmentBytes / 2) {
 			t.Fatalf("refused with nothing live: %+v", s.state())
@@ -217,53 +218,56 @@
 	})
 }
 
-// steady keeps a share of the bound live, with random deaths, and tells how many bytes were written for each accepted.
+// steady keeps a share of the limit live while messages complete in random order. It returns the bytes written per
+// accepted byte, and the number of refusals.
 func steady(t *testing.T, c Config, share float64, size int64) (amplification float64, refused int) {
 	t.Helper()
-	s := newStore(t, c, 9)
+	s := newSimulation(t, c, 9)
 	s.rate = 1e6
 	var ids []int
 	liveBytes := int64(0)
 	for s.accepted < 6*c.MaxBytes {
 		for float64(liveBytes+size) > share*float64(c.MaxBytes) {
 			i := s.rng.IntN(len(ids))
-			s.end(ids[i])
+			s.complete(ids[i])
 			ids[i] = ids[len(ids)-1]
 			ids = ids[:len(ids)-1]
 			liveBytes -= size
 		}
 		if s.accept(size) {
-			ids = append(ids, s.id)
+			ids = append(ids, s.lastID)
 			liveBytes += size
 		} else {
 			refused++
 		}
-		s.work(time.Duration(float64(size) / s.rate * float64(time.Second)))
+		s.compact(time.Duration(float64(size) / s.rate * float64(time.Second)))
 	}
 	return float64(s.appended+s.copied) / float64(s.accepted), refused
 }
 
-// Four fifths of the disk can hold live messages, and at half of it fewer than two bytes are written for each accepted.
+// Guards against a loss of usable space or of write efficiency: at least 80% of the limit can be live, and at 50%
+// fewer than 2 bytes are written per accepted byte.
 func TestUsableShareAndAmplification(t *testing.T) {
-	for _, bound := range []int64{3e6, 32e6} {
-		c := config(bound, max(64<<10, bound/48))
-		for _, size := range []int64{bound / 1000, bound / 180} {
+	for _, maxBytes := range []int64{3e6, 32e6} {
+		c := config(maxBytes, max(64<<10, maxBytes/48))
+		for _, size := range []int64{maxBytes / 1000, maxBytes / 180} {
 			if a, refused := steady(t, c, 0.5, size); a >= 2 || refused > 0 {
-				t.Errorf("%d bytes of disk, %d a message, half of it live: %.2f bytes written for each, %d refused", bound, size, a, refused)
+				t.Errorf("%d bytes of disk, %d a message, half of it live: %.2f bytes written for each, %d refused", maxBytes, size, a, refused)
 			}
-			s := newStore(t, c, 1)
+			s := newSimulation(t, c, 1)
 			for s.accept(size) {
 			}
-			held := int64(len(s.where)) * size
-			if share := float64(held) / float64(bound); share < 0.8 {
-				t.Errorf("%d bytes of disk, %d a message: %.2f of it can be live", bound, size, share)
+			held := int64(len(s.segmentOf)) * size
+			if share := float64(held) / float64(maxBytes); share < 0.8 {
+				t.Errorf("%d bytes of disk, %d a message: %.2f of it can be live", maxBytes, size, share)
 			}
 		}
 	}
 }
 
-// Which is taken: nothing while room is plenty, what is dead always, then by cost and age, and by cost alone in haste.
-func TestPick(t *testing.T) {
+// Checks the selection: nothing while space is plentiful, segments without live records always, then by gain and age,
+// and by gain alone if space is very short.
+func TestPickVictim(t *testing.T) {
 	c := config(100<<20, 1<<20)
 	cold := Segment{Number: 1, Size: 1 << 20, LiveBytes: 700 << 10, Age: time.Hour}
 	young := Segment{Number: 2, Size: 1 << 20, LiveBytes: 500 << 10, Age: time.Second}
@@ -282,14 +286,14 @@
 		"little to gain":   {State{Sealed: []Segment{full}, OtherBytes: 94 << 20}, false, 0},
 		"one is under way": {State{Sealed: []Segment{dead}, Victim: &cold}, true, 0},
 	} {
-		if g, ok := c.PickVictim(k.s, k.refused); g.Number != k.want || ok != (k.want > 0) {
-			t.Errorf("%s: segment %d, %v", name, g.Number, ok)
+		if seg, ok := c.PickVictim(k.s, k.refused); seg.Number != k.want || ok != (k.want > 0) {
+			t.Errorf("%s: segment %d, %v", name, seg.Number, ok)
 		}
 	}
 	s := State{Victim: &cold, AppendRate: 50e6, OtherBytes: 80 << 20}
 	slow := c.CompactionRate(s, false)
 	s.OtherBytes = 96 << 20
 	if fast := c.CompactionRate(s, false); !(slow < fast) || !math.IsInf(c.CompactionRate(s, true), 1) {
-		t.Errorf("pace %v with room, %v with little", slow, fast)
+		t.Errorf("rate %v with much space, %v with little", slow, fast)
 	}
 }
--- a/internal/routing/wal/segment/segment.go
+++ b/internal/routing/wal/segment/segment.go
@@ -1,14 +1,14 @@
-// Package segment is the format of the journal's segments: a head and checksummed records behind it. It knows no file and
-// no meaning of a record.
+// Package segment defines the format of the journal's segments: a header followed by checksummed records. It does no
+// file I/O and does not interpret records.
 //
-// A segment's head names the store that it belongs to and its number there. Each record's own head has the payload's
-// length and checksum, and a hash over these, the place of the record and its segment's head. So a record reads only
-// where it was written: not at another offset, in another segment or in another store's, and not out of a payload that
-// somebody handed in.
+// The header of a segment names its store and its number there. The header of a record holds the payload's length and
+// checksum, and a hash over these, the record's offset and the identity of its segment. A record is therefore valid
+// only where it was written: not at another offset, in another segment or store, and not inside a payload that
+// contains a copy of a record.
 //
-// A scan is linear in the bytes whatever they are. Where no record's head verifies it goes on by one byte, at the cost of
-// one short hash; where one does, its length is trusted, and a payload that fails its checksum is passed over whole, so
-// that no byte is checksummed twice.
+// A scan is linear in the number of bytes, whatever they are. Where no valid record header is found, it advances by
+// one byte, at the cost of one short hash. Where one is found its length is trusted, and a payload that fails its
+// checksum is skipped as a whole, so that no byte is checksummed twice.
 package segment
 
 import (
@@ -21,46 +21,46 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Version is the format's. A segment of a later one is not read, and not touched.
+// Version is the version of the format. Segments of a later version are neither read nor modified.
 const Version = 1
 
 // Sizes, in bytes.
 const (
-	HeaderSize   = 40             // of a segment's head
-	RecordHeaderSize = 16             // in front of each payload
-	MaxPayloadSize = 1<<20 + 16<<10 // of a payload: a body of 1 MiB with what goes with it
-	readAhead  = 256 << 10      // of the scanner's buffer, which a larger record makes grow
+	HeaderSize       = 40             // of a segment's header
+	RecordHeaderSize = 16             // of the header in front of each payload
+	MaxPayloadSize   = 1<<20 + 16<<10 // of a payload: a body of 1 MiB and its metadata
+	readAhead        = 256 << 10      // size of the scanner's buffer, which grows for larger records
 )
 
 var magic = [8]byte{'l', 'a', 'r', 'k', 's', 'e', 'g', '\n'}
 
-// The errors of a segment that can't be used.
+// Errors of a segment that cannot be used.
 var (
-	ErrNotSegment = errors.New("segment: not a segment, or its head is damaged")
+	ErrNotSegment = errors.New("segment: not a segment, or its header is damaged")
 	ErrVersion    = errors.New("segment: written by a later version")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Header is a segment's.
+// Header is the header of a segment.
 type Header struct {
-	StoreID  uint64 // drawn by chance when the store was made
-	Number uint64 // no other segment of the store has or had it
+	StoreID uint64 // random, set when the store is created
+	Number  uint64 // unique in the store, also after the segment is removed
 }
 
-// AppendHeader writes a segment's head.
+// AppendHeader appends the header of a segment to b.
 func AppendHeader(b []byte, h Header) []byte {
-	at := len(b)
+	start := len(b)
 	b = append(b, magic[:]...)
 	b = binary.LittleEndian.AppendUint32(b, Version)
-	b = binary.LittleEndian.AppendUint32(b, 0) // for later versions
+	b = binary.LittleEndian.AppendUint32(b, 0) // reserved for later versions
 	b = binary.LittleEndian.AppendUint64(b, h.StoreID)
 	b = binary.LittleEndian.AppendUint64(b, h.Number)
-	return binary.LittleEndian.AppendUint64(b, xxh3.Hash(b[at:]))
+	return binary.LittleEndian.AppendUint64(b, xxh3.Hash(b[start:]))
 }
 
-// ReadHeader reads a segment's head. Its errors are ErrNotSegment and ErrVersion, which comes first where the magic stands: a
-// later version may have another head.
+// ReadHeader reads the header of a segment. It returns ErrNotSegment or ErrVersion. The version is checked before the
+// rest of the header, whose layout a later version may change.
 func ReadHeader(b []byte) (Header, error) {
 	if len(b) < 12 || [8]byte(b[:8]) != magic {
 		return Header{}, ErrNotSegment
@@ -74,8 +74,8 @@
 	return Header{StoreID: binary.LittleEndian.Uint64(b[16:]), Number: binary.LittleEndian.Uint64(b[24:])}, nil
 }
 
-// seal is the hash that binds a record's head to its place.
-func (h Header) seal(offset int64, length, sum uint32) uint64 {
+// recordHash returns the hash that ties a record's header to its position.
+func (h Header) recordHash(offset int64, length, sum uint32) uint64 {
 	var b [32]byte
 	binary.LittleEndian.PutUint64(b[0:], h.StoreID)
 	binary.LittleEndian.PutUint64(b[8:], h.Number)
@@ -85,10 +85,10 @@
 	return xxh3.Hash(b[:])
 }
 
-// ErrSize is given for a payload that is empty or over MostRecord.
-var ErrSize = errors.New("segment: a record of that size can't be")
+// ErrSize is returned for a payload that is empty or larger than MaxPayloadSize.
+var ErrSize = errors.New("segment: payload is empty or too large")
 
-// Append writes a record that will stand at an offset of the segment.
+// Append appends to b a record that is to be written at an offset of the segment.
 func Append(b []byte, h Header, offset int64, payload []byte) ([]byte, error) {
 	if len(payload) == 0 || len(payload) > MaxPayloadSize {
 		return b, fmt.Errorf("%w: %d bytes", ErrSize, len(payload))
@@ -96,16 +96,17 @@
 	length, sum := uint32(len(payload)), crc32.Checksum(payload, castagnoli)
 	b = binary.LittleEndian.AppendUint32(b, length)
 	b = binary.LittleEndian.AppendUint32(b, sum)
-	b = binary.LittleEndian.AppendUint64(b, h.seal(offset, length, sum))
+	b = binary.LittleEndian.AppendUint64(b, h.recordHash(offset, length, sum))
 	return append(b, payload...), nil
 }
 
-// RecordSize is what a record takes with its head.
+// RecordSize returns the size of a record with a payload of so many bytes, its header included.
 func RecordSize(payload int) int64 { return int64(RecordHeaderSize + payload) }
 
-// Read reads the one record that stands at an offset; b holds it from its head on. The payload lies in b.
+// Read reads the record at an offset of the segment. b starts with the record's header; the returned payload is part
+// of b.
 func Read(b []byte, h Header, offset int64) ([]byte, error) {
-	n, sum, ok := h.recordHead(b, offset)
+	n, sum, ok := h.readRecordHeader(b, offset)
 	if !ok || len(b) < RecordHeaderSize+n {
 		return nil, fmt.Errorf("segment %d: no record at %d", h.Number, offset)
 	}
@@ -116,8 +117,8 @@
 	return payload, nil
 }
 
-// recordHead verifies a record's head.
-func (h Header) recordHead(b []byte, offset int64) (length int, sum uint32, ok bool) {
+// readRecordHeader reads and verifies the header of a record.
+func (h Header) readRecordHeader(b []byte, offset int64) (length int, sum uint32, ok bool) {
 	if len(b) < RecordHeaderSize {
 		return 0, 0, false
 	}
@@ -126,22 +127,22 @@
 		return 0, 0, false
 	}
 	sum = binary.LittleEndian.Uint32(b[4:])
-	return int(n), sum, h.seal(offset, n, sum) == binary.LittleEndian.Uint64(b[8:])
+	return int(n), sum, h.recordHash(offset, n, sum) == binary.LittleEndian.Uint64(b[8:])
 }
 
-// Record is one that a scan found.
+// Record is a record found by a scan.
 type Record struct {
 	Offset  int64
-	Payload []byte // holds until the scanner's next move
+	Payload []byte // valid until the next call of Next
 }
 
-// Finding is a run of bytes in which no record can be read.
+// Finding is a range of bytes in which no record is readable.
 type Finding struct {
 	Offset, Bytes int64
-	Tail          bool // nothing readable follows: the mark of a process, or a machine, that ended while it wrote
+	Tail          bool // no readable record follows, as after a process or machine crash during a write
 }
 
-// String is the finding as a line for operators.
+// String returns the finding as text for operators.
 func (f Finding) String() string {
 	if f.Tail {
 		return fmt.Sprintf("torn tail of %d bytes at %d", f.Bytes, f.Offset)
@@ -149,44 +150,46 @@
 	return fmt.Sprintf("%d damaged bytes at %d", f.Bytes, f.Offset)
 }
 
-// Scanner reads a segment's records in order. Its buffer grows to MostRecord and readAhead at the most.
+// Scanner reads the records of a segment in order. Its buffer is at most MaxPayloadSize and readAhead large, plus a
+// record header.
 type Scanner struct {
-	head     Header
-	r        io.Reader
-	buf      []byte
-	from, to int   // unread: buf[from:to]
-	offset   int64 // of buf[from] in the segment
-	eof      bool
-	bad      int64 // where unreadable bytes began; negative: there are none
-	findings []Finding
-	err      error
+	header      Header
+	reader      io.Reader
+	buf         []byte
+	start, end  int   // unread bytes are buf[start:end]
+	offset      int64 // of buf[start] in the segment
+	eof         bool
+	damageStart int64 // where the present unreadable range starts; negative if there is none
+	findings    []Finding
+	err         error
 }
 
-// NewScanner reads a segment from its first byte on. Its error is ReadHead's, or the reader's.
+// NewScanner returns a scanner that reads a segment from its first byte. It returns an error of ReadHeader or of the
+// reader.
 func NewScanner(r io.Reader) (*Scanner, error) {
-	s := &Scanner{r: r, buf: make([]byte, readAhead), bad: -1}
+	s := &Scanner{reader: r, buf: make([]byte, readAhead), damageStart: -1}
 	s.fill(HeaderSize)
 	if s.err != nil {
 		return nil, s.err
 	}
-	head, err := ReadHeader(s.buf[:s.to])
+	header, err := ReadHeader(s.buf[:s.end])
 	if err != nil {
 		return nil, err
 	}
-	s.head, s.from, s.offset = head, HeaderSize, HeaderSize
+	s.header, s.start, s.offset = header, HeaderSize, HeaderSize
 	return s, nil
 }
 
-// Header is the segment's.
-func (s *Scanner) Header() Header { return s.head }
+// Header returns the header of the segment.
+func (s *Scanner) Header() Header { return s.header }
 
-// Err is a read that failed, which ends a scan early.
+// Err returns the error of a failed read, which ends the scan early.
 func (s *Scanner) Err() error { return s.err }
 
-// Findings are the runs of unreadable bytes passed over so far.
+// Findings returns the unreadable ranges skipped so far.
 func (s *Scanner) Findings() []Finding { return s.findings }
 
-// End is where the last readable record ends, once Next has given all.
+// End returns the offset at which the last readable record ends, once Next has returned false.
 func (s *Scanner) End() int64 {
 	if n := len(s.findings); n > 0 && s.findings[n-1].Tail {
 		return s.findings[n-1].Offset
@@ -194,22 +197,22 @@
 	return s.offset
 }
 
-// fill tries to have n unread bytes.
+// fill reads until at least n bytes are unread, or the input ends.
 func (s *Scanner) fill(n int) {
-	if s.to-s.from >= n || s.eof {
+	if s.end-s.start >= n || s.eof {
 		return
 	}
-	if s.from+n > len(s.buf) {
-		room := s.buf
-		if n > len(room) {
-			room = make([]byte, n+readAhead)
+	if s.start+n > len(s.buf) {
+		buf := s.buf
+		if n > len(buf) {
+			buf = make([]byte, n+readAhead)
 		}
-		s.to = copy(room, s.buf[s.from:s.to])
-		s.from, s.buf = 0, room
+		s.end = copy(buf, s.buf[s.start:s.end])
+		s.start, s.buf = 0, buf
 	}
-	for s.to-s.from < n && !s.eof {
-		m, err := s.r.Read(s.buf[s.to:])
-		s.to += m
+	for s.end-s.start < n && !s.eof {
+		m, err := s.reader.Read(s.buf[s.end:])
+		s.end += m
 		if err != nil {
 			if s.eof = true; !errors.Is(err, io.EOF) {
 				s.err = fmt.Errorf("segment: read: %w", err)
@@ -219,22 +222,22 @@
 }
 
 func (s *Scanner) skip(n int) {
-	s.from += n
+	s.start += n
 	s.offset += int64(n)
 }
 
-// Next gives the next record; false says that there is none, or that a read failed.
+// Next returns the next record. It returns false at the end of the segment or after a failed read.
 func (s *Scanner) Next() (Record, bool) {
 	for {
 		s.fill(RecordHeaderSize)
 		if s.err != nil {
 			return Record{}, false
 		}
-		if s.to == s.from {
-			s.found(true)
+		if s.end == s.start {
+			s.endDamage(true)
 			return Record{}, false
 		}
-		n, sum, ok := s.head.recordHead(s.buf[s.from:s.to], s.offset)
+		n, sum, ok := s.header.readRecordHeader(s.buf[s.start:s.end], s.offset)
 		if ok {
 			s.fill(RecordHeaderSize + n)
 		}
@@ -242,37 +245,37 @@
 		case s.err != nil:
 			return Record{}, false
 		case !ok:
-			s.spoilt()
+			s.startDamage()
 			s.skip(1)
 			continue
-		case s.to-s.from < RecordHeaderSize+n: // it goes beyond the end
-			s.spoilt()
-			s.skip(s.to - s.from)
+		case s.end-s.start < RecordHeaderSize+n: // the record extends beyond the end of the segment
+			s.startDamage()
+			s.skip(s.end - s.start)
 			continue
 		}
-		payload := s.buf[s.from+RecordHeaderSize : s.from+RecordHeaderSize+n]
+		payload := s.buf[s.start+RecordHeaderSize : s.start+RecordHeaderSize+n]
 		if crc32.Checksum(payload, castagnoli) != sum {
-			s.spoilt()
+			s.startDamage()
 			s.skip(RecordHeaderSize + n)
 			continue
 		}
-		s.found(false)
+		s.endDamage(false)
 		rec := Record{Offset: s.offset, Payload: payload}
 		s.skip(RecordHeaderSize + n)
 		return rec, true
 	}
 }
 
-func (s *Scanner) spoilt() {
-	if s.bad < 0 {
-		s.bad = s.offset
+func (s *Scanner) startDamage() {
+	if s.damageStart < 0 {
+		s.damageStart = s.offset
 	}
 }
 
-// found notes the unreadable bytes up to here, if there are any.
-func (s *Scanner) found(tail bool) {
-	if s.bad >= 0 {
-		s.findings = append(s.findings, Finding{Offset: s.bad, Bytes: s.offset - s.bad, Tail: tail})
-		s.bad = -1
+// endDamage adds the current unreadable range, if any, to the findings.
+func (s *Scanner) endDamage(tail bool) {
+	if s.damageStart >= 0 {
+		s.findings = append(s.findings, Finding{Offset: s.damageStart, Bytes: s.offset - s.damageStart, Tail: tail})
+		s.damageStart = -1
 	}
 }
--- a/internal/routing/wal/segment/segment_test.go
+++ b/internal/routing/wal/segment/segment_test.go
@@ -15,9 +15,9 @@
 	"pgregory.net/rapid"
 )
 
-var head = Header{StoreID: 0x1234, Number: 7}
+var testHeader = Header{StoreID: 0x1234, Number: 7}
 
-// build writes a segment and tells where its records stand.
+// build returns a segment and the offsets of its records.
 func build(t testing.TB, h Header, payloads ...[]byte) (b []byte, at []int64) {
 	t.Helper()
 	b = AppendHeader(nil, h)
@@ -31,7 +31,7 @@
 	return b, at
 }
 
-// scan reads a segment whole.
+// scan reads all records of a segment.
 func scan(t testing.TB, r io.Reader) (got map[int64]string, s *Scanner) {
 	t.Helper()
 	s, err := NewScanner(r)
@@ -48,8 +48,9 @@
 	}
 }
 
-// What was written is read, however the bytes come; one record can be read alone.
-func TestRecordsInAnyPieces(t *testing.T) {
+// Guards against records that are lost or changed when a reader returns the bytes in pieces of any size, and checks
+// reads of single records, payload limits and failed reads.
+func TestRecordsWithAnyReadSize(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var payloads [][]byte
 	for _, n := range []int{1, 2, 300, 16 << 10, MaxPayloadSize, 1, MaxPayloadSize - 1, 77} {
@@ -59,11 +60,11 @@
 		}
 		payloads = append(payloads, p)
 	}
-	b, at := build(t, head, payloads...)
+	b, at := build(t, testHeader, payloads...)
 	want := map[int64]string{}
 	for i, p := range payloads {
 		want[at[i]] = string(p)
-		if got, err := Read(b[at[i]:], head, at[i]); err != nil || !bytes.Equal(got, p) {
+		if got, err := Read(b[at[i]:], testHeader, at[i]); err != nil || !bytes.Equal(got, p) {
 			t.Errorf("record %d alone: %v", i, err)
 		}
 	}
@@ -71,12 +72,12 @@
 		"whole": bytes.NewReader(b), "halves": iotest.HalfReader(bytes.NewReader(b)), "data with its end": iotest.DataErrReader(bytes.NewReader(b)),
 	} {
 		got, s := scan(t, r)
-		if !cmp.Equal(want, got) || len(s.Findings()) != 0 || s.End() != int64(len(b)) || s.Header() != head || s.Err() != nil {
+		if !cmp.Equal(want, got) || len(s.Findings()) != 0 || s.End() != int64(len(b)) || s.Header() != testHeader || s.Err() != nil {
 			t.Errorf("%s: %d records, %v, end %d of %d", name, len(got), s.Findings(), s.End(), len(b))
 		}
 	}
 	for _, n := range []int{0, MaxPayloadSize + 1} {
-		if _, err := Append(nil, head, 0, make([]byte, n)); !errors.Is(err, ErrSize) {
+		if _, err := Append(nil, testHeader, 0, make([]byte, n)); !errors.Is(err, ErrSize) {
 			t.Errorf("a payload of %d bytes: %v", n, err)
 		}
 	}
@@ -87,25 +88,26 @@
 	for _, ok := s.Next(); ok; _, ok = s.Next() {
 	}
 	if s.Err() == nil {
-		t.Error("a read that failed was taken for the end")
+		t.Error("a failed read was reported as the end")
 	}
 }
 
-// One bit flipped anywhere behind the head costs the record it stands in, and no other; in the head it costs the segment.
-func TestAnyBitFlipped(t *testing.T) {
-	b, at := build(t, head, []byte("first"), []byte("second record"), []byte("third"))
+// Guards against damage that spreads: one flipped bit may cost only the record that contains it, or the whole segment
+// if it is in the header.
+func TestBitFlips(t *testing.T) {
+	b, at := build(t, testHeader, []byte("first"), []byte("second record"), []byte("third"))
 	ends := append(at[1:len(at):len(at)], int64(len(b)))
 	for i := range b {
 		for bit := range 8 {
-			hurt := bytes.Clone(b)
-			hurt[i] ^= 1 << bit
+			damaged := bytes.Clone(b)
+			damaged[i] ^= 1 << bit
 			if i < HeaderSize {
-				if _, err := NewScanner(bytes.NewReader(hurt)); !errors.Is(err, ErrNotSegment) && !errors.Is(err, ErrVersion) {
+				if _, err := NewScanner(bytes.NewReader(damaged)); !errors.Is(err, ErrNotSegment) && !errors.Is(err, ErrVersion) {
 					t.Fatalf("byte %d: %v", i, err)
 				}
 				continue
 			}
-			got, s := scan(t, bytes.NewReader(hurt))
+			got, s := scan(t, bytes.NewReader(damaged))
 			lost := 0
 			for r := range at {
 				if _, ok := got[at[r]]; !ok {
@@ -121,9 +123,9 @@
 	}
 }
 
-// Cut anywhere, a segment holds what stands whole before the cut, and the rest is a tail.
-func TestCutAnywhere(t *testing.T) {
-	b, at := build(t, head, []byte("first"), []byte("second record"))
+// Guards against losing complete records of a truncated segment. The rest has to be reported as a tail.
+func TestTruncationAtEveryOffset(t *testing.T) {
+	b, at := build(t, testHeader, []byte("first"), []byte("second record"))
 	for cut := HeaderSize; cut <= len(b); cut++ {
 		got, s := scan(t, bytes.NewReader(b[:cut]))
 		whole := 0
@@ -139,15 +141,16 @@
 	}
 	for cut := range HeaderSize {
 		if _, err := NewScanner(bytes.NewReader(b[:cut])); !errors.Is(err, ErrNotSegment) {
-			t.Errorf("a head of %d bytes: %v", cut, err)
+			t.Errorf("a header of %d bytes: %v", cut, err)
 		}
 	}
 }
 
-// A record reads in no other place: not at another offset, in another segment or store, and not out of a payload.
-func TestRecordsReadOnlyInTheirPlace(t *testing.T) {
-	b, at := build(t, head, []byte("first"), []byte("second"))
-	for name, other := range map[string]Header{"segment": {head.StoreID, 8}, "store": {0x1235, head.Number}} {
+// Guards against accepting a record in another place: at another offset, in another segment or store, or inside a
+// payload.
+func TestRecordsAreBoundToTheirPosition(t *testing.T) {
+	b, at := build(t, testHeader, []byte("first"), []byte("second"))
+	for name, other := range map[string]Header{"segment": {testHeader.StoreID, 8}, "store": {0x1235, testHeader.Number}} {
 		moved := append(AppendHeader(nil, other), b[HeaderSize:]...)
 		if got, s := scan(t, bytes.NewReader(moved)); len(got) != 0 || len(s.Findings()) != 1 {
 			t.Errorf("in another %s: %v", name, got)
@@ -157,50 +160,51 @@
 	if got, s := scan(t, bytes.NewReader(doubled)); len(got) != 2 || s.End() != int64(len(b)) {
 		t.Errorf("doubled: %v", got)
 	}
-	inner, _ := build(t, head, []byte("handed in"))
-	outer, _ := build(t, head, inner[HeaderSize:])
-	outer[HeaderSize] ^= 1 // the outer record's length: now the bytes of its payload are searched
+	inner, _ := build(t, testHeader, []byte("handed in"))
+	outer, _ := build(t, testHeader, inner[HeaderSize:])
+	outer[HeaderSize] ^= 1 // damages the outer record's length, so that its payload is searched for records
 	if got, _ := scan(t, bytes.NewReader(outer)); len(got) != 0 {
 		t.Errorf("out of a payload: %v", got)
 	}
 }
 
-// A later version is refused by name, whatever follows.
+// Guards against reading a segment of a later version; the error has to be ErrVersion.
 func TestLaterVersion(t *testing.T) {
-	b, _ := build(t, head, []byte("x"))
+	b, _ := build(t, testHeader, []byte("x"))
 	binary.LittleEndian.PutUint32(b[8:], Version+1)
 	if _, err := NewScanner(bytes.NewReader(b)); !errors.Is(err, ErrVersion) {
 		t.Errorf("%v", err)
 	}
 }
 
-// Any damage at all: what is read is some of what was written, in place, and every byte is read or told of.
-func TestAnyDamage(t *testing.T) {
+// Guards against reading anything that was not written, after any damage. Every byte has to be part of a record or a
+// finding.
+func TestRandomDamage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 3))
 		var payloads [][]byte
 		for range rng.IntN(20) {
 			payloads = append(payloads, bytes.Repeat([]byte{byte(rng.Uint32())}, 1+rng.IntN(3000)))
 		}
-		b := AppendHeader(nil, head)
+		b := AppendHeader(nil, testHeader)
 		want := map[int64]string{}
 		for _, p := range payloads {
 			want[int64(len(b))] = string(p)
-			b, _ = Append(b, head, int64(len(b)), p)
+			b, _ = Append(b, testHeader, int64(len(b)), p)
 		}
 		for range rapid.IntRange(0, 6).Draw(t, "damages") {
 			at := HeaderSize + rng.IntN(len(b)-HeaderSize+1)
 			n := min(rng.IntN(500), len(b)-at)
 			switch rng.IntN(4) {
-			case 0: // noise
+			case 0:
 				for i := range n {
 					b[at+i] = byte(rng.Uint32())
 				}
-			case 1: // zeros
+			case 1:
 				clear(b[at : at+n])
-			case 2: // a part is gone
+			case 2: // a part is removed
 				b = append(b[:at:at], b[at+n:]...)
-			case 3: // a part stands twice
+			case 3: // a part is duplicated
 				b = append(b[:at+n:at+n], b[at:]...)
 			}
 		}
@@ -215,7 +219,7 @@
 				break
 			}
 			if got, ok := want[rec.Offset]; !ok || got != string(rec.Payload) {
-				t.Fatalf("at %d stands what was not written there", rec.Offset)
+				t.Fatalf("the record at %d was not written there", rec.Offset)
 			}
 			covered += RecordSize(len(rec.Payload))
 		}
@@ -228,14 +232,15 @@
 	})
 }
 
-// FuzzScanner reads any bytes behind a good head: nothing panics, and all bytes are accounted for.
+// FuzzScanner scans arbitrary bytes after a valid header: no input may cause a panic, and all bytes have to be
+// accounted for.
 func FuzzScanner(f *testing.F) {
-	good, _ := build(f, head, []byte("first"), []byte("second"))
+	good, _ := build(f, testHeader, []byte("first"), []byte("second"))
 	f.Add(good[HeaderSize:])
 	f.Add([]byte{1, 0, 0, 0, 0, 0, 0, 0})
 	f.Add(good[HeaderSize+3:])
 	f.Fuzz(func(t *testing.T, tail []byte) {
-		b := append(AppendHeader(nil, head), tail...)
+		b := append(AppendHeader(nil, testHeader), tail...)
 		got, s := scan(t, bytes.NewReader(b))
 		covered := int64(HeaderSize)
 		for _, p := range got {
@@ -250,15 +255,15 @@
 	})
 }
 
-// BenchmarkScan gives the speed of a scan, of good records and of damage made to be slow: heads that would each ask for a
-// checksum of all that follows, were their seals not looked at first.
+// BenchmarkScan measures scans of valid records and of crafted damage: record headers that would each cause a checksum
+// over all following bytes if their hashes were not checked first.
 func BenchmarkScan(b *testing.B) {
 	const size = 3 << 20
-	small := AppendHeader(nil, head)
+	small := AppendHeader(nil, testHeader)
 	for len(small) < size {
-		small, _ = Append(small, head, int64(len(small)), bytes.Repeat([]byte("x"), 300))
+		small, _ = Append(small, testHeader, int64(len(small)), bytes.Repeat([]byte("x"), 300))
 	}
-	crafted := AppendHeader(nil, head)
+	crafted := AppendHeader(nil, testHeader)
 	for len(crafted) < size {
 		crafted = binary.LittleEndian.AppendUint32(crafted, 200<<10)
 		crafted = binary.LittleEndian.AppendUint32(crafted, crc32.Checksum(nil, castagnoli))
--- a/internal/routing/wal/store/append.go
+++ b/internal/routing/wal/store/append.go
@@ -12,172 +12,174 @@
 	"mulleinbeam/internal/routing/wal/segment"
 )
 
-// openActive begins a segment; s.mu is held, or nobody else is there yet.
+// openActive creates a segment and makes it the active one; s.mu is held, or the store is not shared yet.
 func (s *Store) openActive() error {
-	g := &file{number: s.next, name: segName(s.next)}
-	s.next++ // also where it fails: what it may leave has that name
-	f, err := s.o.FS.Create(g.name)
+	seg := &segmentFile{number: s.nextSegment, name: segmentName(s.nextSegment)}
+	s.nextSegment++ // also if the create fails, since a file of that name may be left
+	f, err := s.options.FS.Create(seg.name)
 	if err != nil {
 		return fmt.Errorf("store: segment: %w", err)
 	}
-	head := segment.AppendHeader(nil, segment.Header{StoreID: s.head, Number: g.number})
-	if _, err = f.Write(head); err != nil {
-		s.leftover[g.name] = leftover{size: int64(len(head)), state: stranded}
+	header := segment.AppendHeader(nil, segment.Header{StoreID: s.storeID, Number: seg.number})
+	if _, err = f.Write(header); err != nil {
+		s.obsolete[seg.name] = obsoleteFile{size: int64(len(header)), state: removalOverdue}
 		return errors.Join(fmt.Errorf("store: segment: %w", err), f.Close())
 	}
-	g.f, g.size = f, int64(len(head))
-	s.files[g.number], s.active, s.totals, s.names = g, g, nil, true
+	seg.file, seg.size = f, int64(len(header))
+	s.segments[seg.number], s.active, s.sealedTotals, s.dirUnsynced = seg, seg, nil, true
 	return nil
 }
 
-// space is what the planner is shown of the store's space, without the single segments; s.mu is held.
-func (s *Store) space() plan.State {
-	if s.totals == nil { // the set of sealed segments has changed
-		s.totals = &plan.Totals{}
-		for _, g := range s.files {
-			if g != s.active && !g.replaced {
-				s.totals.Add(s.plan, g.size, g.size)
+// spaceState returns the planner's view of the store's space without the individual segments; s.mu is held.
+func (s *Store) spaceState() plan.State {
+	if s.sealedTotals == nil { // recomputed after the set of sealed segments has changed
+		s.sealedTotals = &plan.Totals{}
+		for _, seg := range s.segments {
+			if seg != s.active && !seg.replaced {
+				s.sealedTotals.Add(s.planner, seg.size, seg.size)
 			}
 		}
 	}
-	st := plan.State{ActiveBytes: s.active.size + s.active.torn, OutputBytes: s.written, ReservedBytes: s.owed + s.reserved, Totals: s.totals}
-	listed := len(s.files)
-	if s.victim != nil && s.victim.replaced { // it is in the books beside its output, and in no manifest
+	state := plan.State{ActiveBytes: s.active.size + s.active.tornBytes, OutputBytes: s.outputBytes, ReservedBytes: s.reservedForKeys + s.reservedForPuts, Totals: s.sealedTotals}
+	listed := len(s.segments)
+	if s.victim != nil && s.victim.replaced { // it is in the index along with its output, but not in the manifest
 		listed--
-		st.RemovingBytes = blocks(s.victim.size)
+		state.RemovingBytes = roundToBlocks(s.victim.size)
 	}
-	st.OtherBytes = 2 * paper(listed)
-	for _, l := range s.leftover {
-		if l.state == stranded {
-			st.OtherBytes += blocks(l.size)
+	state.OtherBytes = 2 * manifestBound(listed)
+	for _, file := range s.obsolete {
+		if file.state == removalOverdue {
+			state.OtherBytes += roundToBlocks(file.size)
 		} else {
-			st.RemovingBytes += blocks(l.size)
+			state.RemovingBytes += roundToBlocks(file.size)
 		}
 	}
-	return st
+	return state
 }
 
-// state is all of that; s.mu is held.
-func (s *Store) state() plan.State {
-	st := s.space()
-	for _, g := range s.files {
+// plannerState returns the planner's view with the individual segments; s.mu is held.
+func (s *Store) plannerState() plan.State {
+	state := s.spaceState()
+	for _, seg := range s.segments {
 		switch {
-		case g == s.active, g.replaced:
-		case g == s.victim:
-			v := s.planned(g)
-			st.Victim = &v
+		case seg == s.active, seg.replaced:
+		case seg == s.victim:
+			v := s.planSegment(seg)
+			state.Victim = &v
 		default:
-			st.Sealed = append(st.Sealed, s.planned(g))
+			state.Sealed = append(state.Sealed, s.planSegment(seg))
 		}
 	}
-	return st
+	return state
 }
 
-// paper is what a manifest of so many segments takes, at the most.
-func paper(segments int) int64 { return blocks(int64((segments+4)*24 + 256)) }
+// manifestBound returns the maximum size of a manifest that lists so many segments.
+func manifestBound(segments int) int64 { return roundToBlocks(int64((segments+4)*24 + 256)) }
 
-// planned is a sealed segment in the planner's terms. Its age is told by the records since: they stand for time, so that
-// equal runs give equal choices.
-func (s *Store) planned(g *file) plan.Segment {
-	return plan.Segment{Number: g.number, Size: g.size, LiveBytes: g.live, Age: time.Duration(s.record-g.sealed) * time.Millisecond}
+// planSegment returns a sealed segment in the planner's terms. Its age is the number of records appended since it was
+// sealed, counted as milliseconds, so that equal runs make equal choices.
+func (s *Store) planSegment(seg *segmentFile) plan.Segment {
+	return plan.Segment{Number: seg.number, Size: seg.size, LiveBytes: seg.liveBytes, Age: time.Duration(s.nextSequence-seg.sealedAt) * time.Millisecond}
 }
 
-// write appends a record to the active segment; s.mu is held. No half of one is left before the next.
-func (s *Store) write(k kind, key uint64, payload []byte) (num uint64, size int64, err error) {
+// appendRecord appends a record to the active segment; s.mu is held. The remains of a failed write are removed, or
+// skipped, before the next record.
+func (s *Store) appendRecord(kind recordKind, key uint64, payload []byte) (sequence uint64, size int64, err error) {
 	switch {
 	case s.closed:
 		return 0, 0, ErrClosed
-	case s.failed != nil:
-		return 0, 0, s.failed
+	case s.failure != nil:
+		return 0, 0, s.failure
 	}
-	num = s.record
-	b := append(s.buf[:0], byte(k))
-	b = binary.AppendUvarint(binary.AppendUvarint(b, num), key)
+	sequence = s.nextSequence
+	b := append(s.buf[:0], byte(kind))
+	b = binary.AppendUvarint(binary.AppendUvarint(b, sequence), key)
 	b = append(b, payload...)
 	s.buf = b[:0]
 	size = segment.RecordSize(len(b))
-	if err := s.repair(); err != nil {
+	if err := s.repairTail(); err != nil {
 		return 0, 0, err
 	}
-	if s.plan.ShouldSeal(plan.State{ActiveBytes: s.active.size}, size) {
-		if err := s.seal(); err != nil {
+	if s.planner.ShouldSeal(plan.State{ActiveBytes: s.active.size}, size) {
+		if err := s.sealActive(); err != nil {
 			return 0, 0, err
 		}
 	}
-	g := s.active
-	rec, err := segment.Append(make([]byte, 0, size), segment.Header{StoreID: s.head, Number: g.number}, g.size, b)
+	seg := s.active
+	rec, err := segment.Append(make([]byte, 0, size), segment.Header{StoreID: s.storeID, Number: seg.number}, seg.size, b)
 	if err != nil {
 		return 0, 0, fmt.Errorf("store: %w", err)
 	}
-	if _, err := g.f.Write(rec); err != nil {
-		g.torn = size          // at the most: a write that fails may leave a part that it does not tell of
-		repaired := s.repair() // else before the next write
-		if errors.Is(err, syscall.EFBIG) && repaired == nil && s.active == g && g.size > segment.HeaderSize {
-			if s.seal() == nil { // files may not be as large as that: the next one has room again
-				return s.write(k, key, payload)
+	if _, err := seg.file.Write(rec); err != nil {
+		seg.tornBytes = size       // upper bound: a failed write may leave bytes that it does not report
+		repaired := s.repairTail() // if this fails, it is retried before the next write
+		if errors.Is(err, syscall.EFBIG) && repaired == nil && s.active == seg && seg.size > segment.HeaderSize {
+			if s.sealActive() == nil { // the file size limit is below the segment size: the next segment has space again
+				return s.appendRecord(kind, key, payload)
 			}
 		}
 		return 0, 0, fmt.Errorf("store: write: %w", err)
 	}
-	g.size += size
-	s.record++
-	return num, size, nil
+	seg.size += size
+	s.nextSequence++
+	return sequence, size, nil
 }
 
-// repair takes away the part of a record that a failed write has left, or leaves it behind as the end of its segment, where
-// a scan passes over it.
-func (s *Store) repair() error {
-	g := s.active
-	if g.torn == 0 {
+// repairTail truncates the partial record that a failed write has left. If that fails it seals the segment with the
+// partial record at its end, which a scan skips.
+func (s *Store) repairTail() error {
+	seg := s.active
+	if seg.tornBytes == 0 {
 		return nil
 	}
-	if there, err := g.f.Size(); err == nil {
-		g.torn = max(0, there-g.size)
+	if size, err := seg.file.Size(); err == nil {
+		seg.tornBytes = max(0, size-seg.size)
 	}
-	if g.torn == 0 {
+	if seg.tornBytes == 0 {
 		return nil
 	}
-	cut := g.f.Truncate(g.size)
-	if cut == nil {
-		g.torn = 0
+	truncateErr := seg.file.Truncate(seg.size)
+	if truncateErr == nil {
+		seg.tornBytes = 0
 		return nil
 	}
-	g.size += g.torn
-	if err := s.seal(); err != nil {
-		g.size -= g.torn
-		return errors.Join(cut, err)
+	seg.size += seg.tornBytes
+	if err := s.sealActive(); err != nil {
+		seg.size -= seg.tornBytes
+		return errors.Join(truncateErr, err)
 	}
-	s.totals = nil
-	g.torn = 0
+	s.sealedTotals = nil
+	seg.tornBytes = 0
 	return nil
 }
 
-// seal ends the active segment and begins the next.
-func (s *Store) seal() error {
+// sealActive seals the active segment and creates the next one.
+func (s *Store) sealActive() error {
 	old := s.active
 	if err := s.openActive(); err != nil {
 		return err
 	}
-	old.sealed = s.record
+	old.sealedAt = s.nextSequence
 	return nil
 }
 
-// Commit returns once all records up to a number outlast what the store's durability says. Those that wait at once are
-// served by one sync; appends go on beside it. A sync that failed is final: nobody can tell what of the segments is on the
-// disk. What was not durable is taken back then, so that the next start does not find what was never promised.
-func (s *Store) Commit(num uint64) error {
-	if s.o.Durability == SyncNever {
+// Commit returns once all records up to a sequence number are as durable as the store's Durability states. Concurrent
+// callers share one sync, and appends continue meanwhile. A failed sync is final, because it is unknown which part of
+// the segments is on the disk: the records that were not durable are truncated, so that the next open does not find
+// records whose commit failed.
+func (s *Store) Commit(sequence uint64) error {
+	if s.options.Durability == SyncNever {
 		return nil
 	}
-	s.syncing.Lock()
-	defer s.syncing.Unlock()
+	s.commitMu.Lock()
+	defer s.commitMu.Unlock()
 	s.mu.Lock()
-	if up := min(num, s.record-1); s.synced >= up || s.failed != nil || s.closed {
+	if target := min(sequence, s.nextSequence-1); s.durable >= target || s.failure != nil || s.closed {
 		defer s.mu.Unlock()
 		switch {
-		case s.failed != nil:
-			return s.failed
-		case s.synced < up:
+		case s.failure != nil:
+			return s.failure
+		case s.durable < target:
 			return ErrClosed
 		}
 		return nil
@@ -187,275 +189,279 @@
 	return err
 }
 
-// DurableSequence is the number up to which all records are known to outlast the machine.
+// DurableSequence returns the sequence number up to which all records are known to survive a crash of the machine.
 func (s *Store) DurableSequence() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.synced
+	return s.durable
 }
 
-// syncAll makes all records up to now durable. s.syncing and s.mu are held; s.mu is not while the disk works.
+// syncAll makes all records appended so far durable. s.commitMu and s.mu are held; s.mu is released during the I/O.
 func (s *Store) syncAll() error {
-	up, names := s.record-1, s.names
-	type want struct {
-		g    *file
+	target, dirUnsynced := s.nextSequence-1, s.dirUnsynced
+	type pendingSync struct {
+		seg  *segmentFile
 		size int64
 	}
-	var list []want
-	for _, g := range s.ordered() {
-		if g.synced < g.size {
-			g.users++
-			list = append(list, want{g, g.size})
+	var pending []pendingSync
+	for _, seg := range s.sortedSegments() {
+		if seg.syncedBytes < seg.size {
+			seg.refs++
+			pending = append(pending, pendingSync{seg, seg.size})
 		}
 	}
-	s.names = false
+	s.dirUnsynced = false
 	s.syncs++
 	s.mu.Unlock()
 	var err error
-	for _, w := range list {
-		if err = w.g.f.Sync(); err != nil {
-			err = fmt.Errorf("%w: sync of %s: %w", ErrFailed, w.g.name, err)
+	for _, p := range pending {
+		if err = p.seg.file.Sync(); err != nil {
+			err = fmt.Errorf("%w: sync of %s: %w", ErrFailed, p.seg.name, err)
 			break
 		}
 	}
-	if err == nil && names { // else a power cut could take a file with all that is synced in it
+	if err == nil && dirUnsynced { // otherwise a power failure could lose a file with all its synced content
 		if err = s.syncDir(); err != nil {
-			err = fmt.Errorf("%w: sync of the folder: %w", ErrFailed, err)
+			err = fmt.Errorf("%w: sync of the directory: %w", ErrFailed, err)
 		}
 	}
 	s.mu.Lock()
 	if err != nil {
-		s.failed = err
-		s.breakDown()
-		for _, g := range s.files {
-			if g.synced < g.size {
-				_ = g.f.Truncate(g.synced) // if not, the next start finds what it finds
+		s.failure = err
+		s.markBroken()
+		for _, seg := range s.segments {
+			if seg.syncedBytes < seg.size {
+				_ = seg.file.Truncate(seg.syncedBytes) // on failure the next open may find records that were not committed
 			}
 		}
 	} else {
-		s.synced = max(s.synced, up)
+		s.durable = max(s.durable, target)
 	}
-	for _, w := range list {
+	for _, p := range pending {
 		if err == nil {
-			w.g.synced = max(w.g.synced, w.size)
+			p.seg.syncedBytes = max(p.seg.syncedBytes, p.size)
 		}
-		w.g.unused()
+		p.seg.unref()
 	}
 	return err
 }
 
-// settle is the end of an append: with Each it waits for the disk. s.mu is not held.
-func (s *Store) settle(num uint64) error {
-	if s.o.Durability != SyncEach {
+// commitEach commits a record if the durability is SyncEach. s.mu is not held.
+func (s *Store) commitEach(sequence uint64) error {
+	if s.options.Durability != SyncEach {
 		return nil
 	}
-	return s.Commit(num)
+	return s.Commit(sequence)
 }
 
-// Fits says whether a key with a first payload of so many bytes could be put, with owed bytes for all that will follow:
-// see Put.
-func (s *Store) Fits(payload int, owed int64) bool {
+// Fits reports whether a key with a first payload of so many bytes could be put, with so many bytes reserved for later
+// records: see Put.
+func (s *Store) Fits(payload int, reserve int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.fits(payload, owed)
+	return s.fits(payload, reserve)
 }
 
-func (s *Store) fits(payload int, owed int64) bool {
-	st := s.space()
-	st.OtherBytes += s.o.SpareBytes
-	return s.plan.Admit(st, segment.RecordSize(payload+mostFixed), owed+MaxTombstoneSize)
+func (s *Store) fits(payload int, reserve int64) bool {
+	state := s.spaceState()
+	state.OtherBytes += s.options.SpareBytes
+	return s.planner.Admit(state, segment.RecordSize(payload+maxRecordPrefix), reserve+MaxTombstoneSize)
 }
 
-// NoteRefusal tells that work was turned away for want of room: what can be gained is compacted now, and as fast as it goes.
+// NoteRefusal records that work was refused for lack of space. Compaction then runs without a rate limit and accepts
+// smaller gains.
 func (s *Store) NoteRefusal() {
 	s.mu.Lock()
 	s.refused = true
 	s.mu.Unlock()
 }
 
-// CompactionRate is how many bytes a second the compaction under way should move, with so many bytes a second appended beside it.
+// CompactionRate returns the bytes per second that the running compaction should copy, given the present rate of
+// appends in bytes per second.
 func (s *Store) CompactionRate(rate float64) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed || s.active == nil {
 		return math.Inf(1)
 	}
-	st := s.space()
-	st.AppendRate = rate
+	state := s.spaceState()
+	state.AppendRate = rate
 	if s.victim != nil && !s.victim.replaced {
-		v := s.planned(s.victim)
-		st.Victim = &v
+		v := s.planSegment(s.victim)
+		state.Victim = &v
 	}
-	return s.plan.CompactionRate(st, s.refused)
+	return s.planner.CompactionRate(state, s.refused)
 }
 
-// Put appends the first record of a key that lives from now on, and sets room aside for what follows it: its end, and owed
-// bytes for further records, each with segment.RecordHead and some 20 bytes of its own. ErrFull says that there is no room
-// for all of that now. It gives the record's number, for Commit.
-func (s *Store) Put(key uint64, payload []byte, owed int64) (uint64, error) {
-	return s.PutReserved(nil, key, payload, owed)
+// Put appends the first record of a new key. It reserves space for the key's tombstone and reserve bytes for further
+// records, each of which takes its payload, segment.RecordHeaderSize and about 20 bytes. It returns ErrFull if there is
+// no space for all of that now, and otherwise the record's sequence number, for Commit.
+func (s *Store) Put(key uint64, payload []byte, reserve int64) (uint64, error) {
+	return s.PutReserved(nil, key, payload, reserve)
 }
 
-// PutReserved is Put with a reservation for as much at the least: there is room, whatever has come between. Where the disk fails the
-// reservation stands.
-func (s *Store) PutReserved(reserved *Reservation, key uint64, payload []byte, owed int64) (uint64, error) {
-	num, err := s.put(key, payload, owed, reserved)
+// PutReserved is like Put, but uses a reservation of at least that size, so that there is space whatever was appended
+// since. If the write fails the reservation remains valid.
+func (s *Store) PutReserved(reservation *Reservation, key uint64, payload []byte, reserve int64) (uint64, error) {
+	sequence, err := s.put(key, payload, reserve, reservation)
 	if err != nil {
 		return 0, err
 	}
-	return num, s.settle(num)
+	return sequence, s.commitEach(sequence)
 }
 
-func (s *Store) put(key uint64, payload []byte, owed int64, reserved *Reservation) (uint64, error) {
+func (s *Store) put(key uint64, payload []byte, reserve int64, reservation *Reservation) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e := s.keys[key]; e != nil {
-		return 0, fmt.Errorf("store: key %d is there", key)
+		return 0, fmt.Errorf("store: key %d already exists", key)
 	}
-	covered := reserved.covers(s, len(payload), owed)
-	if !covered && !s.fits(len(payload), owed) {
+	covered := reservation.covers(s, len(payload), reserve)
+	if !covered && !s.fits(len(payload), reserve) {
 		s.refused = true
 		return 0, ErrFull
 	}
-	num, size, err := s.write(kindData, key, payload)
+	sequence, size, err := s.appendRecord(kindData, key, payload)
 	if err != nil {
 		return 0, err
 	}
 	if covered {
-		reserved.release()
+		reservation.release()
 	}
-	e := &entry{owed: owed + MaxTombstoneSize, first: place{s.active.number, s.active.size - size, size}}
-	s.owed += e.owed
-	s.addPart(e, s.active, size, true)
+	e := &entry{reserved: reserve + MaxTombstoneSize, first: location{s.active.number, s.active.size - size, size}}
+	s.reservedForKeys += e.reserved
+	s.addBytes(e, s.active, size, true)
 	s.keys[key] = e
 	s.lastKey = max(s.lastKey, key)
-	return num, nil
+	return sequence, nil
 }
 
-// Add appends a further record of a living key, if there is room; what new keys leave is for these.
-func (s *Store) Add(key uint64, payload []byte) (uint64, error) { return s.addOut(key, payload, false) }
+// Add appends a further record of a live key, if there is space. It may use the space that new keys may not.
+func (s *Store) Add(key uint64, payload []byte) (uint64, error) {
+	return s.addAndCommit(key, payload, false)
+}
 
-// AddReserved appends one out of the room that is set aside for its key, and beyond that as Add does.
+// AddReserved is like Add, but uses the space reserved for the key as far as that suffices.
 func (s *Store) AddReserved(key uint64, payload []byte) (uint64, error) {
-	return s.addOut(key, payload, true)
+	return s.addAndCommit(key, payload, true)
 }
 
-func (s *Store) addOut(key uint64, payload []byte, owed bool) (uint64, error) {
-	num, err := s.add(key, payload, owed)
+func (s *Store) addAndCommit(key uint64, payload []byte, useReserved bool) (uint64, error) {
+	sequence, err := s.add(key, payload, useReserved)
 	if err != nil {
 		return 0, err
 	}
-	return num, s.settle(num)
+	return sequence, s.commitEach(sequence)
 }
 
-func (s *Store) add(key uint64, payload []byte, owed bool) (uint64, error) {
+func (s *Store) add(key uint64, payload []byte, useReserved bool) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := s.keys[key]
-	if e == nil || e.ended {
+	if e == nil || e.deleted {
 		return 0, ErrUnknownKey
 	}
-	most := segment.RecordSize(len(payload) + mostFixed)
-	if owed = owed && e.owed >= most+MaxTombstoneSize; !owed && !s.plan.Admit(s.space(), most, 0) {
+	maxSize := segment.RecordSize(len(payload) + maxRecordPrefix)
+	if useReserved = useReserved && e.reserved >= maxSize+MaxTombstoneSize; !useReserved && !s.planner.Admit(s.spaceState(), maxSize, 0) {
 		s.refused = true
 		return 0, ErrFull
 	}
-	num, size, err := s.write(kindData, key, payload)
+	sequence, size, err := s.appendRecord(kindData, key, payload)
 	if err != nil {
 		return 0, err
 	}
-	if owed {
-		e.owed -= size
-		s.owed -= size
+	if useReserved {
+		e.reserved -= size
+		s.reservedForKeys -= size
 	}
-	s.addPart(e, s.active, size, true)
-	return num, nil
+	s.addBytes(e, s.active, size, true)
+	return sequence, nil
 }
 
-// Delete ends a key: none of its records is given at a later start. Room for it is always set aside.
+// Delete deletes a key: the next open returns none of its records. Space for the tombstone is always reserved.
 func (s *Store) Delete(key uint64) (uint64, error) {
-	num, err := s.end(key)
+	sequence, err := s.deleteKey(key)
 	if err != nil {
 		return 0, err
 	}
-	return num, s.settle(num)
+	return sequence, s.commitEach(sequence)
 }
 
-func (s *Store) end(key uint64) (uint64, error) {
+func (s *Store) deleteKey(key uint64) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := s.keys[key]
-	if e == nil || e.ended {
+	if e == nil || e.deleted {
 		return 0, ErrUnknownKey
 	}
-	num, size, err := s.write(kindEnd, key, nil)
+	sequence, size, err := s.appendRecord(kindTombstone, key, nil)
 	if err != nil {
 		return 0, err
 	}
-	s.owed -= e.owed
-	for _, p := range e.parts {
-		if g := s.files[p.seg]; g != nil { // it can be gone if it was damaged under this store's hands
-			g.live -= p.bytes
+	s.reservedForKeys -= e.reserved
+	for _, p := range e.segments {
+		if seg := s.segments[p.segment]; seg != nil { // it is missing if the segment was damaged while the store was open
+			seg.liveBytes -= p.bytes
 		}
 	}
-	e.owed, e.ended, e.tomb, e.size = 0, true, s.active.number, size
-	if s.needed(e) {
-		s.active.live += size
+	e.reserved, e.deleted, e.tombstoneSegment, e.tombstoneSize = 0, true, s.active.number, size
+	if s.tombstoneNeeded(e) {
+		s.active.liveBytes += size
 	} else {
-		delete(s.keys, key) // all of it stands in one segment, and goes with it
+		delete(s.keys, key) // all its records are in the tombstone's segment, and are removed together with it
 	}
 	s.refused = false
-	return num, nil
+	return sequence, nil
 }
 
-// LastKey is the highest key ever put, as far as is known: keys above it were never used.
+// LastKey returns the highest key known to have been put. Keys above it have never been used.
 func (s *Store) LastKey() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lastKey
 }
 
-// Stats tells how the store stands.
+// Stats describes the state of a store.
 type Stats struct {
 	Keys, Segments, Compactions int
-	Syncs                       int   // of all that was not durable
-	Used, Live, Free            int64 // bytes
-	Due                         bool  // a compaction is under way, or would be worth it
+	Syncs                       int
+	Used, Live, Free            int64 // in bytes
+	Due                         bool  // a compaction is running, or would be worthwhile
 }
 
-// Stats tells how the store stands now.
+// Stats returns the present state of the store.
 func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	st := Stats{Segments: len(s.files), Compactions: s.compacts, Syncs: s.syncs}
+	stats := Stats{Segments: len(s.segments), Compactions: s.compactions, Syncs: s.syncs}
 	for _, e := range s.keys {
-		if !e.ended {
-			st.Keys++
+		if !e.deleted {
+			stats.Keys++
 		}
 	}
-	for _, g := range s.files {
-		st.Live += g.live
+	for _, seg := range s.segments {
+		stats.Live += seg.liveBytes
 	}
 	if !s.closed {
-		state := s.state()
-		st.Used, st.Free = s.plan.Used(state), s.plan.Free(state)
-		_, worth := s.plan.PickVictim(state, s.refused)
-		st.Due = s.victim != nil || (worth || state.RemovingBytes > 0) && s.failed == nil && !s.stuck
+		state := s.plannerState()
+		stats.Used, stats.Free = s.planner.Used(state), s.planner.Free(state)
+		_, worth := s.planner.PickVictim(state, s.refused)
+		stats.Due = s.victim != nil || (worth || state.RemovingBytes > 0) && s.failure == nil && !s.compactionBlocked
 	}
-	return st
+	return stats
 }
 
-// Close ends the store; with a durability beyond the process's end all of it is durable then.
+// Close closes the store. Unless the durability is SyncNever, it makes all records durable first.
 func (s *Store) Close() error {
-	s.syncing.Lock()
-	defer s.syncing.Unlock()
+	s.commitMu.Lock()
+	defer s.commitMu.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return nil
 	}
 	var err error
-	if s.o.Durability != SyncNever && s.failed == nil && s.synced < s.record-1 {
+	if s.options.Durability != SyncNever && s.failure == nil && s.durable < s.nextSequence-1 {
 		err = s.syncAll()
 	}
 	s.closed = true
--- a/internal/routing/wal/store/compact.go
+++ b/internal/routing/wal/store/compact.go
@@ -11,50 +11,50 @@
 	"mulleinbeam/internal/routing/wal/segment"
 )
 
-const outStep = 128 << 10 // bytes that a compaction writes at once
+const outputChunkSize = 128 << 10 // bytes per write of a compaction
 
-// moved is a record that a compaction has copied.
-type moved struct {
-	key   uint64
-	k     kind
-	bytes int64
-	from  int64 // its offset in the victim,
-	to    int64 // and in the output
+// copiedRecord is a record that a compaction has copied.
+type copiedRecord struct {
+	key          uint64
+	kind         recordKind
+	size         int64
+	victimOffset int64
+	outputOffset int64
 }
 
-// Compact compacts one segment, if there is one worth it: what is still needed of it goes to a new one, and the old one
-// goes. pace is asked before each further step of so many bytes and may wait; nil does not. One compaction at a time; the
-// store goes on beside it.
-func (s *Store) Compact(pace func(bytes int)) (did bool, err error) {
-	if err := s.settleManifest(); err != nil {
+// Compact compacts one segment, if one is worth it: it copies the records that are still needed to a new segment and
+// removes the old one. throttle, unless nil, is called with the number of bytes before each write, and may block.
+// Only one compaction runs at a time; the store remains usable meanwhile.
+func (s *Store) Compact(throttle func(bytes int)) (compacted bool, err error) {
+	if err := s.rewriteManifest(); err != nil {
 		return false, err
 	}
-	s.empty()
+	s.removeObsolete()
 	s.mu.Lock()
-	if s.closed || s.failed != nil || s.victim != nil || s.stuck {
+	if s.closed || s.failure != nil || s.victim != nil || s.compactionBlocked {
 		defer s.mu.Unlock()
-		return false, s.failed
+		return false, s.failure
 	}
-	pick, ok := s.plan.PickVictim(s.state(), s.refused)
+	pick, ok := s.planner.PickVictim(s.plannerState(), s.refused)
 	if !ok {
 		s.mu.Unlock()
 		return false, nil
 	}
-	victim := s.files[pick.Number]
+	victim := s.segments[pick.Number]
 	s.victim = victim
-	out := &file{number: s.next, name: outName(s.next), sealed: victim.sealed}
-	s.next++
+	out := &segmentFile{number: s.nextSegment, name: outputName(s.nextSegment), sealedAt: victim.sealedAt}
+	s.nextSegment++
 	s.mu.Unlock()
 
-	list, keys, err := s.copyLive(victim, out, pace)
+	copied, keys, err := s.copyLive(victim, out, throttle)
 	if err == nil {
 		err = s.publish(victim, out)
 	}
-	stuck := s.conclude(victim, out, list, keys, err)
-	if stuck {
-		s.o.Report(fmt.Sprintf("journal: no compaction until it is known which segments the next start counts: %v", err))
+	blocked := s.finishCompaction(victim, out, copied, keys, err)
+	if blocked {
+		s.options.Report(fmt.Sprintf("journal: compaction suspended until it is known which manifest the next open reads: %v", err))
 	} else {
-		s.empty()
+		s.removeObsolete()
 	}
 	if err != nil {
 		return false, fmt.Errorf("store: compaction of %s: %w", victim.name, err)
@@ -62,284 +62,288 @@
 	return true, nil
 }
 
-// settleManifest writes the manifest again where it is not known which of two the next start would find. Where it has to outlast the
-// machine that stays so until the next start: a sync that works tells nothing of what one that failed has lost.
-func (s *Store) settleManifest() error {
+// rewriteManifest writes the manifest again if it is unknown which of two the next open would read. Unless the
+// durability is SyncNever, this stays unknown until the store is opened again: a successful sync does not tell what an
+// earlier failed one has lost.
+func (s *Store) rewriteManifest() error {
 	s.mu.Lock()
-	if !s.stuck || s.closed || s.o.Durability != SyncNever {
+	if !s.compactionBlocked || s.closed || s.options.Durability != SyncNever {
 		s.mu.Unlock()
 		return nil
 	}
-	text := s.manifestBytes()
+	text := s.encodeManifest()
 	s.mu.Unlock()
 	if err := s.replaceManifest(text); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stuck = false
-	for name, l := range s.leftover {
-		if l.state == kept {
-			s.leftover[name] = leftover{size: l.size, state: removing}
+	s.compactionBlocked = false
+	for name, file := range s.obsolete {
+		if file.state == possiblyListed {
+			s.obsolete[name] = obsoleteFile{size: file.size, state: removalPending}
 		}
 	}
 	return nil
 }
 
-// conclude books a compaction's end.
-func (s *Store) conclude(victim, out *file, list []moved, keys map[uint64]bool, err error) (stuck bool) {
+// finishCompaction updates the index and the obsolete files after a compaction.
+func (s *Store) finishCompaction(victim, out *segmentFile, copied []copiedRecord, keys map[uint64]bool, err error) (blocked bool) {
 	if err == nil {
-		s.replace(victim, out, list, keys)
+		s.replaceVictim(victim, out, copied, keys)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.victim, s.written, s.totals = nil, 0, nil
+	s.victim, s.outputBytes, s.sealedTotals = nil, 0, nil
 	if err != nil {
-		if s.stuck = errors.Is(err, errUncertain); s.stuck && s.o.Durability != SyncNever {
-			s.breakDown()
+		if s.compactionBlocked = errors.Is(err, errManifestUncertain); s.compactionBlocked && s.options.Durability != SyncNever {
+			s.markBroken()
 		}
-		if out.f != nil {
-			s.forsake(out)
-			s.leftover[out.name] = leftover{size: out.size}
-			if s.stuck {
-				s.leftover[out.name] = leftover{size: out.size, state: kept}
+		if out.file != nil {
+			s.dropFile(out)
+			s.obsolete[out.name] = obsoleteFile{size: out.size}
+			if s.compactionBlocked {
+				s.obsolete[out.name] = obsoleteFile{size: out.size, state: possiblyListed}
 			}
 		}
-		return s.stuck
+		return s.compactionBlocked
 	}
-	delete(s.files, victim.number)
-	s.compacts++
+	delete(s.segments, victim.number)
+	s.compactions++
 	s.refused = false
-	s.forsake(victim)
-	s.leftover[victim.name] = leftover{size: victim.size}
+	s.dropFile(victim)
+	s.obsolete[victim.name] = obsoleteFile{size: victim.size}
 	return false
 }
 
-// empty removes files that count no more; what can't be removed now is tried again. Large files take their time, and
-// appends go on meanwhile.
-func (s *Store) empty() {
+// removeObsolete removes files that are no longer in use, and retries removals that failed. Removing large files takes
+// time, so s.mu is not held meanwhile.
+func (s *Store) removeObsolete() {
 	s.mu.Lock()
-	names := slices.Sorted(maps.Keys(s.leftover))
-	names = slices.DeleteFunc(names, func(name string) bool { return s.leftover[name].state == kept })
+	names := slices.Sorted(maps.Keys(s.obsolete))
+	names = slices.DeleteFunc(names, func(name string) bool { return s.obsolete[name].state == possiblyListed })
 	s.mu.Unlock()
 	for _, name := range names {
-		err := s.o.FS.Remove(name)
+		err := s.options.FS.Remove(name)
 		s.mu.Lock()
 		if err == nil || errors.Is(err, fs.ErrNotExist) {
-			delete(s.leftover, name)
+			delete(s.obsolete, name)
 		} else {
-			s.leftover[name] = leftover{size: s.leftover[name].size, state: stranded}
+			s.obsolete[name] = obsoleteFile{size: s.obsolete[name].size, state: removalOverdue}
 		}
 		s.mu.Unlock()
 	}
 }
 
-// copyLive copies what is needed of a segment; keys are all that it has records of. A victim that nothing is needed of
-// gives no file.
-func (s *Store) copyLive(victim, out *file, pace func(int)) (list []moved, keys map[uint64]bool, err error) {
-	wanted, keys, err := s.survey(victim)
-	if err != nil || len(wanted) == 0 {
+// copyLive copies the records of a segment that are still needed. keys is the set of all keys with records in it. If
+// no record is needed, no output file is created.
+func (s *Store) copyLive(victim, out *segmentFile, throttle func(int)) (copied []copiedRecord, keys map[uint64]bool, err error) {
+	live, keys, err := s.findLive(victim)
+	if err != nil || len(live) == 0 {
 		return nil, keys, err
 	}
-	sc, err := segment.NewScanner(io.NewSectionReader(victim.f, 0, victim.size))
+	scanner, err := segment.NewScanner(io.NewSectionReader(victim.file, 0, victim.size))
 	if err != nil {
 		return nil, nil, err
 	}
-	head := segment.Header{StoreID: s.head, Number: out.number}
+	header := segment.Header{StoreID: s.storeID, Number: out.number}
 	var buf []byte
 	flush := func() error {
 		if len(buf) == 0 {
 			return nil
 		}
-		if pace != nil {
-			pace(len(buf))
+		if throttle != nil {
+			throttle(len(buf))
 		}
-		if out.f == nil {
-			if out.f, err = s.o.FS.Create(out.name); err != nil {
+		if out.file == nil {
+			if out.file, err = s.options.FS.Create(out.name); err != nil {
 				return err
 			}
 		}
-		s.mu.Lock() // room for it is kept free already; what counts is that it is seen as used
-		s.written = out.size
+		s.mu.Lock() // its space is reserved already; this makes it count as used
+		s.outputBytes = out.size
 		s.mu.Unlock()
-		n, err := out.f.Write(buf)
+		n, err := out.file.Write(buf)
 		if err == nil && n < len(buf) {
 			err = io.ErrShortWrite
 		}
 		buf = buf[:0]
 		return err
 	}
-	for rec, ok := sc.Next(); ok; rec, ok = sc.Next() {
-		if !wanted[rec.Offset] {
+	for rec, ok := scanner.Next(); ok; rec, ok = scanner.Next() {
+		if !live[rec.Offset] {
 			continue
 		}
-		k, _, key, _, err := decode(rec.Payload)
+		kind, _, key, _, err := decodeRecord(rec.Payload)
 		if err != nil {
-			return nil, nil, err // it could be read a moment ago
+			return nil, nil, err // findLive has just read it
 		}
 		if out.size == 0 {
-			buf = segment.AppendHeader(buf, head)
+			buf = segment.AppendHeader(buf, header)
 			out.size = segment.HeaderSize
 		}
 		before := len(buf)
-		if buf, err = segment.Append(buf, head, out.size, rec.Payload); err != nil {
+		if buf, err = segment.Append(buf, header, out.size, rec.Payload); err != nil {
 			return nil, nil, err
 		}
-		bytes := int64(len(buf) - before)
-		list = append(list, moved{key, k, bytes, rec.Offset, out.size})
-		out.size += bytes
-		if len(buf) >= outStep {
+		size := int64(len(buf) - before)
+		copied = append(copied, copiedRecord{key, kind, size, rec.Offset, out.size})
+		out.size += size
+		if len(buf) >= outputChunkSize {
 			if err := flush(); err != nil {
 				return nil, nil, err
 			}
 		}
 	}
-	if err := errors.Join(sc.Err(), flush()); err != nil {
+	if err := errors.Join(scanner.Err(), flush()); err != nil {
 		return nil, nil, err
 	}
-	if out.f != nil && s.o.Durability != SyncNever {
-		if err := out.f.Sync(); err != nil {
+	if out.file != nil && s.options.Durability != SyncNever {
+		if err := out.file.Sync(); err != nil {
 			return nil, nil, err
 		}
-		// Its name lasts before the manifest that counts it does: a folder's changes may get through in any order.
+		// The directory entry has to be durable before the manifest that lists the file: changes of a directory may
+		// become durable in any order.
 		if err := s.syncDir(); err != nil {
 			return nil, nil, err
 		}
 	}
-	out.synced = out.size
-	return list, keys, nil
+	out.syncedBytes = out.size
+	return copied, keys, nil
 }
 
-// survey goes through a segment for what is still needed of it, by offset, and for all keys that it has records of. It asks
-// the books about many records at a time, since who appends wants the same lock.
-func (s *Store) survey(victim *file) (wanted map[int64]bool, keys map[uint64]bool, err error) {
-	wanted, keys = map[int64]bool{}, map[uint64]bool{}
-	sc, err := segment.NewScanner(io.NewSectionReader(victim.f, 0, victim.size))
+// findLive returns the offsets of a segment's records that are still needed, and all keys with records in it. It looks
+// up many records per acquisition of s.mu, since appends need the same lock.
+func (s *Store) findLive(victim *segmentFile) (live map[int64]bool, keys map[uint64]bool, err error) {
+	live, keys = map[int64]bool{}, map[uint64]bool{}
+	scanner, err := segment.NewScanner(io.NewSectionReader(victim.file, 0, victim.size))
 	if err != nil {
-		if errors.Is(err, segment.ErrNotSegment) { // it was reported at the start
+		if errors.Is(err, segment.ErrNotSegment) { // reported when the store was opened
 			return nil, keys, nil
 		}
 		return nil, nil, err
 	}
-	type seen struct {
+	type foundRecord struct {
 		key    uint64
 		offset int64
-		k      kind
+		kind   recordKind
 	}
-	list := make([]seen, 0, atOnce)
-	ask := func() {
+	batch := make([]foundRecord, 0, lockBatchSize)
+	lookUp := func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		for _, r := range list {
-			if s.wants(r.k, r.key, victim) {
-				wanted[r.offset] = true
+		for _, r := range batch {
+			if s.isLive(r.kind, r.key, victim) {
+				live[r.offset] = true
 			}
 		}
-		list = list[:0]
+		batch = batch[:0]
 	}
-	for rec, ok := sc.Next(); ok; rec, ok = sc.Next() {
-		k, _, key, _, err := decode(rec.Payload)
+	for rec, ok := scanner.Next(); ok; rec, ok = scanner.Next() {
+		kind, _, key, _, err := decodeRecord(rec.Payload)
 		if err != nil {
-			continue // it was reported at the start
+			continue // reported when the store was opened
 		}
 		keys[key] = true
-		if list = append(list, seen{key, rec.Offset, k}); len(list) == atOnce {
-			ask()
+		if batch = append(batch, foundRecord{key, rec.Offset, kind}); len(batch) == lockBatchSize {
+			lookUp()
 		}
 	}
-	ask()
-	return wanted, keys, sc.Err()
+	lookUp()
+	return live, keys, scanner.Err()
 }
 
-// wants says whether a record of a segment is still needed; s.mu is held.
-func (s *Store) wants(k kind, key uint64, victim *file) bool {
+// isLive reports whether a record of a segment is still needed; s.mu is held.
+func (s *Store) isLive(kind recordKind, key uint64, victim *segmentFile) bool {
 	e := s.keys[key]
 	switch {
 	case e == nil:
 		return false
-	case k == kindEnd:
-		return e.ended && e.tomb == victim.number && s.needed(e)
+	case kind == kindTombstone:
+		return e.deleted && e.tombstoneSegment == victim.number && s.tombstoneNeeded(e)
 	}
-	return !e.ended
+	return !e.deleted
 }
 
-// publish makes the manifest count the output in the victim's place. Until it returns, both are there; a start in between
-// finds one of the two. With errUncertain either may be found: both stay then, and no other compaction begins.
-func (s *Store) publish(victim, out *file) error {
+// publish replaces the manifest by one that lists the output instead of the victim. Until it returns both files exist,
+// and an open reads either manifest. After errManifestUncertain either may be the durable one: both files stay, and no
+// further compaction starts.
+func (s *Store) publish(victim, out *segmentFile) error {
 	s.mu.Lock()
-	if s.failed != nil { // what was not durable was taken back, perhaps under the copying's hands
+	if s.failure != nil { // records that were not durable were truncated, perhaps while they were being copied
 		defer s.mu.Unlock()
-		return s.failed
+		return s.failure
 	}
-	delete(s.files, victim.number)
-	if out.f != nil {
-		s.files[out.number] = out
+	delete(s.segments, victim.number)
+	if out.file != nil {
+		s.segments[out.number] = out
 	}
-	text := s.manifestBytes()
-	s.files[victim.number] = victim
-	delete(s.files, out.number)
+	text := s.encodeManifest()
+	s.segments[victim.number] = victim
+	delete(s.segments, out.number)
 	s.mu.Unlock()
 	return s.replaceManifest(text)
 }
 
-// atOnce is how many records or keys are booked under the lock in one go: appends come in between.
-const atOnce = 256
+// lockBatchSize is the number of records or keys processed per acquisition of s.mu, so that appends can run in
+// between.
+const lockBatchSize = 256
 
-// replace books an output in its victim's place, a little at a time. Until it is done both are in the books: what was copied
-// counts in the output first, and only then no longer in the victim, so that a key that ends in between never lacks the
-// part that its end must outlive.
-func (s *Store) replace(victim, out *file, list []moved, keys map[uint64]bool) {
+// replaceVictim replaces the victim by the output in the index, in small batches. Both are in the index meanwhile:
+// copied records are added to the output before they are removed from the victim, so that a key that is deleted in
+// between always counts the bytes that its tombstone must outlive.
+func (s *Store) replaceVictim(victim, out *segmentFile, copied []copiedRecord, keys map[uint64]bool) {
 	s.mu.Lock()
-	if out.f != nil {
-		s.files[out.number] = out
+	if out.file != nil {
+		s.segments[out.number] = out
 	}
 	victim.replaced = true
-	s.written, s.totals = 0, nil
+	s.outputBytes, s.sealedTotals = 0, nil
 	s.mu.Unlock()
-	for chunk := range slices.Chunk(list, atOnce) {
+	for chunk := range slices.Chunk(copied, lockBatchSize) {
 		s.mu.Lock()
-		for _, m := range chunk {
-			s.arrive(victim, out, m)
+		for _, record := range chunk {
+			s.addCopied(victim, out, record)
 		}
 		s.mu.Unlock()
 	}
-	for chunk := range slices.Chunk(slices.Collect(maps.Keys(keys)), atOnce) {
+	for chunk := range slices.Chunk(slices.Collect(maps.Keys(keys)), lockBatchSize) {
 		s.mu.Lock()
 		for _, key := range chunk {
-			s.leave(victim, key)
+			s.removeVictimBytes(victim, key)
 		}
 		s.mu.Unlock()
 	}
 }
 
-// arrive books a record that was copied; s.mu is held.
-func (s *Store) arrive(victim, out *file, m moved) {
-	e := s.keys[m.key]
+// addCopied adds a copied record to the index; s.mu is held.
+func (s *Store) addCopied(victim, out *segmentFile, record copiedRecord) {
+	e := s.keys[record.key]
 	switch {
 	case e == nil:
-	case m.k == kindEnd:
-		if e.ended && e.tomb == victim.number {
-			e.tomb, e.size = out.number, m.bytes
-			out.live += m.bytes
+	case record.kind == kindTombstone:
+		if e.deleted && e.tombstoneSegment == victim.number {
+			e.tombstoneSegment, e.tombstoneSize = out.number, record.size
+			out.liveBytes += record.size
 		}
-	default: // dead bytes, too, if the key has ended meanwhile: its end must outlive them
-		s.addPart(e, out, m.bytes, !e.ended)
-		if e.first.seg == victim.number && e.first.offset == m.from {
-			e.first = place{out.number, m.to, m.bytes}
+	default: // if the key was deleted meanwhile the bytes are dead, and its tombstone must outlive them
+		s.addBytes(e, out, record.size, !e.deleted)
+		if e.first.segment == victim.number && e.first.offset == record.victimOffset {
+			e.first = location{out.number, record.outputOffset, record.size}
 		}
 	}
 }
 
-// leave takes what a segment had of a key out of the books; s.mu is held.
-func (s *Store) leave(victim *file, key uint64) {
+// removeVictimBytes removes a victim's bytes of a key from the index; s.mu is held.
+func (s *Store) removeVictimBytes(victim *segmentFile, key uint64) {
 	e := s.keys[key]
 	if e == nil {
 		return
 	}
-	e.parts = slices.DeleteFunc(e.parts, func(p part) bool { return p.seg == victim.number })
-	if e.ended && !s.needed(e) {
-		if g := s.files[e.tomb]; g != nil {
-			g.live -= e.size
+	e.segments = slices.DeleteFunc(e.segments, func(p keySegment) bool { return p.segment == victim.number })
+	if e.deleted && !s.tombstoneNeeded(e) {
+		if seg := s.segments[e.tombstoneSegment]; seg != nil {
+			seg.liveBytes -= e.tombstoneSize
 		}
 		delete(s.keys, key)
 	}
--- a/internal/routing/wal/store/damage_test.go
+++ b/internal/routing/wal/store/damage_test.go
@@ -16,20 +16,20 @@
 	"mulleinbeam/internal/routing/wal/fsys"
 )
 
-// worked gives a folder in which a store has worked for a while, with what it holds; then it was left as in a kill.
-func worked(t *testing.T, d Durability, seed uint64) (*fsys.Mem, *model) {
+// dirAfterWorkload returns a directory as left by a kill after a random workload, with the expected content.
+func dirAfterWorkload(t *testing.T, d Durability, seed uint64) (*fsys.Mem, *model) {
 	t.Helper()
 	mem, m := fsys.NewMem(), newModel()
 	s, _ := open(t, options(mem, d))
 	rng := rand.New(rand.NewPCG(seed, 21))
 	for range 150 {
-		m.operate(t, s, rng, nothing)
+		m.operate(t, s, rng, noCallback)
 	}
-	_, _ = open(t, options(mem, d)) // the manifest lists all of it
+	_, _ = open(t, options(mem, d)) // the manifest lists all segments
 	return mem, m
 }
 
-// read gives a file's content, write replaces it.
+// read returns the content of a file; write replaces it.
 func read(t *testing.T, fs fsys.FS, name string) []byte {
 	t.Helper()
 	f, err := fs.Open(name)
@@ -57,48 +57,51 @@
 	}
 }
 
-// segmentsOf names a folder's segments.
+// segmentsOf returns the names of a directory's segments.
 func segmentsOf(t *testing.T, fs fsys.FS) []string {
 	t.Helper()
 	names, err := fs.List()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return slices.DeleteFunc(names, func(n string) bool { return !strings.HasPrefix(n, segPrefix) && !strings.HasPrefix(n, outPrefix) })
+	return slices.DeleteFunc(names, func(n string) bool {
+		return !strings.HasPrefix(n, segmentPrefix) && !strings.HasPrefix(n, outputPrefix)
+	})
 }
 
-// A power cut at each step of a compaction, by name: whatever of the folder and its files lasted, all that lived is there and
-// nothing else, and the store goes on, to the next compaction.
-func TestPowerCutsByName(t *testing.T) {
+// Guards against loss after a power failure during a compaction. The failure is simulated at each step, with different
+// sets of surviving files and entries: the store must hold all live records and nothing else, and continue up to its
+// next compaction.
+func TestPowerFailureAtCompactionSteps(t *testing.T) {
 	type instant struct {
 		name string
-		op   fsys.Op // the cut comes before it, once the compaction has got there
-		file string  // prefix
+		op   fsys.Op // the failure comes before the first such operation of the compaction
+		file string  // prefix of the name
 		loss fsys.Loss
 	}
 	for _, at := range []instant{
-		{"output created, and its name lost", fsys.OpWrite, outPrefix, fsys.LoseUnsynced},
-		{"output written, nothing of it lasts", fsys.OpSync, outPrefix, fsys.LoseUnsynced},
-		{"output half written", fsys.OpSync, outPrefix, fsys.LoseTail},
-		{"output whole, no new manifest", fsys.OpCreate, manifestIn, fsys.LoseNothing},
-		{"output whole, its name lost", fsys.OpCreate, manifestIn, fsys.LoseUnsynced},
-		{"mid-manifest: written, nothing of it lasts", fsys.OpSync, manifestIn, fsys.LoseUnsynced},
-		{"mid-manifest: half written", fsys.OpSync, manifestIn, fsys.LoseTail},
-		{"mid-manifest: in any order", fsys.OpSync, manifestIn, fsys.LoseAnyUnsynced},
-		{"before the rename", fsys.OpRename, manifestIn, fsys.LoseUnsynced},
+		{"output created, and its name lost", fsys.OpWrite, outputPrefix, fsys.LoseUnsynced},
+		{"output written, nothing of it lasts", fsys.OpSync, outputPrefix, fsys.LoseUnsynced},
+		{"output half written", fsys.OpSync, outputPrefix, fsys.LoseTail},
+		{"output whole, no new manifest", fsys.OpCreate, manifestTemp, fsys.LoseNothing},
+		{"output whole, its name lost", fsys.OpCreate, manifestTemp, fsys.LoseUnsynced},
+		{"mid-manifest: written, nothing of it lasts", fsys.OpSync, manifestTemp, fsys.LoseUnsynced},
+		{"mid-manifest: half written", fsys.OpSync, manifestTemp, fsys.LoseTail},
+		{"mid-manifest: in any order", fsys.OpSync, manifestTemp, fsys.LoseAnyUnsynced},
+		{"before the rename", fsys.OpRename, manifestTemp, fsys.LoseUnsynced},
 		{"mid-rename: done, and lost", fsys.OpSyncDir, "", fsys.LoseUnsynced},
 		{"mid-rename: done, and got through by itself", fsys.OpSyncDir, "", fsys.LoseNothing},
 		{"mid-rename: some names got through", fsys.OpSyncDir, "", fsys.LoseAnyUnsynced},
-		{"before the removal", fsys.OpRemove, segPrefix, fsys.LoseUnsynced},
+		{"before the removal", fsys.OpRemove, segmentPrefix, fsys.LoseUnsynced},
 		{"mid-removal: done, and lost", fsys.OpList, "", fsys.LoseUnsynced},
 		{"mid-removal: done, and got through", fsys.OpList, "", fsys.LoseNothing},
 	} {
 		t.Run(at.name, func(t *testing.T) {
 			for seed := range uint64(6) {
-				mem, m := worked(t, SyncEach, seed)
+				mem, m := dirAfterWorkload(t, SyncEach, seed)
 				faults := &fsys.FaultFS{FS: mem}
 				s, _ := open(t, options(faults, SyncEach))
-				for key := uint64(1); key < m.next; key += 2 { // so that something is worth it
+				for key := uint64(1); key < m.next; key += 2 { // so that a compaction is worthwhile
 					if _, lives := m.keys[key]; lives {
 						if _, err := s.Delete(key); err != nil {
 							t.Fatal(err)
@@ -121,10 +124,10 @@
 					if did, err = s.Compact(nil); err != nil {
 						t.Fatal(err)
 					}
-					_, _ = faults.List() // the instant behind a removal
+					_, _ = faults.List() // the moment after a removal
 				}
 				if left == nil {
-					t.Fatal("the compaction never got there")
+					t.Fatal("the compaction never reached this step")
 				}
 				again, got := open(t, options(left, SyncEach))
 				if diff := cmp.Diff(m.keys, got); diff != "" {
@@ -134,7 +137,7 @@
 					t.Fatalf("key %d would be used twice", again.LastKey()+1)
 				}
 				for range 40 {
-					m.operate(t, again, rng, nothing)
+					m.operate(t, again, rng, noCallback)
 				}
 				if _, got := open(t, options(left, SyncEach)); !cmp.Equal(m.keys, got) {
 					t.Fatalf("seed %d, later:\n%s", seed, cmp.Diff(m.keys, got))
@@ -144,14 +147,15 @@
 	}
 }
 
-// Damage from outside costs what was in the damaged bytes and nothing else, is told of, and is never read as anything that
-// was not written.
+// Guards against damage that spreads. Files are removed, swapped, truncated, duplicated or changed by another program:
+// only records in the damaged bytes may be lost, the damage must be reported, and nothing may be read that was never
+// written.
 func TestDamage(t *testing.T) {
-	spoil := map[string]func(t *testing.T, fs fsys.FS, rng *rand.Rand) (files []string){
+	damages := map[string]func(t *testing.T, fs fsys.FS, rng *rand.Rand) (files []string){
 		"missing": func(t *testing.T, fs fsys.FS, rng *rand.Rand) []string {
 			list := segmentsOf(t, fs)
-			slices.SortFunc(list, func(a, b string) int { return strings.Compare(a[len(segPrefix):], b[len(segPrefix):]) })
-			name := list[rng.IntN(len(list)-1)] // the last has nothing in it yet
+			slices.SortFunc(list, func(a, b string) int { return strings.Compare(a[len(segmentPrefix):], b[len(segmentPrefix):]) })
+			name := list[rng.IntN(len(list)-1)] // the last one is still empty
 			if err := fs.Remove(name); err != nil {
 				t.Fatal(err)
 			}
@@ -160,60 +164,60 @@
 		"swapped": func(t *testing.T, fs fsys.FS, rng *rand.Rand) []string {
 			list := segmentsOf(t, fs)
 			a, b := list[0], list[1+rng.IntN(len(list)-1)]
-			was := read(t, fs, a)
+			content := read(t, fs, a)
 			write(t, fs, a, read(t, fs, b))
-			write(t, fs, b, was)
+			write(t, fs, b, content)
 			return []string{a, b}
 		},
 		"cut": func(t *testing.T, fs fsys.FS, rng *rand.Rand) []string {
 			list := segmentsOf(t, fs)
 			name := list[rng.IntN(len(list))]
-			was := read(t, fs, name)
-			write(t, fs, name, was[:rng.IntN(len(was))])
+			content := read(t, fs, name)
+			write(t, fs, name, content[:rng.IntN(len(content))])
 			return []string{name}
 		},
 		"doubled": func(t *testing.T, fs fsys.FS, rng *rand.Rand) []string {
 			list := segmentsOf(t, fs)
-			write(t, fs, segName(1<<40), read(t, fs, list[rng.IntN(len(list))]))
+			write(t, fs, segmentName(1<<40), read(t, fs, list[rng.IntN(len(list))]))
 			return nil
 		},
 		"doubled in itself": func(t *testing.T, fs fsys.FS, rng *rand.Rand) []string {
 			list := segmentsOf(t, fs)
 			name := list[rng.IntN(len(list))]
-			was := read(t, fs, name)
-			write(t, fs, name, slices.Concat(was, was))
+			content := read(t, fs, name)
+			write(t, fs, name, slices.Concat(content, content))
 			return nil
 		},
 		"bit flipped": func(t *testing.T, fs fsys.FS, rng *rand.Rand) []string {
 			list := segmentsOf(t, fs)
 			name := list[rng.IntN(len(list))]
-			was := read(t, fs, name)
-			was[rng.IntN(len(was))] ^= 1 << rng.IntN(8)
-			write(t, fs, name, was)
+			content := read(t, fs, name)
+			content[rng.IntN(len(content))] ^= 1 << rng.IntN(8)
+			write(t, fs, name, content)
 			return []string{name}
 		},
 	}
-	for name, f := range spoil {
+	for name, f := range damages {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(25) {
-				mem, m := worked(t, SyncNever, seed)
-				hurt := map[uint64]bool{} // keys with a record, or their end, in a spoilt file
+				mem, m := dirAfterWorkload(t, SyncNever, seed)
+				damaged := map[uint64]bool{} // keys with a record or tombstone in a damaged file
 				rng := rand.New(rand.NewPCG(seed, 17))
 				before := fsys.NewMem()
 				for _, n := range segmentsOf(t, mem) {
 					write(t, before, n, read(t, mem, n))
 				}
 				for _, n := range f(t, mem, rng) {
-					number := max(first(number(n, segPrefix)), first(number(n, outPrefix)))
+					number := max(first(parseSegmentName(n, segmentPrefix)), first(parseSegmentName(n, outputPrefix)))
 					file, err := before.Open(n)
 					if err != nil {
 						t.Fatal(err)
 					}
-					if _, _, _, err := scanFile(file, n, number, 0, func(_ kind, _, key uint64, _ []byte, _, _ int64) { hurt[key] = true }); err != nil {
+					if _, _, _, err := scanSegment(file, n, number, 0, func(_ recordKind, _, key uint64, _ []byte, _, _ int64) { damaged[key] = true }); err != nil {
 						t.Fatal(err)
 					}
 				}
-				var told []string
+				var reported []string
 				reads := 0
 				faults := &fsys.FaultFS{FS: mem}
 				faults.Set(func(op fsys.Op, _ string, n int) (int, error) {
@@ -223,28 +227,28 @@
 					return n, nil
 				})
 				o := options(faults, SyncNever)
-				o.Report = func(line string) { told = append(told, line) }
+				o.Report = func(line string) { reported = append(reported, line) }
 				s, got := open(t, o)
 				for key, list := range got {
 					switch {
-					case !hurt[key] && !slices.Equal(list, m.keys[key]):
+					case !damaged[key] && !slices.Equal(list, m.keys[key]):
 						t.Fatalf("seed %d: key %d has %d records, %d wanted", seed, key, len(list), len(m.keys[key]))
-					case hurt[key] && !m.ended[key] && !subset(list, m.keys[key]):
-						t.Fatalf("seed %d: key %d has what was never written", seed, key)
+					case damaged[key] && !m.deleted[key] && !subset(list, m.keys[key]):
+						t.Fatalf("seed %d: key %d has records that were never written", seed, key)
 					}
 				}
 				for key, list := range m.keys {
-					if !hurt[key] && !slices.Equal(list, got[key]) {
-						t.Fatalf("seed %d: key %d is lost, and was nowhere near", seed, key)
+					if !damaged[key] && !slices.Equal(list, got[key]) {
+						t.Fatalf("seed %d: key %d is lost, but was not damaged", seed, key)
 					}
 				}
-				if len(told) == 0 && name != "cut" && name != "bit flipped" { // a cut behind a record takes nothing that can be missed
-					t.Errorf("seed %d: nothing told", seed)
+				if len(reported) == 0 && name != "cut" && name != "bit flipped" { // truncation after a record, or in unused bytes, loses nothing that could be missed
+					t.Errorf("seed %d: nothing reported", seed)
 				}
 				if most := 6*(256<<10) + 4*int(used(t, mem)); reads > most {
 					t.Errorf("%d bytes read for %d on disk", reads, used(t, mem))
 				}
-				for range 40 { // and it goes on
+				for range 40 { // the store must remain usable
 					key := s.LastKey() + 1
 					if _, err := s.Put(key, []byte("new"), 10); err != nil && !errors.Is(err, ErrFull) {
 						t.Fatal(err)
@@ -261,7 +265,7 @@
 
 func first(n uint64, _ bool) uint64 { return n }
 
-// While a sync is out appends go on, and all that wait for the next one share it.
+// Guards against appends that block during a sync, and against commits that each do a sync of their own.
 func TestGroupCommit(t *testing.T) {
 	const n = 50
 	faults := &fsys.FaultFS{FS: fsys.NewMem()}
@@ -283,7 +287,7 @@
 	go func() { errs <- s.Commit(first) }()
 	<-began
 	var last uint64
-	for key := uint64(2); key <= n; key++ { // with the sync held up
+	for key := uint64(2); key <= n; key++ { // while the sync is blocked
 		if last, err = s.Put(key, []byte("x"), 10); err != nil {
 			t.Fatal(err)
 		}
@@ -301,13 +305,13 @@
 		}
 	}
 	if syncs := s.Stats().Syncs - before; syncs != 2 || s.DurableSequence() < last {
-		t.Errorf("%d syncs for %d that waited; durable to %d of %d", syncs, n, s.DurableSequence(), last)
+		t.Errorf("%d syncs for %d commits; durable up to %d of %d", syncs, n, s.DurableSequence(), last)
 	}
 }
 
-// What was not durable when a sync failed is not found by the next start either, though the process alone ended: nobody was
-// promised it. What was durable is.
-func TestFailedSyncTakesBack(t *testing.T) {
+// Guards against records that the next open finds although their commit has failed, even if only the process ended.
+// What was durable before must be found.
+func TestFailedSyncTruncates(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 6))
 		mem := fsys.NewMem()
@@ -315,7 +319,7 @@
 		s, _ := open(t, options(faults, SyncBatch))
 		m := newModel()
 		for range 40 {
-			m.operate(t, s, rng, nothing)
+			m.operate(t, s, rng, noCallback)
 		}
 		if err := s.Commit(1 << 60); err != nil {
 			t.Fatal(err)
@@ -346,7 +350,7 @@
 			continue
 		}
 		if _, err := s.Compact(nil); !errors.Is(err, ErrFailed) {
-			t.Errorf("seed %d: a compaction went on: %v", seed, err)
+			t.Errorf("seed %d: compaction after a failed sync: %v", seed, err)
 		}
 		for _, loss := range []fsys.Loss{fsys.LoseNothing, fsys.LoseUnsynced} {
 			if _, got := open(t, options(mem.Crash(loss, rng), SyncBatch)); !cmp.Equal(durable, got) {
@@ -356,7 +360,7 @@
 	}
 }
 
-// Where files may not grow to a segment's size, segments stay smaller, and nothing is refused for it.
+// Guards against refusals where the file size limit is below the segment size: segments must stay smaller instead.
 func TestFilesOfLimitedSize(t *testing.T) {
 	const most = testSegment / 2
 	mem := fsys.NewMem()
--- a/internal/routing/wal/store/room_test.go
+++ b/internal/routing/wal/store/free_space_test.go
@@ -8,7 +8,7 @@
 	"mulleinbeam/internal/routing/wal/fsys"
 )
 
-// fill puts keys until there is no room, and ends some of them; it gives how many were put.
+// fill puts keys until the store is full and deletes some of them. It returns the number of keys put.
 func fill(t *testing.T, s *Store, rng *rand.Rand) (puts uint64) {
 	t.Helper()
 	for s.Fits(1000, 64) {
@@ -27,8 +27,9 @@
 	return puts
 }
 
-// Guards against room that was told to be there and is gone at the next call because a compaction has gone on in between.
-func TestACompactionNeverLowersTheFreeRoom(t *testing.T) {
+// Guards against free space that was reported and is gone at the next call because a compaction has proceeded in
+// between.
+func TestCompactionNeverLowersFreeSpace(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 11))
 		faults := &fsys.FaultFS{FS: fsys.NewMem()}
@@ -41,8 +42,8 @@
 			if now.Free < free {
 				t.Errorf("seed %d: %d bytes free at %s of %s, %d before", seed, now.Free, op, name, free)
 			}
-			if taken := used(t, faults.FS); taken > options(nil, SyncNever).MaxBytes {
-				t.Errorf("seed %d: %d bytes on the disk at %s of %s", seed, taken, op, name)
+			if size := used(t, faults.FS); size > options(nil, SyncNever).MaxBytes {
+				t.Errorf("seed %d: %d bytes on the disk at %s of %s", seed, size, op, name)
 			}
 			free = max(free, now.Free)
 			if failing && op != fsys.OpRemove && op != fsys.OpRead && rng.IntN(4) == 0 {
@@ -53,7 +54,7 @@
 		for range 20 {
 			_, _ = s.Compact(nil)
 			if now := s.Stats().Free; now < free {
-				t.Errorf("seed %d: %d bytes free behind a compaction, %d before", seed, now, free)
+				t.Errorf("seed %d: %d bytes free after a compaction, %d before", seed, now, free)
 			}
 		}
 		if s.Stats().Compactions == 0 && !failing {
@@ -62,8 +63,9 @@
 	}
 }
 
-// Guards against an output that passes the bound because the file that an earlier one has replaced cannot be removed.
-func TestFilesThatCannotBeRemovedStayWithinTheBound(t *testing.T) {
+// Guards against a compaction output that exceeds the limit because the file that an earlier compaction replaced
+// cannot be removed.
+func TestUnremovableFilesStayWithinLimit(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 12))
 		mem := fsys.NewMem()
@@ -71,13 +73,13 @@
 		s, _ := open(t, options(faults, SyncNever))
 		next := fill(t, s, rng)
 		check := func(when string) {
-			if taken := used(t, mem); taken > options(nil, SyncNever).MaxBytes {
-				t.Fatalf("seed %d: %d bytes on the disk %s", seed, taken, when)
+			if size := used(t, mem); size > options(nil, SyncNever).MaxBytes {
+				t.Fatalf("seed %d: %d bytes on the disk %s", seed, size, when)
 			}
 		}
 		faults.Set(func(op fsys.Op, name string, n int) (int, error) {
 			check("before a " + string(op))
-			if op == fsys.OpRemove && name != manifestIn {
+			if op == fsys.OpRemove && name != manifestTemp {
 				return 0, syscall.EIO
 			}
 			return n, nil
@@ -87,7 +89,7 @@
 				t.Fatal(err)
 			}
 			_, _ = s.Delete(key)
-			check("behind an end")
+			check("after a delete")
 		}
 		faults.Set(nil)
 		for range 100 {
@@ -95,13 +97,13 @@
 			_, _ = s.Compact(nil)
 		}
 		if !s.Fits(1000, 64) {
-			t.Fatalf("seed %d: no room though all has ended: %+v", seed, s.Stats())
+			t.Fatalf("seed %d: no space although all keys are deleted: %+v", seed, s.Stats())
 		}
 	}
 }
 
-// Guards against reserved room that others get, that is not given back, or that is gone with a failing disk.
-func TestReservedRoomIsThere(t *testing.T) {
+// Guards against reserved space that other keys use, that is never returned, or that is lost after a disk failure.
+func TestReservedSpaceIsAvailable(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 15))
 		mem := fsys.NewMem()
@@ -109,7 +111,7 @@
 		s, _ := open(t, options(faults, SyncNever))
 		next := fill(t, s, rng)
 		faults.Set(func(op fsys.Op, name string, n int) (int, error) {
-			if op == fsys.OpRemove && name != manifestIn && seed%2 == 0 {
+			if op == fsys.OpRemove && name != manifestTemp && seed%2 == 0 {
 				return 0, syscall.EIO
 			}
 			return n, nil
@@ -118,11 +120,11 @@
 		given, fits := s.Reserve(100, 64)
 		kept, both := s.Reserve(1000, 64)
 		if !fits || !both {
-			t.Fatalf("seed %d: no room in a store with %d bytes free", seed, before)
+			t.Fatalf("seed %d: no space in a store with %d bytes free", seed, before)
 		}
 		given.Release()
 		given.Release()
-		for refused := 0; refused < 20; { // others take all there is
+		for refused := 0; refused < 20; { // other keys use all remaining space
 			if next++; rng.IntN(3) == 0 {
 				_, _ = s.Compact(nil)
 			}
@@ -135,11 +137,11 @@
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		kept.Release()
-		if s.reserved != 0 {
-			t.Errorf("seed %d: %d bytes stay reserved", seed, s.reserved)
+		if s.reservedForPuts != 0 {
+			t.Errorf("seed %d: %d bytes stay reserved", seed, s.reservedForPuts)
 		}
-		if taken := used(t, mem); taken > options(nil, SyncNever).MaxBytes {
-			t.Errorf("seed %d: %d bytes on the disk", seed, taken)
+		if size := used(t, mem); size > options(nil, SyncNever).MaxBytes {
+			t.Errorf("seed %d: %d bytes on the disk", seed, size)
 		}
 	}
 }
--- a/internal/routing/wal/store/inspect.go
+++ b/internal/routing/wal/store/inspect.go
@@ -10,135 +10,137 @@
 	"mulleinbeam/internal/routing/wal/segment"
 )
 
-// scanFile reads a segment: each record in order, and a line for whatever can't be read. A later version, or a read that
-// fails, is an error; a file that is no segment of the store is a finding. store 0 stands for any.
-func scanFile(f fsys.File, name string, number, store uint64,
-	each func(k kind, num, key uint64, data []byte, offset, size int64)) (head segment.Header, size int64, findings []string, err error) {
+// scanSegment passes each record of a segment to visit, in order, and returns a line for each part that is unreadable.
+// A later format version, or a failed read, is an error; a file that is not a segment of the store is a finding. A
+// storeID of 0 matches any store.
+func scanSegment(f fsys.File, name string, number, storeID uint64,
+	visit func(kind recordKind, sequence, key uint64, data []byte, offset, size int64)) (header segment.Header, size int64, findings []string, err error) {
 	if size, err = f.Size(); err != nil {
-		return head, 0, nil, fmt.Errorf("store: size: %w", err)
+		return header, 0, nil, fmt.Errorf("store: size: %w", err)
 	}
-	sc, err := segment.NewScanner(io.NewSectionReader(f, 0, size))
+	scanner, err := segment.NewScanner(io.NewSectionReader(f, 0, size))
 	switch {
 	case errors.Is(err, segment.ErrNotSegment):
-		if size > 0 { // of an empty one nothing was promised: the process ended between its create and its head
+		if size > 0 { // an empty file holds no committed record: the process ended between creating it and writing its header
 			findings = append(findings, fmt.Sprintf("segment %s: %v; %d bytes passed over", name, err, size))
 		}
-		return head, size, findings, nil
+		return header, size, findings, nil
 	case err != nil:
-		return head, size, nil, fmt.Errorf("store: %s: %w", name, err)
-	case sc.Header().Number != number || store != 0 && sc.Header().StoreID != store:
-		return head, size, []string{fmt.Sprintf("segment %s belongs elsewhere; %d bytes passed over", name, size)}, nil
+		return header, size, nil, fmt.Errorf("store: %s: %w", name, err)
+	case scanner.Header().Number != number || storeID != 0 && scanner.Header().StoreID != storeID:
+		return header, size, []string{fmt.Sprintf("segment %s belongs to another store or segment; %d bytes passed over", name, size)}, nil
 	}
-	for rec, ok := sc.Next(); ok; rec, ok = sc.Next() {
-		k, num, key, data, err := decode(rec.Payload)
+	for rec, ok := scanner.Next(); ok; rec, ok = scanner.Next() {
+		kind, sequence, key, data, err := decodeRecord(rec.Payload)
 		if err != nil {
 			findings = append(findings, fmt.Sprintf("segment %s: record at %d has no known form, passed over", name, rec.Offset))
 			continue
 		}
-		each(k, num, key, data, rec.Offset, segment.RecordSize(len(rec.Payload)))
+		visit(kind, sequence, key, data, rec.Offset, segment.RecordSize(len(rec.Payload)))
 	}
-	if err := sc.Err(); err != nil {
-		return head, size, findings, fmt.Errorf("store: %s: %w", name, err)
+	if err := scanner.Err(); err != nil {
+		return header, size, findings, fmt.Errorf("store: %s: %w", name, err)
 	}
-	for _, finding := range sc.Findings() {
+	for _, finding := range scanner.Findings() {
 		findings = append(findings, fmt.Sprintf("segment %s: %v passed over", name, finding))
 	}
-	return sc.Header(), size, findings, nil
+	return scanner.Header(), size, findings, nil
 }
 
-// SegmentInfo tells of one segment.
+// SegmentInfo describes a segment.
 type SegmentInfo struct {
-	Name    string `json:"name"`
-	Referenced  bool   `json:"counts"` // by the manifest; else it goes at the next start
-	Bytes   int64  `json:"bytes"`
-	Records int    `json:"records"`
-	LiveBytes    int64  `json:"live"` // bytes of living keys' records
+	Name       string `json:"name"`
+	Referenced bool   `json:"counts"` // in use according to the manifest; otherwise the next open removes it
+	Bytes      int64  `json:"bytes"`
+	Records    int    `json:"records"`
+	LiveBytes  int64  `json:"live"` // of records of live keys
 }
 
-// Inspection is what a look at a store's folder finds, without changing anything.
+// Inspection is the result of inspecting a store's directory.
 type Inspection struct {
 	Segments []SegmentInfo `json:"segments"`
-	LiveKeys   int           `json:"living"`  // keys
-	Records  int           `json:"records"` // of all segments that count
-	Bytes    int64         `json:"bytes"`   // of all files, in whole blocks
+	LiveKeys int           `json:"living"`
+	Records  int           `json:"records"` // in segments that are in use
+	Bytes    int64         `json:"bytes"`   // size of all files, in whole blocks
 	Findings []string      `json:"findings"`
 }
 
-// Inspect looks at a store, which may be open elsewhere and go on meanwhile: what it changes during the look may be seen
-// before or after. Living keys' records go to visit, unless that is nil, in their order.
-func Inspect(f fsys.FS, visit func(Record)) (Inspection, error) {
-	names, err := f.List()
+// Inspect reads a store's directory without changing anything. The store may be open in another process; a concurrent
+// change may be seen before or after it. The records of live keys are passed to visit in sequence order, unless visit
+// is nil.
+func Inspect(dir fsys.FS, visit func(Record)) (Inspection, error) {
+	names, err := dir.List()
 	if err != nil {
 		return Inspection{}, fmt.Errorf("store: list: %w", err)
 	}
-	s := &Store{o: Options{FS: f}, next: 1, files: map[uint64]*file{}}
+	s := &Store{options: Options{FS: dir}, nextSegment: 1, segments: map[uint64]*segmentFile{}}
 	defer s.closeFiles()
 	listed, err := s.readManifest(names)
 	if err != nil {
 		return Inspection{}, err
 	}
-	in := Inspection{}
+	inspection := Inspection{}
 	for name := range listed {
 		if !slices.Contains(names, name) {
-			in.Findings = append(in.Findings, fmt.Sprintf("segment %s is missing", name))
+			inspection.Findings = append(inspection.Findings, fmt.Sprintf("segment %s is missing", name))
 		}
 	}
-	var runs [][]item
-	ends := map[uint64]bool{}
+	var runs [][]recordRef
+	deleted := map[uint64]bool{}
 	for _, name := range names {
-		n, seg := number(name, segPrefix)
-		m, out := number(name, outPrefix)
-		g := &file{number: max(n, m), name: name}
-		if g.f, err = f.Open(name); err != nil {
-			continue // gone during the look: what was in it is in another
+		number, isSegment := parseSegmentName(name, segmentPrefix)
+		outputNumber, isOutput := parseSegmentName(name, outputPrefix)
+		seg := &segmentFile{number: max(number, outputNumber), name: name}
+		if seg.file, err = dir.Open(name); err != nil {
+			continue // removed meanwhile: its records are in another segment
 		}
-		size, _ := g.f.Size()
-		in.Bytes += blocks(size)
-		if !seg && !out {
-			_ = g.f.Close()
+		size, _ := seg.file.Size()
+		inspection.Bytes += roundToBlocks(size)
+		if !isSegment && !isOutput {
+			_ = seg.file.Close()
 			continue
 		}
-		s.files[g.number] = g // kept open, so that it can be read to the end though it goes
-		var items []item
-		info := SegmentInfo{Name: name, Referenced: listed[name] || seg && n >= s.next}
-		head, size, findings, err := scanFile(g.f, name, g.number, s.head, func(k kind, num, key uint64, _ []byte, at, size int64) {
-			if info.Records++; k == kindEnd {
-				ends[key] = true
+		s.segments[seg.number] = seg // kept open, so that it can be read to its end even if it is removed
+		var refs []recordRef
+		info := SegmentInfo{Name: name, Referenced: listed[name] || isSegment && number >= s.nextSegment}
+		header, size, findings, err := scanSegment(seg.file, name, seg.number, s.storeID, func(kind recordKind, sequence, key uint64, _ []byte, offset, size int64) {
+			if info.Records++; kind == kindTombstone {
+				deleted[key] = true
 			} else {
-				items = append(items, item{key, num, g, uint32(at), uint32(size)})
+				refs = append(refs, recordRef{key, sequence, seg, uint32(offset), uint32(size)})
 			}
 		})
 		if err != nil {
-			return in, err
+			return inspection, err
 		}
-		if len(items) > 0 {
-			runs = append(runs, items)
+		if len(refs) > 0 {
+			runs = append(runs, refs)
 		}
-		if s.head == 0 { // no manifest yet
-			s.head = head.StoreID
+		if s.storeID == 0 { // there is no manifest
+			s.storeID = header.StoreID
 		}
-		g.size = size
+		seg.size = size
 		if info.Bytes = size; info.Referenced {
-			in.Findings = append(in.Findings, findings...)
-			in.Records += info.Records
+			inspection.Findings = append(inspection.Findings, findings...)
+			inspection.Records += info.Records
 		}
-		in.Segments = append(in.Segments, info)
+		inspection.Segments = append(inspection.Segments, info)
 	}
-	return in, s.inspectLiving(&in, runs, ends, visit)
+	return inspection, s.inspectLive(&inspection, runs, deleted, visit)
 }
 
-// inspectLiving tells of the keys that live, and gives their records out.
-func (s *Store) inspectLiving(in *Inspection, runs [][]item, ends map[uint64]bool, visit func(Record)) error {
-	at := map[string]*SegmentInfo{}
-	for i := range in.Segments {
-		at[in.Segments[i].Name] = &in.Segments[i]
+// inspectLive counts the live keys and passes their records to visit.
+func (s *Store) inspectLive(inspection *Inspection, runs [][]recordRef, deleted map[uint64]bool, visit func(Record)) error {
+	segments := map[string]*SegmentInfo{}
+	for i := range inspection.Segments {
+		segments[inspection.Segments[i].Name] = &inspection.Segments[i]
 	}
-	living := map[uint64]bool{}
-	items := slices.DeleteFunc(inOrder(runs), func(it item) bool { return ends[it.key] })
-	for _, it := range items {
-		living[it.key] = true
-		at[it.seg.name].LiveBytes += int64(it.size)
+	liveKeys := map[uint64]bool{}
+	refs := slices.DeleteFunc(sortBySequence(runs), func(ref recordRef) bool { return deleted[ref.key] })
+	for _, ref := range refs {
+		liveKeys[ref.key] = true
+		segments[ref.segment.name].LiveBytes += int64(ref.size)
 	}
-	in.LiveKeys = len(living)
-	return s.give(items, visit)
+	inspection.LiveKeys = len(liveKeys)
+	return s.visitRecords(refs, visit)
 }
--- a/internal/routing/wal/store/manifest.go
+++ b/internal/routing/wal/store/manifest.go
@@ -11,38 +11,39 @@
 	"mulleinbeam/internal/routing/wal/segment"
 )
 
-// The manifest: which segments count.
+// The manifest lists the segments in use.
 
-const manifestMark = "larkreach journal manifest 1\n"
+const manifestMagic = "larkreach journal manifest 1\n"
 
-// readManifest reads which segments count. Without one all that are there do: the store is new, or its making was cut
-// short. Where it can't be read, nil says that all count which are there, outputs too: what is in two of them is the same record,
-// and a key whose end went with a compaction comes back with its own records, which say that it may have run.
+// readManifest returns the names of the segments in use. Without a manifest this is empty, and all segments are in
+// use: the store is new, or its creation was interrupted. If the manifest is unreadable the result is nil, and all
+// existing segments and outputs are in use: a record that is in two of them is the same record, and a key whose
+// tombstone was removed by a compaction reappears with its own records, which mark the message as may-have-run.
 func (s *Store) readManifest(names []string) (map[string]bool, error) {
-	if !slices.Contains(names, manifest) {
+	if !slices.Contains(names, manifestName) {
 		return map[string]bool{}, nil
 	}
-	f, err := s.o.FS.Open(manifest)
+	f, err := s.options.FS.Open(manifestName)
 	if err != nil {
 		return nil, fmt.Errorf("store: manifest: %w", err)
 	}
 	defer f.Close()
-	raw, err := io.ReadAll(io.NewSectionReader(f, 0, mostPaper))
+	raw, err := io.ReadAll(io.NewSectionReader(f, 0, maxManifestSize))
 	if err != nil {
 		return nil, fmt.Errorf("store: manifest: %w", err)
 	}
 	damaged := func(err error) (map[string]bool, error) {
-		s.next, s.record, s.lastKey = 1, 1, 0
-		s.o.Report(fmt.Sprintf("journal: manifest: %v; all segments that are there count", err))
+		s.nextSegment, s.nextSequence, s.lastKey = 1, 1, 0
+		s.options.Report(fmt.Sprintf("journal: manifest: %v; all existing segments are used", err))
 		return nil, nil
 	}
-	sc, err := segment.NewScanner(strings.NewReader(string(raw)))
+	scanner, err := segment.NewScanner(strings.NewReader(string(raw)))
 	if err != nil {
 		return damaged(err)
 	}
-	rec, ok := sc.Next()
-	text, marked := strings.CutPrefix(string(rec.Payload), manifestMark)
-	if !ok || !marked {
+	record, ok := scanner.Next()
+	text, hasMagic := strings.CutPrefix(string(record.Payload), manifestMagic)
+	if !ok || !hasMagic {
 		return damaged(segment.ErrNotSegment)
 	}
 	listed := map[string]bool{}
@@ -51,41 +52,41 @@
 			listed[line] = true
 			continue
 		}
-		if _, err := fmt.Sscanf(line, "next %d record %d key %d", &s.next, &s.record, &s.lastKey); err != nil {
+		if _, err := fmt.Sscanf(line, "next %d record %d key %d", &s.nextSegment, &s.nextSequence, &s.lastKey); err != nil {
 			return damaged(err)
 		}
 	}
-	s.head = sc.Header().StoreID
+	s.storeID = scanner.Header().StoreID
 	return listed, nil
 }
 
-// manifestBytes is a manifest that lists the present segments; s.mu is held, or nobody else is there yet.
-func (s *Store) manifestBytes() []byte {
-	text := []byte(manifestMark)
-	text = fmt.Appendf(text, "next %d record %d key %d\n", s.next, s.record, s.lastKey)
-	for _, g := range s.ordered() {
-		text = fmt.Appendf(text, "%s\n", g.name)
+// encodeManifest returns a manifest that lists the present segments; s.mu is held, or the store is not shared yet.
+func (s *Store) encodeManifest() []byte {
+	text := []byte(manifestMagic)
+	text = fmt.Appendf(text, "next %d record %d key %d\n", s.nextSegment, s.nextSequence, s.lastKey)
+	for _, seg := range s.sortedSegments() {
+		text = fmt.Appendf(text, "%s\n", seg.name)
 	}
 	return text
 }
 
-// replaceManifest replaces the manifest whole.
+// replaceManifest replaces the manifest as a whole.
 func (s *Store) replaceManifest(text []byte) error {
-	h := segment.Header{StoreID: s.head}
-	b := segment.AppendHeader(nil, h)
-	b, err := segment.Append(b, h, int64(len(b)), text)
+	header := segment.Header{StoreID: s.storeID}
+	b := segment.AppendHeader(nil, header)
+	b, err := segment.Append(b, header, int64(len(b)), text)
 	if err != nil {
 		return fmt.Errorf("store: manifest: %w", err)
 	}
-	there, err := fsys.Replace(s.o.FS, manifest, b, s.o.Durability != SyncNever)
+	replaced, err := fsys.Replace(s.options.FS, manifestName, b, s.options.Durability != SyncNever)
 	switch {
-	case err != nil && there:
-		return fmt.Errorf("store: manifest: %w: %w", errUncertain, err)
+	case err != nil && replaced:
+		return fmt.Errorf("store: manifest: %w: %w", errManifestUncertain, err)
 	case err != nil:
 		return fmt.Errorf("store: manifest: %w", err)
 	}
 	return nil
 }
 
-// errUncertain says that either manifest may be found by the next start.
-var errUncertain = errors.New("replaced, and perhaps not for good")
+// errManifestUncertain means that the next open may read either the old or the new manifest.
+var errManifestUncertain = errors.New("replacement may not be durable")
--- a/internal/routing/wal/store/hidden_test.go
+++ b/internal/routing/wal/store/partial_write_test.go
@@ -7,12 +7,12 @@
 	"mulleinbeam/internal/routing/wal/fsys"
 )
 
-// Guards against records that no start can read, since they stand behind the part of a failed write that the write did not tell of
-// (incident 10321). The write's clean-up may fail as well.
-func TestWhatAFailedWriteHidesIsTakenBack(t *testing.T) {
+// Guards against records that an open cannot read because they follow a partial record. A failed write may leave a
+// part that it does not report (incident 10321), and truncating it may fail as well.
+func TestPartialWriteIsTruncated(t *testing.T) {
 	for name, truncates := range map[string]bool{"truncate works": true, "truncate fails": false} {
-		folder := fsys.NewMem()
-		faults := &fsys.FaultFS{FS: folder, HidePartialWrites: true}
+		dir := fsys.NewMem()
+		faults := &fsys.FaultFS{FS: dir, HidePartialWrites: true}
 		s, _ := open(t, options(faults, SyncNever))
 		if _, err := s.Put(1, []byte("before"), 64); err != nil {
 			t.Fatal(err)
@@ -27,7 +27,7 @@
 			return n, nil
 		})
 		if _, err := s.Put(2, []byte("fails"), 64); err == nil {
-			t.Fatal("a failed write was taken for one that worked")
+			t.Fatal("a failed write returned no error")
 		}
 		faults.Set(nil)
 		for key := uint64(3); key < 6; key++ {
@@ -35,9 +35,9 @@
 				t.Fatal(err)
 			}
 		}
-		_, got := open(t, options(folder, SyncNever)) // as after a kill
+		_, got := open(t, options(dir, SyncNever)) // as after a kill
 		if len(got) != 4 || got[2] != nil || len(got[5]) != 1 {
-			t.Errorf("%s: a start finds %v", name, got)
+			t.Errorf("%s: the next open finds %v", name, got)
 		}
 	}
 }
--- a/internal/routing/wal/store/reservation.go
+++ b/internal/routing/wal/store/reservation.go
@@ -2,29 +2,32 @@
 
 import "mulleinbeam/internal/routing/wal/segment"
 
-// Reservation is room for a key that is to be put; nobody else gets it meanwhile. The zero value and nil are none.
+// Reservation is space reserved for a key that is to be put. The zero value and nil reserve nothing.
 type Reservation struct {
 	store *Store
 	bytes int64
 }
 
-// room is what a key takes, with a first payload of so many bytes and owed bytes for all that will follow.
-func room(payload int, owed int64) int64 { return segment.RecordSize(payload+mostFixed) + owed + MaxTombstoneSize }
+// requiredBytes returns the space that a key takes, with a first payload of so many bytes and so many bytes reserved
+// for later records.
+func requiredBytes(payload int, reserve int64) int64 {
+	return segment.RecordSize(payload+maxRecordPrefix) + reserve + MaxTombstoneSize
+}
 
-// Reserve sets room aside for a key, as Put would take it; false says that there is none now. It is given back by Release, unless a Put
-// has used it.
-func (s *Store) Reserve(payload int, owed int64) (*Reservation, bool) {
+// Reserve reserves the space that Put would need for a key. It returns false if there is no space now. The space is
+// returned by Release, unless PutReserved has used it.
+func (s *Store) Reserve(payload int, reserve int64) (*Reservation, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.fits(payload, owed) {
+	if !s.fits(payload, reserve) {
 		return nil, false
 	}
-	r := &Reservation{store: s, bytes: room(payload, owed)}
-	s.reserved += r.bytes
+	r := &Reservation{store: s, bytes: requiredBytes(payload, reserve)}
+	s.reservedForPuts += r.bytes
 	return r, true
 }
 
-// Release gives the room back, if it was not used.
+// Release returns the reserved space, unless it was used.
 func (r *Reservation) Release() {
 	if r == nil || r.store == nil {
 		return
@@ -34,13 +37,13 @@
 	r.release()
 }
 
-// release gives the room back; the store's mu is held.
+// release returns the reserved space; the store's mu is held.
 func (r *Reservation) release() {
-	r.store.reserved -= r.bytes
+	r.store.reservedForPuts -= r.bytes
 	r.bytes = 0
 }
 
-// covers says whether a key can be put into the room; the store's mu is held.
-func (r *Reservation) covers(s *Store, payload int, owed int64) bool {
-	return r != nil && r.store == s && r.bytes >= room(payload, owed)
+// covers reports whether the reservation is large enough for a key; the store's mu is held.
+func (r *Reservation) covers(s *Store, payload int, reserve int64) bool {
+	return r != nil && r.store == s && r.bytes >= requiredBytes(payload, reserve)
 }
--- a/internal/routing/wal/store/store.go
+++ b/internal/routing/wal/store/store.go
@@ -1,10 +1,10 @@
-// Package store keeps records of many keys in segments on disk: appended to an active one, and compacted out of sealed
-// ones beside that. A key lives from its first record to its end; what is asked of the store is that a living key's
-// records are all there at the next start, in their order, and that an ended key stays ended.
+// Package store is a log-structured store of records of many keys. Records are appended to the active segment, and
+// sealed segments are compacted concurrently. A key is live from its first record until its tombstone is written. The
+// next open returns all records of each live key, in their order, and a deleted key stays deleted.
 //
-// Records are copied as they are by a compaction, with the number that orders them, so that a copy beside its original
-// changes nothing. A small manifest says which segments count; it is replaced whole, and a file goes only when the
-// manifest without it lasts.
+// Compaction copies records unchanged, with their sequence numbers, so a copy next to its original has no effect. A
+// small manifest lists the segments in use. It is replaced as a whole, and a segment is removed only once a manifest
+// without it is durable.
 package store
 
 import (
@@ -24,165 +24,166 @@
 	"mulleinbeam/internal/routing/wal/segment"
 )
 
-// Durability says what an append that has returned, or been committed, outlasts.
+// Durability states what a record survives once its append, or its commit, has returned.
 type Durability int
 
-// The durabilities.
+// The levels of durability.
 const (
-	SyncNever Durability = iota // the process's end: nothing is synced
-	SyncBatch                     // the machine's end, once Commit has returned
-	SyncEach                      // the machine's end, once the append has returned
+	SyncNever Durability = iota // the end of the process; nothing is synced
+	SyncBatch                   // a crash of the machine, once Commit has returned
+	SyncEach                    // a crash of the machine, once the append has returned
 )
 
-// Options are what a store is opened with.
+// Options configures a store.
 type Options struct {
-	FS         fsys.FS
-	MaxBytes      int64 // bytes of all files together, each in whole blocks
-	SegmentBytes    int64 // size at which a segment is sealed
-	Durability Durability
-	OtherBytes      int64        // bytes set aside for files that are not the store's
-	SpareBytes      int64        // bytes that new keys leave to the further records of those that live
-	Seed       uint64       // draws the store's number, if there is none yet
-	Report     func(string) // told of what was damaged or cut off
+	FS           fsys.FS
+	MaxBytes     int64 // total size of all files, each in whole blocks
+	SegmentBytes int64 // size at which a segment is sealed
+	Durability   Durability
+	OtherBytes   int64        // reserved for files that are not the store's
+	SpareBytes   int64        // not available to new keys, for further records of live keys
+	Seed         uint64       // seed of the store's ID, if the store is new
+	Report       func(string) // receives a line for each damaged or truncated part; nil discards them
 }
 
-// Record is one of a key.
+// Record is a record of a key.
 type Record struct {
-	Key     uint64
-	Sequence  uint64 // orders the records of a store
-	Payload []byte // holds until the visit returns
+	Key      uint64
+	Sequence uint64 // position in the order of the store's records
+	Payload  []byte // valid until the visit returns
 }
 
-// The errors of a store. Those of the file system come wrapped.
+// Errors of a store. Those of the file system are wrapped.
 var (
-	ErrFull    = errors.New("store: no room")
+	ErrFull       = errors.New("store: no space")
 	ErrUnknownKey = errors.New("store: no such key")
-	ErrFailed  = errors.New("store: a write failed and could not be taken back")
-	ErrClosed  = errors.New("store: closed")
+	ErrFailed     = errors.New("store: unusable after a failed sync")
+	ErrClosed     = errors.New("store: closed")
 )
 
 const (
-	block      = 512
-	manifest   = "manifest"
-	manifestIn = manifest + fsys.NewSuffix
-	segPrefix  = "seg-"
-	outPrefix  = "out-"
-	mostFixed  = 1 + 2*binary.MaxVarintLen64 // in front of a payload: kind, number, key
-	mostPaper  = 64 << 10                    // of a manifest
+	blockSize       = 512
+	manifestName    = "manifest"
+	manifestTemp    = manifestName + fsys.NewSuffix
+	segmentPrefix   = "seg-"
+	outputPrefix    = "out-"
+	maxRecordPrefix = 1 + 2*binary.MaxVarintLen64 // kind, sequence and key in front of a payload
+	maxManifestSize = 64 << 10                    // limit on the size of a manifest
 )
 
-type kind byte
+type recordKind byte
 
 const (
-	kindData kind = iota + 1 // of a key that lives
-	kindEnd                  // ends its key
+	kindData      recordKind = iota + 1 // a record of a live key
+	kindTombstone                       // deletes its key
 )
 
-// blocks is a file's size as it counts.
-func blocks(n int64) int64 { return (n + block - 1) / block * block }
+// roundToBlocks returns the size that a file of n bytes is accounted for.
+func roundToBlocks(n int64) int64 { return (n + blockSize - 1) / blockSize * blockSize }
 
-// MaxTombstoneSize is what ending a key may take, at the most.
-const MaxTombstoneSize = segment.RecordHeaderSize + mostFixed
+// MaxTombstoneSize is the maximum size of a tombstone, the record that deletes a key.
+const MaxTombstoneSize = segment.RecordHeaderSize + maxRecordPrefix
 
-// place is where a record stands.
-type place struct {
-	seg    uint64
-	offset int64
-	size   int64
+// location is the position of a record.
+type location struct {
+	segment uint64
+	offset  int64
+	size    int64
 }
 
-// part is what a segment has of a key.
-type part struct {
-	seg   uint64
-	bytes int64
+// keySegment is the number of bytes that a segment holds of a key.
+type keySegment struct {
+	segment uint64
+	bytes   int64
 }
 
-// entry is what is known of a key: of a living one, and of an ended one as long as a segment has records that its end
-// must outlive.
+// entry is the index entry of a live key, or of a deleted key while segments hold records that its tombstone must
+// outlive.
 type entry struct {
-	parts []part
-	first place  // of a living one: its first record
-	owed  int64  // set aside for its records to come
-	ended bool   //
-	tomb  uint64 // the segment that has the end
-	size  int64  // the end's bytes
+	segments         []keySegment
+	first            location // first record of a live key
+	reserved         int64    // for later records of a live key, its tombstone included
+	deleted          bool
+	tombstoneSegment uint64 // segment that holds the tombstone
+	tombstoneSize    int64
 }
 
-// file is a segment that counts.
-type file struct {
-	number   uint64
-	name     string
-	size     int64
-	live     int64  // bytes of its records that are still needed
-	torn     int64  // bytes behind size that a failed write has left
-	sealed   uint64 // the record number at which it was sealed: its age, counted in records
-	synced   int64  // bytes that are durable, with a durability beyond the process's end
-	replaced bool   // its output counts in its place; it is about to be removed
-	users    int    // of f, beside the store's books
-	gone     bool   // from those; the last user closes f
-	f        fsys.File
+// segmentFile is a segment in use.
+type segmentFile struct {
+	number      uint64
+	name        string
+	size        int64
+	liveBytes   int64  // of records that are still needed
+	tornBytes   int64  // left after size by a failed write
+	sealedAt    uint64 // next sequence number when it was sealed; measures its age in records
+	syncedBytes int64  // durable bytes; maintained unless the durability is SyncNever
+	replaced    bool   // a compaction's output is in use instead; about to be removed
+	refs        int    // uses of the file by readers and syncs
+	dropped     bool   // no longer in the index; the last release closes the file
+	file        fsys.File
 }
 
-// leftover is a file that does not count and is still there.
-type leftover struct {
+// obsoleteFile is a file that is not in use but still exists.
+type obsoleteFile struct {
 	size  int64
-	state leftoverState
+	state obsoleteState
 }
 
-// leftoverState says what becomes of a leftover.
-type leftoverState int
+// obsoleteState tells what happens to an obsolete file.
+type obsoleteState int
 
 const (
-	removing leftoverState = iota // it is of a compaction that has just ended, and is about to be removed
-	stranded                      // it is not, or its removal has failed: it is tried again
-	kept                          // the next start may count it, so it stays
+	removalPending obsoleteState = iota // left by the compaction that has just ended, to be removed before the next one
+	removalOverdue                      // left by a failed create, or its removal has failed; the removal is retried
+	possiblyListed                      // the manifest that the next open reads may list it, so it is not removed
 )
 
-// Store is an open one. Its methods may be called from any goroutine; an append never waits for a compaction's input or
-// output, nor for a sync but its own.
+// Store is an open store. Its methods are safe for concurrent use. An append never waits for the I/O of a compaction,
+// nor for a sync other than its own.
 type Store struct {
-	o    Options
-	plan plan.Config
-
-	mu       sync.Mutex
-	head     uint64 // the store's number
-	files    map[uint64]*file
-	active   *file
-	next     uint64 // number of the next segment
-	record   uint64 // and of the next record
-	keys     map[uint64]*entry
-	owed     int64
-	reserved int64 // for keys that are to be put
-	victim   *file
-	written  int64 // by the compaction under way
-	refused  bool
-	failed   error
-	broken   chan struct{} // closed once only the next start can go on
-	closed   bool
-	buf      []byte
-	synced   uint64       // records up to this number are durable
-	names    bool         // files were made whose names are not durable
-	totals   *plan.Totals // of the sealed segments; nil is not worked out
-	compacts int
-	syncs    int
-	stuck    bool                // no compaction until the next start
-	leftover map[string]leftover // files that count no more and are still there, by name
-	lastKey  uint64
-
-	syncing sync.Mutex // held round a commit; taken before mu
+	options Options
+	planner plan.Config
+
+	mu                sync.Mutex
+	storeID           uint64
+	segments          map[uint64]*segmentFile
+	active            *segmentFile
+	nextSegment       uint64
+	nextSequence      uint64
+	keys              map[uint64]*entry
+	reservedForKeys   int64
+	reservedForPuts   int64 // by reservations, for keys that are not put yet
+	victim            *segmentFile
+	outputBytes       int64 // written by the running compaction
+	refused           bool
+	failure           error
+	broken            chan struct{} // closed once the store can continue only after it is opened again
+	closed            bool
+	buf               []byte
+	durable           uint64       // records up to this sequence number are durable
+	dirUnsynced       bool         // files were created whose directory entries are not durable
+	sealedTotals      *plan.Totals // of the sealed segments; nil if not computed
+	compactions       int
+	syncs             int
+	compactionBlocked bool                    // it is unknown which manifest the next open reads
+	obsolete          map[string]obsoleteFile // by name
+	lastKey           uint64
+
+	commitMu sync.Mutex // held during a commit; locked before mu
 }
 
-// Open reads a store, and gives each living key's records, in their order, to visit. A folder without one becomes one.
-func Open(o Options, visit func(Record)) (*Store, error) {
-	if o.Report == nil {
-		o.Report = func(string) {}
+// Open opens a store, creating it if the directory has none, and passes the records of live keys to visit in sequence
+// order.
+func Open(options Options, visit func(Record)) (*Store, error) {
+	if options.Report == nil {
+		options.Report = func(string) {}
 	}
 	s := &Store{
-		o: o, broken: make(chan struct{}), files: map[uint64]*file{}, keys: map[uint64]*entry{}, leftover: map[string]leftover{}, next: 1, record: 1,
-		plan: plan.Config{MaxBytes: o.MaxBytes - o.OtherBytes, SegmentBytes: o.SegmentBytes, BlockSize: block, HeaderSize: segment.HeaderSize},
+		options: options, broken: make(chan struct{}), segments: map[uint64]*segmentFile{}, keys: map[uint64]*entry{}, obsolete: map[string]obsoleteFile{}, nextSegment: 1, nextSequence: 1,
+		planner: plan.Config{MaxBytes: options.MaxBytes - options.OtherBytes, SegmentBytes: options.SegmentBytes, BlockSize: blockSize, HeaderSize: segment.HeaderSize},
 	}
-	if o.MaxBytes-o.OtherBytes < 4*(o.SegmentBytes+block) || o.SegmentBytes < segment.HeaderSize+MaxTombstoneSize {
-		return nil, fmt.Errorf("store: %d bytes are too few for segments of %d", o.MaxBytes-o.OtherBytes, o.SegmentBytes)
+	if options.MaxBytes-options.OtherBytes < 4*(options.SegmentBytes+blockSize) || options.SegmentBytes < segment.HeaderSize+MaxTombstoneSize {
+		return nil, fmt.Errorf("store: a limit of %d bytes is too small for segments of %d bytes", options.MaxBytes-options.OtherBytes, options.SegmentBytes)
 	}
 	if err := s.load(visit); err != nil {
 		s.closeFiles()
@@ -191,11 +192,11 @@
 	return s, nil
 }
 
-func segName(n uint64) string { return fmt.Sprintf("%s%016x", segPrefix, n) }
-func outName(n uint64) string { return fmt.Sprintf("%s%016x", outPrefix, n) }
+func segmentName(n uint64) string { return fmt.Sprintf("%s%016x", segmentPrefix, n) }
+func outputName(n uint64) string  { return fmt.Sprintf("%s%016x", outputPrefix, n) }
 
-// number reads a segment's file name.
-func number(name, prefix string) (uint64, bool) {
+// parseSegmentName returns the segment number in a file name.
+func parseSegmentName(name, prefix string) (uint64, bool) {
 	hex, ok := strings.CutPrefix(name, prefix)
 	if !ok || len(hex) != 16 {
 		return 0, false
@@ -204,9 +205,9 @@
 	return n, err == nil
 }
 
-// load finds the segments that count, removes the others, and reads them.
+// load finds the segments in use, removes other segment files, and reads those in use.
 func (s *Store) load(visit func(Record)) error {
-	names, err := s.o.FS.List()
+	names, err := s.options.FS.List()
 	if err != nil {
 		return fmt.Errorf("store: list: %w", err)
 	}
@@ -215,304 +216,308 @@
 		return err
 	}
 	for _, name := range names {
-		n, seg := number(name, segPrefix)
-		m, out := number(name, outPrefix)
+		number, isSegment := parseSegmentName(name, segmentPrefix)
+		outputNumber, isOutput := parseSegmentName(name, outputPrefix)
 		switch {
-		case seg && (listed[name] || n >= s.next), out && (listed[name] || listed == nil):
-			n = max(n, m)
-			s.files[n] = &file{number: n, name: name}
-		case seg, out, name == manifestIn: // replaced, or never finished
-			if err := s.o.FS.Remove(name); err != nil {
-				return fmt.Errorf("store: leftover: %w", err)
+		case isSegment && (listed[name] || number >= s.nextSegment), isOutput && (listed[name] || listed == nil):
+			number = max(number, outputNumber)
+			s.segments[number] = &segmentFile{number: number, name: name}
+		case isSegment, isOutput, name == manifestTemp: // replaced, or incomplete
+			if err := s.options.FS.Remove(name); err != nil {
+				return fmt.Errorf("store: remove obsolete file: %w", err)
 			}
 		}
 	}
 	for name := range listed {
 		if !slices.Contains(names, name) {
-			s.o.Report(fmt.Sprintf("journal: segment %s is missing", name))
+			s.options.Report(fmt.Sprintf("journal: segment %s is missing", name))
 		}
 	}
-	if err := s.read(visit); err != nil {
+	if err := s.scanSegments(visit); err != nil {
 		return err
 	}
-	s.synced = s.record - 1
-	for n := range s.files {
-		s.next = max(s.next, n+1)
+	s.durable = s.nextSequence - 1
+	for number := range s.segments {
+		s.nextSegment = max(s.nextSegment, number+1)
 	}
-	if s.head == 0 {
-		s.head = rand.New(rand.NewPCG(s.o.Seed, 1)).Uint64() | 1
+	if s.storeID == 0 {
+		s.storeID = rand.New(rand.NewPCG(s.options.Seed, 1)).Uint64() | 1
 	}
-	if err := s.replaceManifest(s.manifestBytes()); err != nil {
+	if err := s.replaceManifest(s.encodeManifest()); err != nil {
 		return err
 	}
 	return s.openActive()
 }
 
-// found is a key's end.
-type found struct {
-	number uint64
-	seg    *file
-	size   int64
+// tombstone is the record that deletes a key.
+type tombstone struct {
+	sequence uint64
+	segment  *segmentFile
+	size     int64
 }
 
-// item is a record as the reading of a store keeps it for a moment: there may be millions.
-type item struct {
-	key, number  uint64
-	seg          *file
-	offset, size uint32 // segments are under 4 GiB
+// recordRef refers to a record while a store is being opened. There may be millions.
+type recordRef struct {
+	key, sequence uint64
+	segment       *segmentFile
+	offset, size  uint32 // segments are smaller than 4 GiB
 }
 
-// read goes through all segments twice: once for what there is, once more, in the records' order, only where payloads are
-// asked for. Both read large pieces one behind the other.
-func (s *Store) read(visit func(Record)) error {
-	var runs [][]item // of each segment
-	ends := map[uint64]found{}
-	for _, g := range s.ordered() {
+// scanSegments reads all segments in two passes: one that collects the records, and one, in sequence order, that reads
+// the payloads if visit is not nil. Both read sequentially in large pieces.
+func (s *Store) scanSegments(visit func(Record)) error {
+	var runs [][]recordRef // records by segment
+	tombstones := map[uint64]tombstone{}
+	for _, seg := range s.sortedSegments() {
 		var err error
-		if g.f, err = s.o.FS.Open(g.name); err != nil {
+		if seg.file, err = s.options.FS.Open(seg.name); err != nil {
 			return fmt.Errorf("store: open: %w", err)
 		}
-		var items []item
-		head, size, findings, err := scanFile(g.f, g.name, g.number, s.head, func(k kind, num, key uint64, _ []byte, at, size int64) {
-			s.record, s.lastKey = max(s.record, num+1), max(s.lastKey, key)
-			if k != kindEnd {
-				items = append(items, item{key, num, g, uint32(at), uint32(size)})
-			} else if old, twice := ends[key]; !twice || old.number < num {
-				ends[key] = found{num, g, size}
+		var refs []recordRef
+		header, size, findings, err := scanSegment(seg.file, seg.name, seg.number, s.storeID, func(kind recordKind, sequence, key uint64, _ []byte, offset, size int64) {
+			s.nextSequence, s.lastKey = max(s.nextSequence, sequence+1), max(s.lastKey, key)
+			if kind != kindTombstone {
+				refs = append(refs, recordRef{key, sequence, seg, uint32(offset), uint32(size)})
+			} else if last, found := tombstones[key]; !found || last.sequence < sequence {
+				tombstones[key] = tombstone{sequence, seg, size}
 			}
 		})
 		if err != nil {
 			return err
 		}
 		for _, finding := range findings {
-			s.o.Report("journal: " + finding)
+			s.options.Report("journal: " + finding)
 		}
-		if s.o.Durability != SyncNever { // what is built on from here on must not be taken back by a power cut
-			if err := g.f.Sync(); err != nil {
-				return fmt.Errorf("store: %s: %w", g.name, err)
+		if s.options.Durability != SyncNever { // a power failure must not undo what later records build on
+			if err := seg.file.Sync(); err != nil {
+				return fmt.Errorf("store: %s: %w", seg.name, err)
 			}
 		}
-		if g.synced = size; len(items) > 0 {
-			runs = append(runs, items)
+		if seg.syncedBytes = size; len(refs) > 0 {
+			runs = append(runs, refs)
 		}
-		if g.size = size; s.head == 0 {
-			s.head = head.StoreID
+		if seg.size = size; s.storeID == 0 {
+			s.storeID = header.StoreID
 		}
 	}
-	return s.index(inOrder(runs), ends, visit)
+	return s.buildIndex(sortBySequence(runs), tombstones, visit)
 }
 
-// inOrder puts segments' records in the order of their numbers. A compaction leaves a segment's records in their order, and
-// what one segment had in one segment; so the segments in the order of their first records are all there is to do, mostly.
-func inOrder(runs [][]item) []item {
-	slices.SortStableFunc(runs, func(a, b []item) int { return cmp.Compare(a[0].number, b[0].number) })
-	out := slices.Concat(runs...)
-	byNumber := func(a, b item) int { return cmp.Compare(a.number, b.number) }
-	if !slices.IsSortedFunc(out, byNumber) { // copies beside their originals, perhaps
-		slices.SortStableFunc(out, byNumber)
+// sortBySequence returns the records of all segments in sequence order. A compaction preserves the order of a
+// segment's records and puts them into one segment, so sorting the segments by their first record is usually enough.
+func sortBySequence(runs [][]recordRef) []recordRef {
+	slices.SortStableFunc(runs, func(a, b []recordRef) int { return cmp.Compare(a[0].sequence, b[0].sequence) })
+	sorted := slices.Concat(runs...)
+	bySequence := func(a, b recordRef) int { return cmp.Compare(a.sequence, b.sequence) }
+	if !slices.IsSortedFunc(sorted, bySequence) { // for example copies next to their originals
+		slices.SortStableFunc(sorted, bySequence)
 	}
-	return out
+	return sorted
 }
 
-// index books what was found, in its order, and gives the living keys' records out.
-func (s *Store) index(items []item, ends map[uint64]found, visit func(Record)) error {
-	living := items[:0]
-	for _, it := range items {
-		end, ended := ends[it.key]
-		e := s.keys[it.key]
+// buildIndex adds records, given in sequence order, to the index and passes those of live keys to visit.
+func (s *Store) buildIndex(refs []recordRef, tombstones map[uint64]tombstone, visit func(Record)) error {
+	live := refs[:0]
+	for _, ref := range refs {
+		tomb, deleted := tombstones[ref.key]
+		e := s.keys[ref.key]
 		if e == nil {
-			e = &entry{ended: ended, size: end.size}
-			if s.keys[it.key] = e; ended {
-				e.tomb = end.seg.number
+			e = &entry{deleted: deleted, tombstoneSize: tomb.size}
+			if s.keys[ref.key] = e; deleted {
+				e.tombstoneSegment = tomb.segment.number
 			} else {
-				e.first = place{it.seg.number, int64(it.offset), int64(it.size)}
+				e.first = location{ref.segment.number, int64(ref.offset), int64(ref.size)}
 			}
 		}
-		s.addPart(e, it.seg, int64(it.size), !ended)
-		if !ended {
-			living = append(living, it)
+		s.addBytes(e, ref.segment, int64(ref.size), !deleted)
+		if !deleted {
+			live = append(live, ref)
 		}
 	}
-	for key, end := range ends {
+	for key, tomb := range tombstones {
 		e := s.keys[key]
 		switch {
-		case e == nil: // all of it went with its segments, but for this
-		case s.needed(e):
-			end.seg.live += e.size
+		case e == nil: // the segments with its records are gone; only the tombstone is left
+		case s.tombstoneNeeded(e):
+			tomb.segment.liveBytes += e.tombstoneSize
 		default:
 			delete(s.keys, key)
 		}
 	}
-	return s.give(living, visit)
+	return s.visitRecords(live, visit)
 }
 
-// give gives records out, in their order, unless visit is nil. A copy beside its original is given once.
-func (s *Store) give(living []item, visit func(Record)) error {
+// visitRecords passes records to visit, in their order, unless visit is nil. A copy next to its original is passed
+// once.
+func (s *Store) visitRecords(live []recordRef, visit func(Record)) error {
 	if visit == nil {
 		return nil
 	}
-	var w window
-	for i, it := range living {
-		if i > 0 && it.number == living[i-1].number {
+	var window readWindow
+	for i, ref := range live {
+		if i > 0 && ref.sequence == live[i-1].sequence {
 			continue
 		}
-		b, err := w.read(it.seg, int64(it.offset), int64(it.size))
+		b, err := window.read(ref.segment, int64(ref.offset), int64(ref.size))
 		if err != nil {
 			return err
 		}
-		data, err := s.parse(it.seg, int64(it.offset), b)
+		data, err := s.parseRecord(ref.segment, int64(ref.offset), b)
 		if err != nil {
 			return err
 		}
-		visit(Record{Key: it.key, Sequence: it.number, Payload: data})
+		visit(Record{Key: ref.key, Sequence: ref.sequence, Payload: data})
 	}
 	return nil
 }
 
-// window reads records that stand one behind the other in large pieces.
-type window struct {
-	g   *file
-	at  int64
-	buf []byte
-	n   int
+// readWindow reads adjacent records in large pieces.
+type readWindow struct {
+	segment *segmentFile
+	offset  int64
+	buf     []byte
+	length  int
 }
 
-const windowSize = 1 << 20
+const windowSize = 1 << 20 // bytes read at once
 
-// read gives a record's bytes, which hold until the next read.
-func (w *window) read(g *file, offset, size int64) ([]byte, error) {
-	if w.g != g || offset < w.at || offset+size > w.at+int64(w.n) {
-		if most := max(size, windowSize); int64(len(w.buf)) < most {
-			w.buf = make([]byte, most)
+// read returns the bytes of a record, which are valid until the next read.
+func (w *readWindow) read(seg *segmentFile, offset, size int64) ([]byte, error) {
+	if w.segment != seg || offset < w.offset || offset+size > w.offset+int64(w.length) {
+		if bufSize := max(size, windowSize); int64(len(w.buf)) < bufSize {
+			w.buf = make([]byte, bufSize)
 		}
-		n, err := g.f.ReadAt(w.buf[:min(int64(len(w.buf)), max(size, g.size-offset))], offset)
+		n, err := seg.file.ReadAt(w.buf[:min(int64(len(w.buf)), max(size, seg.size-offset))], offset)
 		if err != nil && !errors.Is(err, io.EOF) {
-			return nil, fmt.Errorf("store: %s: %w", g.name, err)
+			return nil, fmt.Errorf("store: %s: %w", seg.name, err)
 		}
-		if w.g, w.at, w.n = g, offset, n; int64(n) < size {
-			return nil, fmt.Errorf("store: %s: record at %d is cut", g.name, offset)
+		if w.segment, w.offset, w.length = seg, offset, n; int64(n) < size {
+			return nil, fmt.Errorf("store: %s: record at %d is truncated", seg.name, offset)
 		}
 	}
-	return w.buf[offset-w.at:][:size], nil
+	return w.buf[offset-w.offset:][:size], nil
 }
 
-// parse gives the payload of a record that stands at an offset of a segment.
-func (s *Store) parse(g *file, offset int64, b []byte) (data []byte, err error) {
-	payload, err := segment.Read(b, segment.Header{StoreID: s.head, Number: g.number}, offset)
+// parseRecord returns the payload of the record at an offset of a segment.
+func (s *Store) parseRecord(seg *segmentFile, offset int64, b []byte) (data []byte, err error) {
+	payload, err := segment.Read(b, segment.Header{StoreID: s.storeID, Number: seg.number}, offset)
 	if err == nil {
-		_, _, _, data, err = decode(payload)
+		_, _, _, data, err = decodeRecord(payload)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("store: %s: record at %d: %w", g.name, offset, err)
+		return nil, fmt.Errorf("store: %s: record at %d: %w", seg.name, offset, err)
 	}
 	return data, nil
 }
 
-// First reads a living key's first record again. It may be called beside everything else.
+// First reads the first record of a live key again. It is safe for concurrent use with all other methods.
 func (s *Store) First(key uint64) ([]byte, error) {
 	s.mu.Lock()
 	e := s.keys[key]
-	if e == nil || e.ended {
+	if e == nil || e.deleted {
 		s.mu.Unlock()
 		return nil, ErrUnknownKey
 	} else if s.closed {
 		s.mu.Unlock()
 		return nil, ErrClosed
 	}
-	at, g := e.first, s.files[e.first.seg]
-	if g == nil { // it could not be read when its segment was compacted
+	loc, seg := e.first, s.segments[e.first.segment]
+	if seg == nil { // the record was unreadable when its segment was compacted
 		s.mu.Unlock()
 		return nil, fmt.Errorf("store: first record of key %d is lost", key)
 	}
-	g.users++
+	seg.refs++
 	s.mu.Unlock()
-	defer s.release(g)
-	b := make([]byte, at.size)
-	if _, err := g.f.ReadAt(b, at.offset); err != nil && !errors.Is(err, io.EOF) {
-		return nil, fmt.Errorf("store: %s: %w", g.name, err)
+	defer s.releaseFile(seg)
+	b := make([]byte, loc.size)
+	if _, err := seg.file.ReadAt(b, loc.offset); err != nil && !errors.Is(err, io.EOF) {
+		return nil, fmt.Errorf("store: %s: %w", seg.name, err)
 	}
-	return s.parse(g, at.offset, b)
+	return s.parseRecord(seg, loc.offset, b)
 }
 
-// release ends a use of a file.
-func (s *Store) release(g *file) {
+// releaseFile ends a use of a segment file.
+func (s *Store) releaseFile(seg *segmentFile) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g.unused()
+	seg.unref()
 }
 
-// unused ends a use; the store's mu is held.
-func (g *file) unused() {
-	if g.users--; g.gone && g.users == 0 {
-		_ = g.f.Close()
+// unref ends a use; the store's mu is held.
+func (seg *segmentFile) unref() {
+	if seg.refs--; seg.dropped && seg.refs == 0 {
+		_ = seg.file.Close()
 	}
 }
 
-// forsake takes a file out of the books; s.mu is held, or nobody else is there.
-func (s *Store) forsake(g *file) {
-	if g.gone = true; g.users == 0 && g.f != nil {
-		_ = g.f.Close()
+// dropFile marks a file as no longer in the index and closes it once it is unused; s.mu is held, or the store is not
+// shared yet.
+func (s *Store) dropFile(seg *segmentFile) {
+	if seg.dropped = true; seg.refs == 0 && seg.file != nil {
+		_ = seg.file.Close()
 	}
 }
 
-// ordered gives the segments by number.
-func (s *Store) ordered() []*file {
-	list := make([]*file, 0, len(s.files))
-	for _, g := range s.files {
-		list = append(list, g)
+// sortedSegments returns the segments in order of their numbers.
+func (s *Store) sortedSegments() []*segmentFile {
+	list := make([]*segmentFile, 0, len(s.segments))
+	for _, seg := range s.segments {
+		list = append(list, seg)
 	}
-	slices.SortFunc(list, func(a, b *file) int { return cmp.Compare(a.number, b.number) })
+	slices.SortFunc(list, func(a, b *segmentFile) int { return cmp.Compare(a.number, b.number) })
 	return list
 }
 
-// addPart books bytes of a key in a segment.
-func (s *Store) addPart(e *entry, g *file, bytes int64, live bool) {
+// addBytes adds bytes of a key in a segment to the index.
+func (s *Store) addBytes(e *entry, seg *segmentFile, bytes int64, live bool) {
 	if live {
-		g.live += bytes
+		seg.liveBytes += bytes
 	}
-	for i := range e.parts {
-		if e.parts[i].seg == g.number {
-			e.parts[i].bytes += bytes
+	for i := range e.segments {
+		if e.segments[i].segment == seg.number {
+			e.segments[i].bytes += bytes
 			return
 		}
 	}
-	e.parts = append(e.parts, part{g.number, bytes})
+	e.segments = append(e.segments, keySegment{seg.number, bytes})
 }
 
-// needed says whether an ended key's end has to outlive a segment other than its own.
-func (s *Store) needed(e *entry) bool {
-	return slices.ContainsFunc(e.parts, func(p part) bool { return p.seg != e.tomb })
+// tombstoneNeeded reports whether a segment other than the tombstone's own holds records of a deleted key, so that the
+// tombstone has to be kept.
+func (s *Store) tombstoneNeeded(e *entry) bool {
+	return slices.ContainsFunc(e.segments, func(p keySegment) bool { return p.segment != e.tombstoneSegment })
 }
 
-func decode(payload []byte) (k kind, num, key uint64, data []byte, err error) {
+func decodeRecord(payload []byte) (kind recordKind, sequence, key uint64, data []byte, err error) {
 	if len(payload) < 3 {
 		return 0, 0, 0, nil, errors.New("store: record too short")
 	}
-	k = kind(payload[0])
-	num, n := binary.Uvarint(payload[1:])
-	if n <= 0 || k != kindData && k != kindEnd {
-		return 0, 0, 0, nil, errors.New("store: record of no known form")
+	kind = recordKind(payload[0])
+	sequence, n := binary.Uvarint(payload[1:])
+	if n <= 0 || kind != kindData && kind != kindTombstone {
+		return 0, 0, 0, nil, errors.New("store: unknown record format")
 	}
 	key, m := binary.Uvarint(payload[1+n:])
 	if m <= 0 {
-		return 0, 0, 0, nil, errors.New("store: record of no known form")
+		return 0, 0, 0, nil, errors.New("store: unknown record format")
 	}
-	return k, num, key, payload[1+n+m:], nil
+	return kind, sequence, key, payload[1+n+m:], nil
 }
 
 func (s *Store) syncDir() error {
-	if s.o.Durability == SyncNever {
+	if s.options.Durability == SyncNever {
 		return nil
 	}
-	return s.o.FS.Sync()
+	return s.options.FS.Sync()
 }
 
-// Broken is closed once only the next start can go on: a sync has failed, and nobody can tell what of the segments, or which manifest, is on
-// the disk. A start reads and syncs what lasts.
+// Broken returns a channel that is closed once the store can continue only after it is opened again: a sync has
+// failed, and it is unknown which part of the segments, or which manifest, is on the disk. Open reads and syncs what
+// is there.
 func (s *Store) Broken() <-chan struct{} { return s.broken }
 
-// breakDown closes broken; s.mu is held.
-func (s *Store) breakDown() {
+// markBroken closes broken; s.mu is held.
+func (s *Store) markBroken() {
 	select {
 	case <-s.broken:
 	default:
@@ -521,7 +526,7 @@
 }
 
 func (s *Store) closeFiles() {
-	for _, g := range s.files {
-		s.forsake(g)
+	for _, seg := range s.segments {
+		s.dropFile(seg)
 	}
 }
