--- a/internal/routing/wal/store/store_test.go
+++ b/internal/routing/wal/store/store_test.go
@@ -21,13 +21,13 @@
 	return Options{FS: m, MaxBytes: 64 << 10, SegmentBytes: testSegment, Durability: d, Seed: 7}
 }
 
-// open opens a store and gives what it holds: by key, its payloads in order.
+// open opens a store and returns its content: the payloads of each key, in order.
 func open(t fataler, o Options) (*Store, map[uint64][]string) {
 	got := map[uint64][]string{}
 	last := uint64(0)
 	s, err := Open(o, func(r Record) {
 		if r.Sequence <= last {
-			t.Fatalf("record %d behind record %d", r.Sequence, last)
+			t.Fatalf("record %d after record %d", r.Sequence, last)
 		}
 		last = r.Sequence
 		got[r.Key] = append(got[r.Key], string(r.Payload))
@@ -40,7 +40,7 @@
 
 type fataler interface{ Fatalf(string, ...any) }
 
-// used is what the files of a folder take, in whole blocks.
+// used returns the size of a directory's files, in whole blocks.
 func used(t fataler, m fsys.FS) int64 {
 	names, err := m.List()
 	if err != nil {
@@ -54,22 +54,24 @@
 		}
 		n, _ := f.Size()
 		_ = f.Close()
-		total += (n + block - 1) / block * block
+		total += (n + blockSize - 1) / blockSize * blockSize
 	}
 	return total
 }
 
-// model is what a plain map holds of the same operations.
+// model applies the same operations to a plain map.
 type model struct {
-	keys   map[uint64][]string // living
-	ended  map[uint64]bool
-	next   uint64
-	refuse int
+	keys     map[uint64][]string // of live keys
+	deleted  map[uint64]bool
+	next     uint64
+	refusals int
 }
 
-func newModel() *model { return &model{keys: map[uint64][]string{}, ended: map[uint64]bool{}, next: 1} }
+func newModel() *model {
+	return &model{keys: map[uint64][]string{}, deleted: map[uint64]bool{}, next: 1}
+}
 
-func (m *model) living() []uint64 {
+func (m *model) liveKeys() []uint64 {
 	var keys []uint64
 	for k := range m.keys {
 		keys = append(keys, k)
@@ -78,18 +80,18 @@
 	return keys
 }
 
-// operate does one random operation on both. before is told of what the operation will make of a key, once it is sure
-// which that is.
-func (m *model) operate(t fataler, s *Store, rng *rand.Rand, before func(key uint64, after []string, ends bool)) {
-	living := m.living()
+// operate applies one random operation to the store and the model. before is called with the effect of the operation
+// on a key as soon as the key is chosen.
+func (m *model) operate(t fataler, s *Store, rng *rand.Rand, before func(key uint64, after []string, deletes bool)) {
+	live := m.liveKeys()
 	body := string(bytes.Repeat([]byte{byte(rng.Uint32())}, 1+rng.IntN(900)))
 	switch r := rng.IntN(10); {
-	case r < 4 || len(living) == 0:
+	case r < 4 || len(live) == 0:
 		key := m.next
 		before(key, []string{body}, false)
 		_, err := s.Put(key, []byte(body), 100)
 		if errors.Is(err, ErrFull) {
-			m.refuse++
+			m.refusals++
 			return
 		} else if err != nil {
 			t.Fatalf("put: %v", err)
@@ -97,27 +99,27 @@
 		m.next++
 		m.keys[key] = []string{body}
 	case r < 6:
-		key := living[rng.IntN(len(living))]
+		key := live[rng.IntN(len(live))]
 		small := fmt.Sprint("n", rng.IntN(1000))
 		before(key, append(slices.Clone(m.keys[key]), small), false)
 		if _, err := s.Add(key, []byte(small)); errors.Is(err, ErrFull) {
-			m.refuse++
+			m.refusals++
 		} else if err != nil {
 			t.Fatalf("add: %v", err)
 		} else {
 			m.keys[key] = append(m.keys[key], small)
 		}
 	case r < 9:
-		key := living[0]
+		key := live[0]
 		if r == 8 {
-			key = living[rng.IntN(len(living))]
+			key = live[rng.IntN(len(live))]
 		}
 		before(key, nil, true)
 		if _, err := s.Delete(key); err != nil {
-			t.Fatalf("end: %v", err)
+			t.Fatalf("delete: %v", err)
 		}
 		delete(m.keys, key)
-		m.ended[key] = true
+		m.deleted[key] = true
 	default:
 		before(0, nil, false)
 		if _, err := s.Compact(nil); err != nil {
@@ -126,25 +128,25 @@
 	}
 }
 
-func nothing(uint64, []string, bool) {}
+func noCallback(uint64, []string, bool) {}
 
-// compare holds what a store tells while it goes on against the model: first records read again, and the books of its space,
-// which may only err towards less that is free.
+// compare checks a running store against the model: first records are read again, and the accounting of space may only
+// err towards less free space.
 func (m *model) compare(t fataler, s *Store) {
 	for key, list := range m.keys {
 		if got, err := s.First(key); err != nil || string(got) != list[0] {
 			t.Fatalf("key %d reads %d bytes for %d, %v", key, len(got), len(list[0]), err)
 		}
 	}
-	exact := s.state()
+	exact := s.plannerState()
 	exact.Totals = nil
-	if quick := s.space(); s.plan.Used(quick) != s.plan.Used(exact) || s.plan.Free(quick) > s.plan.Free(exact) {
-		t.Fatalf("used %d for %d, free %d for %d", s.plan.Used(quick), s.plan.Used(exact), s.plan.Free(quick), s.plan.Free(exact))
+	if quick := s.spaceState(); s.planner.Used(quick) != s.planner.Used(exact) || s.planner.Free(quick) > s.planner.Free(exact) {
+		t.Fatalf("used %d for %d, free %d for %d", s.planner.Used(quick), s.planner.Used(exact), s.planner.Free(quick), s.planner.Free(exact))
 	}
 }
 
-// A store holds what a plain map does, over compactions and starts, within its bound, and takes work again once enough has
-// ended.
+// Guards against lost or surplus records across compactions and restarts, against files that exceed the limit, and
+// against a store that keeps refusing after enough keys were deleted.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 4))
@@ -158,7 +160,7 @@
 		}
 		s, _ := open(t, options(mem, d))
 		for range rapid.IntRange(1, 400).Draw(t, "operations") {
-			m.operate(t, s, rng, nothing)
+			m.operate(t, s, rng, noCallback)
 			m.compare(t, s)
 			if rng.IntN(60) == 0 {
 				if rng.IntN(2) == 0 {
@@ -166,14 +168,14 @@
 				}
 				var got map[uint64][]string
 				if s, got = open(t, options(mem, d)); !cmp.Equal(m.keys, got) {
-					t.Fatalf("after a start:\n%s", cmp.Diff(m.keys, got))
+					t.Fatalf("after a restart:\n%s", cmp.Diff(m.keys, got))
 				}
 				if s.LastKey() < m.next-1 {
 					t.Fatalf("key %d would be used twice", s.LastKey()+1)
 				}
 			}
 		}
-		for _, key := range m.living() {
+		for _, key := range m.liveKeys() {
 			if _, err := s.Delete(key); err != nil {
 				t.Fatal(err)
 			}
@@ -186,14 +188,15 @@
 			}
 		}
 		if _, err := s.Put(m.next, make([]byte, 900), 100); err != nil {
-			t.Fatalf("nothing lives, and %v: %+v", err, s.Stats())
+			t.Fatalf("no key is live, but put failed: %v: %+v", err, s.Stats())
 		}
 	})
 }
 
-// At every single operation of the disk, and for each way in which a crash may leave it, the store opens and every promise
-// holds: what was accepted and is durable is there, what ended stays ended, nothing is doubled or torn.
-func TestCrashAtEveryInstant(t *testing.T) {
+// Guards against broken guarantees after a crash. The crash is simulated at every file operation and with every kind
+// of loss: the store must open, durable records must be there, deleted keys must stay deleted, and nothing may be
+// duplicated or torn.
+func TestCrashAtEveryOperation(t *testing.T) {
 	states := 0
 	for _, d := range []Durability{SyncNever, SyncBatch, SyncEach} {
 		for seed := range uint64(2) {
@@ -201,43 +204,43 @@
 			crashes := rand.New(rand.NewPCG(seed, 99))
 			mem := fsys.NewMem()
 			m := newModel()
-			durable, sure := map[uint64][]string{}, map[uint64]bool{} // as of the last commit, and ended then
-			var touched map[uint64]bool                               // keys changed since
+			durable, deletedDurably := map[uint64][]string{}, map[uint64]bool{} // as of the last commit
+			var touched map[uint64]bool                                         // keys changed since then
 			touched = map[uint64]bool{}
 			var inKey uint64
 			var inAfter []string
-			var inEnds bool
+			var inDeletes bool
 			check := func() {
-				for _, how := range []fsys.Loss{fsys.LoseNothing, fsys.LoseUnsynced, fsys.LoseTail, fsys.LoseAnyUnsynced, fsys.LoseAnyUnsynced} {
-					if d == SyncNever && how != fsys.LoseNothing {
+				for _, loss := range []fsys.Loss{fsys.LoseNothing, fsys.LoseUnsynced, fsys.LoseTail, fsys.LoseAnyUnsynced, fsys.LoseAnyUnsynced} {
+					if d == SyncNever && loss != fsys.LoseNothing {
 						continue
 					}
 					states++
-					left := mem.Crash(how, crashes)
+					left := mem.Crash(loss, crashes)
 					s, got := open(t, options(left, d))
 					for key, list := range got {
 						now, lives := m.keys[key]
-						ok := lives && slices.Equal(now, list) || key == inKey && !inEnds && slices.Equal(inAfter, list)
-						if how != fsys.LoseNothing && d == SyncBatch && touched[key] { // any of its records since the commit may be gone
+						ok := lives && slices.Equal(now, list) || key == inKey && !inDeletes && slices.Equal(inAfter, list)
+						if loss != fsys.LoseNothing && d == SyncBatch && touched[key] { // any of its records since the commit may be lost
 							all := now
-							if key == inKey && !inEnds {
+							if key == inKey && !inDeletes {
 								all = inAfter
 							}
-							ok = ok || subset(list, all) || m.ended[key] || inEnds && key == inKey
+							ok = ok || subset(list, all) || m.deleted[key] || inDeletes && key == inKey
 							ok = ok && (len(durable[key]) == 0 || len(list) >= len(durable[key]) && slices.Equal(list[:len(durable[key])], durable[key]))
 						}
-						if !ok || sure[key] {
-							t.Fatalf("seed %d, durability %d, loss %d: key %d has %d records, %d wanted; ended %v",
-								seed, d, how, key, len(list), len(now), sure[key])
+						if !ok || deletedDurably[key] {
+							t.Fatalf("seed %d, durability %d, loss %d: key %d has %d records, %d wanted; deleted %v",
+								seed, d, loss, key, len(list), len(now), deletedDurably[key])
 						}
 					}
 					want := m.keys
-					if d == SyncBatch && how != fsys.LoseNothing {
+					if d == SyncBatch && loss != fsys.LoseNothing {
 						want = durable
 					}
 					for key := range want {
-						if _, there := got[key]; !there && !(key == inKey && inEnds) && !(d == SyncBatch && m.ended[key]) {
-							t.Fatalf("seed %d, durability %d, loss %d: key %d is lost", seed, d, how, key)
+						if _, there := got[key]; !there && !(key == inKey && inDeletes) && !(d == SyncBatch && m.deleted[key]) {
+							t.Fatalf("seed %d, durability %d, loss %d: key %d is lost", seed, d, loss, key)
 						}
 					}
 					if err := s.Close(); err != nil {
@@ -248,13 +251,13 @@
 			s, _ := open(t, options(mem, d))
 			mem.OnChange = check
 			for i := range 120 {
-				m.operate(t, s, rng, func(key uint64, after []string, ends bool) {
-					inKey, inAfter, inEnds = key, after, ends
+				m.operate(t, s, rng, func(key uint64, after []string, deletes bool) {
+					inKey, inAfter, inDeletes = key, after, deletes
 					if key > 0 {
 						touched[key] = true
 					}
 				})
-				inKey, inAfter, inEnds = 0, nil, false
+				inKey, inAfter, inDeletes = 0, nil, false
 				if d == SyncBatch && i%7 == 0 {
 					if err := s.Commit(1 << 60); err != nil {
 						t.Fatal(err)
@@ -263,13 +266,13 @@
 					for key, list := range m.keys {
 						durable[key] = slices.Clone(list)
 					}
-					for key := range m.ended {
-						sure[key] = true
+					for key := range m.deleted {
+						deletedDurably[key] = true
 					}
 				}
 				if d != SyncBatch {
-					for key := range m.ended {
-						sure[key] = true
+					for key := range m.deleted {
+						deletedDurably[key] = true
 					}
 				}
 			}
@@ -283,7 +286,7 @@
 	}
 }
 
-// subset says that a list is part of another, in its order.
+// subset reports whether a list is a subsequence of another.
 func subset(part, all []string) bool {
 	i := 0
 	for _, v := range all {
@@ -294,8 +297,8 @@
 	return i == len(part)
 }
 
-// Whatever operation of the disk fails, whole or half-way, nothing that was accepted is lost, no half record stands before
-// the next, and once the disk takes writes again so does the store, without a start.
+// Guards against loss of accepted records, or a partial record in front of the next, after a file operation has failed
+// entirely or halfway. The store must accept writes again once the disk does, without a restart.
 func TestDiskFails(t *testing.T) {
 	for _, why := range []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EIO} {
 		for seed := range uint64(40) {
@@ -315,17 +318,17 @@
 					})
 				}
 				key, body := m.next, string(bytes.Repeat([]byte("x"), 1+rng.IntN(700)))
-				living := m.living()
+				live := m.liveKeys()
 				var err error
 				switch r := rng.IntN(10); {
-				case r < 5 || len(living) == 0:
+				case r < 5 || len(live) == 0:
 					if _, err = s.Put(key, []byte(body), 100); err == nil {
 						m.keys[key] = []string{body}
 						m.next++
 					}
 				case r < 8:
-					if _, err = s.Delete(living[0]); err == nil {
-						delete(m.keys, living[0])
+					if _, err = s.Delete(live[0]); err == nil {
+						delete(m.keys, live[0])
 					}
 				default:
 					_, _ = s.Compact(nil)
@@ -335,11 +338,11 @@
 				}
 			}
 			mem.Set(nil)
-			if living := m.living(); len(living) > 0 {
-				if _, err := s.Delete(living[0]); err != nil {
-					t.Fatalf("%v, seed %d, with the disk back: %v", why, seed, err)
+			if live := m.liveKeys(); len(live) > 0 {
+				if _, err := s.Delete(live[0]); err != nil {
+					t.Fatalf("%v, seed %d, after the faults: %v", why, seed, err)
 				}
-				delete(m.keys, living[0])
+				delete(m.keys, live[0])
 			}
 			if _, got := open(t, options(mem, SyncNever)); !cmp.Equal(m.keys, got) {
 				t.Fatalf("%v, seed %d:\n%s", why, seed, cmp.Diff(m.keys, got))
@@ -348,13 +351,13 @@
 	}
 }
 
-// After a sync that failed nothing more is promised, and what was durable before is there at the next start.
+// Guards against successful commits after a failed sync. What was durable before must be found by the next open.
 func TestSyncFails(t *testing.T) {
 	mem := fsys.NewMem()
 	faults := &fsys.FaultFS{FS: mem}
 	s, _ := open(t, options(faults, SyncBatch))
-	num, err := s.Put(1, []byte("kept"), 100)
-	if err != nil || s.Commit(num) != nil {
+	sequence, err := s.Put(1, []byte("kept"), 100)
+	if err != nil || s.Commit(sequence) != nil {
 		t.Fatal(err)
 	}
 	faults.Set(func(op fsys.Op, _ string, n int) (int, error) {
@@ -363,15 +366,15 @@
 		}
 		return n, nil
 	})
-	if num, err = s.Put(2, []byte("lost"), 100); err != nil {
+	if sequence, err = s.Put(2, []byte("lost"), 100); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Commit(num); !errors.Is(err, ErrFailed) || !errors.Is(err, syscall.EIO) {
+	if err := s.Commit(sequence); !errors.Is(err, ErrFailed) || !errors.Is(err, syscall.EIO) {
 		t.Errorf("commit: %v", err)
 	}
 	faults.Set(nil)
-	if err := s.Commit(num); !errors.Is(err, ErrFailed) {
-		t.Errorf("a sync that failed was taken back: %v", err)
+	if err := s.Commit(sequence); !errors.Is(err, ErrFailed) {
+		t.Errorf("commit after a failed sync: %v", err)
 	}
 	if _, err := s.Put(3, nil, 0); !errors.Is(err, ErrFailed) {
 		t.Errorf("put: %v", err)
@@ -382,15 +385,15 @@
 	}
 }
 
-// A segment of a later version ends the start with a clear error, and is left as it is.
-func TestLaterVersionIsLeftAlone(t *testing.T) {
+// Guards against modifying segments of a later version: opening the store must fail with a clear error.
+func TestLaterVersionIsNotModified(t *testing.T) {
 	mem := fsys.NewMem()
 	s, _ := open(t, options(mem, SyncNever))
 	if _, err := s.Put(1, []byte("x"), 0); err != nil {
 		t.Fatal(err)
 	}
 	_ = s.Close()
-	f, err := mem.Create(segName(1 << 40))
+	f, err := mem.Create(segmentName(1 << 40))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/routing/wal/store/uncertain_test.go
+++ b/internal/routing/wal/store/uncertain_manifest_test.go
@@ -11,8 +11,9 @@
 	"mulleinbeam/internal/routing/wal/fsys"
 )
 
-// Guards against the removal of either file of a compaction whose manifest may or may not last.
-func TestACompactionWithAnUncertainManifestLosesNothing(t *testing.T) {
+// Guards against removing either file of a compaction if its manifest may or may not be durable, because the sync of
+// the directory has failed.
+func TestCompactionWithUncertainManifestLosesNothing(t *testing.T) {
 	for _, loss := range []fsys.Loss{fsys.LoseNothing, fsys.LoseUnsynced, fsys.LoseTail, fsys.LoseAnyUnsynced} {
 		for seed := range uint64(20) {
 			rng := rand.New(rand.NewPCG(seed, 13))
@@ -21,7 +22,7 @@
 			s, _ := open(t, options(faults, SyncBatch))
 			m := newModel()
 			for range 120 {
-				m.operate(t, s, rng, nothing)
+				m.operate(t, s, rng, noCallback)
 			}
 			if err := s.Commit(1 << 60); err != nil {
 				t.Fatal(err)
@@ -46,7 +47,8 @@
 	}
 }
 
-// brokenRename is a folder whose renames of the manifest are made, told as failed, and not to be looked at while broken is set.
+// brokenRename is a directory whose renames succeed but report an error while broken is set; the manifest is then
+// unreadable.
 type brokenRename struct {
 	fsys.FS
 	broken, unreadable bool
@@ -62,48 +64,49 @@
 }
 
 func (b *brokenRename) Open(name string) (fsys.File, error) {
-	if b.unreadable && name == manifest {
+	if b.unreadable && name == manifestName {
 		return nil, syscall.EMFILE
 	}
 	return b.FS.Open(name)
 }
 
-// Guards against the removal of an output that a manifest lists, because its rename was made, told as failed and could not be looked at.
-func TestARenameThatCannotBeLookedAtLosesNothing(t *testing.T) {
+// Guards against removing an output that the manifest lists: its rename succeeded but reported an error, and the
+// manifest could not be read to find out.
+func TestUnverifiableRenameLosesNothing(t *testing.T) {
 	const seeds = 20
 	uncertain := 0
 	for seed := range uint64(seeds) {
 		rng := rand.New(rand.NewPCG(seed, 14))
 		mem := fsys.NewMem()
-		folder := &brokenRename{FS: mem}
-		o := options(folder, SyncNever)
+		dir := &brokenRename{FS: mem}
+		o := options(dir, SyncNever)
 		var reported []string
 		o.Report = func(line string) { reported = append(reported, line) }
 		s, _ := open(t, o)
 		m := newModel()
 		for range 120 {
-			m.operate(t, s, rng, nothing)
+			m.operate(t, s, rng, noCallback)
 		}
 		s.NoteRefusal()
-		folder.broken = true
+		dir.broken = true
 		for range 3 {
 			_, _ = s.Compact(nil)
 		}
-		folder.unreadable = false
+		dir.unreadable = false
 		if _, got := open(t, options(mem.Crash(fsys.LoseNothing, rng), SyncNever)); !cmp.Equal(m.keys, got) {
-			t.Fatalf("seed %d, while it is not known:\n%s", seed, cmp.Diff(m.keys, got))
+			t.Fatalf("seed %d, while the manifest is uncertain:\n%s", seed, cmp.Diff(m.keys, got))
 		}
-		folder.broken = false
+		dir.broken = false
 		if _, err := s.Compact(nil); err != nil {
 			t.Fatal(err)
 		}
 		for range 40 {
-			m.operate(t, s, rng, nothing)
+			m.operate(t, s, rng, noCallback)
 		}
-		if s.stuck {
-			t.Fatalf("seed %d: no compaction though the manifest can be written", seed)
+		if s.compactionBlocked {
+			t.Fatalf("seed %d: compaction still suspended although the manifest can be written", seed)
 		}
-		if strings.Contains(strings.Join(reported, "\n"), "no compaction until") {
+		if strings.Contains(strings.Join(reported, "\n"), "compaction suspended until") {
 			uncertain++
 		}
 		if _, got := open(t, options(mem.Crash(fsys.LoseNothing, rng), SyncNever)); !cmp.Equal(m.keys, got) {
@@ -111,6 +114,6 @@
 		}
 	}
 	if uncertain < seeds/2 {
-		t.Errorf("only %d of %d seeds came to an uncertain manifest", uncertain, seeds)
+		t.Errorf("only %d of %d seeds reached an uncertain manifest", uncertain, seeds)
 	}
 }
