--- a/internal/routing/wal/fsys/faults.go
+++ b/internal/routing/wal/fsys/faults.go
@@ -30,7 +30,7 @@
 
 // Set installs the function that decides which operations fail. It is called with the file's name and, for a write or
 // read, the number of bytes. If it returns an error for a write, it also returns how many bytes are written before the
-// failure. A nil function ends the faults.
+// failure. A nil function removes it.
 func (f *FaultFS) Set(fail func(op Op, name string, n int) (written int, err error)) {
 	f.mu.Lock()
 	f.fail = fail
--- a/internal/routing/wal/fsys/mem.go
+++ b/internal/routing/wal/fsys/mem.go
@@ -195,7 +195,7 @@
 const (
 	LoseNothing     Loss = iota // only the process ends: all written content remains
 	LoseUnsynced                // all unsynced content and entries are lost
-	LoseTail                    // unsynced writes and entry changes remain in order up to some point; the last write may be torn
+	LoseTail                    // unsynced writes and entry changes remain up to some point; the last may be torn
 	LoseAnyUnsynced             // any of them remain, in any order, torn at any byte
 )
 
--- a/internal/routing/wal/plan/plan.go
+++ b/internal/routing/wal/plan/plan.go
@@ -142,7 +142,7 @@
 	return c.roundToBlocks(seg.Size) - c.roundToBlocks(seg.LiveBytes+c.HeaderSize)
 }
 
-// PickVictim selects the segment to compact next, or false if there is none now. refused tells that work is refused
+// PickVictim selects the segment to compact next, or false if there is none now. refused means that work is refused
 // for lack of space.
 //
 // A segment without live records costs nothing and is always taken. Otherwise compaction is delayed until space runs
--- a/internal/routing/wal/plan/plan_test.go
+++ b/internal/routing/wal/plan/plan_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// simulation models a journal that follows the planner: messages arrive and complete, and a worker compacts at the given
-// rate.
+// simulation models a journal that follows the planner: messages arrive and complete, and a worker compacts at the
+// given rate.
 type simulation struct {
 	t           fataler
 	config      Config
--- a/internal/routing/wal/store/damage_test.go
+++ b/internal/routing/wal/store/damage_test.go
@@ -242,7 +242,7 @@
 						t.Fatalf("seed %d: key %d is lost, but was not damaged", seed, key)
 					}
 				}
-				if len(reported) == 0 && name != "cut" && name != "bit flipped" { // truncation after a record, or in unused bytes, loses nothing that could be missed
+				if len(reported) == 0 && name != "cut" && name != "bit flipped" { // a cut at the end of a record cannot be detected
 					t.Errorf("seed %d: nothing reported", seed)
 				}
 				if most := 6*(256<<10) + 4*int(used(t, mem)); reads > most {
--- a/internal/routing/wal/store/inspect.go
+++ b/internal/routing/wal/store/inspect.go
@@ -21,7 +21,7 @@
 	scanner, err := segment.NewScanner(io.NewSectionReader(f, 0, size))
 	switch {
 	case errors.Is(err, segment.ErrNotSegment):
-		if size > 0 { // an empty file holds no committed record: the process ended between creating it and writing its header
+		if size > 0 { // an empty file holds no record: the process ended before writing its header
 			findings = append(findings, fmt.Sprintf("segment %s: %v; %d bytes passed over", name, err, size))
 		}
 		return header, size, findings, nil
--- a/internal/routing/wal/store/store.go
+++ b/internal/routing/wal/store/store.go
@@ -151,11 +151,11 @@
 	nextSegment       uint64
 	nextSequence      uint64
 	keys              map[uint64]*entry
-	reservedForKeys   int64
+	reservedForKeys   int64 // for further records and tombstones of live keys
 	reservedForPuts   int64 // by reservations, for keys that are not put yet
 	victim            *segmentFile
 	outputBytes       int64 // written by the running compaction
-	refused           bool
+	refused           bool  // work was refused for lack of space since the last compaction or delete
 	failure           error
 	broken            chan struct{} // closed once the store can continue only after it is opened again
 	closed            bool
