--- a/cmd/larkreach/config_on.go
+++ b/cmd/larkreach/config_on.go
@@ -15,27 +15,28 @@
 	"mulleinbeam/internal/settings"
 )
 
-// fleetConfigCmds look at the configuration that a fleet decides in common, and change it, through any member.
+// fleetConfigCmds contains the commands that show or change the configuration of a whole fleet, through any member.
 type fleetConfigCmds struct {
-	Apply  configApplyCmd  `cmd:"" help:"Commit the entries of a file: each replaces the one of its destination or class; others stay."`
+	Apply  configApplyCmd  `cmd:"" help:"Commit the entries of a file: each replaces the entry of its destination or class; other entries stay."`
 	Get    configGetCmd    `cmd:"" help:"Print committed entries as a file that apply reads."`
-	Remove configRemoveCmd `cmd:"" help:"Delete entries: what discovery lists for the destination counts again, the class is not limited."`
-	Status configStatusCmd `cmd:"" help:"In which revision the fleet is, how many members lag, and who refuses an entry and why."`
+	Remove configRemoveCmd `cmd:"" help:"Delete entries: the destination is served from the discovery list again, the class is not limited."`
+	Status configStatusCmd `cmd:"" help:"Show the fleet's revision, how many members lag, and which members refuse an entry and why."`
 }
 
-// errNotInForce says that a configuration is not in force everywhere.
-var errNotInForce = errors.New("not in force everywhere")
+// errNotInForce reports that a configuration is not in force on all members.
+var errNotInForce = errors.New("not in force on all members")
 
-// configChange is what commands that change the configuration share.
+// configChange contains the flags of commands that change the configuration.
 type configChange struct {
-	at
-	Revision *uint64       `name:"revision" placeholder:"N" help:"The revision that the change is for (status prints it); without it, the present one."`
-	Wait     time.Duration `name:"wait" help:"Wait so long until the change is in force everywhere; status 1 if it is not."`
+	memberFlags
+	Revision *uint64       `name:"revision" placeholder:"N" help:"Commit only if the configuration is at this revision (status prints it); default: the current one."`
+	Wait     time.Duration `name:"wait" help:"How long to wait until the change is in force on all members; exit status 1 if it is not."`
 }
 
-// commit has a change decided as of a revision, and waits until it is in force where that is asked for.
+// commit commits changes if the configuration is at the expected revision, and with --wait waits until they are in
+// force.
 func (c configChange) commit(io streams, changes []controlplane.EntryChange) error {
-	status, err := c.look()
+	status, err := c.status()
 	if err != nil {
 		return err
 	}
@@ -43,9 +44,9 @@
 	if c.Revision != nil {
 		cmd.From = *c.Revision
 	}
-	switch err := c.decide(cmd); {
+	switch err := c.sendCommand(cmd); {
 	case err != nil && err.Error() == controlplane.ErrConflict.Error():
-		return fmt.Errorf("nothing was committed: the configuration is not at revision %d any more, look again", cmd.From)
+		return fmt.Errorf("nothing was committed: the configuration is no longer at revision %d, check it again", cmd.From)
 	case err != nil:
 		return fmt.Errorf("nothing was committed: %w", err)
 	}
@@ -62,35 +63,35 @@
 	return c.await(io, cmd.From)
 }
 
-// rolloutGap is between two looks at how far a change is.
-const rolloutGap = 50 * time.Millisecond
+// rolloutPollInterval is the pause between two requests for the progress of a change.
+const rolloutPollInterval = 50 * time.Millisecond
 
-// await waits until a revision behind one is in force everywhere.
-func (c configChange) await(io streams, behind uint64) error {
-	began := time.Now()
+// await waits until a revision after previous is in force on all members.
+func (c configChange) await(io streams, previous uint64) error {
+	started := time.Now()
 	for {
-		r, err := ask(c.at, node.GetRollout)
-		if err == nil && r.Revision > behind && r.Summary.Refusing == 0 && r.InForce() {
-			fmt.Fprintf(io.out, "revision %d is in force at all %d members after %v\n", r.Revision, r.Members, time.Since(began).Round(time.Millisecond))
+		r, err := query(c.memberFlags, node.GetRollout)
+		if err == nil && r.Revision > previous && r.Summary.Refusing == 0 && r.InForce() {
+			fmt.Fprintf(io.out, "revision %d is in force on all %d members after %v\n", r.Revision, r.Members, time.Since(started).Round(time.Millisecond))
 			return nil
 		}
-		if time.Since(began) > c.Wait {
+		if time.Since(started) > c.Wait {
 			if err != nil {
 				return fmt.Errorf("committed; %w: %w", errNotInForce, err)
 			}
 			return fmt.Errorf("committed as revision %d; %w: %d of %d members have it, %d refuse an entry (config status)",
 				r.Revision, errNotInForce, r.Summary.Current(r.Revision), r.Members, r.Summary.Refusing)
 		}
-		time.Sleep(rolloutGap)
+		time.Sleep(rolloutPollInterval)
 	}
 }
 
 type configApplyCmd struct {
 	configChange
-	File string `arg:"" help:"The file of entries: [destination.NUMBER] with its [[destination.NUMBER.endpoint]], and [class.NAME]."`
+	File string `arg:"" help:"File of entries: [destination.NUMBER] with its [[destination.NUMBER.endpoint]], and [class.NAME]."`
 }
 
-// Run commits a file.
+// Run commits the entries of a file.
 func (c configApplyCmd) Run(io streams) error {
 	entries, err := settings.LoadEntries(c.File)
 	if err != nil {
@@ -122,13 +123,13 @@
 }
 
 type configGetCmd struct {
-	at
-	Keys []string `arg:"" optional:"" name:"key" help:"destination/NUMBER or class/NAME; all without one."`
+	memberFlags
+	Keys []string `arg:"" optional:"" name:"key" help:"destination/NUMBER or class/NAME; default: all entries."`
 }
 
 // Run prints entries.
 func (c configGetCmd) Run(io streams) error {
-	status, err := c.look()
+	status, err := c.status()
 	if err != nil {
 		return err
 	}
@@ -160,21 +161,21 @@
 	return nil
 }
 
-type configStatusCmd struct{ at }
+type configStatusCmd struct{ memberFlags }
 
-// configStatus is what status prints as JSON.
+// configStatus is the JSON output of the status command.
 type configStatus struct {
 	controlplane.Rollout
-	Entries map[string]uint64 `json:"entries"` // committed, with the revisions at which they were set
+	Entries map[string]uint64 `json:"entries"` // revision at which each committed entry was set
 }
 
 // Run prints how far the configuration is in force.
 func (c configStatusCmd) Run(io streams) error {
-	r, err := ask(c.at, node.GetRollout)
+	r, err := query(c.memberFlags, node.GetRollout)
 	if err != nil {
 		return err
 	}
-	status, err := c.look()
+	status, err := c.status()
 	if err != nil {
 		return err
 	}
@@ -185,11 +186,11 @@
 	return c.print(io, out, out.rows())
 }
 
-// rows are the status as a table.
+// rows returns the status as a table.
 func (s configStatus) rows() [][]string {
 	heard, current := s.Summary.Members(), s.Summary.Current(s.Revision)
 	rows := [][]string{
-		{fmt.Sprintf("revision %d: %d of %d members have looked at it, %d lag, %d were not heard, %d refuse an entry",
+		{fmt.Sprintf("revision %d: %d of %d members have processed it, %d lag, %d have not reported, %d refuse an entry",
 			s.Revision, current, s.Members, heard-current, max(0, s.Members-heard), s.Summary.Refusing)},
 		{""}, {"REVISION", "MEMBERS"},
 	}
--- a/cmd/larkreach/fleet_off.go
+++ b/cmd/larkreach/fleet_off.go
@@ -16,62 +16,65 @@
 	"mulleinbeam/internal/settings"
 )
 
-// The program is built twice: as larkreach without the libraries that a fleet needs, whose mere presence would double the time
-// of a start, and with them (-tags cluster) as larkreach-cluster. The first hands over to the second where that is asked for.
+// The program is built twice: as larkreach without the libraries that a fleet needs, since linking them doubles the
+// startup time, and with them (-tags cluster) as larkreach-cluster. The first replaces itself with the second where a
+// command or a setting needs the cluster build.
 
 const (
-	clustered = false
-	sibling   = "larkreach-cluster"
+	clusterBuild   = false
+	clusterProgram = "larkreach-cluster"
 )
 
-// handOver becomes the program beside this one that has the rest.
-func handOver(args []string) error {
+// execClusterProgram replaces this process with larkreach-cluster from the same directory.
+func execClusterProgram(args []string) error {
 	self, err := os.Executable()
 	if err == nil {
-		path := filepath.Join(filepath.Dir(self), sibling)
+		path := filepath.Join(filepath.Dir(self), clusterProgram)
 		err = syscall.Exec(path, append([]string{path}, args...), os.Environ())
 	}
-	return fmt.Errorf("%s is not beside this program: %w", sibling, err)
+	return fmt.Errorf("running %s from the directory of this program: %w", clusterProgram, err)
 }
 
 func openFleet(settings.File, config, zerolog.Logger) (fleet, error) {
-	return nil, errors.New("settings: [cluster] needs " + sibling)
+	return nil, errors.New("settings: [cluster] requires " + clusterProgram)
 }
 
-func demoFleet(context.Context, []string, io.Writer) error { return errors.New(sibling + " plays it") }
+func demoFleet(context.Context, []string, io.Writer) error {
+	return errors.New(clusterProgram + " is required for the fleet demonstration")
+}
 
 type clusterCmd struct {
 	Args []string `arg:"" optional:"" passthrough:""`
 }
 
-// Run hands over.
-func (clusterCmd) Run() error { return handOver(os.Args[1:]) }
+// Run executes larkreach-cluster with the same arguments.
+func (clusterCmd) Run() error { return execClusterProgram(os.Args[1:]) }
 
 type planCmd struct {
 	Args []string `arg:"" optional:"" passthrough:""`
 }
 
-// Run hands over.
-func (planCmd) Run() error { return handOver(os.Args[1:]) }
+// Run executes larkreach-cluster with the same arguments.
+func (planCmd) Run() error { return execClusterProgram(os.Args[1:]) }
 
 type relayCmd struct {
 	Args []string `arg:"" optional:"" passthrough:""`
 }
 
-// Run hands over.
-func (relayCmd) Run() error { return handOver(os.Args[1:]) }
+// Run executes larkreach-cluster with the same arguments.
+func (relayCmd) Run() error { return execClusterProgram(os.Args[1:]) }
 
-// handOverCmd is a command that the other program carries out.
-type handOverCmd struct {
+// clusterProgramCmd is a command that larkreach-cluster implements.
+type clusterProgramCmd struct {
 	Args []string `arg:"" optional:"" passthrough:""`
 }
 
-// Run hands over.
-func (handOverCmd) Run() error { return handOver(os.Args[1:]) }
+// Run executes larkreach-cluster with the same arguments.
+func (clusterProgramCmd) Run() error { return execClusterProgram(os.Args[1:]) }
 
 type fleetConfigCmds struct {
-	Apply  handOverCmd `cmd:"" passthrough:"" help:"Commit the entries of a file for the whole fleet."`
-	Get    handOverCmd `cmd:"" passthrough:"" help:"Print the fleet's entries."`
-	Remove handOverCmd `cmd:"" passthrough:"" help:"Delete entries of the fleet."`
-	Status handOverCmd `cmd:"" passthrough:"" help:"Say how far the fleet's configuration is in force."`
+	Apply  clusterProgramCmd `cmd:"" passthrough:"" help:"Commit the entries of a file for the whole fleet."`
+	Get    clusterProgramCmd `cmd:"" passthrough:"" help:"Print the fleet's entries."`
+	Remove clusterProgramCmd `cmd:"" passthrough:"" help:"Delete entries of the fleet."`
+	Status clusterProgramCmd `cmd:"" passthrough:"" help:"Show how far the fleet's configuration is in force."`
 }
--- a/cmd/larkreach/fleet_on.go
+++ b/cmd/larkreach/fleet_on.go
@@ -23,14 +23,14 @@
 	"mulleinbeam/internal/settings"
 )
 
-const clustered = true
+const clusterBuild = true
 
-func handOver([]string) error { return nil } // it is this program already
+func execClusterProgram([]string) error { return nil } // this is larkreach-cluster
 
-// openFleet opens this forwarder's part in a fleet.
-func openFleet(own settings.File, cfg config, logger zerolog.Logger) (fleet, error) {
-	c := own.Cluster
-	founders, err := c.Council()
+// openFleet makes this forwarder a member of the fleet that the settings describe.
+func openFleet(settingsFile settings.File, cfg config, logger zerolog.Logger) (fleet, error) {
+	c := settingsFile.Cluster
+	voters, err := c.Council()
 	if err != nil {
 		return nil, err
 	}
@@ -38,55 +38,55 @@
 	if err != nil {
 		return nil, err
 	}
-	setup := node.Config{
+	nodeConfig := node.Config{
 		Name: cfg.Name, Zone: c.Zone, Region: c.Region, Listen: c.Listen, DialAddresses: c.Via, Copies: c.Copies, ReplicaSpace: int64(c.Space),
 		Timing:         controlplane.Timing{Tick: time.Duration(c.Tick), Lease: time.Duration(c.Lease), Margin: time.Duration(c.Margin)},
-		ReplicaTimeout: time.Duration(c.Patience), AllowUnreplicated: map[string]bool{}, Folder: filepath.Clean(cfg.State), CheckInterval: time.Duration(c.Check),
+		ReplicaTimeout: time.Duration(c.Patience), AllowUnreplicated: map[string]bool{}, Folder: filepath.Clean(cfg.StateDir), CheckInterval: time.Duration(c.Check),
 		Durability: store.Process, Logger: logger, GossipInterval: time.Duration(c.Beat), CatchUpRate: int64(c.CatchUp),
 		ObservationHalfLife: time.Duration(c.Believe),
 	}
-	for _, f := range founders {
-		setup.Founders = append(setup.Founders, controlplane.Voter{Name: f.Name, Address: f.Address})
+	for _, f := range voters {
+		nodeConfig.Founders = append(nodeConfig.Founders, controlplane.Voter{Name: f.Name, Address: f.Address})
 	}
 	for _, r := range relays {
-		setup.Relays = append(setup.Relays, controlplane.Relay{Zone: r.Zone, Address: r.Address})
+		nodeConfig.Relays = append(nodeConfig.Relays, controlplane.Relay{Zone: r.Zone, Address: r.Address})
 	}
 	for _, class := range c.Alone {
-		setup.AllowUnreplicated[class] = true
+		nodeConfig.AllowUnreplicated[class] = true
 	}
 	for _, class := range cfg.Settings.Classes {
-		setup.DedupWindow = max(setup.DedupWindow, class.DeliveryTimeout)
+		nodeConfig.DedupWindow = max(nodeConfig.DedupWindow, class.DeliveryTimeout)
 	}
-	if own.Bodies != nil {
-		setup.DedupWindow = max(setup.DedupWindow, time.Duration(own.Bodies.Longest))
+	if settingsFile.Bodies != nil {
+		nodeConfig.DedupWindow = max(nodeConfig.DedupWindow, time.Duration(settingsFile.Bodies.Longest))
 	}
-	if own.Journal != nil && own.Journal.Durability != settings.DurabilityNone {
-		setup.Durability = store.Batch
+	if settingsFile.Journal != nil && settingsFile.Journal.Durability != settings.DurabilityNone {
+		nodeConfig.Durability = store.Batch
 	}
-	if setup.Locality = places(own.Place); setup.Locality != nil {
+	if nodeConfig.Locality = localityConfig(settingsFile.Place); nodeConfig.Locality != nil {
 		for _, class := range cfg.Settings.Classes {
-			setup.Locality.Worth[class.Name] = class.Worth
+			nodeConfig.Locality.Worth[class.Name] = class.Worth
 		}
 	}
-	return node.Open(setup)
+	return node.Open(nodeConfig)
 }
 
-// places puts the settings in the planner's terms.
-func places(p *settings.Place) *node.LocalityConfig {
+// localityConfig converts the settings for the planner. Without settings it returns nil.
+func localityConfig(p *settings.Place) *node.LocalityConfig {
 	if p == nil {
 		return nil
 	}
-	crossing := func(c settings.Crossing) plan.Link {
+	link := func(c settings.Crossing) plan.Link {
 		return plan.Link{Delay: time.Duration(c.Delay), Price: c.Price, Capacity: c.Capacity}
 	}
 	out := &node.LocalityConfig{
-		Topology: plan.Topology{Region: p.Regions, Within: crossing(p.Within), Across: crossing(p.Across), Pairs: map[[2]string]plan.Link{}},
+		Topology: plan.Topology{Region: p.Regions, Within: link(p.Within), Across: link(p.Across), Pairs: map[[2]string]plan.Link{}},
 		Planner:  plan.Defaults(), Window: time.Duration(p.Window), MaxMembers: p.Members, RecordFile: p.Record,
 		Worth: map[string]float64{},
 	}
 	out.Planner.Hold, out.Planner.Reserve = time.Duration(p.Hold), p.Reserve
 	for _, c := range p.Crossings {
-		out.Topology.Pairs[[2]string{c.From, c.To}] = crossing(c.Crossing)
+		out.Topology.Pairs[[2]string{c.From, c.To}] = link(c.Crossing)
 	}
 	return out
 }
@@ -95,56 +95,57 @@
 	return cluster.Demo{Program: program, Out: out}.Run(ctx)
 }
 
-// clusterCmd looks at a fleet through any of its members.
+// clusterCmd contains the commands that show or change a fleet, through any of its members.
 type clusterCmd struct {
-	Members  membersCmd  `cmd:"" help:"Who belongs, in which life, and who keeps counted copies for whom."`
-	Copies   copiesCmd   `cmd:"" help:"The copies that one member keeps, and how far its own keepers are."`
-	Lives    livesCmd    `cmd:"" help:"Lives that have ended, and who took over what they owed."`
-	Facts    factsCmd    `cmd:"" help:"What one member knows of partners by others' words and its own, and what it heeds."`
-	Drain    drainCmd    `cmd:"" help:"Have a member keep no copies any more, before it goes."`
-	Return   returnCmd   `cmd:"" help:"Take a drain back."`
-	Remove   removeCmd   `cmd:"" help:"Have a member that has ended belong no longer."`
-	Founders foundersCmd `cmd:"" help:"Who holds the council, who leads it, and who learns before it votes."`
-	Found    foundCmd    `cmd:"" help:"Take a member into the council: it learns first, and votes once it has all that is decided."`
-	Unfound  unfoundCmd  `cmd:"" help:"Let a founder go from the council, while a majority of the others can be reached."`
-	Rebuild  rebuildCmd  `cmd:"" help:"Make a dead founder's folder the beginning of a new council, after a majority is lost for good."`
+	Members  membersCmd  `cmd:"" help:"List the members, their incarnations and their in-sync replicas."`
+	Copies   copiesCmd   `cmd:"" help:"List the replicas that a member stores, and the replication progress of its own replicas."`
+	Lives    livesCmd    `cmd:"" help:"List the incarnations that have ended, and the members that took over their messages."`
+	Facts    factsCmd    `cmd:"" help:"Show a member's observations of destinations, its own and those of other members, and which of them it applies."`
+	Drain    drainCmd    `cmd:"" help:"Stop storing replicas on a member, before it leaves."`
+	Return   returnCmd   `cmd:"" help:"Undo a drain."`
+	Remove   removeCmd   `cmd:"" help:"Remove a member that has ended from the fleet."`
+	Founders foundersCmd `cmd:"" help:"List the voters and learners of the control plane, and its leader."`
+	Found    foundCmd    `cmd:"" help:"Add a member to the control plane: it is a learner first, and votes once it has caught up."`
+	Unfound  unfoundCmd  `cmd:"" help:"Remove a voter from the control plane, while a majority of the others can be reached."`
+	Rebuild  rebuildCmd  `cmd:"" help:"Start a new control plane from the folder of a stopped voter, after a majority of the voters is lost for good."`
 }
 
-// at names the member that is asked.
-type at struct {
-	At   string `name:"at" required:"" placeholder:"HOST:PORT" help:"The links' address ([cluster] listen) of any member."`
+// memberFlags names the member to query.
+type memberFlags struct {
+	At   string `name:"at" required:"" placeholder:"HOST:PORT" help:"Cluster address ([cluster] listen) of any member."`
 	JSON bool   `name:"json" help:"Print JSON."`
 }
 
-const lookFor = 3 * time.Second
+// requestTimeout bounds a request to a member.
+const requestTimeout = 3 * time.Second
 
-// ask asks the member, for so long at the most.
-func ask[T any](a at, look func(ctx context.Context, address string) (T, error)) (T, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), lookFor)
+// query sends a request to the member and waits for the answer up to requestTimeout.
+func query[T any](a memberFlags, request func(ctx context.Context, address string) (T, error)) (T, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	return look(ctx, a.At)
+	return request(ctx, a.At)
 }
 
-func (a at) look() (node.Status, error) { return ask(a, node.GetStatus) }
+func (a memberFlags) status() (node.Status, error) { return query(a, node.GetStatus) }
 
-// refused is a command that the council would not have.
-type refused string
+// refusedError is the reason for which the control plane refused a command.
+type refusedError string
 
-func (r refused) Error() string { return string(r) }
+func (r refusedError) Error() string { return string(r) }
 
-// decide has the council decide something.
-func (a at) decide(cmd controlplane.Command) error {
-	ctx, cancel := context.WithTimeout(context.Background(), lookFor)
+// sendCommand has the control plane commit a command.
+func (a memberFlags) sendCommand(cmd controlplane.Command) error {
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	r, err := node.SendCommand(ctx, a.At, cmd)
 	if err == nil && r.Refused != "" {
-		err = refused(r.Refused)
+		err = refusedError(r.Refused)
 	}
 	return err
 }
 
 // print prints rows as a table, or a value as JSON.
-func (a at) print(io streams, v any, rows [][]string) error {
+func (a memberFlags) print(io streams, v any, rows [][]string) error {
 	if a.JSON {
 		e := json.NewEncoder(io.out)
 		e.SetIndent("", "  ")
@@ -157,11 +158,11 @@
 	return w.Flush()
 }
 
-type membersCmd struct{ at }
+type membersCmd struct{ memberFlags }
 
 // Run prints the members.
 func (c membersCmd) Run(io streams) error {
-	s, err := c.look()
+	s, err := c.status()
 	if err != nil {
 		return err
 	}
@@ -175,8 +176,8 @@
 		case m.Leaving:
 			state = "draining"
 		}
-		if away, unheard := s.Unheard[name]; unheard && m.Alive {
-			state += fmt.Sprintf(", suspected by %s for %.1f s", s.Name, away)
+		if silentFor, unheard := s.Unheard[name]; unheard && m.Alive {
+			state += fmt.Sprintf(", suspected by %s for %.1f s", s.Name, silentFor)
 		}
 		if m.Lost {
 			state += ", folder lost"
@@ -188,11 +189,11 @@
 	return c.print(io, s.State.Members, rows)
 }
 
-type copiesCmd struct{ at }
+type copiesCmd struct{ memberFlags }
 
-// Run prints the copies.
+// Run prints the replicas.
 func (c copiesCmd) Run(io streams) error {
-	s, err := c.look()
+	s, err := c.status()
 	if err != nil {
 		return err
 	}
@@ -211,38 +212,38 @@
 	return c.print(io, s, rows)
 }
 
-type livesCmd struct{ at }
+type livesCmd struct{ memberFlags }
 
-// Run prints the ended lives.
+// Run prints the ended incarnations.
 func (c livesCmd) Run(io streams) error {
-	s, err := c.look()
+	s, err := c.status()
 	if err != nil {
 		return err
 	}
 	rows := [][]string{{"LIFE", "ENDED AT", "KEEPERS", "TAKER", "DONE"}}
 	for _, j := range s.State.Jobs {
-		taker := "nobody yet"
+		successor := "none yet"
 		if j.Taker.Number > 0 {
-			taker = j.Taker.String()
+			successor = j.Taker.String()
 		}
-		rows = append(rows, []string{j.Life.String(), fmt.Sprint(j.At), strings.Join(j.Keepers, ","), taker, fmt.Sprint(j.Done)})
+		rows = append(rows, []string{j.Life.String(), fmt.Sprint(j.At), strings.Join(j.Keepers, ","), successor, fmt.Sprint(j.Done)})
 	}
 	return c.print(io, s.State.Jobs, rows)
 }
 
-type factsCmd struct{ at }
+type factsCmd struct{ memberFlags }
 
-// Run prints the facts.
+// Run prints the observations.
 func (c factsCmd) Run(io streams) error {
-	s, err := ask(c.at, node.GetObservations)
+	s, err := query(c.memberFlags, node.GetObservations)
 	if err != nil {
 		return err
 	}
 	rows := [][]string{{"DESTINATION", "ROUTE", "FACT", "ORIGIN", "AGE", "LEFT", "PER SECOND"}}
 	for _, f := range s.Facts {
-		row := []string{fmt.Sprint(f.Destination), f.Endpoint, f.Kind.String(), controlplane.Incarnation{Name: f.Origin, Number: f.Life}.String(), short(f.Age), "", ""}
+		row := []string{fmt.Sprint(f.Destination), f.Endpoint, f.Kind.String(), controlplane.Incarnation{Name: f.Origin, Number: f.Life}.String(), formatDuration(f.Age), "", ""}
 		if f.Left > 0 {
-			row[5] = short(f.Left)
+			row[5] = formatDuration(f.Left)
 		}
 		if f.Rate > 0 {
 			row[6] = fmt.Sprintf("%.1f", f.Rate)
@@ -251,7 +252,7 @@
 	}
 	rows = append(rows, []string{""}, []string{"HEEDED", "ROUTE", "WAIT", "CARE", "LIMIT", "BELIEVED"})
 	for _, l := range s.Heeded {
-		rows = append(rows, []string{fmt.Sprint(l.Destination), string(l.Endpoint), short(l.Wait), fmt.Sprint(l.Guard), fmt.Sprintf("%.1f", l.Limit), fmt.Sprintf("%.2f", l.Trust)})
+		rows = append(rows, []string{fmt.Sprint(l.Destination), string(l.Endpoint), formatDuration(l.Wait), fmt.Sprint(l.Guard), fmt.Sprintf("%.1f", l.Limit), fmt.Sprintf("%.2f", l.Trust)})
 	}
 	rows = append(rows, []string{""}, []string{"TOLD", "HEARD", "KNOWN TO ENOUGH", "OLD", "BOUNDED", "ABSURD"})
 	n := s.Counts
@@ -259,49 +260,49 @@
 	return c.print(io, s, rows)
 }
 
-func short(d time.Duration) string { return d.Round(100 * time.Millisecond).String() }
+func formatDuration(d time.Duration) string { return d.Round(100 * time.Millisecond).String() }
 
 type named struct {
-	at
+	memberFlags
 	Name string `arg:"" help:"The member."`
 }
 
-// order has the council decide something of a member.
-func (n named) order(io streams, cmd controlplane.Command, done string) error {
+// sendMemberCommand has the control plane commit a command about the member.
+func (n named) sendMemberCommand(io streams, cmd controlplane.Command, message string) error {
 	cmd.Life.Name = n.Name
-	if err := n.decide(cmd); err != nil {
+	if err := n.sendCommand(cmd); err != nil {
 		return err
 	}
-	fmt.Fprintf(io.out, "%s %s\n", n.Name, done)
+	fmt.Fprintf(io.out, "%s %s\n", n.Name, message)
 	return nil
 }
 
 type drainCmd struct{ named }
 
-// Run drains.
+// Run drains the member.
 func (c drainCmd) Run(io streams) error {
-	return c.order(io, controlplane.Command{Kind: controlplane.Drain, On: true}, "keeps no new copies; others are chosen in its place")
+	return c.sendMemberCommand(io, controlplane.Command{Kind: controlplane.Drain, On: true}, "stores no new replicas; other members are chosen instead")
 }
 
 type returnCmd struct{ named }
 
-// Run takes a drain back.
+// Run undoes a drain.
 func (c returnCmd) Run(io streams) error {
-	return c.order(io, controlplane.Command{Kind: controlplane.Drain}, "keeps copies again")
+	return c.sendMemberCommand(io, controlplane.Command{Kind: controlplane.Drain}, "stores replicas again")
 }
 
 type removeCmd struct{ named }
 
-// Run removes.
+// Run removes the member.
 func (c removeCmd) Run(io streams) error {
-	return c.order(io, controlplane.Command{Kind: controlplane.Remove}, "belongs no longer")
+	return c.sendMemberCommand(io, controlplane.Command{Kind: controlplane.Remove}, "is no longer a member")
 }
 
-type foundersCmd struct{ at }
+type foundersCmd struct{ memberFlags }
 
-// Run prints the founders.
+// Run prints the voters and learners.
 func (c foundersCmd) Run(io streams) error {
-	s, err := c.look()
+	s, err := c.status()
 	if err != nil {
 		return err
 	}
@@ -314,40 +315,40 @@
 
 type foundCmd struct{ named }
 
-// Run takes a member in.
+// Run adds a voter.
 func (c foundCmd) Run(io streams) error {
-	return c.order(io, controlplane.Command{Kind: controlplane.ChangeVoters, On: true}, "learns what the council has decided, and votes then (cluster founders)")
+	return c.sendMemberCommand(io, controlplane.Command{Kind: controlplane.ChangeVoters, On: true}, "is a learner, and votes once it has caught up (cluster founders)")
 }
 
 type unfoundCmd struct{ named }
 
-// Run lets a founder go.
+// Run removes a voter.
 func (c unfoundCmd) Run(io streams) error {
-	return c.order(io, controlplane.Command{Kind: controlplane.ChangeVoters}, "is no founder any more; take it out of everybody's settings")
+	return c.sendMemberCommand(io, controlplane.Command{Kind: controlplane.ChangeVoters}, "is no longer a voter; remove it from the settings of all members")
 }
 
 type rebuildCmd struct {
-	Folder   string   `arg:"" help:"The state folder of a founder whose process has ended: of those left, the one that knows most."`
-	Founders []string `arg:"" help:"The new council's founders, by name; this folder's among them."`
-	Force    bool     `name:"force" help:"Do it. Without this only what would be done is printed."`
+	Folder   string   `arg:"" help:"The state folder of a voter whose process has ended: the most up to date one of those left."`
+	Founders []string `arg:"" help:"The voters of the new control plane, by name, including the owner of this folder."`
+	Force    bool     `name:"force" help:"Make the change. Without this flag the command only prints what it would do."`
 }
 
-// Run rebuilds.
+// Run rewrites the control plane state in the folder.
 func (c rebuildCmd) Run(io streams) error {
-	keeper, kept, err := controlplane.OpenRaftStore(fsys.Dir(filepath.Join(c.Folder, node.ControlPlaneDir)), func(line string) { fmt.Fprintln(io.err, line) })
+	raftStore, stored, err := controlplane.OpenRaftStore(fsys.Dir(filepath.Join(c.Folder, node.ControlPlaneDir)), func(line string) { fmt.Fprintln(io.err, line) })
 	if err != nil {
 		return err
 	}
-	defer keeper.Close()
-	fresh, err := controlplane.Rebuild(kept, c.Founders)
+	defer raftStore.Close()
+	rebuilt, err := controlplane.Rebuild(stored, c.Founders)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(io.out, "term %d, version %d becomes the beginning of a council of %s at version %d\n",
-		kept.Hard.Term, max(kept.Hard.Commit, kept.Snapshot.Metadata.Index), strings.Join(c.Founders, ", "), fresh.Snapshot.Metadata.Index)
+	fmt.Fprintf(io.out, "term %d, version %d becomes the start of a control plane of %s at version %d\n",
+		stored.Hard.Term, max(stored.Hard.Commit, stored.Snapshot.Metadata.Index), strings.Join(c.Founders, ", "), rebuilt.Snapshot.Metadata.Index)
 	if !c.Force {
-		fmt.Fprintln(io.out, "nothing was changed; --force does it. Founders of the old council must never start again with their old folders' council.")
+		fmt.Fprintln(io.out, "nothing was changed; use --force to apply it. Voters of the old control plane must never start again with the control plane state in their old folders.")
 		return nil
 	}
-	return keeper.Replace(fresh)
+	return raftStore.Replace(rebuilt)
 }
--- a/cmd/larkreach/journal.go
+++ b/cmd/larkreach/journal.go
@@ -9,17 +9,18 @@
 	"mulleinbeam/internal/routing/wal"
 )
 
-// journalCmd holds the tools for a journal's folder. But for compact they read only, also beside a running program.
+// journalCmd contains the tools for a journal's folder. All but compact only read, and also work while the program
+// runs.
 type journalCmd struct {
-	Stat    statCmd    `cmd:"" help:"Tell what a journal holds and how its space is used."`
-	Verify  verifyCmd  `cmd:"" help:"Read all of a journal; status 1 and a line for each finding if something can't be read."`
-	Dump    dumpCmd    `cmd:"" help:"List the messages that are not over."`
+	Stat    statCmd    `cmd:"" help:"Show what a journal contains and how its space is used."`
+	Verify  verifyCmd  `cmd:"" help:"Read a whole journal; exit status 1 and a line for each finding if something can't be read."`
+	Dump    dumpCmd    `cmd:"" help:"List the messages that have not ended."`
 	Compact compactCmd `cmd:"" help:"Compact a journal that no program has open."`
 }
 
 type folder struct {
 	Dir  string `arg:"" type:"existingdir" help:"The state folder."`
-	JSON bool   `name:"json" help:"For machines: one JSON document, or one a line."`
+	JSON bool   `name:"json" help:"Print JSON: one document, or one a line."`
 }
 
 func (io streams) json(v any) error {
@@ -32,55 +33,55 @@
 
 type statCmd struct{ folder }
 
-// Run tells of segments and messages.
+// Run prints the segments and the number of messages.
 func (c statCmd) Run(io streams) error {
-	in, err := wal.Inspect(c.Dir, nil)
+	inspection, err := wal.Inspect(c.Dir, nil)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return io.json(in)
+		return io.json(inspection)
 	}
-	fmt.Fprintf(io.out, "%d messages not over, %d records, %d bytes on disk, %d findings\n", in.Living, in.Records, in.Bytes, len(in.Findings))
-	for _, s := range in.Segments {
-		left := ""
+	fmt.Fprintf(io.out, "%d messages not over, %d records, %d bytes on disk, %d findings\n", inspection.Living, inspection.Records, inspection.Bytes, len(inspection.Findings))
+	for _, s := range inspection.Segments {
+		note := ""
 		if !s.Counts {
-			left = "  left over, goes at the next start"
+			note = "  unused, removed at the next start"
 		}
-		fmt.Fprintf(io.out, "%s  %9d bytes  %7d records  %3d%% live%s\n", s.Name, s.Bytes, s.Records, 100*s.Live/max(1, s.Bytes), left)
+		fmt.Fprintf(io.out, "%s  %9d bytes  %7d records  %3d%% live%s\n", s.Name, s.Bytes, s.Records, 100*s.Live/max(1, s.Bytes), note)
 	}
 	return nil
 }
 
 type verifyCmd struct{ folder }
 
-// Run reads everything.
+// Run reads the whole journal and prints its findings.
 func (c verifyCmd) Run(io streams) error {
-	in, err := wal.Inspect(c.Dir, nil)
+	inspection, err := wal.Inspect(c.Dir, nil)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		if err := io.json(in.Findings); err != nil {
+		if err := io.json(inspection.Findings); err != nil {
 			return err
 		}
 	} else {
-		for _, finding := range in.Findings {
+		for _, finding := range inspection.Findings {
 			fmt.Fprintln(io.out, finding)
 		}
 	}
-	if len(in.Findings) > 0 {
+	if len(inspection.Findings) > 0 {
 		return errFindings
 	}
 	return nil
 }
 
-// errFindings ends verify with status 1; its lines have said all.
-var errFindings = errors.New("journal: there are findings")
+// errFindings makes verify exit with status 1; the findings themselves are printed before.
+var errFindings = errors.New("journal: verify found problems")
 
 type dumpCmd struct{ folder }
 
-// Run lists messages.
+// Run lists the messages that have not ended.
 func (c dumpCmd) Run(io streams) error {
 	var list []*wal.Message
 	if _, err := wal.Inspect(c.Dir, func(m *wal.Message) { list = append(list, m) }); err != nil {
@@ -102,10 +103,10 @@
 
 type compactCmd struct {
 	folder
-	Disk float64 `default:"3" help:"The folder's bound in MB, as disk_mb has it."`
+	Disk float64 `default:"3" help:"Maximum size of the folder in MB, like disk_mb."`
 }
 
-// Run compacts.
+// Run compacts the journal.
 func (c compactCmd) Run(io streams) error {
 	n, err := wal.Compact(c.Dir, wal.Options{Most: int64(c.Disk * 1e6)}, func(line string) { fmt.Fprintln(io.err, line) })
 	if err != nil {
--- a/cmd/larkreach/larkreach_test.go
+++ b/cmd/larkreach/larkreach_test.go
@@ -356,7 +356,7 @@
 	out := <-a.calls
 	for _, wrong := range []any{"", "nowhere", 7} {
 		s.set(wrong, "discovery")
-		s.reload("reload: not used, the old configuration stands")
+		s.reload("reload: new configuration not used, keeping the previous one")
 	}
 	s.discovery = newDiscovery(t)
 	s.set(s.address(), "discovery")
--- a/cmd/larkreach/learned_test.go
+++ b/cmd/larkreach/learned_test.go
@@ -79,7 +79,7 @@
 				if last.Sub(told) < 2500*time.Millisecond {
 					t.Errorf("called %v after a wait of 3 s was told", last.Sub(told))
 				}
-				if text := s.f.Log(); !strings.Contains(text, "learned: recalled from an earlier life partners=1 ids=1") {
+				if text := s.f.Log(); !strings.Contains(text, "learned: state restored from an earlier process partners=1 ids=1") {
 					t.Error("nothing told")
 				}
 			} else if arrivals["unsafe1"] != 2 {
--- a/cmd/larkreach/logging.go
+++ b/cmd/larkreach/logging.go
@@ -15,49 +15,51 @@
 )
 
 const (
-	logTime = "2006-01-02T15:04:05.000000Z07:00"
-	// lastLinesFor is how long the program's end waits for who reads its log. It comes behind drainFor and before the kill.
-	lastLinesFor = 200 * time.Millisecond
+	logTimeFormat = "2006-01-02T15:04:05.000000Z07:00"
+	// logFlushTimeout bounds how long the exiting program waits for the reader of its log. It starts when drainTimeout
+	// has passed and has to end before the platform's kill.
+	logFlushTimeout = 200 * time.Millisecond
 )
 
-// setUpLogging sets what all loggers of the program share.
+// setUpLogging sets the time format and the clock of all loggers.
 func setUpLogging() {
-	zerolog.TimeFieldFormat = logTime
+	zerolog.TimeFieldFormat = logTimeFormat
 	zerolog.TimestampFunc = func() time.Time { return time.Now().UTC() }
 }
 
-// logOutput is where a process's log goes. Who logs never waits for who reads it.
+// logOutput writes the process's log. Logging never blocks on a slow reader.
 type logOutput struct{ lines *asynclog.Writer }
 
-// openLog begins a log of one JSON object a line or, on a terminal or where it is asked for, of lines for people.
+// openLog returns a log that writes one JSON object a line, or human-readable lines if form is "text" or if it is
+// "auto" and out is a terminal.
 func openLog(out io.Writer, form string) *logOutput {
 	file, isFile := out.(*os.File)
 	if isFile {
-		if own, err := separateCrashOutput(file); err == nil {
-			out = own
+		if logFile, err := separateCrashOutput(file); err == nil {
+			out = logFile
 		}
 	}
 	if form == "text" || form == "auto" && isFile && isatty.IsTerminal(file.Fd()) {
-		out = zerolog.ConsoleWriter{Out: out, TimeFormat: logTime, NoColor: form == "text"}
+		out = zerolog.ConsoleWriter{Out: out, TimeFormat: logTimeFormat, NoColor: form == "text"}
 	}
-	return &logOutput{lines: asynclog.New(out, droppedNotice(""))}
+	return &logOutput{lines: asynclog.New(out, droppedLinesRecord(""))}
 }
 
-// logger gives a logger for a forwarder's name, which the notice of dropped lines bears from now on too.
+// logger returns a logger for the forwarder with that name. Later records of dropped lines have the name as well.
 func (l *logOutput) logger(name string) zerolog.Logger {
-	l.lines.SetNotice(droppedNotice(name))
+	l.lines.SetNotice(droppedLinesRecord(name))
 	return namedLogger(l.lines, name)
 }
 
-// close writes what is left, if it is read.
-func (l *logOutput) close() { _ = l.lines.Close(lastLinesFor) }
+// close flushes the remaining lines for up to logFlushTimeout.
+func (l *logOutput) close() { _ = l.lines.Close(logFlushTimeout) }
 
 func namedLogger(out io.Writer, name string) zerolog.Logger {
 	return zerolog.New(out).With().Str("name", name).Timestamp().Logger()
 }
 
-// droppedNotice makes the line that tells how many lines of the log were dropped before it.
-func droppedNotice(name string) func(lines int64) []byte {
+// droppedLinesRecord returns a function that formats the log line which reports how many lines were dropped before it.
+func droppedLinesRecord(name string) func(lines int64) []byte {
 	return func(lines int64) []byte {
 		var line bytes.Buffer
 		logger := namedLogger(&line, name)
@@ -66,41 +68,42 @@
 	}
 }
 
-// droppedLines is the counters' group of the log.
+// droppedLines is the "log" group of the counters: the number of dropped log lines.
 type droppedLines int64
 
-// MarshalZerologObject writes the group.
+// MarshalZerologObject implements zerolog.LogObjectMarshaler.
 func (d droppedLines) MarshalZerologObject(e *zerolog.Event) { e.Int64("dropped", int64(d)) }
 
-// logLastLine writes why the program ends, for as long as its end may take.
+// logLastLine writes the error that ends the program, waiting at most logFlushTimeout for a reader.
 func logLastLine(out io.Writer, line string) {
 	w := asynclog.New(out, func(int64) []byte { return nil })
 	_, _ = io.WriteString(w, line)
-	_ = w.Close(lastLinesFor)
+	_ = w.Close(logFlushTimeout)
 }
 
-// separateCrashOutput gives a file of its own for the log where file is a pipe, and has writes to file's descriptor never block: the
-// runtime prints there why it ends the process, and a pipe that nobody reads would keep it from ending. The pipe is opened anew for
-// this, since its other writers share how it is open now.
+// separateCrashOutput returns a separate file for the log if file is a pipe, and makes writes to file's own descriptor
+// non-blocking: the runtime prints the reason of a crash there, and with a full pipe that nobody reads the crashing
+// process would never exit. The pipe is reopened for this, since O_NONBLOCK on the existing open file description would
+// apply to all processes that share it.
 func separateCrashOutput(file *os.File) (log *os.File, err error) {
 	fd := int(file.Fd())
 	var stat unix.Stat_t
 	if err := unix.Fstat(fd, &stat); err != nil || stat.Mode&unix.S_IFMT != unix.S_IFIFO {
 		return file, err
 	}
-	kept, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0)
+	logFD, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
 		return nil, err
 	}
-	anew, err := unix.Open(fmt.Sprintf("/proc/self/fd/%d", fd), unix.O_WRONLY|unix.O_NONBLOCK|unix.O_CLOEXEC, 0)
+	reopenedFD, err := unix.Open(fmt.Sprintf("/proc/self/fd/%d", fd), unix.O_WRONLY|unix.O_NONBLOCK|unix.O_CLOEXEC, 0)
 	if err != nil {
-		_ = unix.Close(kept)
+		_ = unix.Close(logFD)
 		return nil, err
 	}
-	defer unix.Close(anew)
-	if err := unix.Dup3(anew, fd, 0); err != nil {
-		_ = unix.Close(kept)
+	defer unix.Close(reopenedFD)
+	if err := unix.Dup3(reopenedFD, fd, 0); err != nil {
+		_ = unix.Close(logFD)
 		return nil, err
 	}
-	return os.NewFile(uintptr(kept), file.Name()), nil
+	return os.NewFile(uintptr(logFD), file.Name()), nil
 }
--- a/cmd/larkreach/main.go
+++ b/cmd/larkreach/main.go
@@ -1,5 +1,5 @@
-// Command larkreach is the forwarder on sockets: clients hand messages in over HTTP, the decision module says when
-// and where each goes, and what was taken on outlasts the process.
+// Command larkreach is the forwarder: clients submit messages over HTTP, the decision module chooses when and where
+// each is sent, and accepted messages survive the process in a journal.
 package main
 
 import (
@@ -32,52 +32,52 @@
 )
 
 const (
-	stillComing = 600 * time.Millisecond  // after the stop: clients come for 0.4 s, and are answered
-	settleFor   = 700 * time.Millisecond  // after the stop: the router ends no earlier
-	drainFor    = 3300 * time.Millisecond // after the stop: calls may be out; the kill comes after 3.7 s
-	heapShare   = 0.6                     // of the memory limit: stacks, files and sockets take some too
-	ownFiles    = 16                      // descriptors of the program's own: streams, poller, listener, discovery, notices, a reload
-	leastRoom   = 16                      // those beside what is set aside, at the least
-	// filesPerLong are the descriptors of a long call: its connection, and a pipe for each direction.
-	filesPerLong = 5
+	acceptGrace              = 600 * time.Millisecond  // after a stop signal requests are still answered; clients keep sending for 0.4 s
+	clientGrace              = 700 * time.Millisecond  // after a stop signal the router runs at least this long
+	drainTimeout             = 3300 * time.Millisecond // after a stop signal calls may take this long; the platform kills the process after 3.7 s
+	heapFraction             = 0.6                     // share of the memory limit for the heap; stacks, files and sockets need the rest
+	programDescriptors       = 16                      // standard streams, poller, listener, discovery, delivery reports, a reload
+	minConnectionDescriptors = 16                      // fewest descriptors for connections with which the program starts
+	// descriptorsPerLongCall covers the connection of a long call and a pipe in each direction.
+	descriptorsPerLongCall = 5
 )
 
 func main() {
 	setUpLogging()
 	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP) // and never given back: from here to the exit it ends nothing
-	signal.Ignore(syscall.SIGXFSZ)     // a file that may not grow is an error of its write, and no reason to end;
-	signal.Ignore(syscall.SIGPIPE)     // nor is a log that nobody reads
-	if err := command(os.Args[1:], streams{os.Stdout, os.Stderr, hup}); err != nil {
+	signal.Notify(hup, syscall.SIGHUP) // never reset: from here to the exit SIGHUP does not end the process
+	signal.Ignore(syscall.SIGXFSZ)     // exceeding the file size limit is an error of the write instead
+	signal.Ignore(syscall.SIGPIPE)     // so is writing to a log whose reader has gone
+	if err := runCommand(os.Args[1:], streams{os.Stdout, os.Stderr, hup}); err != nil {
 		logLastLine(os.Stderr, fmt.Sprintln("larkreach:", err))
 		os.Exit(1)
 	}
 }
 
-// run serves until a signal ends it.
-func run(getenv func(string) string, log *logOutput, own settings.File, hup <-chan os.Signal) error {
-	cfg, err := insist(log.logger(getenv("ROUTER_NAME")), "configuration", func() (config, error) { return loadConfig(getenv) })
+// run starts the forwarder and serves until a signal ends it.
+func run(getenv func(string) string, log *logOutput, settingsFile settings.File, hup <-chan os.Signal) error {
+	cfg, err := retryTransient(log.logger(getenv("ROUTER_NAME")), "configuration", func() (config, error) { return loadConfig(getenv) })
 	if err != nil {
 		return err
 	}
-	long, passages, files, err := longBodies(own.Bodies, cfg.Limits)
+	long, streamConfig, descriptors, err := longBodies(settingsFile.Bodies, cfg.Limits)
 	if err != nil {
 		return err
 	}
 	cfg.Settings.LongSlots = long.Slots
-	room, err := shareDescriptors(&cfg, files)
+	connections, err := allocateDescriptors(&cfg, descriptors)
 	if err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Limits.Cores))))
-	debug.SetMemoryLimit(int64(heapShare * float64(cfg.Limits.MemoryMB<<20)))
+	debug.SetMemoryLimit(int64(heapFraction * float64(cfg.Limits.MemoryMB<<20)))
 	logger := log.logger(cfg.Name)
-	if cfg.Alone {
-		logger.Warn().Str("part", "config").Msg("no size of the fleet is told, this forwarder takes itself for the only one")
+	if cfg.FleetSizeUnknown {
+		logger.Warn().Str("part", "config").Msg("fleet size is not configured, assuming a single forwarder")
 	}
 
-	journal, err := insist(logger, "journal", func() (*wal.Log, error) {
-		return wal.Open(cfg.State, journalOptions(own.Journal, own.Learned, cfg.Limits), func(line string) {
+	journal, err := retryTransient(logger, "journal", func() (*wal.Log, error) {
+		return wal.Open(cfg.StateDir, journalOptions(settingsFile.Journal, settingsFile.Learned, cfg.Limits), func(line string) {
 			logger.Warn().Str("part", "journal").Msg(strings.TrimPrefix(line, "journal: "))
 		})
 	})
@@ -86,8 +86,8 @@
 	}
 	defer journal.Close()
 
-	remembered := openMemory(own, cfg, logger)
-	listener, err := insist(logger, "listener", func() (net.Listener, error) { // nobody is answered before what an earlier life left is resumed
+	learnedState := openLearnedState(settingsFile, cfg, logger)
+	listener, err := retryTransient(logger, "listener", func() (net.Listener, error) { // it accepts no connection before earlier processes' messages are resumed
 		return net.Listen("tcp", cfg.Listen)
 	})
 	if err != nil {
@@ -97,44 +97,44 @@
 
 	samples := oplog.NewSampler(logger.With().Str("part", "requests").Logger())
 	defer samples.Close()
-	endpoints := transport.NewEndpoints(cfg.Settings.KeepAlive, cfg.Settings.ConnectTimeout, room/4)
+	endpoints := transport.NewEndpoints(cfg.Settings.KeepAlive, cfg.Settings.ConnectTimeout, connections/4)
 	endpoints.Samples = samples
 	defer endpoints.Close()
 	discovery := transport.NewAddress(cfg.Discovery)
 	reporter := transport.NewReporter(discovery, logger)
-	setup := routing.Config{
-		Settings: cfg.Settings, Seed: cfg.Seed, InitialList: listOf(cfg.Known, true), Log: journal,
-		Caller: caller{endpoints}, Notifier: notifier{reporter}, Logger: logger, Sampler: samples, DrainTimeout: drainFor, ClientGrace: settleFor,
+	routerConfig := routing.Config{
+		Settings: cfg.Settings, Seed: cfg.Seed, InitialList: endpointList(cfg.Known, true), Log: journal,
+		Caller: caller{endpoints}, Notifier: notifier{reporter}, Logger: logger, Sampler: samples, DrainTimeout: drainTimeout, ClientGrace: clientGrace,
 		Long: long,
 	}
-	if remembered != nil {
-		learned := remembered.Learned()
-		setup.Learned, setup.EndedBefore = &learned, remembered.Ended
+	if learnedState != nil {
+		learned := learnedState.Learned()
+		routerConfig.Learned, routerConfig.EndedBefore = &learned, learnedState.Ended
 	}
-	var part fleet
-	if own.Cluster != nil {
-		part, err = insist(logger, "cluster", func() (fleet, error) { return openFleet(own, cfg, logger) })
+	var fleetMember fleet
+	if settingsFile.Cluster != nil {
+		fleetMember, err = retryTransient(logger, "cluster", func() (fleet, error) { return openFleet(settingsFile, cfg, logger) })
 		if err != nil {
 			return err
 		}
-		defer part.Close()
-		journal.Tap(part.Tap)
-		setup.Replication, setup.Steering, setup.Limiter = part, part.Steering(), part.Limiter()
+		defer fleetMember.Close()
+		journal.Tap(fleetMember.Tap)
+		routerConfig.Replication, routerConfig.Steering, routerConfig.Limiter = fleetMember, fleetMember.Steering(), fleetMember.Limiter()
 	}
-	router, err := routing.New(setup)
+	router, err := routing.New(routerConfig)
 	if err != nil {
 		return err
 	}
-	clients := &transport.Clients{Handler: handler{router}, MaxConnections: room * 3 / 4, Streams: passages, Samples: samples}
-	counters := func(when string) {
-		now, line := router.Counters(), logger.Info()
-		if passages != nil {
-			line.Object("long calls", passages)
+	clients := &transport.Clients{Handler: handler{router}, MaxConnections: connections * 3 / 4, Streams: streamConfig, Samples: samples}
+	logCounters := func(when string) {
+		routerCounters, line := router.Counters(), logger.Info()
+		if streamConfig != nil {
+			line.Object("long calls", streamConfig)
 		}
 		line.Object("clients", clients.Counters()).Object("endpoints", endpoints.Counters())
-		now.Log(line, passages != nil)
-		if remembered != nil {
-			line.Object("learned", saves(remembered.Saves()))
+		routerCounters.Log(line, streamConfig != nil)
+		if learnedState != nil {
+			line.Object("learned", saveCounters(learnedState.Saves()))
 		}
 		if dropped := log.lines.Dropped(); dropped > 0 {
 			line.Object("log", droppedLines(dropped))
@@ -142,26 +142,26 @@
 		line.Msg(when)
 	}
 	reload := reloader{
-		getenv: getenv, state: cfg.State, started: cfg.Told, address: discovery,
+		getenv: getenv, stateDir: cfg.StateDir, startAddress: cfg.ConfiguredDiscovery, address: discovery,
 		logger: logger.With().Str("part", "reload").Logger(),
 	}
-	keep := func(ctx context.Context) error {
-		if part != nil {
-			return part.Run(ctx, router)
+	runFleet := func(ctx context.Context) error {
+		if fleetMember != nil {
+			return fleetMember.Run(ctx, router)
 		}
 		return nil
 	}
-	save := func(ctx context.Context) {
-		if remembered != nil {
-			remembered.Run(ctx, time.Duration(own.Learned.Interval), func() memory.Snapshot { return snapshot(router) })
+	saveLearned := func(ctx context.Context) {
+		if learnedState != nil {
+			learnedState.Run(ctx, time.Duration(settingsFile.Learned.Interval), func() memory.Snapshot { return learnedSnapshot(router) })
 		}
 	}
-	err = serve(cfg, logger, router, reporter, reload, hup, clients, listener, counters, save, keep, journal.Broken())
-	counters("counters at exit")
+	err = serve(cfg, logger, router, reporter, reload, hup, clients, listener, logCounters, saveLearned, runFleet, journal.Broken())
+	logCounters("counters at exit")
 	return err
 }
 
-// fleet is this forwarder's part in a fleet that keeps copies of what each owes; see fleet_on.go.
+// fleet is this forwarder's membership in a fleet whose members replicate each other's messages; fleet_on.go opens it.
 type fleet interface {
 	routing.Replication
 	Steering() routing.Steering
@@ -171,24 +171,25 @@
 	Close() error
 }
 
-// shareDescriptors gives the descriptors for connections, those of clients and those to endpoints that are idle. All others are set
-// aside, so that whoever fills the table with connections takes none that is needed later: for the program's own files, the
-// journal's, connections that are turned away, calls that are out, and long messages. Calls get half of what is left at the most.
-func shareDescriptors(cfg *config, long int) (room int, err error) {
-	kept := ownFiles + wal.Descriptors + transport.OverflowConnections + long
-	left := cfg.Limits.Sockets - kept
-	if left < leastRoom {
-		return 0, fmt.Errorf("config: limits: %d descriptors are too few, %d of them are not for connections", cfg.Limits.Sockets, kept)
+// allocateDescriptors returns the number of descriptors for connections of clients and for idle connections to
+// endpoints. All other descriptors are reserved, so that a flood of connections cannot take those that are needed
+// later: for the program's own files, the journal, connections over the limit that are refused, calls in flight, and
+// long messages. Calls in flight get at most half of the rest.
+func allocateDescriptors(cfg *config, long int) (connections int, err error) {
+	reserved := programDescriptors + wal.Descriptors + transport.OverflowConnections + long
+	available := cfg.Limits.Sockets - reserved
+	if available < minConnectionDescriptors {
+		return 0, fmt.Errorf("config: limits: %d descriptors are too few, %d of them are reserved for other uses than connections", cfg.Limits.Sockets, reserved)
 	}
-	cfg.Settings.Slots = min(cfg.Settings.Slots, left/2)
-	return left - cfg.Settings.Slots, nil
+	cfg.Settings.Slots = min(cfg.Settings.Slots, available/2)
+	return available - cfg.Settings.Slots, nil
 }
 
-// journalOptions puts the settings of the journal in its terms. Without settings it is as the platform tells.
+// journalOptions converts the journal settings. Without settings the platform's disk limit applies.
 func journalOptions(j *settings.Journal, learned *settings.Learned, l limits) wal.Options {
 	o := wal.Options{Most: int64(l.DiskMB * 1e6)}
 	if learned != nil {
-		o.Other = 2 * (int64(learned.Size) + 512) // the old file and the new one
+		o.Other = 2 * (int64(learned.Size) + 512) // the old file and its replacement
 	}
 	if j != nil {
 		o.Durability, o.Segment, o.Memory = durabilities[j.Durability], int64(j.Segment), int64(j.Memory)
@@ -199,10 +200,10 @@
 	return o
 }
 
-// openMemory reads what an earlier life has learned; without settings there is no such thing. It comes behind the journal's
-// lock of the folder.
-func openMemory(own settings.File, cfg config, logger zerolog.Logger) *memory.Memory {
-	if own.Learned == nil {
+// openLearnedState reads the state that earlier processes learned; without [learned] settings it returns nil. It must
+// run after the journal has locked the folder.
+func openLearnedState(settingsFile settings.File, cfg config, logger zerolog.Logger) *memory.Memory {
+	if settingsFile.Learned == nil {
 		return nil
 	}
 	report := func(line string) { logger.Warn().Str("part", "learned").Msg(line) }
@@ -211,25 +212,25 @@
 		report(fmt.Sprintf("times go by the wall clock: %v", err))
 	}
 	o := memory.Options{
-		FS: fsys.Dir(cfg.State), Name: cfg.Name, Most: int64(own.Learned.Size), IDs: own.Learned.IDs,
-		Sync: own.Journal != nil && own.Journal.Durability != settings.DurabilityNone, Figures: memory.DefaultFigures,
+		FS: fsys.Dir(cfg.StateDir), Name: cfg.Name, Most: int64(settingsFile.Learned.Size), IDs: settingsFile.Learned.IDs,
+		Sync: settingsFile.Journal != nil && settingsFile.Journal.Durability != settings.DurabilityNone, Figures: memory.DefaultFigures,
 		Clock: clock, Report: report,
 	}
 	for _, c := range cfg.Settings.Classes {
 		o.IDFor = max(o.IDFor, c.DeliveryTimeout)
 	}
-	if own.Bodies != nil {
-		o.IDFor = max(o.IDFor, time.Duration(own.Bodies.Longest))
+	if settingsFile.Bodies != nil {
+		o.IDFor = max(o.IDFor, time.Duration(settingsFile.Bodies.Longest))
 	}
 	m := memory.Open(o)
 	if l := m.Learned(); len(l.Circuits) > 0 || m.IDs() > 0 {
-		logger.Info().Str("part", "learned").Int("partners", len(l.Circuits)).Int("ids", m.IDs()).Msg("recalled from an earlier life")
+		logger.Info().Str("part", "learned").Int("partners", len(l.Circuits)).Int("ids", m.IDs()).Msg("state restored from an earlier process")
 	}
 	return m
 }
 
-// snapshot is what there is to keep now.
-func snapshot(router *routing.Router) memory.Snapshot {
+// learnedSnapshot returns the learned state to save now.
+func learnedSnapshot(router *routing.Router) memory.Snapshot {
 	l, ids := router.Learned()
 	s := memory.Snapshot{Learned: l}
 	for _, id := range ids {
@@ -238,11 +239,11 @@
 	return s
 }
 
-// saves is the counters' group of what was written.
-type saves memory.Saves
+// saveCounters is the "learned" group of the counters: the saves of learned state.
+type saveCounters memory.Saves
 
-// MarshalZerologObject writes the group.
-func (s saves) MarshalZerologObject(e *zerolog.Event) {
+// MarshalZerologObject implements zerolog.LogObjectMarshaler.
+func (s saveCounters) MarshalZerologObject(e *zerolog.Event) {
 	e.Int64("files", s.Files).Int64("bytes", s.Bytes).Int64("last", s.Last).Int64("failed", s.Failed)
 }
 
@@ -250,37 +251,38 @@
 	settings.DurabilityNone: store.Process, settings.DurabilityBatch: store.Batch, settings.DurabilityEach: store.Each,
 }
 
-// longBodies puts the settings of long bodies in the parts' terms, and tells how many descriptors they take. Without
-// settings there are none.
+// longBodies converts the settings of long bodies and returns the number of descriptors that they need. Without
+// settings long bodies are off.
 func longBodies(b *settings.Bodies, l limits) (routing.LongLimits, *transport.Streams, int, error) {
 	if b == nil {
 		return routing.LongLimits{}, nil, 0, nil
 	}
 	limits := routing.LongLimits{MaxMessages: b.AtOnce(), Slots: b.Slots, MaxTimeLeft: time.Duration(b.Longest)}
-	files := limits.MaxMessages + filesPerLong*limits.Slots
-	if files > l.Sockets/2 {
+	descriptors := limits.MaxMessages + descriptorsPerLongCall*limits.Slots
+	if descriptors > l.Sockets/2 {
 		return limits, nil, 0, fmt.Errorf("settings: bodies.total: %d long messages at once and %d calls take more than half of"+
 			" the %d descriptors", limits.MaxMessages, limits.Slots, l.Sockets)
 	}
-	if share := int64(heapShare * float64(l.MemoryMB<<20)); int64(b.Total) > share {
-		return limits, nil, 0, fmt.Errorf("settings: bodies.total: %d bytes of %d that may be held in all", b.Total, share)
+	if heapBytes := int64(heapFraction * float64(l.MemoryMB<<20)); int64(b.Total) > heapBytes {
+		return limits, nil, 0, fmt.Errorf("settings: bodies.total: %d bytes of at most %d", b.Total, heapBytes)
 	}
-	return limits, &transport.Streams{MaxBodyBytes: int64(b.Most), IdleTimeout: time.Duration(b.Idle), WindowBytes: int(b.Window)}, files, nil
+	return limits, &transport.Streams{MaxBodyBytes: int64(b.Most), IdleTimeout: time.Duration(b.Idle), WindowBytes: int(b.Window)}, descriptors, nil
 }
 
-// errBroken ends the process where its supervisor's next start is the way out.
-var errBroken = errors.New("journal: a sync has failed")
+// errSyncFailed ends the process after a failed sync: only a restart by its supervisor can recover.
+var errSyncFailed = errors.New("journal: a sync has failed; a restart is required")
 
-// serve runs the parts and ends them in order: the clients, the router, then what it still needs.
+// serve runs all components and stops them in order: the client listener, the router, then the components that the
+// router needs until its end.
 func serve(cfg config, logger zerolog.Logger, router *routing.Router, reporter *transport.Reporter,
-	reload reloader, hup <-chan os.Signal, clients *transport.Clients, listener net.Listener, counters func(string),
-	save func(context.Context), keep func(context.Context) error, broken <-chan struct{}) error {
+	reload reloader, hup <-chan os.Signal, clients *transport.Clients, listener net.Listener, logCounters func(string),
+	saveLearned func(context.Context), runFleet func(context.Context) error, broken <-chan struct{}) error {
 	stop, cancelStop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancelStop()
 	usr := make(chan os.Signal, 1)
 	signal.Notify(usr, syscall.SIGUSR1)
 	defer signal.Stop(usr)
-	group, ctx := errgroup.WithContext(stop) // ends with a signal, or with the first part that fails
+	group, ctx := errgroup.WithContext(stop) // done on a signal, or when the first component fails
 	after, routerEnded := context.WithCancel(context.WithoutCancel(ctx))
 	serving, stopServing := context.WithCancel(context.WithoutCancel(ctx))
 	ready := make(chan struct{})
@@ -291,13 +293,13 @@
 		return router.Run(ctx, func() { close(ready) })
 	})
 	group.Go(func() error { return reporter.Run(after) })
-	group.Go(func() error { save(after); return nil })
-	group.Go(func() error { return keep(after) })
+	group.Go(func() error { saveLearned(after); return nil })
+	group.Go(func() error { return runFleet(after) })
 	group.Go(func() error { return reload.run(after, hup) })
 	group.Go(func() error {
 		watch := transport.Discovery{
-			Address: reload.address, KnownVersion: cfg.since(), Logger: logger, Schedule: cfg.asking(),
-			OnList: func(d protocol.List) { router.Learn(listOf(d, false)) },
+			Address: reload.address, KnownVersion: cfg.initialVersion(), Logger: logger, Schedule: cfg.pollSchedule(),
+			OnList: func(d protocol.List) { router.Learn(endpointList(d, false)) },
 		}
 		return watch.Watch(after)
 	})
@@ -305,7 +307,7 @@
 		select {
 		case <-broken:
 			logger.Error().Str("part", "journal").Msg("a sync has failed: this process ends, and the next goes on with what lasts")
-			return errBroken
+			return errSyncFailed
 		case <-after.Done():
 			return nil
 		}
@@ -314,7 +316,7 @@
 		for {
 			select {
 			case <-usr:
-				counters("counters")
+				logCounters("counters")
 			case <-after.Done():
 				return nil
 			}
@@ -327,7 +329,7 @@
 			return nil
 		}
 		logger.Info().Str("listen", cfg.Listen).Msg("ready")
-		defer context.AfterFunc(ctx, func() { time.AfterFunc(stillComing, stopServing) })()
+		defer context.AfterFunc(ctx, func() { time.AfterFunc(acceptGrace, stopServing) })()
 		return clients.Serve(serving, ctx, listener)
 	})
 	return group.Wait()
--- a/cmd/larkreach/plan_on.go
+++ b/cmd/larkreach/plan_on.go
@@ -14,31 +14,32 @@
 	"mulleinbeam/internal/cluster/plan"
 )
 
-// planCmd looks at where traffic goes, and orders it, through any member.
+// planCmd contains the commands that show or change where traffic goes, through any member.
 type planCmd struct {
-	Show     planShowCmd    `cmd:"" help:"The plan in force: grants, places that are not well, forwarders whose own network is bad."`
-	Why      planWhyCmd     `cmd:"" help:"Where a destination's traffic goes, and why."`
-	History  planHistoryCmd `cmd:"" help:"What was moved, when and on what evidence, as one member heard it."`
-	Freeze   planFreezeCmd  `cmd:"" help:"Have the plan stay as it is."`
-	Thaw     planThawCmd    `cmd:"" help:"Take a freeze back."`
-	Evacuate evacuateCmd    `cmd:"" help:"Have a place empty of traffic, without pushing the others over; says beforehand why it can't."`
-	Return   planReturnCmd  `cmd:"" help:"Take an evacuation back."`
+	Show     planShowCmd    `cmd:"" help:"Show the plan in force: quotas, unhealthy locations, forwarders whose own network is bad."`
+	Why      planWhyCmd     `cmd:"" help:"Show where a destination's traffic goes, and why."`
+	History  planHistoryCmd `cmd:"" help:"Show which traffic was moved, when and why, as one member received it."`
+	Freeze   planFreezeCmd  `cmd:"" help:"Keep the plan as it is."`
+	Thaw     planThawCmd    `cmd:"" help:"Undo a freeze."`
+	Evacuate evacuateCmd    `cmd:"" help:"Move all traffic away from a zone without overloading the others; first prints what would not fit."`
+	Return   planReturnCmd  `cmd:"" help:"Undo an evacuation."`
 }
 
-func (a at) plan() (node.PlanStatus, error) { return ask(a, node.GetPlan) }
+func (a memberFlags) plan() (node.PlanStatus, error) { return query(a, node.GetPlan) }
 
-func way(g plan.Quota) string {
+// routeType tells whether a quota is for traffic within a zone or across zones.
+func routeType(g plan.Quota) string {
 	if g.From == g.To {
 		return "near"
 	}
 	return "across"
 }
 
-// sites are the rows of a plan's places that show says.
-func sites(p *plan.Plan, show func(plan.Site) bool) [][]string {
+// siteRows returns a table of the plan's sites for which include returns true.
+func siteRows(p *plan.Plan, include func(plan.Site) bool) [][]string {
 	rows := [][]string{{""}, {"DESTINATION", "PLACE", "STANDS", "FOR", "SLOW", "FOUND", "CUT FROM", "WHY"}}
 	for _, x := range p.Sites {
-		if show(x) {
+		if include(x) {
 			rows = append(rows, []string{
 				fmt.Sprint(x.Destination), x.Place, x.Phase.String(), x.Since.Round(time.Second).String(), fmt.Sprintf("%.2f", x.Slow),
 				fmt.Sprintf("%.2f", x.Found), fmt.Sprint(x.Cut), x.Why,
@@ -48,7 +49,7 @@
 	return rows
 }
 
-type planShowCmd struct{ at }
+type planShowCmd struct{ memberFlags }
 
 // Run prints the plan.
 func (c planShowCmd) Run(io streams) error {
@@ -57,23 +58,23 @@
 		return err
 	}
 	if s.Plan == nil {
-		return c.print(io, s, [][]string{{"no plan is decided: near only, and across within each one's part of the reserve"}})
+		return c.print(io, s, [][]string{{"no plan is in force: traffic stays near, and goes across only within each forwarder's share of the reserve"}})
 	}
-	rows := [][]string{{fmt.Sprintf("plan %d, holds for %v; %s goes by %d; frozen %v, evacuating %v, sick %v", s.Plan.Version, s.Plan.Hold, s.Name, s.Obeys, s.Frozen, s.Evacuating, s.Plan.Sick)},
+	rows := [][]string{{fmt.Sprintf("plan %d, holds for %v; %s follows %d; frozen %v, evacuating %v, sick %v", s.Plan.Version, s.Plan.Hold, s.Name, s.Obeys, s.Frozen, s.Evacuating, s.Plan.Sick)},
 		{""}, {"DESTINATION", "FROM", "TO", "WAY", "PER SECOND", "SHARE", "TRIAL"}}
 	for _, g := range s.Plan.Grants {
-		rows = append(rows, []string{fmt.Sprint(g.Destination), g.From, g.To, way(g), fmt.Sprintf("%.1f", g.Rate), fmt.Sprintf("%.2f", g.Share), fmt.Sprint(g.Trial)})
+		rows = append(rows, []string{fmt.Sprint(g.Destination), g.From, g.To, routeType(g), fmt.Sprintf("%.1f", g.Rate), fmt.Sprintf("%.2f", g.Share), fmt.Sprint(g.Trial)})
 	}
-	ill := func(x plan.Site) bool { return x.Phase != plan.Open || x.Slow < 1 || x.Found < 1 || len(x.Cut) > 0 }
-	return c.print(io, s, append(rows, sites(s.Plan, ill)...))
+	unhealthy := func(x plan.Site) bool { return x.Phase != plan.Open || x.Slow < 1 || x.Found < 1 || len(x.Cut) > 0 }
+	return c.print(io, s, append(rows, siteRows(s.Plan, unhealthy)...))
 }
 
 type planWhyCmd struct {
-	at
+	memberFlags
 	Destination int64 `arg:"" help:"The destination's number."`
 }
 
-// Run prints what is known of one destination.
+// Run prints the plan, the quotas and the moves of one destination.
 func (c planWhyCmd) Run(io streams) error {
 	s, err := c.plan()
 	if err != nil {
@@ -81,16 +82,16 @@
 	}
 	rows := [][]string{{"PLACE", "TAKES", fmt.Sprintf("%s MAY SEND", s.Name)}}
 	for _, z := range slices.Sorted(maps.Keys(s.Sites[c.Destination])) {
-		may := "nothing"
-		if t, some := s.Targets[c.Destination][z]; some {
-			if may = fmt.Sprintf("%.2f a second", t.Rate); t.Free {
-				may = "as the partner takes it"
+		allowed := "nothing"
+		if t, found := s.Targets[c.Destination][z]; found {
+			if allowed = fmt.Sprintf("%.2f a second", t.Rate); t.Free {
+				allowed = "whatever the destination accepts"
 			}
 			if t.Trial {
-				may += ", on trial"
+				allowed += ", on trial"
 			}
 		}
-		rows = append(rows, []string{z, fmt.Sprintf("%.1f a second", s.Sites[c.Destination][z]), may})
+		rows = append(rows, []string{z, fmt.Sprintf("%.1f a second", s.Sites[c.Destination][z]), allowed})
 	}
 	if s.Plan != nil {
 		rows = append(rows, []string{""}, []string{"FROM", "TO", "PER SECOND", "SHARE"})
@@ -99,18 +100,19 @@
 				rows = append(rows, []string{g.From, g.To, fmt.Sprintf("%.1f", g.Rate), fmt.Sprintf("%.2f", g.Share)})
 			}
 		}
-		rows = append(rows, sites(s.Plan, func(x plan.Site) bool { return x.Destination == c.Destination })...)
+		rows = append(rows, siteRows(s.Plan, func(x plan.Site) bool { return x.Destination == c.Destination })...)
 	}
 	rows = append(rows, []string{""})
-	rows = append(rows, moves(s, c.Destination)...)
+	rows = append(rows, moveRows(s, c.Destination)...)
 	return c.print(io, s, rows)
 }
 
-func moves(s node.PlanStatus, of int64) [][]string {
+// moveRows returns a table of the moves of a destination, or of all if it is 0.
+func moveRows(s node.PlanStatus, destination int64) [][]string {
 	rows := [][]string{{"HEARD", "PLAN", "DESTINATION", "PLACE", "FROM", "MOVE", "WHY"}}
 	for _, d := range s.History {
 		for _, m := range d.Moves {
-			if of == 0 || m.Destination == of {
+			if destination == 0 || m.Destination == destination {
 				rows = append(rows, []string{d.Heard.Format(time.TimeOnly), fmt.Sprint(d.Plan), fmt.Sprint(m.Destination), m.Place, m.From, m.Kind, m.Why})
 			}
 		}
@@ -118,57 +120,59 @@
 	return rows
 }
 
-type planHistoryCmd struct{ at }
+type planHistoryCmd struct{ memberFlags }
 
-// Run prints moves.
+// Run prints the moves of all destinations.
 func (c planHistoryCmd) Run(io streams) error {
 	s, err := c.plan()
 	if err != nil {
 		return err
 	}
-	return c.print(io, s.History, moves(s, 0))
+	return c.print(io, s.History, moveRows(s, 0))
 }
 
-// order has the council decide an operator's order, as of what the operator has seen.
-func (a at) order(io streams, seen uint64, cmd controlplane.Command, done string) error {
-	cmd.From = seen
-	var late refused
-	switch err := a.decide(cmd); {
-	case errors.As(err, &late):
-		return fmt.Errorf("%w: another operator was quicker, look again", late)
+// sendOrder has the control plane commit an operator's order if no other order came after expectedOrder.
+func (a memberFlags) sendOrder(io streams, expectedOrder uint64, cmd controlplane.Command, message string) error {
+	cmd.From = expectedOrder
+	var conflict refusedError
+	switch err := a.sendCommand(cmd); {
+	case errors.As(err, &conflict):
+		return fmt.Errorf("%w: another operator gave an order meanwhile, check the plan again", conflict)
 	case err != nil:
 		return err
 	}
-	fmt.Fprintln(io.out, done)
+	fmt.Fprintln(io.out, message)
 	return nil
 }
 
-// freeze orders that the plan stays as it is, or goes on.
-func (a at) freeze(io streams, on bool, done string) error {
+// setFreeze freezes the plan or undoes a freeze.
+func (a memberFlags) setFreeze(io streams, on bool, message string) error {
 	s, err := a.plan()
 	if err != nil {
 		return err
 	}
-	return a.order(io, s.Ordered, controlplane.Command{Kind: controlplane.Freeze, On: on}, done)
+	return a.sendOrder(io, s.Ordered, controlplane.Command{Kind: controlplane.Freeze, On: on}, message)
 }
 
-type planFreezeCmd struct{ at }
+type planFreezeCmd struct{ memberFlags }
 
-// Run freezes.
-func (c planFreezeCmd) Run(io streams) error { return c.freeze(io, true, "the plan stays as it is") }
+// Run freezes the plan.
+func (c planFreezeCmd) Run(io streams) error { return c.setFreeze(io, true, "the plan is frozen") }
 
-type planThawCmd struct{ at }
+type planThawCmd struct{ memberFlags }
 
-// Run thaws.
-func (c planThawCmd) Run(io streams) error { return c.freeze(io, false, "the plan goes on") }
+// Run undoes a freeze.
+func (c planThawCmd) Run(io streams) error {
+	return c.setFreeze(io, false, "the plan is no longer frozen")
+}
 
 type evacuateCmd struct {
-	at
+	memberFlags
 	Place string `arg:"" help:"The zone."`
-	Force bool   `name:"force" help:"Do it though something would have to be shed."`
+	Force bool   `name:"force" help:"Evacuate even if some traffic would have to be shed."`
 }
 
-// Run evacuates.
+// Run evacuates a zone.
 func (c evacuateCmd) Run(io streams) error {
 	s, err := c.plan()
 	if err != nil {
@@ -178,11 +182,11 @@
 		return fmt.Errorf("%s is being evacuated already", c.Place)
 	}
 	if s.Plan == nil {
-		return fmt.Errorf("no plan is in force: nobody knows what the others could take")
+		return fmt.Errorf("no plan is in force: the spare capacity of the other zones is unknown")
 	}
 	needs, windows := s.Plan.Evacuation(plan.Defaults(), c.Place, s.Sites)
 	shed := 0.0
-	rows := [][]string{{"DESTINATION", "GOES THERE", "OTHERS HAVE", "TO BE SHED"}}
+	rows := [][]string{{"DESTINATION", "DEMAND", "SPARE", "SHED"}}
 	for _, n := range needs {
 		shed += n.Shed
 		rows = append(rows, []string{fmt.Sprint(n.Destination), fmt.Sprintf("%.1f a second", n.Demand), fmt.Sprintf("%.1f", n.Spare), fmt.Sprintf("%.1f", n.Shed)})
@@ -191,17 +195,17 @@
 		return err
 	}
 	if shed > 0 && !c.Force {
-		return fmt.Errorf("%.1f calls a second would fit nowhere and be turned away; --force does it all the same", shed)
+		return fmt.Errorf("%.1f calls a second would exceed the capacity of the other zones and be refused; use --force to evacuate anyway", shed)
 	}
-	return c.order(io, s.Ordered, controlplane.Command{Kind: controlplane.Evacuate, Place: c.Place, On: true}, fmt.Sprintf("%s empties within %d windows", c.Place, windows+2))
+	return c.sendOrder(io, s.Ordered, controlplane.Command{Kind: controlplane.Evacuate, Place: c.Place, On: true}, fmt.Sprintf("%s will be empty within %d windows", c.Place, windows+2))
 }
 
 type planReturnCmd struct {
-	at
+	memberFlags
 	Place string `arg:"" help:"The zone."`
 }
 
-// Run takes an evacuation back.
+// Run undoes an evacuation.
 func (c planReturnCmd) Run(io streams) error {
 	s, err := c.plan()
 	if err != nil {
@@ -210,5 +214,5 @@
 	if !slices.Contains(s.Evacuating, c.Place) {
 		return fmt.Errorf("%s is not being evacuated", c.Place)
 	}
-	return c.order(io, s.Ordered, controlplane.Command{Kind: controlplane.Evacuate, Place: c.Place}, c.Place+" takes traffic again")
+	return c.sendOrder(io, s.Ordered, controlplane.Command{Kind: controlplane.Evacuate, Place: c.Place}, c.Place+" takes traffic again")
 }
--- a/cmd/larkreach/relay_on.go
+++ b/cmd/larkreach/relay_on.go
@@ -12,14 +12,14 @@
 	"mulleinbeam/internal/settings"
 )
 
-// relayCmd runs a relay of the control plane.
+// relayCmd runs a control plane relay.
 type relayCmd struct {
-	Listen string   `name:"listen" required:"" placeholder:"HOST:PORT" help:"Where members reach it; what their [cluster] relays name."`
-	Voters []string `name:"voter" required:"" placeholder:"NAME@HOST:PORT" help:"A voter, as [cluster] founders names it. Once for each."`
-	Log    string   `name:"log" env:"LARKREACH_LOG" enum:"auto,json,text" default:"auto" help:"The log's form: json, text, or auto for text on a terminal and json elsewhere."`
+	Listen string   `name:"listen" required:"" placeholder:"HOST:PORT" help:"Address at which members reach it, as in their [cluster] relays."`
+	Voters []string `name:"voter" required:"" placeholder:"NAME@HOST:PORT" help:"A voter, as in [cluster] founders. Repeat it for each voter."`
+	Log    string   `name:"log" env:"LARKREACH_LOG" enum:"auto,json,text" default:"auto" help:"Log format: json, text, or auto for text on a terminal and json elsewhere."`
 }
 
-// Run serves until a signal ends it.
+// Run serves until a signal ends the program.
 func (c relayCmd) Run(io streams) error {
 	voters, err := settings.Cluster{Founders: c.Voters}.Council()
 	if err != nil {
@@ -37,6 +37,6 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	cfg.Logger.Info().Str("part", "relay").Str("listen", server.Address()).Msg("listens")
+	cfg.Logger.Info().Str("part", "relay").Str("listen", server.Address()).Msg("listening")
 	return server.Run(ctx)
 }
--- a/cmd/larkreach/reload.go
+++ b/cmd/larkreach/reload.go
@@ -14,151 +14,153 @@
 	"mulleinbeam/internal/transport"
 )
 
-// movedName is the file in the state folder that tells the next life of a reload. It is small and counted in the
-// journal's slack.
-const movedName = "discovery.json"
+// movedAddressFile is the file in the state folder that records a reload for the next process. It is small, and the
+// journal's disk reserve covers it.
+const movedAddressFile = "discovery.json"
 
-// moved says that a reload has replaced the address which this program was started with. The environment of the next
-// start may still name that one, though it is gone.
-type moved struct {
-	From string `json:"from"` // what the start had told
+// discoveryMove records that a reload replaced the discovery address with which this process started. The environment
+// of the next start may still contain the old address, although nothing answers there any more.
+type discoveryMove struct {
+	From string `json:"from"` // the address configured at the start
 	To   string `json:"to"`
 }
 
-// atStart gives discovery's address at a start. The environment's comes first, unless a reload has replaced just that
-// one: then the file's does, and without one the address that the reload had found. Its error is one that may pass.
-func atStart(state, told, filed string) (string, error) {
-	raw, err := os.ReadFile(filepath.Join(state, movedName))
-	if err != nil && passes(err) {
+// addressAtStart returns the discovery address to use at a start. The configured address (ROUTER_DISCOVERY, or else the
+// configuration file's) applies unless a reload has replaced exactly that address: then the configuration file's
+// address applies, or the one recorded by the reload if the file has none. Only transient errors are returned.
+func addressAtStart(stateDir, configured, inFile string) (string, error) {
+	raw, err := os.ReadFile(filepath.Join(stateDir, movedAddressFile))
+	if err != nil && isTransient(err) {
 		return "", err
 	}
-	var m moved
-	if err != nil || json.Unmarshal(raw, &m) != nil || m.From != told {
-		return told, nil
+	var m discoveryMove
+	if err != nil || json.Unmarshal(raw, &m) != nil || m.From != configured {
+		return configured, nil
 	}
-	if filed != "" {
-		return filed, nil
+	if inFile != "" {
+		return inFile, nil
 	}
 	return m.To, nil
 }
 
-// remember leaves word of a reload for the next life.
-func remember(state string, m moved) error {
+// recordMove stores a reload's address change for the next process.
+func recordMove(stateDir string, m discoveryMove) error {
 	raw, err := json.Marshal(m)
 	if err != nil {
 		return err
 	}
-	name := filepath.Join(state, movedName)
+	name := filepath.Join(stateDir, movedAddressFile)
 	if err := os.WriteFile(name+".new", raw, 0o600); err != nil {
 		return err
 	}
 	return os.Rename(name+".new", name)
 }
 
-// reloader reads the configuration again at each SIGHUP.
+// reloader re-reads the configuration on each SIGHUP and switches to the discovery address that it names.
 type reloader struct {
-	getenv  func(string) string
-	state   string
-	started string // discovery's address as the environment, or else the file, told it at the start
-	address *transport.Address
-	logger  zerolog.Logger
+	getenv       func(string) string
+	stateDir     string
+	startAddress string // discovery address at the start: ROUTER_DISCOVERY, or else the configuration file's
+	address      *transport.Address
+	logger       zerolog.Logger
 }
 
 const (
-	reachAgain = time.Second            // the pause between two tries of an address that takes no connection
-	fileAgain  = 100 * time.Millisecond // and between two of a file that cannot be read or written for a moment
+	connectRetryInterval = time.Second            // between attempts to connect to the new address, or to record the change
+	fileRetryInterval    = 100 * time.Millisecond // between attempts to read a file that fails with a transient error
 )
 
-// reload is what is left to do of one, or of several that came one behind the other.
-type reload struct {
-	read, remember, reach bool
-	wanted                string // the address that the file names, once it is read
-	told                  bool   // a line tells that it is tried again
+// pendingReload holds the steps that remain of a reload, or of several reloads in succession.
+type pendingReload struct {
+	readFile, recordMove, connect bool
+	target                        string // discovery address in the configuration file, set once the file is read
+	logged                        bool   // the failure has been logged, so retries log nothing
 }
 
-// run serves until ctx ends. A file that can't be used is logged, and what was told before stands. So it does while the address
-// that a file names takes no connection: that is tried again without a further line, since discovery may come up there
-// behind its announcement. What fails only for a moment is tried again as well.
+// run handles reloads until ctx ends. An unusable file is logged, and the previous configuration stays in force. It
+// also stays while the new address accepts no connection: connecting is retried without further log lines, since
+// discovery may come up only after its new address is announced. Transient errors are retried as well.
 func (r reloader) run(ctx context.Context, hup <-chan os.Signal) error {
-	var left reload
-	var again <-chan time.Time
+	var pending pendingReload
+	var retry <-chan time.Time
 	for {
 		select {
 		case <-hup:
-			left.read, left.told = true, left.told && left.reach
-		case <-again:
+			pending.readFile, pending.logged = true, pending.logged && pending.connect
+		case <-retry:
 		case <-ctx.Done():
 			return nil
 		}
-		again = nil
-		if pause := r.proceed(ctx, &left); pause > 0 {
-			again = time.After(pause)
+		retry = nil
+		if pause := r.advance(ctx, &pending); pause > 0 {
+			retry = time.After(pause)
 		}
 	}
 }
 
-// proceed does what can be done of a reload, and gives the pause before the next try; 0 is that nothing is left.
-func (r reloader) proceed(ctx context.Context, left *reload) (pause time.Duration) {
-	if left.read {
-		to, err := r.read()
-		if err != nil && passes(err) {
-			r.unused(left, err)
-			return fileAgain
+// advance runs the pending steps of a reload and returns the pause before the next attempt; 0 means that nothing is
+// left.
+func (r reloader) advance(ctx context.Context, pending *pendingReload) (pause time.Duration) {
+	if pending.readFile {
+		to, err := r.readAddress()
+		if err != nil && isTransient(err) {
+			r.logNotApplied(pending, err)
+			return fileRetryInterval
 		}
-		if left.read = false; err != nil {
-			r.logger.Warn().Err(err).Msg("not used, the old configuration stands")
+		if pending.readFile = false; err != nil {
+			r.logger.Warn().Err(err).Msg("new configuration not used, keeping the previous one")
 		} else {
-			left.wanted, left.remember, left.reach = to, true, true
+			pending.target, pending.recordMove, pending.connect = to, true, true
 		}
 	}
-	if left.remember {
-		if err := remember(r.state, moved{From: r.started, To: left.wanted}); err != nil {
-			r.logger.Warn().Str("address", r.started).Err(err).Msg("a restart may go back")
-			pause = reachAgain
+	if pending.recordMove {
+		if err := recordMove(r.stateDir, discoveryMove{From: r.startAddress, To: pending.target}); err != nil {
+			r.logger.Warn().Str("address", r.startAddress).Err(err).Msg("recording the discovery address failed: a restart may use the old one")
+			pause = connectRetryInterval
 		} else {
-			left.remember = false
+			pending.recordMove = false
 		}
 	}
-	if left.reach && !r.reach(ctx, left) {
-		pause = reachAgain
+	if pending.connect && !r.connect(ctx, pending) {
+		pause = connectRetryInterval
 	}
 	return pause
 }
 
-// reach turns to the address that is wanted; false says that it takes no connection.
-func (r reloader) reach(ctx context.Context, left *reload) bool {
-	moved, err := r.address.MoveIfReachable(ctx, left.wanted)
+// connect switches to the target address. It returns false if the address accepts no connection.
+func (r reloader) connect(ctx context.Context, pending *pendingReload) bool {
+	switched, err := r.address.MoveIfReachable(ctx, pending.target)
 	switch {
 	case err != nil:
 		if ctx.Err() == nil {
-			r.unused(left, err)
+			r.logNotApplied(pending, err)
 		}
 		return false
-	case moved:
-		r.logger.Info().Str("address", left.wanted).Msg("discovery has moved")
+	case switched:
+		r.logger.Info().Str("address", pending.target).Msg("discovery has moved")
 	default:
-		r.logger.Info().Str("address", left.wanted).Msg("discovery stays")
+		r.logger.Info().Str("address", pending.target).Msg("discovery address unchanged")
 	}
-	left.reach = false
+	pending.connect = false
 	return true
 }
 
-// unused logs, once for a reload, that it is not in force yet.
-func (r reloader) unused(left *reload, err error) {
-	if !left.told {
-		left.told = true
-		r.logger.Warn().Err(err).Msg("not used, the old configuration stands")
+// logNotApplied logs, once for each reload, that the new configuration is not in force yet.
+func (r reloader) logNotApplied(pending *pendingReload, err error) {
+	if !pending.logged {
+		pending.logged = true
+		r.logger.Warn().Err(err).Msg("new configuration not used, keeping the previous one")
 	}
 }
 
-// read gives the address that the file names.
-func (r reloader) read() (string, error) {
+// readAddress returns the discovery address in the configuration file.
+func (r reloader) readAddress() (string, error) {
 	cfg, err := loadConfig(r.getenv)
 	if err != nil {
 		return "", err
 	}
-	if _, port, err := net.SplitHostPort(cfg.Filed); err != nil || port == "" {
-		return "", fmt.Errorf("config: discovery %q is no address", cfg.Filed)
+	if _, port, err := net.SplitHostPort(cfg.FileDiscovery); err != nil || port == "" {
+		return "", fmt.Errorf("config: discovery %q is not a HOST:PORT address", cfg.FileDiscovery)
 	}
-	return cfg.Filed, nil
+	return cfg.FileDiscovery, nil
 }
--- a/cmd/larkreach/standing_test.go
+++ b/cmd/larkreach/standing_test.go
@@ -23,7 +23,7 @@
 
 // Whatever size of the fleet and whatever costs are told, the program starts, says so where it is told none, and delivers.
 func TestOddFleetSettings(t *testing.T) {
-	const alone = "takes itself for the only one"
+	const alone = "assuming a single forwarder"
 	for name, c := range map[string]struct {
 		odd func(*site)
 		log string
@@ -157,7 +157,7 @@
 			}
 		}, true},
 		"word of a reload that can't be read": {func(t *testing.T, s *site) {
-			must(t, os.WriteFile(filepath.Join(s.dir, movedName), []byte("{"), 0o600))
+			must(t, os.WriteFile(filepath.Join(s.dir, movedAddressFile), []byte("{"), 0o600))
 		}, true},
 		"files of a later version": {func(t *testing.T, s *site) {
 			must(t, os.WriteFile(filepath.Join(s.dir, "of-a-later-version"), []byte("what?"), 0o600))
@@ -213,7 +213,7 @@
 	<-old.watched
 	dead := boundOnly(t)
 	s.set(dead.address, "discovery")
-	const unused = "reload: not used, the old configuration stands"
+	const unused = "reload: new configuration not used, keeping the previous one"
 	s.reload(unused)
 	old.lists <- list(2, true, a, b)
 	<-old.watched // it was learned
@@ -241,7 +241,7 @@
 	if err := s.end(syscall.SIGTERM); err != nil {
 		t.Error(err)
 	}
-	raw, err := os.ReadFile(filepath.Join(s.dir, movedName))
+	raw, err := os.ReadFile(filepath.Join(s.dir, movedAddressFile))
 	var word struct {
 		To string `json:"to"`
 	}
--- a/cmd/larkreach/starting.go
+++ b/cmd/larkreach/starting.go
@@ -10,38 +10,40 @@
 )
 
 const (
-	startFor   = 20 * time.Second      // how long a step of the start is tried; the platform waits for 30 s
-	startPause = 20 * time.Millisecond // between two tries
+	startupRetryTimeout  = 20 * time.Second // bounds the retries of a startup step; the platform allows 30 s for a start
+	startupRetryInterval = 20 * time.Millisecond
 )
 
-// passing are the errors of system calls that a busy machine or a disk in trouble gives for a while. Any other is final.
-var passing = []syscall.Errno{
+// transientErrors are the system call errors that an overloaded machine or a failing disk may return for a while. Any
+// other error is final.
+var transientErrors = []syscall.Errno{
 	syscall.EINTR, syscall.EAGAIN, syscall.EIO, syscall.ENOSPC, syscall.EDQUOT, syscall.EROFS, syscall.EMFILE, syscall.ENFILE,
 	syscall.ENOMEM, syscall.ENOBUFS, syscall.EBUSY, syscall.ETIMEDOUT,
 }
 
-// passes says whether an error may be gone at the next try.
-func passes(err error) bool {
-	number := syscall.Errno(0)
-	return errors.As(err, &number) && slices.Contains(passing, number)
+// isTransient reports whether a retry may succeed after err.
+func isTransient(err error) bool {
+	errno := syscall.Errno(0)
+	return errors.As(err, &errno) && slices.Contains(transientErrors, errno)
 }
 
-// insist tries a step of the start until it works, fails for good, or has been tried for long enough. An exit would be a crash to the
-// platform, and would leave what an earlier life had taken on without anybody who owes it.
-func insist[T any](logger zerolog.Logger, step string, try func() (T, error)) (T, error) {
-	began := time.Now()
-	for tries := 1; ; tries++ {
-		result, err := try()
+// retryTransient runs a startup step until it succeeds, fails with a final error, or startupRetryTimeout has passed.
+// Exiting at once would count as a crash on the platform, and nothing would deliver the messages accepted by earlier
+// processes.
+func retryTransient[T any](logger zerolog.Logger, step string, attempt func() (T, error)) (T, error) {
+	started := time.Now()
+	for attempts := 1; ; attempts++ {
+		result, err := attempt()
 		switch {
-		case err == nil && tries > 1:
-			logger.Info().Str("part", "start").Str("step", step).Int("tries", tries).
-				Stringer("after", time.Since(began).Round(time.Millisecond)).Msg("step done")
+		case err == nil && attempts > 1:
+			logger.Info().Str("part", "start").Str("step", step).Int("tries", attempts).
+				Stringer("after", time.Since(started).Round(time.Millisecond)).Msg("startup step succeeded")
 			return result, nil
-		case err == nil || !passes(err) || time.Since(began) > startFor:
+		case err == nil || !isTransient(err) || time.Since(started) > startupRetryTimeout:
 			return result, err
-		case tries == 1:
-			logger.Warn().Str("part", "start").Str("step", step).Err(err).Msg("step failed, tried again")
+		case attempts == 1:
+			logger.Warn().Str("part", "start").Str("step", step).Err(err).Msg("startup step failed, retrying")
 		}
-		time.Sleep(startPause)
+		time.Sleep(startupRetryInterval)
 	}
 }
--- a/cmd/larkreach/sysfault_test.go
+++ b/cmd/larkreach/sysfault_test.go
@@ -413,7 +413,7 @@
 		Calls: []sysfault.Call{sysfault.Write, sysfault.ReadAt}, Places: []sysfault.Place{sysfault.StateFile},
 		Errors: []unix.Errno{unix.EIO}, Chance: 1,
 	})
-	s.f.OnLine("start: step failed, tried again step=journal", func() { faults.Set() })
+	s.f.OnLine("start: startup step failed, retrying step=journal", func() { faults.Set() })
 	must(t, s.f.Start())
 	must(t, s.p.Up())
 	s.finish(t)
@@ -432,7 +432,7 @@
 		Calls: []sysfault.Call{sysfault.Open}, Places: []sysfault.Place{sysfault.Elsewhere, sysfault.StateFile}, Errors: []unix.Errno{unix.EIO},
 		Chance: 1,
 	})
-	s.f.OnLine("reload: not used, the old configuration stands", func() { faults.Set() })
+	s.f.OnLine("reload: new configuration not used, keeping the previous one", func() { faults.Set() })
 	must(t, s.f.Signal(syscall.SIGHUP))
 	if _, ok := s.f.Sees("reload: discovery has moved address=" + moved.Address()); !ok {
 		t.Fatal(s.f.Log())
--- a/cmd/larkreach/wiring.go
+++ b/cmd/larkreach/wiring.go
@@ -13,9 +13,9 @@
 	"mulleinbeam/internal/wire"
 )
 
-// This file joins the parts: what the protocol's formats say is put in the router's terms, and the other way round.
+// This file adapts the transport and protocol packages to the router and back.
 
-// handler puts clients' handovers before the router.
+// handler passes messages submitted by clients to the router. It implements transport.Handler.
 type handler struct{ router *routing.Router }
 
 func (d handler) Accept(h protocol.Submission) (*protocol.Refusal, func()) {
@@ -28,16 +28,16 @@
 	case routing.Accepted:
 		return nil, func() { d.router.CancelMessage(id) }
 	case routing.AlreadyAccepted:
-		return nil, nil // whoever handed it in first has been told
+		return nil, nil // the first submission has been answered already
 	}
 	return refusal(v), nil
 }
 
 func (d handler) Stream(h protocol.Submission, up *transport.Upload) (*protocol.Refusal, <-chan transport.StreamEnd) {
-	done := make(chan transport.StreamEnd, 1) // the router does not wait
+	done := make(chan transport.StreamEnd, 1) // buffered: the router never blocks on it
 	v := d.router.AcceptLong(routing.Message{
 		ID: string(h.ID), Key: string(h.Key), Class: string(h.Class), Destination: h.Destination, TimeLeft: h.Timeout,
-		Long: &routing.Long{BodySource: up, OnEnd: func(e routing.LongResult) { done <- passed(e) }},
+		Long: &routing.Long{BodySource: up, OnEnd: func(e routing.LongResult) { done <- streamEnd(e) }},
 	})
 	if v.Kind == routing.Accepted {
 		return nil, done
@@ -45,7 +45,7 @@
 	return refusal(v), nil
 }
 
-// refusal is the answer to a message that was not taken on.
+// refusal returns the response to a message that was not accepted.
 func refusal(v routing.Verdict) *protocol.Refusal {
 	switch v.Kind {
 	case routing.Failed:
@@ -56,7 +56,7 @@
 		return &protocol.Refusal{Status: 422, Reason: "unknown class", Close: true}
 	case routing.UnknownDestination:
 		return &protocol.Refusal{Status: 422, Reason: "unknown destination", Close: true}
-	case routing.Unconfirmed: // no answer is the only true one
+	case routing.Unconfirmed: // whether it was accepted is unknown, so no status would be correct
 		return &protocol.Refusal{Close: true}
 	case routing.Stopped:
 		return &protocol.Refusal{Status: 503, Reason: "going down", RetryAfter: v.RetryAfter, Close: true}
@@ -64,8 +64,8 @@
 	return &protocol.Refusal{Status: 503, Reason: "come again", RetryAfter: v.RetryAfter}
 }
 
-// passed is the answer to a long message that was taken on and has ended.
-func passed(e routing.LongResult) transport.StreamEnd {
+// streamEnd returns the response to an accepted long message that has ended.
+func streamEnd(e routing.LongResult) transport.StreamEnd {
 	if e.Kind == routing.AlreadyAccepted {
 		return transport.StreamEnd{}
 	}
@@ -74,7 +74,7 @@
 		r.Run = protocol.MayHaveRun
 	}
 	switch {
-	case e.Kind == routing.Refused: // it may be handed in again, harmlessly even where it may have run
+	case e.Kind == routing.Refused: // the client may submit it again, even if it may have run: its class allows repeats
 		r.RetryAfter = e.RetryAfter
 		if !e.MayHaveRun {
 			r.Status, r.Reason = 503, "come again"
@@ -85,7 +85,7 @@
 	return transport.StreamEnd{Refusal: r, OnAnswered: e.ClientAnswered}
 }
 
-// notifier passes the router's notices to the reporter.
+// notifier passes the router's delivery reports to the reporter.
 type notifier struct{ reporter *transport.Reporter }
 
 func (n notifier) Notify(x routing.DeliveryReport) {
@@ -94,20 +94,20 @@
 	})
 }
 
-// caller makes the router's calls over the endpoints' connections.
+// caller makes the router's calls over the endpoints' connections. It implements routing.Caller.
 type caller struct{ endpoints *transport.Endpoints }
 
 func (i caller) CloseIdle(endpoint string) { i.endpoints.CloseIdle(endpoint) }
 
 func (i caller) Call(ctx context.Context, c routing.Attempt) routing.Result {
 	if up, long := c.BodySource.(*transport.Upload); long {
-		return i.pass(ctx, c, up)
+		return i.stream(ctx, c, up)
 	}
 	r := i.endpoints.Call(ctx, transport.Call{
 		Call: protocol.Call{ID: c.ID, Key: c.Key, Host: c.Address, Body: c.Body},
 		Name: c.Endpoint, Address: c.Address, Fresh: c.NewConnection, Begin: c.Begin,
 	})
-	res := routing.Result{Outcome: ends[r.Outcome]}
+	res := routing.Result{Outcome: callOutcomes[r.Outcome]}
 	if r.Outcome == transport.Answered {
 		res = result(r.Reply)
 	}
@@ -115,8 +115,9 @@
 	return res
 }
 
-// pass makes a call with a long message. What its client brought about speaks of no endpoint.
-func (i caller) pass(ctx context.Context, c routing.Attempt, up *transport.Upload) routing.Result {
+// stream makes a call with a long message. A call that its client broke off is cancelled and says nothing about the
+// endpoint.
+func (i caller) stream(ctx context.Context, c routing.Attempt, up *transport.Upload) routing.Result {
 	r := i.endpoints.Stream(ctx, transport.StreamCall{
 		Call: transport.Call{
 			Call: protocol.Call{ID: c.ID, Key: c.Key, Host: c.Address},
@@ -124,11 +125,11 @@
 		},
 		Upload: up, RecordDelivery: c.RecordDelivery,
 	})
-	res := routing.Result{Outcome: passEnds[r.Outcome]}
+	res := routing.Result{Outcome: streamOutcomes[r.Outcome]}
 	switch {
 	case r.Outcome == pump.Answered:
 		res = result(r.Reply)
-	case r.Outcome == pump.TimeUp && r.Sent: // nothing but its answer was awaited
+	case r.Outcome == pump.TimeUp && r.Sent: // the body was sent, only the answer was outstanding
 		res.Outcome = mb.TimedOut
 	case !r.Begun && r.Outcome == pump.Broken:
 		res.Outcome = mb.ConnectFailed
@@ -139,21 +140,21 @@
 	return res
 }
 
-// passEnds are the outcomes of calls with long messages of which the first byte was written.
-var passEnds = map[pump.Outcome]mb.Outcome{
+// streamOutcomes maps the outcomes of calls with long messages after the first byte was written.
+var streamOutcomes = map[pump.Outcome]mb.Outcome{
 	pump.Delivered: mb.OK, pump.Malformed: mb.Failed, pump.Broken: mb.Reset, pump.EndpointStalled: mb.TimedOut,
 	pump.ClientGone: mb.Cancelled, pump.ClientStalled: mb.Cancelled, pump.ClientMalformed: mb.Cancelled,
 	pump.TimeUp: mb.Cancelled, pump.Aborted: mb.Cancelled, pump.NotBegun: mb.NotSent,
 }
 
-// ends are the outcomes of calls that were not answered. One whose answer is spoilt is an error: the endpoint is there,
-// and its connection was not a dead one.
-var ends = map[transport.CallOutcome]mb.Outcome{
+// callOutcomes maps the outcomes of calls without a usable answer. A malformed answer counts as a failure, not as a
+// reset: the endpoint is alive, and the connection was not a dead idle one.
+var callOutcomes = map[transport.CallOutcome]mb.Outcome{
 	transport.NotBegun: mb.NotSent, transport.Unconnected: mb.ConnectFailed, transport.Broken: mb.Reset,
 	transport.Malformed: mb.Failed, transport.Abandoned: mb.TimedOut,
 }
 
-// result reads an endpoint's answer as an outcome.
+// result converts an endpoint's answer to a call result.
 func result(r protocol.Reply) routing.Result {
 	var res routing.Result
 	var stats map[string]float64
@@ -179,17 +180,18 @@
 	return res
 }
 
-var states = map[protocol.Status]mb.Readiness{
+// readinessStates maps the endpoint statuses of discovery.
+var readinessStates = map[protocol.Status]mb.Readiness{
 	protocol.Serving: mb.Serving, protocol.Draining: mb.Draining, protocol.Deleted: mb.Deleted,
 }
 
-// listOf puts discovery's list in the router's terms.
-func listOf(d protocol.List, saved bool) routing.EndpointList {
+// endpointList converts a discovery list to the router's type.
+func endpointList(d protocol.List, saved bool) routing.EndpointList {
 	out := routing.EndpointList{Whole: d.Snapshot, Saved: saved}
 	for _, p := range d.Endpoints {
 		out.Endpoints = append(out.Endpoints, routing.Endpoint{
 			Name: p.Name, Address: p.Address, Zone: p.Zone, Kind: p.Kind, Destination: p.Group, Weight: p.Weight,
-			State: states[p.Status],
+			State: readinessStates[p.Status],
 		})
 	}
 	return out
