--- a/cmd/larkreach/cli_test.go
+++ b/cmd/larkreach/cli_test.go
@@ -11,18 +11,18 @@
 	"mulleinbeam/internal/lab/demo"
 )
 
-// program runs the command line to its end.
+// program runs a command of the program and returns its output and exit code.
 func program(t *testing.T, env []string, args ...string) (stdout, stderr string, code int) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
-	cmd.Env = append(append(os.Environ(), childMark+"=1", "ROUTER_CONFIG=", "LARKREACH_CONFIG="), env...)
+	cmd.Env = append(append(os.Environ(), childProcessEnv+"=1", "ROUTER_CONFIG=", "LARKREACH_CONFIG="), env...)
 	var out, errs bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &out, &errs
 	_ = cmd.Run()
 	return out.String(), errs.String(), cmd.ProcessState.ExitCode()
 }
 
-// Each command answers with its status, and what can't be used is one plain line that names where it stands.
+// Commands return the right exit status, and an invalid argument or file is reported in one line with its position.
 func TestCommandLine(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
@@ -61,13 +61,13 @@
 	}
 }
 
-// Settings that the platform's limits can't carry end the program at its start.
+// Settings that exceed the platform's limits end the program at its start.
 func TestSettingsAgainstLimits(t *testing.T) {
 	for text, want := range map[string]string{
 		"[bodies]\ntotal = \"200MiB\"\nwindow = \"64MiB\"\nslots = 1\n": "bodies.total: 209715200 bytes of",
 		"[bodies]\ntotal = \"64MiB\"\nwindow = \"128KiB\"\n":            "bodies.total: 256 long messages at once and 4 calls take more than half of the 256 descriptors",
 	} {
-		s := newSite(t)
+		s := newTestbed(t)
 		path := filepath.Join(t.TempDir(), "own.toml")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -80,9 +80,9 @@
 	}
 }
 
-// The demonstration shows each thing that it promises and ends by itself with no rule broken.
+// The demonstration shows each announced behavior and ends by itself without breaking a rule.
 func TestDemo(t *testing.T) {
-	t.Setenv(childMark, "1")
+	t.Setenv(childProcessEnv, "1")
 	var out bytes.Buffer
 	if err := demo.Run(t.Context(), []string{os.Args[0]}, &out); err != nil {
 		t.Fatalf("%v\n%s", err, out.String())
--- a/cmd/larkreach/disk_test.go
+++ b/cmd/larkreach/disk_test.go
@@ -16,8 +16,8 @@
 	"mulleinbeam/internal/lab"
 )
 
-// journalSite is a forwarder in a folder of its own with one endpoint, "p" of destination 7.
-type journalSite struct {
+// labForwarder is a forwarder run by the laboratory with one endpoint, "p" of destination 7.
+type labForwarder struct {
 	f     *lab.Forwarder
 	p     *lab.Endpoint
 	agent *lab.Agent
@@ -26,20 +26,20 @@
 	next  int
 }
 
-func newJournalSite(t *testing.T, own string) *journalSite {
+func newLabForwarder(t *testing.T, own string) *labForwarder {
 	t.Helper()
-	s := prepareJournalSite(t, own)
+	s := prepareLabForwarder(t, own)
 	must(t, s.f.Start())
 	return s
 }
 
-// prepareJournalSite makes one that is not started yet.
-func prepareJournalSite(t *testing.T, own string) *journalSite {
+// prepareLabForwarder returns a labForwarder that is not started yet.
+func prepareLabForwarder(t *testing.T, own string) *labForwarder {
 	t.Helper()
-	s := &journalSite{p: &lab.Endpoint{Name: "p", Group: 7}, agent: &lab.Agent{}, check: lab.NewChecker()}
+	s := &labForwarder{p: &lab.Endpoint{Name: "p", Group: 7}, agent: &lab.Agent{}, check: lab.NewChecker()}
 	must(t, s.p.Listen())
 	must(t, s.agent.Listen(s.p))
-	s.f = &lab.Forwarder{Command: []string{os.Args[0]}, Env: []string{childMark + "=1"}, Settings: own}
+	s.f = &lab.Forwarder{Command: []string{os.Args[0]}, Env: []string{childProcessEnv + "=1"}, Settings: own}
 	dir := t.TempDir()
 	s.state = filepath.Join(dir, "state")
 	must(t, s.f.Prepare(dir, s.agent))
@@ -52,8 +52,8 @@
 	return s
 }
 
-// hand hands a message of a class in, with a body of so many bytes.
-func (s *journalSite) hand(t *testing.T, class string, size int64) lab.Answer {
+// submit submits a message of a class with a body of size bytes.
+func (s *labForwarder) submit(t *testing.T, class string, size int64) lab.Answer {
 	t.Helper()
 	c, err := lab.Dial(s.f.Address())
 	must(t, err)
@@ -68,8 +68,8 @@
 	return a
 }
 
-// finish ends the program in order and holds what all sides have seen against the rules.
-func (s *journalSite) finish(t *testing.T) {
+// finish stops the program and checks the delivery rules against the records of all participants.
+func (s *labForwarder) finish(t *testing.T) {
 	t.Helper()
 	must(t, s.f.AwaitCounter("in", "held", 0))
 	must(t, s.f.End(syscall.SIGTERM))
@@ -81,8 +81,8 @@
 	}
 }
 
-// limitFiles sets how large a file of the program may grow; below zero takes the limit away.
-func limitFiles(t *testing.T, pid int, most int64) {
+// limitFileSize sets the maximum size of files that the program writes; a negative size removes the limit.
+func limitFileSize(t *testing.T, pid int, most int64) {
 	t.Helper()
 	var old unix.Rlimit
 	must(t, unix.Prlimit(pid, unix.RLIMIT_FSIZE, nil, &old))
@@ -93,25 +93,25 @@
 	must(t, unix.Prlimit(pid, unix.RLIMIT_FSIZE, &limit, nil))
 }
 
-// A real bound that an ordinary user can set, the size of a file: without room the program refuses with a time to come again,
-// keeps what it owes, and goes on by itself once there is room, also through a kill.
+// With a full disk the program refuses messages with Retry-After, keeps the accepted ones, and recovers by itself once
+// there is space again, also after a kill. The limit is RLIMIT_FSIZE, which needs no privileges.
 func TestFullDisk(t *testing.T) {
 	t.Parallel()
-	s := newJournalSite(t, "")
+	s := newLabForwarder(t, "")
 	s.p.Down()
-	for range 60 { // held, some of them in sealed segments
-		if a := s.hand(t, "safe", 16<<10); a.Status != 202 {
+	for range 60 { // held messages, some of them in sealed segments
+		if a := s.submit(t, "safe", 16<<10); a.Status != 202 {
 			t.Fatalf("%+v", a)
 		}
 	}
-	limitFiles(t, s.f.Pid(), 0)
+	limitFileSize(t, s.f.Pid(), 0)
 	refused := 0
 	for range 30 {
-		switch a := s.hand(t, "unsafe", 4<<10); {
+		switch a := s.submit(t, "unsafe", 4<<10); {
 		case a.Status == 503 && a.Header.Get("Retry-After") != "":
 			refused++
 		default:
-			t.Errorf("with no room: %d, Retry-After %q", a.Status, a.Header.Get("Retry-After"))
+			t.Errorf("without space: %d, Retry-After %q", a.Status, a.Header.Get("Retry-After"))
 		}
 	}
 	if refused == 0 {
@@ -120,17 +120,17 @@
 	if n := strings.Count(s.f.Log(), "record not written"); n != 1 {
 		t.Errorf("%d lines of the log for %d refusals", n, refused)
 	}
-	limitFiles(t, s.f.Pid(), 40<<10) // less than a segment: it goes on with smaller ones
+	limitFileSize(t, s.f.Pid(), 40<<10) // less than a segment: the journal continues with smaller segments
 	for range 20 {
-		if a := s.hand(t, "unsafe", 4<<10); a.Status != 202 {
+		if a := s.submit(t, "unsafe", 4<<10); a.Status != 202 {
 			t.Errorf("with files of 40 KiB: %d", a.Status)
 		}
 	}
-	limitFiles(t, s.f.Pid(), -1)
+	limitFileSize(t, s.f.Pid(), -1)
 	must(t, s.p.Up())
 	must(t, s.f.AwaitCounter("in", "held", 0))
-	if a := s.hand(t, "unsafe", 4<<10); a.Status != 202 {
-		t.Errorf("with room again: %d", a.Status)
+	if a := s.submit(t, "unsafe", 4<<10); a.Status != 202 {
+		t.Errorf("with space again: %d", a.Status)
 	}
 	must(t, s.f.AwaitCounter("in", "held", 0))
 	_ = s.f.End(syscall.SIGKILL)
@@ -138,20 +138,21 @@
 	s.finish(t)
 }
 
-// The same while segments are compacted: what is held stays, all of it is delivered once, and the folder keeps its bound.
+// The disk fills up during compaction: held messages are kept and delivered once, and the folder stays within its
+// limit.
 func TestFullDiskDuringCompaction(t *testing.T) {
 	t.Parallel()
-	s := newJournalSite(t, "[journal]\ndisk = \"1MB\"\nsegment = \"64KiB\"\n")
+	s := newLabForwarder(t, "[journal]\ndisk = \"1MB\"\nsegment = \"64KiB\"\n")
 	for round := range 6 {
 		s.p.Down()
 		taken := 0
 		for i := 0; i < 120; i++ {
-			if i%20 == 10 { // the disk is full for a while, at some point of the worker's work
-				limitFiles(t, s.f.Pid(), int64(round)*9000)
-				s.hand(t, "safe", 8<<10)
-				limitFiles(t, s.f.Pid(), -1)
+			if i%20 == 10 { // the disk is full for a while, at some point of a compaction
+				limitFileSize(t, s.f.Pid(), int64(round)*9000)
+				s.submit(t, "safe", 8<<10)
+				limitFileSize(t, s.f.Pid(), -1)
 			}
-			if a := s.hand(t, []string{"safe", "keyed", "unsafe"}[i%3], 8<<10); a.Status == 202 {
+			if a := s.submit(t, []string{"safe", "keyed", "unsafe"}[i%3], 8<<10); a.Status == 202 {
 				taken++
 			} else if a.Status != 503 {
 				t.Fatalf("%+v", a)
@@ -161,7 +162,7 @@
 			}
 		}
 		if taken < 30 {
-			t.Errorf("round %d: %d taken", round, taken)
+			t.Errorf("round %d: %d accepted", round, taken)
 		}
 		must(t, s.p.Up())
 		must(t, s.f.AwaitCounter("in", "held", 0))
@@ -169,18 +170,19 @@
 	s.finish(t)
 }
 
-// A storm at the program: far more comes than goes out with the partner down, what is held goes at once when it is back, again
-// and again. The folder and the memory stay in bounds, and it takes as much each time.
-func TestStormAtTheDoor(t *testing.T) {
+// Overload in several rounds: while the destination is down, more messages are submitted than the program may hold, and
+// all held messages are delivered at once when it is back. Disk and memory stay within their limits, and each round
+// accepts as many.
+func TestOverloadStaysInBounds(t *testing.T) {
 	t.Parallel()
-	s := newJournalSite(t, "[journal]\nmemory = \"1MiB\"\n")
+	s := newLabForwarder(t, "[journal]\nmemory = \"1MiB\"\n")
 	var calm int64
 	const rounds = 4
 	for round := range rounds {
 		s.p.Down()
 		taken := 0
-		for range 400 { // twice what may be held
-			switch a := s.hand(t, "safe", 10<<10); {
+		for range 400 { // twice the limit of held messages
+			switch a := s.submit(t, "safe", 10<<10); {
 			case a.Status == 202:
 				taken++
 			case a.Status != 503 || a.Header.Get("Retry-After") == "":
@@ -191,7 +193,7 @@
 			t.Fatalf("round %d: %d bytes on disk", round, n)
 		}
 		if taken < 100 {
-			t.Errorf("round %d: %d taken", round, taken)
+			t.Errorf("round %d: %d accepted", round, taken)
 		}
 		must(t, s.p.Up())
 		must(t, s.f.AwaitCounter("in", "held", 0))
@@ -200,7 +202,7 @@
 		if round == 1 {
 			calm = peak
 		} else if round == rounds-1 && peak > calm+calm/4 {
-			t.Errorf("peak memory %d bytes behind the last round, %d behind the second", peak, calm)
+			t.Errorf("peak memory %d bytes after the last round, %d after the second", peak, calm)
 		}
 	}
 	s.finish(t)
@@ -218,11 +220,11 @@
 	return total
 }
 
-// A second program on a folder ends with a clear error and leaves the first one as it is.
+// A second program on the same folder ends with a clear error and does not affect the first.
 func TestSecondProgram(t *testing.T) {
 	t.Parallel()
-	s := newJournalSite(t, "")
-	if a := s.hand(t, "safe", 10); a.Status != 202 {
+	s := newLabForwarder(t, "")
+	if a := s.submit(t, "safe", 10); a.Status != 202 {
 		t.Fatal(a)
 	}
 	_, stderr, code := program(t, nil, "journal", "compact", s.state)
@@ -232,7 +234,7 @@
 	s.finish(t)
 }
 
-// Each line of the log is one JSON object with a level, a name, a time and a message; asked for, it is text for people.
+// Each log line is a JSON object with a level, a name, a time and a message, or text if the form is text.
 func TestLogForms(t *testing.T) {
 	t.Parallel()
 	for form, check := range map[string]func(line string) bool{
@@ -246,7 +248,7 @@
 		},
 		"text": func(line string) bool { return !strings.HasPrefix(line, "{") && strings.Contains(line, " INF ") },
 	} {
-		s := newJournalSite(t, "")
+		s := newLabForwarder(t, "")
 		must(t, s.f.End(syscall.SIGTERM))
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(s.f.Environment(), "LARKREACH_LOG="+form)
@@ -256,7 +258,7 @@
 		var lines []string
 		scan := lab.Lines(pipe, func(line string) {
 			if lines = append(lines, line); len(lines) == 1 {
-				_ = cmd.Process.Signal(syscall.SIGTERM) // it is ready
+				_ = cmd.Process.Signal(syscall.SIGTERM) // the program is ready
 			}
 		})
 		if err := cmd.Wait(); err != nil || scan != nil || len(lines) < 3 {
--- a/cmd/larkreach/fleet_config_test.go
+++ b/cmd/larkreach/fleet_config_test.go
@@ -15,11 +15,11 @@
 	"mulleinbeam/internal/lab/cluster"
 )
 
-const lookEvery = 10 * time.Millisecond
+const pollInterval = 10 * time.Millisecond
 
 // configFleet is five members, two of which ask through a relay, with an endpoint that discovery lists and one that it does not.
 type configFleet struct {
-	*fleetSite
+	*testFleet
 	unlisted *lab.Endpoint
 }
 
@@ -43,7 +43,7 @@
 // committed has a command succeed, in force everywhere.
 func (f *configFleet) committed(i int, args ...string) {
 	f.t.Helper()
-	if out, status := f.config(i, append(args, "--wait", "30s")...); status != 0 || !strings.Contains(out, "in force at all") {
+	if out, status := f.config(i, append(args, "--wait", "30s")...); status != 0 || !strings.Contains(out, "in force on all") {
 		f.t.Fatalf("config %v: status %d, %s", args, status, out)
 	}
 }
@@ -69,7 +69,7 @@
 		if err == nil && r.Members == len(f.Members) && r.InForce() {
 			return
 		}
-		if !lab.Sleep(f.ctx, lookEvery) {
+		if !lab.Sleep(f.ctx, pollInterval) {
 			f.t.Fatalf("in force: %+v, %v", r, err)
 		}
 	}
@@ -83,12 +83,12 @@
 }
 
 // goTo hands a message in at each member and wants it at an endpoint.
-func (f *configFleet) goTo(want *lab.Endpoint, members ...int) {
+func (f *configFleet) expectDeliveredTo(want *lab.Endpoint, members ...int) {
 	f.t.Helper()
 	for _, i := range members {
-		id := f.take(i, "safe")
+		id := f.submit(i, "safe")
 		for !arrivedAt(want, id) {
-			if !lab.Sleep(f.ctx, lookEvery) {
+			if !lab.Sleep(f.ctx, pollInterval) {
 				f.t.Fatalf("%s did not come to %s", id, want.Name)
 			}
 		}
@@ -96,7 +96,7 @@
 }
 
 // leads is the number of the member that leads the control plane.
-func (f *configFleet) leads() int {
+func (f *configFleet) leaderOf() int {
 	f.t.Helper()
 	for i := range f.Members {
 		if s, err := f.Look(i); err == nil && s.Leader == s.Name {
@@ -122,20 +122,20 @@
 	t.Parallel()
 	f := newConfigFleet(t)
 	listed := f.Partners[0]
-	f.goTo(listed, f.All()...)
+	f.expectDeliveredTo(listed, f.All()...)
 	must(t, f.Kill(4))
 	if out, status := f.config(3, "apply", f.destination()); status != 0 {
 		t.Fatalf("status %d, %s", status, out)
 	}
 	must(t, f.Start(4))
 	must(t, f.AwaitCopied(f.ctx, f.All()...))
-	f.goTo(f.unlisted, 4) // it takes nothing on before it has what was decided without it
+	f.expectDeliveredTo(f.unlisted, 4) // it takes nothing on before it has what was decided without it
 	f.inForce(4)
-	f.goTo(f.unlisted, f.All()...)
+	f.expectDeliveredTo(f.unlisted, f.All()...)
 	f.committed(4, "remove", "destination/7")
-	f.goTo(listed, f.All()...)
+	f.expectDeliveredTo(listed, f.All()...)
 
-	leader := f.leads()
+	leader := f.leaderOf()
 	must(t, f.Kill(leader))
 	other := (leader + 1) % 3
 	must(t, f.Await(f.ctx, other, "another leader", func(s node.Status) bool {
@@ -148,8 +148,8 @@
 	must(t, f.Start(leader))
 	must(t, f.AwaitCopied(f.ctx, f.All()...))
 	f.inForce(leader)
-	f.goTo(f.unlisted, f.All()...)
-	f.rules(f.All()...)
+	f.expectDeliveredTo(f.unlisted, f.All()...)
+	f.checkRules(f.All()...)
 }
 
 // What can't be used is not committed and named in one line; of two operators one is told; an entry that members refuse is reported with the
@@ -174,11 +174,11 @@
 	if out, status := f.config(1, "apply", f.destination(), "--revision", "0"); status != 1 || !strings.Contains(out, "nothing was committed") {
 		t.Errorf("a second operator: status %d, %s", status, out)
 	}
-	f.take(2, "safe")
-	if _, a := f.Hand(2, "safe", never); a.Status != 503 || a.Header.Get("Retry-After") == "" {
+	f.submit(2, "safe")
+	if _, a := f.Hand(2, "safe", testTimeout); a.Status != 503 || a.Header.Get("Retry-After") == "" {
 		t.Errorf("above the rate: %+v", a)
 	}
-	f.take(2, "keyed")
+	f.submit(2, "keyed")
 
 	unknown := f.file("[class.unheard]\nrate = 1\n")
 	out, status := f.config(1, "apply", unknown, "--wait", "1s")
@@ -192,13 +192,13 @@
 	if !strings.Contains(out, `class "unheard" is not one of this forwarder's`) || f.revision(1) <= before {
 		t.Errorf("status: %s", out)
 	}
-	if _, a := f.Hand(2, "safe", never); a.Status != 503 {
+	if _, a := f.Hand(2, "safe", testTimeout); a.Status != 503 {
 		t.Errorf("the entry before is no longer in force: %+v", a)
 	}
 	f.committed(0, "remove", "class/unheard", "class/safe")
-	f.take(2, "safe")
+	f.submit(2, "safe")
 	if out, _ := f.config(2, "get"); strings.Contains(out, "class") {
 		t.Errorf("entries that were removed: %s", out)
 	}
-	f.rules(f.All()...)
+	f.checkRules(f.All()...)
 }
--- a/cmd/larkreach/fleet_faults_test.go
+++ b/cmd/larkreach/fleet_faults_test.go
@@ -18,36 +18,36 @@
 )
 
 // newLife waits until a member is in a later life than it was, and may act.
-func (f *fleetSite) newLife(i int, was uint64) {
+func (f *testFleet) awaitNewIncarnation(i int, was uint64) {
 	f.t.Helper()
 	must(f.t, f.Await(f.ctx, i, "another life", func(s node.Status) bool { return s.MayAct && s.Life.Number > was }))
 }
 
 // A member that reaches its keeper, its clients and the partner, but nobody of the council: it has no lease, so what others hold
 // copies of is left alone and taken over, strict classes are refused; when the way is back it goes on under another life.
-func TestFleetCutFromTheCouncilAlone(t *testing.T) {
+func TestFleetCutFromControlPlaneOnly(t *testing.T) {
 	t.Parallel()
 	g := newGate()
 	f := newFleet(t, cluster.Setup{Members: 5, Amend: slots(1)}, g)
-	out := f.take(3, "unsafe")
+	out := f.submit(3, "unsafe")
 	<-g.calls
-	waiting := []string{f.take(3, "unsafe"), f.take(3, "keyed")}
+	waiting := []string{f.submit(3, "unsafe"), f.submit(3, "keyed")}
 	must(t, f.AwaitCopied(f.ctx, 3))
-	life, err := f.Life(3)
+	incarnation, err := f.Life(3)
 	must(t, err)
-	for founder := range 3 {
-		f.Cut(3, founder)
+	for voter := range 3 {
+		f.Cut(3, voter)
 	}
-	must(t, f.AwaitDone(f.ctx, 0, "n3", life))
+	must(t, f.AwaitDone(f.ctx, 0, "n3", incarnation))
 	if id, a := f.Hand(3, "unsafe", 20*time.Second); a.Status != 503 {
 		t.Errorf("%s was answered %d without a lease", id, a.Status)
 	}
 	g.release()
 	must(t, f.AwaitSettled(0, 1, 2, 4))
 	f.Heal()
-	f.newLife(3, life)
-	f.rules(f.All()...)
-	f.reached(append(waiting, out)...)
+	f.awaitNewIncarnation(3, incarnation)
+	f.checkRules(f.All()...)
+	f.checkDelivered(append(waiting, out)...)
 }
 
 // The fleet falls into two halves. Members on the side that has a majority of the council go on with all classes, whoever they are;
@@ -56,15 +56,15 @@
 	t.Parallel()
 	g := newGate()
 	f := newFleet(t, cluster.Setup{Members: 5, Amend: slots(1)}, g)
-	lives := map[int]uint64{}
+	incarnations := map[int]uint64{}
 	var waiting []string
 	for _, i := range []int{2, 3, 4} {
-		f.take(i, "unsafe")
+		f.submit(i, "unsafe")
 		<-g.calls
-		waiting = append(waiting, f.take(i, "unsafe"))
-		life, err := f.Life(i)
+		waiting = append(waiting, f.submit(i, "unsafe"))
+		incarnation, err := f.Life(i)
 		must(t, err)
-		lives[i] = life
+		incarnations[i] = incarnation
 	}
 	must(t, f.AwaitCopied(f.ctx, f.All()...))
 	f.Split(2, 4) // 0, 1 and 3 have two founders of three
@@ -75,9 +75,9 @@
 		}
 	}
 	must(t, f.AwaitCopied(f.ctx, 3)) // by one on its side
-	waiting = append(waiting, f.take(3, "unsafe"))
-	if life, err := f.Life(3); err != nil || life != lives[3] {
-		t.Errorf("n3 is in life %d, was in %d, %v", life, lives[3], err)
+	waiting = append(waiting, f.submit(3, "unsafe"))
+	if incarnation, err := f.Life(3); err != nil || incarnation != incarnations[3] {
+		t.Errorf("n3 is in life %d, was in %d, %v", incarnation, incarnations[3], err)
 	}
 	for _, i := range []int{2, 4} { // who keeps their copies may be on either side
 		must(t, f.Await(f.ctx, 0, "end of a life", func(s node.Status) bool { return !s.State.Members[f.Members[i].Name].Alive }))
@@ -85,25 +85,25 @@
 	g.release()
 	f.Heal()
 	for _, i := range []int{2, 4} {
-		f.newLife(i, lives[i])
+		f.awaitNewIncarnation(i, incarnations[i])
 	}
-	f.rules(f.All()...)
-	f.reached(waiting...)
+	f.checkRules(f.All()...)
+	f.checkDelivered(waiting...)
 }
 
 // The keeper has a record on its disk, its acknowledgement is lost, and it dies; later its folder is put back to what it was before
 // records that it did acknowledge. Each time what counts is sent anew, before its copy is all that is left.
-func TestFleetKeeperForgets(t *testing.T) {
+func TestFleetReplicaRolledBack(t *testing.T) {
 	t.Parallel()
 	g := newGate()
 	f := newFleet(t, cluster.Setup{Members: 4, Amend: slots(1), Extra: "patience = \"30s\""}, g) // no other is chosen meanwhile
-	out := f.take(3, "unsafe")
+	out := f.submit(3, "unsafe")
 	<-g.calls
-	waiting := []string{f.take(3, "unsafe")}
+	waiting := []string{f.submit(3, "unsafe")}
 	must(t, f.AwaitCopied(f.ctx, 3))
-	keeper := f.keeperOf(3)
-	f.Proxy(3, keeper).Set(cluster.Back, cluster.Way{Stall: true})
-	there, _ := f.Proxy(3, keeper).Carried()
+	replica := f.replicaOf(3)
+	f.Proxy(3, replica).Set(cluster.Back, cluster.Way{Stall: true})
+	there, _ := f.Proxy(3, replica).Carried()
 	answered := make(chan string, 1)
 	go func() {
 		id, a := f.Hand(3, "keyed", 20*time.Second)
@@ -112,12 +112,12 @@
 		}
 		answered <- id
 	}()
-	for now := there; now < there+200; now, _ = f.Proxy(3, keeper).Carried() { // the record is on its way
+	for now := there; now < there+200; now, _ = f.Proxy(3, replica).Carried() { // the record is on its way
 		must(t, f.ctx.Err())
 	}
-	life, err := f.Life(3)
+	incarnation, err := f.Life(3)
 	must(t, err)
-	must(t, f.Await(f.ctx, keeper, "record", func(s node.Status) bool {
+	must(t, f.Await(f.ctx, replica, "record", func(s node.Status) bool {
 		for _, c := range s.Copies {
 			if c.Life.Name == "n3" && c.Messages >= 3 {
 				return true
@@ -125,25 +125,25 @@
 		}
 		return false
 	}))
-	must(t, f.Kill(keeper))
-	must(t, f.SaveFolder(keeper))
+	must(t, f.Kill(replica))
+	must(t, f.SaveFolder(replica))
 	f.Heal()
-	must(t, f.Start(keeper))
+	must(t, f.Start(replica))
 	<-answered
 	must(t, f.AwaitCopied(f.ctx, 3))
-	waiting = append(waiting, f.take(3, "unsafe"), f.take(3, "safe"))
+	waiting = append(waiting, f.submit(3, "unsafe"), f.submit(3, "safe"))
 	must(t, f.AwaitCopied(f.ctx, 3))
-	must(t, f.Kill(keeper))
-	must(t, f.RollBack(keeper))
-	must(t, f.Start(keeper))
+	must(t, f.Kill(replica))
+	must(t, f.RollBack(replica))
+	must(t, f.Start(replica))
 	must(t, f.AwaitCopied(f.ctx, 3))
-	if now, err := f.Life(3); err != nil || now != life {
-		t.Errorf("n3 went from life %d to %d, %v", life, now, err)
+	if now, err := f.Life(3); err != nil || now != incarnation {
+		t.Errorf("n3 went from life %d to %d, %v", incarnation, now, err)
 	}
-	f.gone(3, keeper)
+	f.loseMember(3, replica)
 	g.release()
-	f.rules(0, 1, 2)
-	f.reached(append(waiting, out)...)
+	f.checkRules(0, 1, 2)
+	f.checkDelivered(append(waiting, out)...)
 }
 
 // A member of a later version, whose clock is an hour behind, belongs to the fleet and dies: its records of a kind that is not known
@@ -156,8 +156,8 @@
 	must(t, f.Await(f.ctx, 0, "later member", func(s node.Status) bool { return s.State.Members["later"] != nil }))
 	s, err := f.Look(0)
 	must(t, err)
-	life := controlplane.Incarnation{Name: "later", Number: s.State.Members["later"].Life}
-	must(t, f.Order(f.ctx, controlplane.Command{Kind: controlplane.SetReplicas, Life: life, From: s.State.Members["later"].Changed, Set: []string{"n1"}}))
+	incarnation := controlplane.Incarnation{Name: "later", Number: s.State.Members["later"].Life}
+	must(t, f.Order(f.ctx, controlplane.Command{Kind: controlplane.SetReplicas, Life: incarnation, From: s.State.Members["later"].Changed, Set: []string{"n1"}}))
 	p := links.NewPeer(f.Members[1].Links)
 	defer p.Close()
 	clock := func() time.Time { return time.Now().Add(-time.Hour) }
@@ -167,8 +167,8 @@
 	owed, ran := message(1, "unsafe-later", "unsafe"), message(2, "keyed-later", "keyed")
 	ran.Attempts, ran.MayRun, ran.RanAt = 1, true, clock().Add(-time.Minute) // its window is over
 	var ack replication.Ack
-	must(t, p.Call(f.ctx, "Copies.Append", replication.Batch{Life: life}, &ack))
-	batch := replication.Batch{Life: life, Shelf: ack.Shelf, Clock: clock().UnixNano(), Snapshot: 1, Last: true, UpTo: 3}
+	must(t, p.Call(f.ctx, "Copies.Append", replication.Batch{Life: incarnation}, &ack))
+	batch := replication.Batch{Life: incarnation, Shelf: ack.Shelf, Clock: clock().UnixNano(), Snapshot: 1, Last: true, UpTo: 3}
 	batch.Records = []replication.Record{{Payload: wal.Condense(owed)[0]}, {Payload: []byte{200, 1, 42}}} // a kind of tomorrow, of message 1
 	for _, r := range wal.Condense(ran) {
 		batch.Records = append(batch.Records, replication.Record{Payload: r})
@@ -179,16 +179,16 @@
 	}
 	must(t, f.Await(f.ctx, 1, "record that is not known", func(s node.Status) bool {
 		for _, c := range s.Copies {
-			if c.Life == life {
+			if c.Life == incarnation {
 				return c.Unknown == 1 && c.Messages == 2
 			}
 		}
 		return false
 	}))
-	must(t, f.AwaitDone(f.ctx, 0, "later", life.Number)) // it asks for no lease
+	must(t, f.AwaitDone(f.ctx, 0, "later", incarnation.Number)) // it asks for no lease
 	must(t, f.AwaitSettled(0, 1, 2))
-	f.reached(owed.ID)
-	if n := f.arrived(); n[owed.ID] != 1 || n[ran.ID] != 0 {
+	f.checkDelivered(owed.ID)
+	if n := f.arrivals(); n[owed.ID] != 1 || n[ran.ID] != 0 {
 		t.Errorf("%d and %d calls", n[owed.ID], n[ran.ID])
 	}
 	if n := f.Agent.Notices(); len(n) != 1 || n[0].Message != ran.ID || n[0].Outcome != "given_up" {
@@ -198,7 +198,7 @@
 
 // One returns with its folder when all that it owed is over elsewhere, and even the ids are forgotten there: it sends and tells nothing
 // of what the folder still says.
-func TestFleetReturnsAfterAllIsForgotten(t *testing.T) {
+func TestFleetReturnAfterIDsExpire(t *testing.T) {
 	t.Parallel()
 	g := newGate()
 	short := func(c map[string]any) {
@@ -219,10 +219,10 @@
 	<-g.calls
 	waiting := []string{hand("unsafe"), hand("keyed")}
 	must(t, f.AwaitCopied(f.ctx, 2))
-	life, err := f.Life(2)
+	incarnation, err := f.Life(2)
 	must(t, err)
 	must(t, f.Kill(2))
-	must(t, f.AwaitDone(f.ctx, 0, "n2", life))
+	must(t, f.AwaitDone(f.ctx, 0, "n2", incarnation))
 	g.release()
 	must(t, f.AwaitSettled(0, 1))
 	for i := range 2 { // whoever took over has what it knows kept at the other
@@ -236,10 +236,10 @@
 		}))
 	}
 	must(t, f.Start(2))
-	f.newLife(2, life)
-	f.rules(f.All()...)
+	f.awaitNewIncarnation(2, incarnation)
+	f.checkRules(f.All()...)
 	for _, id := range append(waiting, out) {
-		if n := f.arrived()[id]; n > 1 {
+		if n := f.arrivals()[id]; n > 1 {
 			t.Errorf("%s: %d calls", id, n)
 		}
 	}
@@ -247,7 +247,7 @@
 
 // An owner whose folder is an older copy returns together with its keepers, one of which has a damaged copy and one an older one, in either
 // order: nothing that was taken on is lost, nothing that began goes again where it may not.
-func TestFleetCopiesThatDiffer(t *testing.T) {
+func TestFleetReplicasThatDiffer(t *testing.T) {
 	t.Parallel()
 	for _, ownerFirst := range []bool{true, false} {
 		t.Run(fmt.Sprintf("owner first %v", ownerFirst), func(t *testing.T) {
@@ -261,9 +261,9 @@
 			s, err := f.Look(3)
 			must(t, err)
 			first, second := int(s.Keepers[0].Name[1]-'0'), int(s.Keepers[1].Name[1]-'0')
-			out := f.take(3, "unsafe")
+			out := f.submit(3, "unsafe")
 			<-g.calls
-			waiting := []string{f.take(3, "unsafe"), f.take(3, "keyed")}
+			waiting := []string{f.submit(3, "unsafe"), f.submit(3, "keyed")}
 			must(t, f.AwaitCopied(f.ctx, 3))
 			must(t, f.Kill(second)) // its copy is an older one from here on
 			must(t, f.Await(f.ctx, 3, "another keeper", func(s node.Status) bool {
@@ -275,9 +275,9 @@
 				}
 				return counts == 2
 			}))
-			waiting = append(waiting, f.take(3, "unsafe"), f.take(3, "safe"))
+			waiting = append(waiting, f.submit(3, "unsafe"), f.submit(3, "safe"))
 			must(t, f.AwaitCopied(f.ctx, 3))
-			life, err := f.Life(3)
+			incarnation, err := f.Life(3)
 			must(t, err)
 			must(t, f.Kill(3))
 			must(t, f.Kill(first))
@@ -292,12 +292,12 @@
 				must(t, f.Start(i))
 			}
 			must(t, f.AwaitCopied(f.ctx, f.All()...))
-			must(t, f.AwaitDone(f.ctx, 0, "n3", life))
+			must(t, f.AwaitDone(f.ctx, 0, "n3", incarnation))
 			if !strings.Contains(f.Members[first].Log(), "damaged bytes") {
 				t.Error("the damage was not seen")
 			}
-			f.rules(f.All()...)
-			f.reached(append(waiting, out)...)
+			f.checkRules(f.All()...)
+			f.checkDelivered(append(waiting, out)...)
 		})
 	}
 }
--- a/cmd/larkreach/fleet_places_test.go
+++ b/cmd/larkreach/fleet_places_test.go
@@ -19,46 +19,46 @@
 // Harder days of the plan: ways that are cut, members that are ill themselves, orders and releases in the middle of a failover.
 
 // still waits until calls have come to sites, so many to each, from now on.
-func (f *fleetSite) still(calls int, sites ...int) {
+func (f *testFleet) awaitCalls(calls int, sites ...int) {
 	f.t.Helper()
 	for _, k := range sites {
-		for n := f.came(k); f.came(k) < n+calls; {
+		for n := f.callCount(k); f.callCount(k) < n+calls; {
 			if !lab.Sleep(f.ctx, 10*time.Millisecond) {
-				f.t.Fatalf("%d calls to p%d, wanted %d", f.came(k)-n, k, calls)
+				f.t.Fatalf("%d calls to p%d, wanted %d", f.callCount(k)-n, k, calls)
 			}
 		}
 	}
 }
 
 // sees waits until a member sees something of the plan.
-func (f *fleetSite) sees(i int, what string, holds func(node.PlanStatus) bool) {
+func (f *testFleet) awaitPlan(i int, what string, holds func(node.PlanStatus) bool) {
 	f.t.Helper()
 	must(f.t, f.AwaitPlan(f.ctx, i, what, holds))
 }
 
 // moved counts moves as a member has heard of them.
-func (f *fleetSite) moved(i int, kind, place string) (n int) {
-	f.sees(i, "history", func(s node.PlanStatus) bool { n = movesOf(s, kind, place); return true })
+func (f *testFleet) moveCount(i int, kind, place string) (n int) {
+	f.awaitPlan(i, "history", func(s node.PlanStatus) bool { n = countMoves(s, kind, place); return true })
 	return n
 }
 
 // over ends the load and holds all that was seen against the rules.
-func (f *fleetSite) over() {
+func (f *testFleet) finish() {
 	f.t.Helper()
 	f.stop()
-	f.ends(f.All()...)
+	f.checkMembers(f.All()...)
 }
 
 // obeyOne waits until members go by one plan that is later than a version.
-func (f *fleetSite) obeyOne(later uint64, members ...int) {
+func (f *testFleet) awaitCommonPlan(later uint64, members ...int) {
 	f.t.Helper()
 	for _, i := range members {
-		f.sees(i, "plan again", func(s node.PlanStatus) bool { return s.Obeys > later && s.Plan != nil && s.Obeys == s.Plan.Version })
+		f.awaitPlan(i, "plan again", func(s node.PlanStatus) bool { return s.Obeys > later && s.Plan != nil && s.Obeys == s.Plan.Version })
 	}
 }
 
-func (f *fleetSite) version(i int) (v uint64) {
-	f.sees(i, "plan", func(s node.PlanStatus) bool { v = s.Obeys; return v > 0 })
+func (f *testFleet) version(i int) (v uint64) {
+	f.awaitPlan(i, "plan", func(s node.PlanStatus) bool { v = s.Obeys; return v > 0 })
 	return v
 }
 
@@ -68,104 +68,104 @@
 func TestFleetRegionsCut(t *testing.T) {
 	t.Parallel()
 	s := cluster.Setup{Members: 6, Paths: true, Alone: []string{"safe", "keyed", "unsafe"}} // who has no majority goes on with these alone
-	f := newPlacesFleet(t, s, &lab.Endpoint{Name: "p", Weight: 200}, 0, 2, 3)
-	f.still(10, 0, 2, 3)
+	f := newZonedFleetFrom(t, s, &lab.Endpoint{Name: "p", Weight: 200}, 0, 2, 3)
+	f.awaitCalls(10, 0, 2, 3)
 	west, east := []int{0, 1, 4, 5}, []int{2, 3} // n0, n1 and n2 hold the council
 	f.Split(east...)
 	f.CutPaths(west, east, false) // site k is in zone k
 	f.CutPaths(east, []int{0, 1}, false)
 	for _, i := range east {
-		f.sees(i, "the rule", func(s node.PlanStatus) bool {
+		f.awaitPlan(i, "the rule", func(s node.PlanStatus) bool {
 			to := s.Targets[cluster.Group]
 			return s.Obeys == 0 && len(to) == 1 && to[s.Zone].Free
 		})
 	}
 	f.Partners[0].Down()
-	f.sees(4, "way within the region", func(s node.PlanStatus) bool {
-		return stands(s, "z0") == plan.Down && grant(s, "z0", "z1").Rate > 0 && grant(s, "z0", "z2").Rate+grant(s, "z0", "z3").Rate == 0
+	f.awaitPlan(4, "way within the region", func(s node.PlanStatus) bool {
+		return sitePhase(s, "z0") == plan.Down && quota(s, "z0", "z1").Rate > 0 && quota(s, "z0", "z2").Rate+quota(s, "z0", "z3").Rate == 0
 	})
-	f.still(20, 1, 2, 3)
+	f.awaitCalls(20, 1, 2, 3)
 	was := f.version(4)
 	f.Heal()
 	must(t, f.Partners[0].Up())
-	f.obeyOne(was, f.All()...)
-	f.sees(3, "way home", func(s node.PlanStatus) bool { return stands(s, "z0") != plan.Down })
-	f.still(20, 0, 2, 3)
+	f.awaitCommonPlan(was, f.All()...)
+	f.awaitPlan(3, "way home", func(s node.PlanStatus) bool { return sitePhase(s, "z0") != plan.Down })
+	f.awaitCalls(20, 0, 2, 3)
 	for i, place := range []string{"z1", "z2", "z3"} {
-		if n := f.moved(4, "out", place); n > 0 {
+		if n := f.moveCount(4, "out", place); n > 0 {
 			t.Errorf("z%d was taken for down %d times", i+1, n)
 		}
 	}
-	f.over()
+	f.finish()
 }
 
 // A zone's site takes calls and answers none: as with one that is down its traffic goes to the next zone, and comes home when it answers.
 func TestFleetZoneFallsSilent(t *testing.T) {
 	t.Parallel()
-	f := newPlacesFleet(t, cluster.Setup{Members: 6, Paths: true}, &lab.Endpoint{Name: "p", Weight: 200}, 0, 4)
-	f.still(20, 0)
+	f := newZonedFleetFrom(t, cluster.Setup{Members: 6, Paths: true}, &lab.Endpoint{Name: "p", Weight: 200}, 0, 4)
+	f.awaitCalls(20, 0)
 	f.CutPaths(f.All(), []int{0}, true)
-	f.sees(5, "way out", func(s node.PlanStatus) bool { return stands(s, "z0") == plan.Down && grant(s, "z0", "z1").Rate > 0 })
-	f.still(60, 1)
+	f.awaitPlan(5, "way out", func(s node.PlanStatus) bool { return sitePhase(s, "z0") == plan.Down && quota(s, "z0", "z1").Rate > 0 })
+	f.awaitCalls(60, 1)
 	f.Heal()
-	f.sees(5, "way back", func(s node.PlanStatus) bool { return stands(s, "z0") != plan.Down })
-	f.still(20, 0)
-	if out, back := f.moved(5, "out", "z0"), f.moved(5, "back", "z0"); out != 1 || back != 1 {
+	f.awaitPlan(5, "way back", func(s node.PlanStatus) bool { return sitePhase(s, "z0") != plan.Down })
+	f.awaitCalls(20, 0)
+	if out, back := f.moveCount(5, "out", "z0"), f.moveCount(5, "back", "z0"); out != 1 || back != 1 {
 		t.Errorf("%d out, %d back", out, back)
 	}
-	f.over()
+	f.finish()
 }
 
 // A way that is silent from one zone alone: what crossed there goes elsewhere, the zone behind it is not taken for down and is served as
 // before by its own members.
-func TestFleetWayCutSilently(t *testing.T) {
+func TestFleetPathCutSilently(t *testing.T) {
 	t.Parallel()
-	f := newPlacesFleet(t, cluster.Setup{Members: 6, Paths: true}, &lab.Endpoint{Name: "p", Weight: 200}, 2, 3)
+	f := newZonedFleetFrom(t, cluster.Setup{Members: 6, Paths: true}, &lab.Endpoint{Name: "p", Weight: 200}, 2, 3)
 	f.Partners[3].Down()
-	f.sees(3, "way out", func(s node.PlanStatus) bool { return stands(s, "z3") == plan.Down && grant(s, "z3", "z2").Rate > 0 })
-	f.still(10, 2)
+	f.awaitPlan(3, "way out", func(s node.PlanStatus) bool { return sitePhase(s, "z3") == plan.Down && quota(s, "z3", "z2").Rate > 0 })
+	f.awaitCalls(10, 2)
 	f.CutPaths([]int{3}, []int{2}, true)
-	f.sees(0, "another way", func(s node.PlanStatus) bool {
+	f.awaitPlan(0, "another way", func(s node.PlanStatus) bool {
 		return s.Plan != nil && slices.ContainsFunc(s.Plan.Sites, func(x plan.Site) bool { return x.Place == "z2" && slices.Contains(x.Cut, "z3") }) &&
-			grant(s, "z3", "z0").Rate+grant(s, "z3", "z1").Rate > 0
+			quota(s, "z3", "z0").Rate+quota(s, "z3", "z1").Rate > 0
 	})
-	f.still(20, 2)
-	if n := f.moved(0, "out", "z2"); n > 0 {
+	f.awaitCalls(20, 2)
+	if n := f.moveCount(0, "out", "z2"); n > 0 {
 		t.Errorf("the place behind the way was taken for down %d times", n)
 	}
 	f.Heal()
-	f.sees(0, "way back", func(s node.PlanStatus) bool { return movesOf(s, "path back", "z2") == 1 })
-	f.over()
+	f.awaitPlan(0, "way back", func(s node.PlanStatus) bool { return countMoves(s, "path back", "z2") == 1 })
+	f.finish()
 }
 
 // One of three members of a zone has a bad network: it is named, and nothing moves. Two of three: nobody can say who is ill, but one that
 // reaches the place is enough for it not to count as down, and nothing moves either.
 func TestFleetSickMembers(t *testing.T) {
 	t.Parallel()
-	f := newPlacesFleet(t, cluster.Setup{Members: 9, Paths: true}, &lab.Endpoint{Name: "p", Weight: 200}, 0, 4, 8, 1)
-	f.still(10, 0, 1)
+	f := newZonedFleetFrom(t, cluster.Setup{Members: 9, Paths: true}, &lab.Endpoint{Name: "p", Weight: 200}, 0, 4, 8, 1)
+	f.awaitCalls(10, 0, 1)
 	f.CutPaths([]int{8}, []int{0, 1, 2, 3}, false)
-	f.sees(1, "patient", func(s node.PlanStatus) bool { return s.Plan != nil && slices.Equal(s.Plan.Sick, []string{"n8/1"}) })
-	f.still(20, 0)
+	f.awaitPlan(1, "patient", func(s node.PlanStatus) bool { return s.Plan != nil && slices.Equal(s.Plan.Sick, []string{"n8/1"}) })
+	f.awaitCalls(20, 0)
 	f.CutPaths([]int{4}, []int{0, 1, 2, 3}, false)
-	f.still(60, 0, 1)
+	f.awaitCalls(60, 0, 1)
 	for _, place := range []string{"z0", "z1"} {
-		if n := f.moved(1, "out", place) + f.moved(1, "path cut", place); n > 0 {
+		if n := f.moveCount(1, "out", place) + f.moveCount(1, "path cut", place); n > 0 {
 			t.Errorf("patients moved %s %d times", place, n)
 		}
 	}
 	f.Heal()
-	f.sees(1, "no patient", func(s node.PlanStatus) bool { return len(s.Plan.Sick) == 0 })
-	f.over()
+	f.awaitPlan(1, "no patient", func(s node.PlanStatus) bool { return len(s.Plan.Sick) == 0 })
+	f.finish()
 }
 
 // A release restarts one member behind the other while a zone's partner is down, and two members die in the middle of it. The zone is moved
 // out once, whoever comes back goes by no older plan than the one before, and every message has its end.
 func TestFleetReleaseDuringFailover(t *testing.T) {
 	t.Parallel()
-	f := newPlaces(t, 0, 2)
+	f := newZonedFleet(t, 0, 2)
 	f.Partners[0].Down()
-	f.sees(5, "way out", func(s node.PlanStatus) bool { return stands(s, "z0") == plan.Down && grant(s, "z0", "z1").Rate > 0 })
+	f.awaitPlan(5, "way out", func(s node.PlanStatus) bool { return sitePhase(s, "z0") == plan.Down && quota(s, "z0", "z1").Rate > 0 })
 	newest := uint64(0)
 	for i := range f.Members {
 		next := (i + 1) % len(f.Members)
@@ -177,7 +177,7 @@
 			must(t, f.Start(4, 5))
 		}
 		must(t, f.Start(i))
-		f.sees(i, "plan that is not older", func(s node.PlanStatus) bool {
+		f.awaitPlan(i, "plan that is not older", func(s node.PlanStatus) bool {
 			if s.Obeys > 0 && s.Obeys < newest {
 				t.Errorf("n%d goes by plan %d, and %d was in force before it ended", i, s.Obeys, newest)
 			}
@@ -185,51 +185,51 @@
 		})
 		must(t, f.AwaitCopied(f.ctx, f.All()...))
 	}
-	f.still(10, 1)
+	f.awaitCalls(10, 1)
 	for i := range f.Members {
-		if out, back := f.moved(i, "out", "z0"), f.moved(i, "back", "z0"); out > 1 || back > 0 {
+		if out, back := f.moveCount(i, "out", "z0"), f.moveCount(i, "back", "z0"); out > 1 || back > 0 {
 			t.Errorf("n%d heard of %d moves out and %d back", i, out, back)
 		}
 	}
-	f.over()
+	f.finish()
 }
 
 // The list names a zone anew, then every endpoint of one drains: traffic goes to what is there, and comes back with the list.
 func TestFleetZonesRenamed(t *testing.T) {
 	t.Parallel()
-	f := newPlaces(t, 0, 1)
-	f.still(10, 0, 1)
+	f := newZonedFleet(t, 0, 1)
+	f.awaitCalls(10, 0, 1)
 	list := slices.Clone(f.Partners)
 	list[0] = list[0].As("q0", "y0", "SERVING")
 	f.Agent.List(list...)
-	f.sees(2, "way without a site near", func(s node.PlanStatus) bool {
+	f.awaitPlan(2, "way without a site near", func(s node.PlanStatus) bool {
 		_, old := s.Sites[cluster.Group]["z0"]
-		return !old && s.Sites[cluster.Group]["y0"] > 0 && grant(s, "z0", "z1").Rate > 0
+		return !old && s.Sites[cluster.Group]["y0"] > 0 && quota(s, "z0", "z1").Rate > 0
 	})
-	f.still(20, 1)
+	f.awaitCalls(20, 1)
 	list[1] = list[1].As("p1", "z1", "DRAINING")
 	f.Agent.List(list[1:]...)
-	f.sees(2, "way out of the region", func(s node.PlanStatus) bool { return grant(s, "z1", "z2").Rate+grant(s, "z1", "z3").Rate > 0 })
-	quiet := f.came(1)
-	f.still(20, 2)
-	if n := f.came(1) - quiet; n > 2 { // what was on its way
+	f.awaitPlan(2, "way out of the region", func(s node.PlanStatus) bool { return quota(s, "z1", "z2").Rate+quota(s, "z1", "z3").Rate > 0 })
+	quiet := f.callCount(1)
+	f.awaitCalls(20, 2)
+	if n := f.callCount(1) - quiet; n > 2 { // what was on its way
 		t.Errorf("%d calls to the one that drains", n)
 	}
 	f.Agent.List(f.Partners...)
-	f.still(20, 0, 1)
-	f.over()
+	f.awaitCalls(20, 0, 1)
+	f.finish()
 }
 
 // An evacuation is ordered while the other zone of the region is down: its traffic goes to the other region, within what that has. Taken
 // back half-way, it comes home, and the zone that was down takes no part in any of it.
 func TestFleetEvacuationDuringOutage(t *testing.T) {
 	t.Parallel()
-	f := newPlacesOf(t, 60, 0, 2)
+	f := newZonedFleetWithCapacity(t, 60, 0, 2)
 	f.Partners[1].Down()
-	f.still(10, 0, 2)
+	f.awaitCalls(10, 0, 2)
 	order := func(place string, on bool) {
 		var seen uint64
-		f.sees(3, "orders", func(s node.PlanStatus) bool { seen = s.Ordered; return s.Plan != nil })
+		f.awaitPlan(3, "orders", func(s node.PlanStatus) bool { seen = s.Ordered; return s.Plan != nil })
 		r, err := node.SendCommand(f.ctx, f.Members[3].Links, controlplane.Command{Kind: controlplane.Evacuate, Place: place, On: on, From: seen})
 		if must(t, err); r.Refused != "" {
 			t.Fatal(r.Refused)
@@ -237,13 +237,13 @@
 	}
 	order("z0", true)
 	across := func(s node.PlanStatus) float64 {
-		return grant(s, "z0", "z2").Rate + grant(s, "z0", "z3").Rate + grant(s, "z0", "z1").Rate
+		return quota(s, "z0", "z2").Rate + quota(s, "z0", "z3").Rate + quota(s, "z0", "z1").Rate
 	}
-	f.sees(3, "half of the way", func(s node.PlanStatus) bool { return across(s) > 0 && grant(s, "z0", "z0").Share < 0.9 })
+	f.awaitPlan(3, "half of the way", func(s node.PlanStatus) bool { return across(s) > 0 && quota(s, "z0", "z0").Share < 0.9 })
 	order("z0", false)
-	f.sees(3, "all at home", func(s node.PlanStatus) bool { return across(s) == 0 && grant(s, "z0", "z0").Share == 1 })
-	f.still(20, 0, 2)
-	f.over()
+	f.awaitPlan(3, "all at home", func(s node.PlanStatus) bool { return across(s) == 0 && quota(s, "z0", "z0").Share == 1 })
+	f.awaitCalls(20, 0, 2)
+	f.finish()
 }
 
 // One call in twenty fails, and all of one class: errors that are answers move nothing.
@@ -259,22 +259,22 @@
 		}
 		return c.Answer(200, "") == nil
 	}}
-	f := newPlacesWith(t, p, 0, 3)
-	f.still(80, 0, 3)
+	f := newZonedFleetWithSite(t, p, 0, 3)
+	f.awaitCalls(80, 0, 3)
 	for _, place := range []string{"z0", "z1", "z2", "z3"} {
 		for _, kind := range []string{"out", "slow", "crossing"} {
-			if n := f.moved(2, kind, place); n > 0 {
+			if n := f.moveCount(2, kind, place); n > 0 {
 				t.Errorf("%s: %d times %s", place, n, kind)
 			}
 		}
 	}
-	f.over()
+	f.finish()
 }
 
 // Whoever leads the council is stopped for longer than it takes to choose another, again and again: traffic goes on, and nothing moves.
-func TestFleetLeaderChangesAgainAndAgain(t *testing.T) {
+func TestFleetRepeatedLeaderChanges(t *testing.T) {
 	t.Parallel()
-	f := newPlaces(t, 3, 5)
+	f := newZonedFleet(t, 3, 5)
 	for range 6 {
 		leader := -1
 		must(t, f.Await(f.ctx, 3, "leader", func(s node.Status) bool {
@@ -288,15 +288,15 @@
 		must(t, f.Pause(leader))
 		must(t, f.Await(f.ctx, (leader+1)%3, "another leader", func(s node.Status) bool { return s.Leader != "" && s.Leader != f.Members[leader].Name }))
 		must(t, f.Wake(leader))
-		f.still(10, 1, 3)
+		f.awaitCalls(10, 1, 3)
 	}
-	f.obeyOne(0, f.All()...)
+	f.awaitCommonPlan(0, f.All()...)
 	for _, place := range []string{"z1", "z3"} {
-		if n := f.moved(3, "out", place); n > 0 {
+		if n := f.moveCount(3, "out", place); n > 0 {
 			t.Errorf("%s moved out %d times", place, n)
 		}
 	}
-	f.over()
+	f.finish()
 }
 
 // A partner comes back cold while all want it: it gets no more than it bears until it is warm.
@@ -310,16 +310,16 @@
 		}
 		return call.ReadAll(0) == nil && call.Answer(200, "") == nil
 	}}
-	f := newPlacesWith(t, p, 0, 4)
+	f := newZonedFleetWithSite(t, p, 0, 4)
 	at := f.Partners[0].Address()
 	home.Store(&at)
 	f.Partners[0].Down()
-	f.sees(5, "way out", func(s node.PlanStatus) bool { return stands(s, "z0") == plan.Down && grant(s, "z0", "z1").Rate > 0 })
+	f.awaitPlan(5, "way out", func(s node.PlanStatus) bool { return sitePhase(s, "z0") == plan.Down && quota(s, "z0", "z1").Rate > 0 })
 	m.Back()
 	must(t, f.Partners[0].Up())
-	f.sees(5, "all at home", func(s node.PlanStatus) bool { return stands(s, "z0") == plan.Open && grant(s, "z0", "z1").Rate == 0 })
+	f.awaitPlan(5, "all at home", func(s node.PlanStatus) bool { return sitePhase(s, "z0") == plan.Open && quota(s, "z0", "z1").Rate == 0 })
 	for _, o := range m.Fell() {
 		t.Error("more than it bears: ", o)
 	}
-	f.over()
+	f.finish()
 }
--- a/cmd/larkreach/fleet_plan_test.go
+++ b/cmd/larkreach/fleet_plan_test.go
@@ -20,28 +20,28 @@
 
 // Six processes in two regions of two zones each, with a partner's site in each zone, under steady load.
 
-const perMember = 20 // messages a second
+const messagesPerSecond = 20 // messages a second
 
 // newPlaces starts them, waits for a plan that all go by, and hands messages in at members until the test ends.
-func newPlaces(t *testing.T, loaded ...int) *fleetSite {
+func newZonedFleet(t *testing.T, loaded ...int) *testFleet {
 	t.Helper()
-	return newPlacesOf(t, 200, loaded...)
+	return newZonedFleetWithCapacity(t, 200, loaded...)
 }
 
 // newPlacesOf does so with sites that take so many calls a second.
-func newPlacesOf(t *testing.T, capacity float64, loaded ...int) *fleetSite {
+func newZonedFleetWithCapacity(t *testing.T, capacity float64, loaded ...int) *testFleet {
 	t.Helper()
-	return newPlacesWith(t, &lab.Endpoint{Name: "p", Weight: capacity}, loaded...)
+	return newZonedFleetWithSite(t, &lab.Endpoint{Name: "p", Weight: capacity}, loaded...)
 }
 
 // newPlacesWith does so with sites that are like one.
-func newPlacesWith(t *testing.T, site *lab.Endpoint, loaded ...int) *fleetSite {
+func newZonedFleetWithSite(t *testing.T, site *lab.Endpoint, loaded ...int) *testFleet {
 	t.Helper()
-	return newPlacesFleet(t, cluster.Setup{Members: 6}, site, loaded...)
+	return newZonedFleetFrom(t, cluster.Setup{Members: 6}, site, loaded...)
 }
 
 // newPlacesFleet does so with a fleet of another size, or with paths that can be cut.
-func newPlacesFleet(t *testing.T, s cluster.Setup, site *lab.Endpoint, loaded ...int) *fleetSite {
+func newZonedFleetFrom(t *testing.T, s cluster.Setup, site *lab.Endpoint, loaded ...int) *testFleet {
 	t.Helper()
 	s.Zones, s.Sites = 4, 4
 	s.Settings = cluster.PlacesSettings(s.Members)
@@ -52,7 +52,7 @@
 	t.Cleanup(f.stop)
 	for _, i := range loaded {
 		clients.Go(func() {
-			for lab.Sleep(ctx, time.Second/perMember) {
+			for lab.Sleep(ctx, time.Second/messagesPerSecond) {
 				f.Hand(i, []string{"safe", "keyed", "unsafe"}[rand.IntN(3)], 10*time.Second)
 			}
 		})
@@ -64,7 +64,7 @@
 }
 
 // stands says how a place stands by the plan that a member knows.
-func stands(s node.PlanStatus, place string) plan.Phase {
+func sitePhase(s node.PlanStatus, place string) plan.Phase {
 	if s.Plan != nil {
 		for _, x := range s.Plan.Sites {
 			if x.Place == place {
@@ -76,7 +76,7 @@
 }
 
 // grant is what one place may send to another.
-func grant(s node.PlanStatus, from, to string) (g plan.Quota) {
+func quota(s node.PlanStatus, from, to string) (g plan.Quota) {
 	if s.Plan != nil {
 		for _, g := range s.Plan.Grants {
 			if g.From == from && g.To == to {
@@ -87,7 +87,7 @@
 	return g
 }
 
-func movesOf(s node.PlanStatus, kind, place string) (n int) {
+func countMoves(s node.PlanStatus, kind, place string) (n int) {
 	for _, d := range s.History {
 		for _, m := range d.Moves {
 			if m.Kind == kind && m.Place == place {
@@ -99,17 +99,17 @@
 }
 
 // came counts a partner's calls.
-func (f *fleetSite) came(site int) int { return len(f.Partners[site].Arrivals()) }
+func (f *testFleet) callCount(site int) int { return len(f.Partners[site].Arrivals()) }
 
 // A zone's partner goes down: its traffic goes to the other zone of the region and no further, whoever leads the council dies
 // meanwhile, and when the partner is back the traffic comes home. One move out, one back.
 func TestFleetZoneFailsOver(t *testing.T) {
 	t.Parallel()
-	f := newPlaces(t, 0, 4) // both in z0
-	before := f.came(1)
+	f := newZonedFleet(t, 0, 4) // both in z0
+	before := f.callCount(1)
 	f.Partners[0].Down()
-	must(t, f.AwaitPlan(f.ctx, 5, "way out", func(s node.PlanStatus) bool { return stands(s, "z0") == plan.Down && grant(s, "z0", "z1").Rate > 0 }))
-	for f.came(1) < before+20 {
+	must(t, f.AwaitPlan(f.ctx, 5, "way out", func(s node.PlanStatus) bool { return sitePhase(s, "z0") == plan.Down && quota(s, "z0", "z1").Rate > 0 }))
+	for f.callCount(1) < before+20 {
 		must(t, f.ctx.Err())
 		lab.Sleep(f.ctx, 10*time.Millisecond)
 	}
@@ -130,14 +130,14 @@
 	must(t, f.AwaitPlan(f.ctx, rest[3], "plan of another leader", func(s node.PlanStatus) bool { return s.Plan.Version > was+1 && s.Obeys == s.Plan.Version }))
 	must(t, f.Start(leader))
 	must(t, f.Partners[0].Up())
-	must(t, f.AwaitPlan(f.ctx, 5, "way back", func(s node.PlanStatus) bool { return stands(s, "z0") != plan.Down }))
-	home := f.came(0)
-	for f.came(0) < home+10 {
+	must(t, f.AwaitPlan(f.ctx, 5, "way back", func(s node.PlanStatus) bool { return sitePhase(s, "z0") != plan.Down }))
+	home := f.callCount(0)
+	for f.callCount(0) < home+10 {
 		must(t, f.ctx.Err())
 		lab.Sleep(f.ctx, 10*time.Millisecond)
 	}
 	must(t, f.AwaitPlan(f.ctx, 5, "history", func(s node.PlanStatus) bool {
-		if out, back := movesOf(s, "out", "z0"), movesOf(s, "back", "z0"); out != 1 || back != 1 || movesOf(s, "crossing", "z2")+movesOf(s, "crossing", "z3") > 0 {
+		if out, back := countMoves(s, "out", "z0"), countMoves(s, "back", "z0"); out != 1 || back != 1 || countMoves(s, "crossing", "z2")+countMoves(s, "crossing", "z3") > 0 {
 			t.Errorf("%d out, %d back, %+v", out, back, s.History)
 		}
 		return true
@@ -148,9 +148,9 @@
 // that is taken back.
 func TestFleetEvacuation(t *testing.T) {
 	t.Parallel()
-	f := newPlaces(t, 0, 1, 2)
+	f := newZonedFleet(t, 0, 1, 2)
 	var seen uint64
-	must(t, f.AwaitPlan(f.ctx, 3, "demand", func(s node.PlanStatus) bool { seen = s.Ordered; return grant(s, "z0", "z0").Rate > 0 }))
+	must(t, f.AwaitPlan(f.ctx, 3, "demand", func(s node.PlanStatus) bool { seen = s.Ordered; return quota(s, "z0", "z0").Rate > 0 }))
 	order := func(at int, from uint64, place string, on bool) string {
 		r, err := node.SendCommand(f.ctx, f.Members[at].Links, controlplane.Command{Kind: controlplane.Evacuate, Place: place, On: on, From: from})
 		must(t, err)
@@ -163,21 +163,21 @@
 		t.Errorf("the second operator was told %q", refused)
 	}
 	must(t, f.AwaitPlan(f.ctx, 0, "empty place", func(s node.PlanStatus) bool {
-		return grant(s, "z0", "z0").Rate == 0 && grant(s, "z0", "z1").Rate > 0 && s.Obeys == s.Plan.Version
+		return quota(s, "z0", "z0").Rate == 0 && quota(s, "z0", "z1").Rate > 0 && s.Obeys == s.Plan.Version
 	}))
-	quiet := f.came(0)
+	quiet := f.callCount(0)
 	must(t, f.AwaitPlan(f.ctx, 3, "later plan", func(s node.PlanStatus) bool { seen = s.Ordered; return len(s.Evacuating) == 1 && s.Obeys > 0 }))
-	for n := f.came(1); f.came(1) < n+20; { // its clients are served elsewhere meanwhile
+	for n := f.callCount(1); f.callCount(1) < n+20; { // its clients are served elsewhere meanwhile
 		must(t, f.ctx.Err())
 		lab.Sleep(f.ctx, 10*time.Millisecond)
 	}
-	if now := f.came(0); now > quiet+2 { // what was on its way
+	if now := f.callCount(0); now > quiet+2 { // what was on its way
 		t.Errorf("%d calls came to the empty place", now-quiet)
 	}
 	if refused := order(2, seen, "z0", false); refused != "" {
 		t.Fatal(refused)
 	}
-	for f.came(0) < quiet+20 {
+	for f.callCount(0) < quiet+20 {
 		must(t, f.ctx.Err())
 		lab.Sleep(f.ctx, 10*time.Millisecond)
 	}
@@ -187,7 +187,7 @@
 // longer than its plan holds does not act on it when it wakes. Both take the next plan when they hear of it.
 func TestFleetPlanRunsOut(t *testing.T) {
 	t.Parallel()
-	f := newPlaces(t, 5) // in z1, no founder
+	f := newZonedFleet(t, 5) // in z1, no founder
 	f.Partners[1].Down()
 	must(t, f.AwaitPlan(f.ctx, 5, "way out", func(s node.PlanStatus) bool { return s.Targets[cluster.Group]["z0"].Rate > 0 }))
 	f.Split(5)
@@ -209,10 +209,10 @@
 func TestFleetNoRoomAnywhere(t *testing.T) {
 	t.Parallel()
 	const takes = 7 // calls a second; a third of what clients ask for, however slow this machine is
-	f := newPlacesOf(t, takes, 0, 4)
+	f := newZonedFleetWithCapacity(t, takes, 0, 4)
 	f.Partners[0].Down()
 	must(t, f.AwaitPlan(f.ctx, 4, "way out", func(s node.PlanStatus) bool {
-		return stands(s, "z0") == plan.Down && grant(s, "z0", "z1").Rate > 0 && grant(s, "z0", "z2").Rate > 0 && grant(s, "z0", "z3").Rate > 0
+		return sitePhase(s, "z0") == plan.Down && quota(s, "z0", "z1").Rate > 0 && quota(s, "z0", "z2").Rate > 0 && quota(s, "z0", "z3").Rate > 0
 	}))
 	for refused := int64(0); refused == 0; {
 		must(t, f.ctx.Err())
@@ -220,7 +220,7 @@
 	}
 	must(t, f.AwaitPlan(f.ctx, 4, "bounds", func(s node.PlanStatus) bool {
 		for _, to := range []string{"z1", "z2", "z3"} {
-			if rate := grant(s, "z0", to).Rate; rate > takes*plan.Defaults().Headroom {
+			if rate := quota(s, "z0", to).Rate; rate > takes*plan.Defaults().Headroom {
 				t.Errorf("%v a second may go to %s, which takes %d", rate, to, takes)
 			}
 		}
@@ -239,19 +239,19 @@
 		}
 		return c.ReadAll(0) == nil && c.Answer(200, "") == nil
 	}}
-	f := newPlacesWith(t, p, 0, 4)
+	f := newZonedFleetWithSite(t, p, 0, 4)
 	must(t, f.AwaitPlan(f.ctx, 4, "usual time", func(s node.PlanStatus) bool {
 		return slices.ContainsFunc(s.Plan.Sites, func(x plan.Site) bool { return x.Place == "z0" && x.Usual > 0 })
 	}))
 	at := f.Partners[0].Address()
 	slow.Store(&at)
-	must(t, f.AwaitPlan(f.ctx, 4, "less for z0", func(s node.PlanStatus) bool { return movesOf(s, "slow", "z0") == 1 && grant(s, "z0", "z1").Rate > 0 }))
+	must(t, f.AwaitPlan(f.ctx, 4, "less for z0", func(s node.PlanStatus) bool { return countMoves(s, "slow", "z0") == 1 && quota(s, "z0", "z1").Rate > 0 }))
 	slow.Store(nil)
 	must(t, f.AwaitPlan(f.ctx, 4, "all for z0", func(s node.PlanStatus) bool {
-		return movesOf(s, "near again", "z0") == 1 && grant(s, "z0", "z1").Rate == 0
+		return countMoves(s, "near again", "z0") == 1 && quota(s, "z0", "z1").Rate == 0
 	}))
 	must(t, f.AwaitPlan(f.ctx, 4, "history", func(s node.PlanStatus) bool {
-		if n := movesOf(s, "out", "z0"); n > 0 {
+		if n := countMoves(s, "out", "z0"); n > 0 {
 			t.Errorf("%d times out: %+v", n, s.History)
 		}
 		return true
@@ -261,9 +261,9 @@
 // A partner that comes and goes every three seconds: it rests longer each time, and is not run after.
 func TestFleetFlapping(t *testing.T) {
 	t.Parallel()
-	f := newPlaces(t, 0, 4)
+	f := newZonedFleet(t, 0, 4)
 	f.Partners[0].Down()
-	must(t, f.AwaitPlan(f.ctx, 4, "first move", func(s node.PlanStatus) bool { return movesOf(s, "out", "z0") == 1 }))
+	must(t, f.AwaitPlan(f.ctx, 4, "first move", func(s node.PlanStatus) bool { return countMoves(s, "out", "z0") == 1 }))
 	must(t, f.Partners[0].Up())
 	for range 6 {
 		f.Partners[0].Down()
@@ -272,7 +272,7 @@
 		lab.Sleep(f.ctx, 1500*time.Millisecond)
 	}
 	must(t, f.AwaitPlan(f.ctx, 4, "history", func(s node.PlanStatus) bool {
-		if out, back := movesOf(s, "out", "z0"), movesOf(s, "back", "z0"); out < 1 || out > 3 || back > out {
+		if out, back := countMoves(s, "out", "z0"), countMoves(s, "back", "z0"); out < 1 || out > 3 || back > out {
 			t.Errorf("%d out, %d back in 18 s: %+v", out, back, s.History)
 		}
 		return true
--- a/cmd/larkreach/fleet_relay_test.go
+++ b/cmd/larkreach/fleet_relay_test.go
@@ -14,7 +14,7 @@
 const longLease = "lease = \"4s\"\nmargin = \"1s\"\n"
 
 // newRelayedFleet is five members, of which the last two reach each other and relays, and none of the voters.
-func newRelayedFleet(t *testing.T, relays int, g *gate) *fleetSite {
+func newRelayedFleet(t *testing.T, relays int, g *gate) *testFleet {
 	t.Helper()
 	f := newFleet(t, cluster.Setup{Members: 5, Relays: relays, Extra: longLease, Amend: slots(1)}, g)
 	f.Split(3, 4)
@@ -32,12 +32,12 @@
 	t.Parallel()
 	g := newGate()
 	f := newRelayedFleet(t, 1, g)
-	if life, err := f.Life(3); err != nil || life != 1 {
-		t.Errorf("life %d, %v", life, err)
+	if incarnation, err := f.Life(3); err != nil || incarnation != 1 {
+		t.Errorf("life %d, %v", incarnation, err)
 	}
-	f.take(3, "unsafe") // out, and held by the partner
+	f.submit(3, "unsafe") // out, and held by the partner
 	<-g.calls
-	behind := f.take(3, "unsafe")
+	behind := f.submit(3, "unsafe")
 	f.KillRelay(0)
 	for _, i := range []int{3, 4} {
 		must(t, f.Await(f.ctx, i, "no lease", func(s node.Status) bool { return !s.MayAct }))
@@ -49,14 +49,14 @@
 	f.Heal()
 	must(t, f.AwaitCopied(f.ctx, f.All()...))
 	g.release()
-	after := f.take(3, "unsafe")
-	f.rules(f.All()...)
-	f.reached(behind, after)
+	after := f.submit(3, "unsafe")
+	f.checkRules(f.All()...)
+	f.checkDelivered(behind, after)
 }
 
 // A relay is stopped where it is, with renewals that it has not answered, and then the other one: members go to the one that answers and keep
 // their lives. Each wakes with what it had not sent, and nothing is taken for newer than it is.
-func TestFleetRelaysStopAndWake(t *testing.T) {
+func TestFleetRelaysPauseAndResume(t *testing.T) {
 	t.Parallel()
 	g := newGate()
 	g.release()
@@ -72,17 +72,17 @@
 				must(t, f.Order(f.ctx, controlplane.Command{Kind: controlplane.Drain, Life: controlplane.Incarnation{Name: "n0"}, On: on}))
 			}
 			must(t, f.Await(f.ctx, i, "a later version", func(s node.Status) bool { return s.State.Version > version && s.MayAct }))
-			taken = append(taken, f.take(i, "unsafe"))
+			taken = append(taken, f.submit(i, "unsafe"))
 		}
 		must(t, f.WakeRelay(stopped))
 	}
 	for _, i := range []int{3, 4} {
-		if life, err := f.Life(i); err != nil || life != 1 {
-			t.Errorf("n%d: life %d, %v", i, life, err)
+		if incarnation, err := f.Life(i); err != nil || incarnation != 1 {
+			t.Errorf("n%d: life %d, %v", i, incarnation, err)
 		}
 	}
 	f.Heal()
 	must(t, f.AwaitCopied(f.ctx, f.All()...))
-	f.rules(f.All()...)
-	f.reached(taken...)
+	f.checkRules(f.All()...)
+	f.checkDelivered(taken...)
 }
--- a/cmd/larkreach/fleet_sysfault_test.go
+++ b/cmd/larkreach/fleet_sysfault_test.go
@@ -56,14 +56,14 @@
 
 // Guards against messages that are lost, or unsafe ones called twice, where members' disks fail for a moment among other faults: logs,
 // leases, replicas and takeovers. By hand: -sysfault.seeds N plays N seeds.
-func TestFleetUnderDiskFaultsBreaksNoRule(t *testing.T) {
+func TestFleetUnderDiskFaults(t *testing.T) {
 	t.Parallel()
 	for i := range uint64(*sysfaultSeeds) {
 		seed := *fleetSysfaultSeed + i
-		ctx, cancel := context.WithTimeout(context.Background(), 2*never)
+		ctx, cancel := context.WithTimeout(context.Background(), 2*testTimeout)
 		disks := newFailingDisks(t, seed)
 		o, err := cluster.Trial{
-			Seed: seed, Members: 4, Length: 8 * time.Second, Rate: 120, Program: []string{os.Args[0]}, Env: []string{childMark + "=1"}, Dir: t.TempDir(),
+			Seed: seed, Members: 4, Length: 8 * time.Second, Rate: 120, Program: []string{os.Args[0]}, Env: []string{childProcessEnv + "=1"}, Dir: t.TempDir(),
 			Disk: disks,
 		}.Run(ctx)
 		cancel()
--- a/cmd/larkreach/fleet_test.go
+++ b/cmd/larkreach/fleet_test.go
@@ -27,7 +27,7 @@
 // Several processes of the program with faults between them. Tests wait for what processes do; what bounds a wait is only there
 // to show what was awaited when it never comes.
 
-const never = 60 * time.Second
+const testTimeout = 60 * time.Second
 
 // gate holds a partner's answers until the test lets them go.
 type gate struct {
@@ -67,7 +67,7 @@
 	}
 }
 
-type fleetSite struct {
+type testFleet struct {
 	*cluster.Fleet
 	t    *testing.T
 	ctx  context.Context
@@ -75,7 +75,7 @@
 }
 
 // newFleet starts a fleet and waits until each member's copies count.
-func newFleet(t *testing.T, s cluster.Setup, g *gate) *fleetSite {
+func newFleet(t *testing.T, s cluster.Setup, g *gate) *testFleet {
 	t.Helper()
 	var p *lab.Endpoint
 	if g != nil {
@@ -89,13 +89,13 @@
 }
 
 // newFleetOf does so with a partner that is told.
-func newFleetOf(t *testing.T, s cluster.Setup, p *lab.Endpoint) *fleetSite {
+func newFleetOf(t *testing.T, s cluster.Setup, p *lab.Endpoint) *testFleet {
 	t.Helper()
-	s.Program, s.Env, s.Dir, s.Seed = []string{os.Args[0]}, []string{childMark + "=1"}, t.TempDir(), 1
+	s.Program, s.Env, s.Dir, s.Seed = []string{os.Args[0]}, []string{childProcessEnv + "=1"}, t.TempDir(), 1
 	f, err := cluster.Open(s, p)
 	must(t, err)
-	ctx, cancel := context.WithTimeout(context.Background(), never)
-	site := &fleetSite{Fleet: f, t: t, ctx: ctx}
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+	site := &testFleet{Fleet: f, t: t, ctx: ctx}
 	t.Cleanup(func() {
 		cancel()
 		known := ""
@@ -117,7 +117,7 @@
 }
 
 // take hands a message in and wants it taken on.
-func (f *fleetSite) take(i int, class string) string {
+func (f *testFleet) submit(i int, class string) string {
 	f.t.Helper()
 	id, a := f.Hand(i, class, 20*time.Second)
 	if a.Status != 202 {
@@ -127,22 +127,22 @@
 }
 
 // fill has every member make one unsafe call, which the partner holds, and take a message of each class on behind it. It gives those.
-func (f *fleetSite) fill(g *gate, classes ...string) (waiting []string) {
+func (f *testFleet) fillMembers(g *gate, classes ...string) (waiting []string) {
 	f.t.Helper()
 	for i := range f.Members {
-		out := f.take(i, "unsafe")
+		out := f.submit(i, "unsafe")
 		if c := <-g.calls; c.ID != out {
 			f.t.Fatalf("%s came for %s", c.ID, out)
 		}
 		for _, class := range classes {
-			waiting = append(waiting, f.take(i, class))
+			waiting = append(waiting, f.submit(i, class))
 		}
 	}
 	return waiting
 }
 
 // keeperOf is the number of the member that keeps the counted copies of another.
-func (f *fleetSite) keeperOf(i int) int {
+func (f *testFleet) replicaOf(i int) int {
 	f.t.Helper()
 	s, err := f.Look(i)
 	must(f.t, err)
@@ -150,24 +150,24 @@
 }
 
 // gone ends a member for good and waits until what it owed is somebody else's.
-func (f *fleetSite) gone(i int, asking int) {
+func (f *testFleet) loseMember(i int, asking int) {
 	f.t.Helper()
-	life, err := f.Life(i)
+	incarnation, err := f.Life(i)
 	must(f.t, err)
 	must(f.t, f.Kill(i))
 	must(f.t, f.LoseFolder(i))
-	must(f.t, f.AwaitDone(f.ctx, asking, f.Members[i].Name, life))
+	must(f.t, f.AwaitDone(f.ctx, asking, f.Members[i].Name, incarnation))
 }
 
 // rules holds all that was seen against the rules once nothing is owed any more.
-func (f *fleetSite) rules(members ...int) {
+func (f *testFleet) checkRules(members ...int) {
 	f.t.Helper()
 	must(f.t, f.AwaitJobs(f.ctx, members[0]))
-	f.ends(members...)
+	f.checkMembers(members...)
 }
 
 // ends holds it against them once nothing is held at members, whoever else may owe something.
-func (f *fleetSite) ends(members ...int) {
+func (f *testFleet) checkMembers(members ...int) {
 	f.t.Helper()
 	must(f.t, f.AwaitSettled(members...))
 	for _, b := range f.Broken() {
@@ -177,18 +177,18 @@
 
 // reached says that each message was called: an unsafe one once, the others once at least, since the module may call a stuck call off
 // and make another.
-func (f *fleetSite) reached(ids ...string) {
+func (f *testFleet) checkDelivered(ids ...string) {
 	f.t.Helper()
-	arrived := f.arrived()
+	arrivals := f.arrivals()
 	for _, id := range ids {
-		if n := arrived[id]; n < 1 || n > 1 && strings.HasPrefix(id, "unsafe") {
+		if n := arrivals[id]; n < 1 || n > 1 && strings.HasPrefix(id, "unsafe") {
 			f.t.Errorf("%s: %d calls", id, n)
 		}
 	}
 }
 
 // arrived counts the calls that reached the partner, by message.
-func (f *fleetSite) arrived() map[string]int {
+func (f *testFleet) arrivals() map[string]int {
 	out := map[string]int{}
 	for _, a := range f.Partner.Arrivals() {
 		out[a.ID]++
@@ -204,19 +204,19 @@
 	f := newFleet(t, cluster.Setup{Members: 3}, g)
 	out := map[string]string{}
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
-		id := f.take(2, class)
+		id := f.submit(2, class)
 		if c := <-g.calls; c.ID != id {
 			t.Fatalf("%s came for %s", c.ID, id)
 		}
 		out[class] = id
 	}
 	must(t, f.AwaitCopied(f.ctx, 2)) // that they were out is known to who counts
-	f.gone(2, 0)
+	f.loseMember(2, 0)
 	g.release()
-	f.rules(0, 1)
-	arrived := f.arrived()
+	f.checkRules(0, 1)
+	arrivals := f.arrivals()
 	for class, want := range map[string]int{"safe": 2, "keyed": 2, "unsafe": 1} {
-		if n := arrived[out[class]]; n != want {
+		if n := arrivals[out[class]]; n != want {
 			t.Errorf("%s: %d calls, want %d", class, n, want)
 		}
 	}
@@ -226,34 +226,34 @@
 }
 
 // Paused just before a call's first byte, taken over meanwhile, and woken: the old life sends nothing more.
-func TestFleetPausedOwnerWakes(t *testing.T) {
+func TestFleetPausedOwnerResumes(t *testing.T) {
 	t.Parallel()
 	g := newGate()
 	f := newFleet(t, cluster.Setup{Members: 3}, g)
-	first := f.take(2, "unsafe") // takes the calls' turn
+	first := f.submit(2, "unsafe") // takes the calls' turn
 	<-g.calls
-	held := []string{f.take(2, "unsafe"), f.take(2, "keyed"), f.take(2, "safe")}
-	life, err := f.Life(2)
+	held := []string{f.submit(2, "unsafe"), f.submit(2, "keyed"), f.submit(2, "safe")}
+	incarnation, err := f.Life(2)
 	must(t, err)
 	must(t, f.AwaitCopied(f.ctx, 2))
 	must(t, f.Pause(2))
-	must(t, f.AwaitDone(f.ctx, 0, "n2", life))
+	must(t, f.AwaitDone(f.ctx, 0, "n2", incarnation))
 	g.release()
 	must(t, f.AwaitSettled(0, 1))
-	before := f.arrived()
+	before := f.arrivals()
 	must(t, f.Wake(2))
-	must(t, f.Await(f.ctx, 2, "another life", func(s node.Status) bool { return s.MayAct && s.Life.Number > life }))
+	must(t, f.Await(f.ctx, 2, "another life", func(s node.Status) bool { return s.MayAct && s.Life.Number > incarnation }))
 	must(t, f.AwaitCopied(f.ctx, 2))
-	after := f.take(2, "unsafe")
-	f.rules(0, 1, 2)
-	arrived := f.arrived()
+	after := f.submit(2, "unsafe")
+	f.checkRules(0, 1, 2)
+	arrivals := f.arrivals()
 	for _, id := range append(held, first) {
-		if arrived[id] != before[id] {
-			t.Errorf("%s: %d calls before the old one woke, %d after", id, before[id], arrived[id])
+		if arrivals[id] != before[id] {
+			t.Errorf("%s: %d calls before the old one woke, %d after", id, before[id], arrivals[id])
 		}
 	}
-	if arrived[after] != 1 {
-		t.Errorf("the new life's message made %d calls", arrived[after])
+	if arrivals[after] != 1 {
+		t.Errorf("the new life's message made %d calls", arrivals[after])
 	}
 	if err := f.Members[2].End(syscall.SIGTERM); err != nil {
 		t.Error(err)
@@ -269,29 +269,29 @@
 
 // What had not begun when its owner died goes on at who kept its copies, once, whatever its class; what was over stays over, and an
 // end that nobody was told of yet is told.
-func TestFleetNothingBegunIsLost(t *testing.T) {
+func TestFleetUnstartedMessagesSurvive(t *testing.T) {
 	t.Parallel()
 	g := newGate()
 	f := newFleet(t, cluster.Setup{Members: 3, Amend: slots(1)}, g)
-	over := f.take(2, "unsafe")
+	over := f.submit(2, "unsafe")
 	(<-g.calls).answer <- 200
 	must(t, f.Members[2].AwaitCounter("in", "held", 0))
-	failed := f.take(2, "unsafe")
+	failed := f.submit(2, "unsafe")
 	(<-g.calls).answer <- 500
 	must(t, f.Members[2].AwaitCounter("notices", "acknowledged", 1))
-	out := f.take(2, "unsafe")
+	out := f.submit(2, "unsafe")
 	<-g.calls
 	var waiting []string
 	for range 3 {
 		for _, class := range []string{"safe", "keyed", "unsafe"} {
-			waiting = append(waiting, f.take(2, class))
+			waiting = append(waiting, f.submit(2, class))
 		}
 	}
 	must(t, f.AwaitCopied(f.ctx, 2))
-	f.gone(2, 0)
+	f.loseMember(2, 0)
 	g.release()
-	f.rules(0, 1)
-	f.reached(append(waiting, over, out, failed)...)
+	f.checkRules(0, 1)
+	f.checkDelivered(append(waiting, over, out, failed)...)
 	if n := f.Agent.Notices(); len(n) != 2 {
 		t.Errorf("notices %+v", n)
 	}
@@ -303,18 +303,18 @@
 	t.Parallel()
 	g := newGate()
 	f := newFleet(t, cluster.Setup{Members: 3, Alone: []string{"safe"}, Amend: slots(1)}, g)
-	out := f.take(2, "unsafe")
+	out := f.submit(2, "unsafe")
 	<-g.calls
-	copied := f.take(2, "unsafe")
+	copied := f.submit(2, "unsafe")
 	must(t, f.AwaitCopied(f.ctx, 2))
-	life, err := f.Life(2)
+	incarnation, err := f.Life(2)
 	must(t, err)
 	f.Split(2)
-	must(t, f.AwaitDone(f.ctx, 0, "n2", life))
+	must(t, f.AwaitDone(f.ctx, 0, "n2", incarnation))
 	if id, a := f.Hand(2, "unsafe", 20*time.Second); a.Status != 503 {
 		t.Errorf("%s was answered %d without anybody to keep a copy", id, a.Status)
 	}
-	alone := f.take(2, "safe")
+	alone := f.submit(2, "safe")
 	for c := range g.calls { // beside that of who took over
 		c.answer <- 200
 		if c.ID == alone {
@@ -324,11 +324,11 @@
 	g.release()
 	must(t, f.AwaitSettled(0, 1))
 	f.Heal()
-	must(t, f.Await(f.ctx, 2, "another life", func(s node.Status) bool { return s.MayAct && s.Life.Number > life }))
+	must(t, f.Await(f.ctx, 2, "another life", func(s node.Status) bool { return s.MayAct && s.Life.Number > incarnation }))
 	must(t, f.AwaitCopied(f.ctx, 2))
-	after := f.take(2, "unsafe")
-	f.rules(0, 1, 2)
-	f.reached(out, copied, alone, after)
+	after := f.submit(2, "unsafe")
+	f.checkRules(0, 1, 2)
+	f.checkDelivered(out, copied, alone, after)
 }
 
 // One way only: what a member says reaches nobody, what others say reaches it. It has no lease then, and stops as one that is cut
@@ -337,49 +337,49 @@
 	t.Parallel()
 	g := newGate()
 	f := newFleet(t, cluster.Setup{Members: 3, Amend: slots(1)}, g)
-	f.take(2, "unsafe")
+	f.submit(2, "unsafe")
 	<-g.calls
-	waiting := []string{f.take(2, "unsafe"), f.take(2, "keyed")}
+	waiting := []string{f.submit(2, "unsafe"), f.submit(2, "keyed")}
 	must(t, f.AwaitCopied(f.ctx, 2))
-	life, err := f.Life(2)
+	incarnation, err := f.Life(2)
 	must(t, err)
 	f.Stall(2, 0, true)
 	f.Stall(2, 1, true)
-	must(t, f.AwaitDone(f.ctx, 0, "n2", life))
+	must(t, f.AwaitDone(f.ctx, 0, "n2", incarnation))
 	g.release()
 	must(t, f.AwaitSettled(0, 1))
 	f.Heal()
-	must(t, f.Await(f.ctx, 2, "another life", func(s node.Status) bool { return s.MayAct && s.Life.Number > life }))
-	f.rules(0, 1, 2)
-	f.reached(waiting...)
+	must(t, f.Await(f.ctx, 2, "another life", func(s node.Status) bool { return s.MayAct && s.Life.Number > incarnation }))
+	f.checkRules(0, 1, 2)
+	f.checkDelivered(waiting...)
 }
 
 // A keeper dies for good: another one is chosen, and is counted once it is as far; what was copied to the dead one alone is not
 // lost when the owner goes next.
-func TestFleetKeeperDies(t *testing.T) {
+func TestFleetReplicaDies(t *testing.T) {
 	t.Parallel()
 	g := newGate()
 	f := newFleet(t, cluster.Setup{Members: 4, Amend: slots(1)}, g)
-	f.take(3, "unsafe")
+	f.submit(3, "unsafe")
 	<-g.calls
-	waiting := []string{f.take(3, "unsafe"), f.take(3, "safe")}
-	keeper := f.keeperOf(3)
-	f.gone(keeper, 3)
+	waiting := []string{f.submit(3, "unsafe"), f.submit(3, "safe")}
+	replica := f.replicaOf(3)
+	f.loseMember(replica, 3)
 	must(t, f.Await(f.ctx, 3, "another keeper", func(s node.Status) bool {
-		return len(s.Keepers) > 0 && s.Keepers[0].Counts && s.Keepers[0].Name != f.Members[keeper].Name && s.Keepers[0].Has == s.Keepers[0].Of
+		return len(s.Keepers) > 0 && s.Keepers[0].Counts && s.Keepers[0].Name != f.Members[replica].Name && s.Keepers[0].Has == s.Keepers[0].Of
 	}))
-	waiting = append(waiting, f.take(3, "keyed"))
+	waiting = append(waiting, f.submit(3, "keyed"))
 	must(t, f.AwaitCopied(f.ctx, 3))
 	rest := []int{}
 	for i := range 3 {
-		if i != keeper {
+		if i != replica {
 			rest = append(rest, i)
 		}
 	}
-	f.gone(3, rest[0])
+	f.loseMember(3, rest[0])
 	g.release()
-	f.rules(rest...)
-	f.reached(waiting...)
+	f.checkRules(rest...)
+	f.checkDelivered(waiting...)
 }
 
 // All are killed at once, folders kept, and come back: each goes on with its own, and nothing is lost or done twice.
@@ -387,15 +387,15 @@
 	t.Parallel()
 	g := newGate()
 	f := newFleet(t, cluster.Setup{Members: 3, Amend: slots(1)}, g)
-	ids := f.fill(g, "unsafe", "keyed", "safe")
+	ids := f.fillMembers(g, "unsafe", "keyed", "safe")
 	for i := range 3 {
 		must(t, f.Kill(i))
 	}
 	g.release()
 	must(t, f.Start(f.All()...))
 	must(t, f.AwaitCopied(f.ctx, f.All()...))
-	f.rules(f.All()...)
-	f.reached(ids...)
+	f.checkRules(f.All()...)
+	f.checkDelivered(ids...)
 	if n := f.Agent.Notices(); len(n) != 3 {
 		t.Errorf("of three unsafe calls that were out: %+v", n)
 	}
@@ -411,29 +411,29 @@
 	must(t, f.SaveFolder(2)) // as it was before any message
 	must(t, f.Start(2))
 	must(t, f.AwaitCopied(f.ctx, 2))
-	over := f.take(2, "unsafe")
+	over := f.submit(2, "unsafe")
 	(<-g.calls).answer <- 200
 	must(t, f.Members[2].AwaitCounter("in", "held", 0))
-	out := f.take(2, "unsafe")
+	out := f.submit(2, "unsafe")
 	<-g.calls
-	waiting := f.take(2, "unsafe")
+	waiting := f.submit(2, "unsafe")
 	must(t, f.AwaitCopied(f.ctx, 2))
-	life, err := f.Life(2)
+	incarnation, err := f.Life(2)
 	must(t, err)
 	must(t, f.Kill(2))
 	must(t, f.RollBack(2))
 	g.release()
 	must(t, f.Start(2))
 	must(t, f.Await(f.ctx, 2, "lease", func(s node.Status) bool { return s.MayAct }))
-	must(t, f.AwaitDone(f.ctx, 0, "n2", life))
-	f.rules(f.All()...)
-	f.reached(over, out, waiting)
+	must(t, f.AwaitDone(f.ctx, 0, "n2", incarnation))
+	f.checkRules(f.All()...)
+	f.checkDelivered(over, out, waiting)
 	must(t, f.Await(f.ctx, 2, "ids of the life before", func(s node.Status) bool { return s.Knows }))
 	if a := f.HandAs(2, over, "unsafe", 20*time.Second); a.Status != 202 && a.Status != 409 {
 		t.Errorf("an id that is over, handed in again: %d", a.Status)
 	}
-	f.rules(f.All()...)
-	if n := f.arrived()[over]; n != 1 {
+	f.checkRules(f.All()...)
+	if n := f.arrivals()[over]; n != 1 {
 		t.Errorf("%s: %d calls after it came again", over, n)
 	}
 }
@@ -458,8 +458,8 @@
 	if a := c.Hand(lab.Handover{ID: "x", Key: "k", Class: "unsafe", Destination: cluster.Group, Left: 20 * time.Second}, nil); a.Status != 503 {
 		t.Errorf("the second of a name answered %d", a.Status)
 	}
-	f.take(3, "unsafe")
-	f.rules(f.All()...)
+	f.submit(3, "unsafe")
+	f.checkRules(f.All()...)
 }
 
 // All are killed at once and one of them comes back without its folder, a founder of the council at that: it says nothing in the
@@ -468,7 +468,7 @@
 	t.Parallel()
 	g := newGate()
 	f := newFleet(t, cluster.Setup{Members: 3, Amend: slots(1)}, g)
-	ids := f.fill(g, "unsafe", "keyed")
+	ids := f.fillMembers(g, "unsafe", "keyed")
 	must(t, f.AwaitCopied(f.ctx, f.All()...))
 	for i := range 3 {
 		must(t, f.Kill(i))
@@ -478,15 +478,15 @@
 	must(t, f.Start(f.All()...))
 	must(t, f.AwaitCopied(f.ctx, f.All()...))
 	must(t, f.AwaitDone(f.ctx, 0, "n2", 1))
-	f.rules(f.All()...)
-	f.reached(ids...)
+	f.checkRules(f.All()...)
+	f.checkDelivered(ids...)
 }
 
 // fleetCommand runs a command of larkreach and gives what it printed, errors included, and its status.
 func fleetCommand(t *testing.T, name string, args ...string) (out string, status int) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], append([]string{name}, args...)...)
-	cmd.Env = append(os.Environ(), childMark+"=1")
+	cmd.Env = append(os.Environ(), childProcessEnv+"=1")
 	printed, err := cmd.CombinedOutput()
 	var ended *exec.ExitError
 	if err != nil && !errors.As(err, &ended) {
@@ -496,7 +496,7 @@
 }
 
 // operator runs a command of larkreach cluster.
-func (f *fleetSite) operator(args ...string) string {
+func (f *testFleet) operator(args ...string) string {
 	f.t.Helper()
 	out, status := fleetCommand(f.t, "cluster", args...)
 	if status != 0 {
@@ -506,7 +506,7 @@
 }
 
 // votes waits until just these founders vote, as a member sees it.
-func (f *fleetSite) votes(at int, names ...string) {
+func (f *testFleet) awaitVoters(at int, names ...string) {
 	f.t.Helper()
 	must(f.t, f.Await(f.ctx, at, fmt.Sprint("council of ", names), func(s node.Status) bool {
 		return slices.EqualFunc(s.Founders, names, func(x controlplane.Voter, name string) bool { return x.Name == name && !x.Learns })
@@ -515,36 +515,36 @@
 
 // A council that goes on while its founders change: a machine that is lost for good is replaced by one that was no founder, the next
 // founder that dies leaves a majority of the new ones, and who comes back with the settings of old finds the council that is there.
-func TestFleetFoundersChange(t *testing.T) {
+func TestFleetVotersChange(t *testing.T) {
 	t.Parallel()
 	g := newGate()
 	f := newFleet(t, cluster.Setup{Members: 5, Amend: slots(1)}, g)
-	f.take(4, "unsafe")
+	f.submit(4, "unsafe")
 	<-g.calls
-	waiting := []string{f.take(4, "unsafe"), f.take(4, "keyed")}
+	waiting := []string{f.submit(4, "unsafe"), f.submit(4, "keyed")}
 	must(t, f.AwaitCopied(f.ctx, f.All()...))
-	f.gone(0, 4)
+	f.loseMember(0, 4)
 	f.operator("found", "n3", "--at", f.Members[4].Links)
-	f.votes(4, "n0", "n1", "n2", "n3")
+	f.awaitVoters(4, "n0", "n1", "n2", "n3")
 	f.operator("unfound", "n0", "--at", f.Members[4].Links)
-	f.votes(4, "n1", "n2", "n3")
+	f.awaitVoters(4, "n1", "n2", "n3")
 	if out := f.operator("founders", "--at", f.Members[3].Links); strings.Contains(out, "n0") || strings.Count(out, "true") != 4 {
 		t.Errorf("founders:\n%s", out) // three vote, one leads
 	}
-	life, err := f.Life(1)
+	incarnation, err := f.Life(1)
 	must(t, err)
 	must(t, f.Kill(1))
-	must(t, f.AwaitDone(f.ctx, 4, "n1", life)) // n2 and n3 decide that
-	waiting = append(waiting, f.take(4, "unsafe"), f.take(2, "safe"))
+	must(t, f.AwaitDone(f.ctx, 4, "n1", incarnation)) // n2 and n3 decide that
+	waiting = append(waiting, f.submit(4, "unsafe"), f.submit(2, "safe"))
 	must(t, f.Kill(4)) // knows the new founders by its settings no more
 	must(t, f.Start(0, 4))
 	must(t, f.AwaitCopied(f.ctx, 0, 2, 3, 4))
 	must(t, f.Start(1))
 	must(t, f.AwaitCopied(f.ctx, f.All()...))
-	f.votes(0, "n1", "n2", "n3")
+	f.awaitVoters(0, "n1", "n2", "n3")
 	g.release()
-	f.rules(f.All()...)
-	f.reached(waiting...)
+	f.checkRules(f.All()...)
+	f.checkDelivered(waiting...)
 }
 
 // A majority of the founders is lost for good: strict classes are refused, and the operator's command makes what the last one knows a
@@ -553,9 +553,9 @@
 	t.Parallel()
 	g := newGate()
 	f := newFleet(t, cluster.Setup{Members: 4, Amend: slots(1)}, g)
-	f.take(0, "unsafe")
+	f.submit(0, "unsafe")
 	<-g.calls
-	waiting := []string{f.take(0, "unsafe"), f.take(0, "keyed")}
+	waiting := []string{f.submit(0, "unsafe"), f.submit(0, "keyed")}
 	must(t, f.AwaitCopied(f.ctx, 0))
 	for i := 1; i < 3; i++ {
 		must(t, f.Kill(i))
@@ -579,8 +579,8 @@
 	must(t, f.Start(0, 3))
 	must(t, f.AwaitCopied(f.ctx, 0, 3))
 	must(t, f.AwaitDone(f.ctx, 0, "n0", 1)) // the two that are lost owe nothing, and may have kept copies for each other
-	f.ends(0, 3)
-	f.reached(waiting...)
+	f.checkMembers(0, 3)
+	f.checkDelivered(waiting...)
 }
 
 // A keeper that catches up is cut off ten times in the middle of it; it goes on, is counted only when it is level, and what it has then
@@ -589,11 +589,11 @@
 	t.Parallel()
 	g := newGate()
 	f := newFleet(t, cluster.Setup{Members: 4, Amend: slots(1), Body: 50 << 10}, g)
-	f.take(3, "unsafe")
+	f.submit(3, "unsafe")
 	<-g.calls
 	var waiting []string
 	for range 100 {
-		waiting = append(waiting, f.take(3, "unsafe"))
+		waiting = append(waiting, f.submit(3, "unsafe"))
 	}
 	must(t, f.AwaitCopied(f.ctx, 3))
 	first := ""
@@ -637,10 +637,10 @@
 	cutAfter(0)
 	must(t, f.Await(f.ctx, 3, "another keeper", replaced))
 	must(t, f.AwaitDone(f.ctx, rest[0], first, 1)) // its copy may be in the owner's folder, which goes next
-	f.gone(3, rest[0])
+	f.loseMember(3, rest[0])
 	g.release()
-	f.rules(rest...)
-	f.reached(waiting...)
+	f.checkRules(rest...)
+	f.checkDelivered(waiting...)
 }
 
 // Every machine is replaced in turn, founders of the council among them: each comes back empty under its name, and what it owed goes on.
@@ -650,20 +650,20 @@
 	var ids []string
 	for i := range 3 {
 		for k := range 3 {
-			ids = append(ids, f.take(k, "keyed"), f.take(k, "unsafe"))
+			ids = append(ids, f.submit(k, "keyed"), f.submit(k, "unsafe"))
 		}
 		must(t, f.AwaitCopied(f.ctx, f.All()...))
-		f.gone(i, (i+1)%3)
+		f.loseMember(i, (i+1)%3)
 		must(t, f.Start(i))
 		must(t, f.AwaitCopied(f.ctx, f.All()...))
 		must(t, f.AwaitJobs(f.ctx, i))
 	}
-	f.rules(f.All()...)
-	f.reached(ids...)
+	f.checkRules(f.All()...)
+	f.checkDelivered(ids...)
 }
 
 // heeds says whether a member heeds a wait at the partner.
-func heeds(s node.ObservationStatus) bool {
+func appliesRetryAfter(s node.ObservationStatus) bool {
 	for _, l := range s.Heeded {
 		if l.Destination == cluster.Group && l.Wait > 0 {
 			return true
@@ -673,11 +673,11 @@
 }
 
 // A partner tells one forwarder to wait; the others, which it told nothing, call it no sooner.
-func TestFleetToldWaitIsHeededByAll(t *testing.T) {
+func TestFleetSharesRetryAfter(t *testing.T) {
 	t.Parallel()
 	g := newGate()
 	f := newFleet(t, cluster.Setup{Members: 3}, g)
-	first := f.take(0, "safe")
+	first := f.submit(0, "safe")
 	c := <-g.calls
 	if c.ID != first {
 		t.Fatalf("%s came for %s", c.ID, first)
@@ -688,8 +688,8 @@
 	c.answered <- struct{}{}
 	ids := map[string]bool{first: true}
 	for _, i := range []int{1, 2} {
-		must(t, f.AwaitFacts(f.ctx, i, "wait that n0 was told", heeds))
-		ids[f.take(i, "safe")] = true
+		must(t, f.AwaitFacts(f.ctx, i, "wait that n0 was told", appliesRetryAfter))
+		ids[f.submit(i, "safe")] = true
 	}
 	for len(ids) > 0 {
 		c := <-g.calls
@@ -699,39 +699,39 @@
 		delete(ids, c.ID)
 		c.answer <- 200
 	}
-	f.rules(f.All()...)
+	f.checkRules(f.All()...)
 }
 
 // A member tells absurd things of partners: a wait of a year, ages below zero, limits that are none, a name of nobody. They are
 // bounded or dropped, logged, and heeded no longer than one member's word counts.
-func TestFleetLiar(t *testing.T) {
+func TestFleetInvalidObservations(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, cluster.Setup{Members: 3, Extra: "believe = \"1s\""}, nil)
-	liar, err := f.Life(2)
+	sender, err := f.Life(2)
 	must(t, err)
 	p := links.NewPeer(f.Members[0].Links)
 	defer p.Close()
-	lies := []observation.Record{
+	invalid := []observation.Record{
 		{Kind: observation.RetryAfter, Destination: cluster.Group, Left: 365 * 24 * time.Hour},
 		{Kind: observation.Outage, Destination: cluster.Group, Age: -time.Hour},
 		{Kind: observation.RateLimit, Destination: cluster.Group, Rate: math.Inf(1)},
 		{Kind: observation.RateLimit, Destination: cluster.Group, Rate: -1},
 		{Kind: 200, Destination: -1, Left: -time.Second},
 	}
-	for i := range lies {
-		lies[i].Origin, lies[i].Life, lies[i].Serial = "n2", liar, 1e6+uint64(i)
+	for i := range invalid {
+		invalid[i].Origin, invalid[i].Life, invalid[i].Serial = "n2", sender, 1e6+uint64(i)
 	}
-	lies = append(lies, observation.Record{Kind: observation.RetryAfter, Destination: cluster.Group, Left: time.Minute, Origin: "nobody", Life: 1, Serial: 1})
-	must(t, p.Call(f.ctx, "Facts.Push", node.GossipRequest{From: controlplane.Incarnation{Name: "n2", Number: liar}, Facts: lies}, &node.GossipReply{}))
+	invalid = append(invalid, observation.Record{Kind: observation.RetryAfter, Destination: cluster.Group, Left: time.Minute, Origin: "nobody", Life: 1, Serial: 1})
+	must(t, p.Call(f.ctx, "Facts.Push", node.GossipRequest{From: controlplane.Incarnation{Name: "n2", Number: sender}, Facts: invalid}, &node.GossipReply{}))
 	must(t, f.AwaitFacts(f.ctx, 0, "account of lies", func(s node.ObservationStatus) bool { return s.Counts.Bounded == 2 && s.Counts.Absurd == 2 }))
 	if _, seen := f.Members[0].Sees(string(observation.ExcessiveWait)); !seen {
 		t.Error("no line of the log tells of it")
 	}
 	must(t, f.AwaitFacts(f.ctx, 1, "word that it passed on", func(s node.ObservationStatus) bool { return s.Counts.News > 0 }))
 	for i := range 2 {
-		f.take(i, "safe") // delivered inside its 20 s: a wait of a year was not heeded
+		f.submit(i, "safe") // delivered inside its 20 s: a wait of a year was not heeded
 	}
-	f.rules(0, 1)
+	f.checkRules(0, 1)
 	if n := f.Agent.Notices(); len(n) != 0 {
 		t.Errorf("given up by a lie: %+v", n)
 	}
@@ -740,10 +740,10 @@
 // The short form of larklab cluster faults: load and faults drawn from a seed, healed at the end, and no rule broken.
 func TestFleetRandomFaults(t *testing.T) {
 	t.Parallel()
-	ctx, cancel := context.WithTimeout(context.Background(), never)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	o, err := cluster.Trial{
-		Seed: 7, Members: 4, Length: 4 * time.Second, Rate: 60, Program: []string{os.Args[0]}, Env: []string{childMark + "=1"}, Dir: t.TempDir(),
+		Seed: 7, Members: 4, Length: 4 * time.Second, Rate: 60, Program: []string{os.Args[0]}, Env: []string{childProcessEnv + "=1"}, Dir: t.TempDir(),
 	}.Run(ctx)
 	t.Log(o.Summary(), o.Faults)
 	if err != nil || len(o.Broken) > 0 || o.Taken == 0 {
--- a/cmd/larkreach/helper_test.go
+++ b/cmd/larkreach/helper_test.go
@@ -22,57 +22,58 @@
 	"mulleinbeam/internal/lab/sysfault"
 )
 
-// The one helper of the network tests: it starts the real program as a process and plays its clients, endpoints and
-// discovery. It reads and writes HTTP with the standard library, so that the project's own parsers meet others'.
-// Nothing here waits for a time to pass: tests wait for what the program does, and go test's own limit ends them.
+// This file is the harness of the network tests: it starts the real program as a process and simulates its clients,
+// endpoints and discovery. It reads and writes HTTP with the standard library, so that the project's parsers are tested
+// against another implementation. Nothing here waits for a fixed time: tests wait for events, and the timeout of go
+// test bounds them.
 
-const childMark = "LARKREACH_TEST_CHILD"
+const childProcessEnv = "LARKREACH_TEST_CHILD"
 
-// TestMain lets the test binary stand for the program, so that the race detector watches it as well.
+// TestMain lets the test binary run as the program, so that the race detector covers the program too.
 func TestMain(m *testing.M) {
 	if sysfault.Marked() {
 		fmt.Fprintln(os.Stderr, sysfault.Launch())
 		os.Exit(1)
 	}
-	if os.Getenv(childMark) != "" {
+	if os.Getenv(childProcessEnv) != "" {
 		main()
 		os.Exit(0)
 	}
 	os.Exit(m.Run())
 }
 
-// site is a forwarder with everything round it.
-type site struct {
-	*discovery // the one that the configuration names
+// testbed is a forwarder process with its configuration, state folder, discovery and log.
+type testbed struct {
+	*discovery // the discovery that the configuration names
 	t          *testing.T
 	dir        string
 	listen     string
-	path       string // of the configuration
+	path       string // path of the configuration file
 	config     map[string]any
 	env        []string
-	files      int      // descriptors that it is given; 0 leaves it as it is
-	stderr     *os.File // where its log goes instead of to log
+	files      int      // descriptor limit; 0 keeps the inherited one
+	stderr     *os.File // receives the log instead of the field log
 	cmd        *exec.Cmd
 	log        *logBuffer
 	exited     chan error
 }
 
-// discovery is an agent at an address of its own.
+// discovery simulates the discovery service on its own address.
 type discovery struct {
 	listener net.Listener
-	lists    chan map[string]any // what the watch is to be answered with
-	watched  chan string         // the watch's requests
-	reports  chan notice
-	refuse   atomic.Bool // reports are answered 500
+	lists    chan map[string]any // answers to watch requests
+	watched  chan string         // queries of the watch requests received
+	reports  chan deliveryReport
+	refuse   atomic.Bool // whether reports are answered 500
 }
 
-type notice struct {
+type deliveryReport struct {
 	Message string `json:"message"`
 	Outcome string `json:"outcome"`
 	Retry   int64  `json:"retry_in_ms"`
 }
 
-// logBuffer keeps the program's log and tells of each line.
+// logBuffer stores the program's log and passes on each line.
 type logBuffer struct {
 	mu    sync.Mutex
 	text  bytes.Buffer
@@ -94,7 +95,7 @@
 			b.mu.Unlock()
 			select {
 			case b.lines <- line:
-			default: // nobody looks at them
+			default: // no test is reading
 			}
 		}
 	}
@@ -105,21 +106,22 @@
  "name":"safe","target":800000},{"credit":5,"effect":"unsafe","give-up":20000000,"group":"all","late-worth":0.4,
  "name":"unsafe","target":3000000}]`
 
-// siteCount counts the sites that this process has made.
-var siteCount atomic.Uint64
+// hostCount counts the addresses that uniqueHost has returned.
+var hostCount atomic.Uint64
 
-// siteHost is a loopback address of one site's own: between its lives nobody else's connection or listener takes its port.
-func siteHost() string {
-	const hosts = 250 // of one network of 256
-	n, process := siteCount.Add(1), uint64(os.Getpid())
+// uniqueHost returns a loopback address that no other test uses, so that no other connection or listener takes the port
+// of a forwarder while it restarts.
+func uniqueHost() string {
+	const hosts = 250 // usable addresses of a /24 network
+	n, process := hostCount.Add(1), uint64(os.Getpid())
 	return fmt.Sprintf("127.%d.%d.%d", 128+process%64, (process/64+n/hosts)%256, 1+n%hosts)
 }
 
-// newSite lists endpoints by name and group; start starts the program.
-func newSite(t *testing.T, endpoints ...*endpoint) *site {
+// newTestbed returns a testbed whose known list has the endpoints. The program is not started yet.
+func newTestbed(t *testing.T, endpoints ...*endpoint) *testbed {
 	t.Helper()
-	s := &site{t: t, discovery: newDiscovery(t), dir: t.TempDir(), path: filepath.Join(t.TempDir(), "config.json")}
-	l, err := net.Listen("tcp", siteHost()+":0")
+	s := &testbed{t: t, discovery: newDiscovery(t), dir: t.TempDir(), path: filepath.Join(t.TempDir(), "config.json")}
+	l, err := net.Listen("tcp", uniqueHost()+":0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -148,17 +150,17 @@
 
 func newDiscovery(t *testing.T) *discovery {
 	t.Helper()
-	return discoveryOn(t, listenOn(t))
+	return newDiscoveryOn(t, listenOn(t))
 }
 
-// discoveryOn is an agent where something listens already.
-func discoveryOn(t *testing.T, l net.Listener) *discovery {
+// newDiscoveryOn serves discovery on a listener.
+func newDiscoveryOn(t *testing.T, l net.Listener) *discovery {
 	t.Helper()
 	d := &discovery{
 		listener: l, lists: make(chan map[string]any, 8), watched: make(chan string, 64),
-		reports: make(chan notice, 64),
+		reports: make(chan deliveryReport, 64),
 	}
-	go d.play()
+	go d.serve()
 	t.Cleanup(func() { d.listener.Close() })
 	return d
 }
@@ -174,8 +176,8 @@
 	return l
 }
 
-// set changes a part of the configuration, named by its path.
-func (s *site) set(value any, path ...string) {
+// set changes the configuration value at path.
+func (s *testbed) set(value any, path ...string) {
 	m := s.config
 	for _, key := range path[:len(path)-1] {
 		m = m[key].(map[string]any)
@@ -194,17 +196,17 @@
 	return map[string]any{"index": index, "snapshot": whole, "endpoints": entries}
 }
 
-// start starts the program, or starts it again.
-func (s *site) start() {
+// start starts or restarts the program and waits until it is ready.
+func (s *testbed) start() {
 	s.t.Helper()
 	s.launch()
-	if !s.sees("ready listen=") {
+	if !s.waitForLog("ready listen=") {
 		s.t.Fatalf("the program did not start:\n%s", s.log)
 	}
 }
 
-// write writes the configuration's file.
-func (s *site) write() {
+// write writes the configuration file.
+func (s *testbed) write() {
 	s.t.Helper()
 	raw, err := json.Marshal(s.config)
 	if err == nil {
@@ -215,24 +217,24 @@
 	}
 }
 
-// reload writes the configuration's file, sends SIGHUP and waits for what the log says of it.
-func (s *site) reload(wants string) {
+// reload writes the configuration file, sends SIGHUP and waits for a log line that contains wants.
+func (s *testbed) reload(wants string) {
 	s.t.Helper()
 	s.write()
 	s.cmd.Process.Signal(syscall.SIGHUP)
-	if !s.sees(wants) {
+	if !s.waitForLog(wants) {
 		s.t.Fatalf("no %q:\n%s", wants, s.log)
 	}
 }
 
-func (s *site) launch() {
+func (s *testbed) launch() {
 	s.t.Helper()
 	s.write()
 	cmd := exec.Command(os.Args[0])
 	if s.files > 0 {
 		cmd = exec.Command("/bin/sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, s.files), os.Args[0])
 	}
-	cmd.Env = append(os.Environ(), childMark+"=1", "ROUTER_CONFIG="+s.path, "ROUTER_STATE="+s.dir)
+	cmd.Env = append(os.Environ(), childProcessEnv+"=1", "ROUTER_CONFIG="+s.path, "ROUTER_STATE="+s.dir)
 	cmd.Env = append(cmd.Env, s.env...)
 	var pipe io.Reader = strings.NewReader("")
 	if s.stderr != nil {
@@ -256,8 +258,8 @@
 	s.t.Cleanup(func() { cmd.Process.Kill() })
 }
 
-// sees waits for a line of the log that holds a text; false if the program ends first.
-func (s *site) sees(text string) bool {
+// waitForLog waits for a log line that contains text. It returns false if the program ends first.
+func (s *testbed) waitForLog(text string) bool {
 	for line := range s.log.lines {
 		if strings.Contains(line, text) {
 			return true
@@ -266,28 +268,28 @@
 	return false
 }
 
-// counts asks for the counters until a line of them holds a text.
-func (s *site) counts(text string) {
+// waitForCounter requests the counters until a line of them contains text.
+func (s *testbed) waitForCounter(text string) {
 	s.cmd.Process.Signal(syscall.SIGUSR1)
 	for line := range s.log.lines {
 		if strings.Contains(line, text) {
 			return
 		}
-		if strings.HasPrefix(line, "notices:") { // the last line of them
+		if strings.HasPrefix(line, "notices:") { // the last line of the counters
 			s.cmd.Process.Signal(syscall.SIGUSR1)
 		}
 	}
-	s.t.Fatalf("the program ended before it counted %q", text)
+	s.t.Fatalf("the program ended before the counters contained %q", text)
 }
 
-// end sends a signal and waits for the program's end.
-func (s *site) end(sig syscall.Signal) error {
+// end sends a signal and waits until the program has ended.
+func (s *testbed) end(sig syscall.Signal) error {
 	s.cmd.Process.Signal(sig)
 	return <-s.exited
 }
 
-// play answers reports at once, and a watch when there is something in lists.
-func (d *discovery) play() {
+// serve answers reports at once, and each watch request with the next list from lists.
+func (d *discovery) serve() {
 	for {
 		conn, err := d.listener.Accept()
 		if err != nil {
@@ -304,7 +306,7 @@
 				body, _ := io.ReadAll(req.Body)
 				if req.URL.Path == "/v1/servers" {
 					d.watched <- req.URL.RawQuery
-					gone := make(chan struct{}) // the next byte, or the end, of a connection that waits
+					gone := make(chan struct{}) // closed on the next byte or the end of the waiting connection
 					go func() { defer close(gone); r.Peek(1) }()
 					select {
 					case l := <-d.lists:
@@ -322,7 +324,7 @@
 				}
 				fmt.Fprint(conn, "HTTP/1.1 204 No Content\r\n\r\n")
 				for line := range bytes.Lines(body) {
-					var n notice
+					var n deliveryReport
 					if json.Unmarshal(line, &n) == nil {
 						d.reports <- n
 					}
@@ -332,7 +334,7 @@
 	}
 }
 
-// call is one that reached an endpoint; the test answers it.
+// call is a call that reached an endpoint; the test answers it.
 type call struct {
 	id, key, body, timeout string
 	conn                   net.Conn
@@ -340,13 +342,13 @@
 	next                   chan struct{}
 }
 
-// answer writes an answer and lets the connection carry its next call.
+// answer writes an answer and lets the connection read its next call.
 func (c *call) answer(text string) {
 	fmt.Fprintf(c.conn, "HTTP/1.1 %s\r\nContent-Length: 0\r\n\r\n", text)
 	close(c.next)
 }
 
-// drop ends the connection.
+// drop closes the connection without an answer.
 func (c *call) drop() { c.conn.Close(); close(c.next) }
 
 type endpoint struct {
@@ -354,10 +356,10 @@
 	group                 int
 	listener              net.Listener
 	calls                 chan *call
-	ends                  chan int // connections that the forwarder ended, by number
+	ends                  chan int // numbers of the connections that the forwarder closed
 }
 
-// newEndpoint listens as an endpoint of a group.
+// newEndpoint starts an endpoint of a group.
 func newEndpoint(t *testing.T, name string, group int) *endpoint {
 	t.Helper()
 	p := &endpoint{
@@ -393,14 +395,14 @@
 	return p
 }
 
-// client is one client connection.
+// client is a client connection.
 type client struct {
 	t    *testing.T
 	conn net.Conn
 	r    *bufio.Reader
 }
 
-func (s *site) client() *client {
+func (s *testbed) client() *client {
 	s.t.Helper()
 	conn, err := net.Dial("tcp", s.listen)
 	if err != nil {
@@ -410,14 +412,14 @@
 	return &client{t: s.t, conn: conn, r: bufio.NewReader(conn)}
 }
 
-// request is a handover as a client writes it.
+// request returns the HTTP request with which a client submits a message.
 func request(id, class string, dest int, left time.Duration, body string) string {
 	return fmt.Sprintf("POST /api HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\n"+
 		"X-Timeout-Ms: %d\r\nIdempotency-Key: key-%s\r\nContent-Length: %d\r\nX-Addressing: dest=%d\r\n\r\n%s",
 		id, class, left.Milliseconds(), id, len(body), dest, body)
 }
 
-// send writes bytes and reads one answer.
+// send writes a request and reads its response.
 func (c *client) send(raw string) *http.Response {
 	c.t.Helper()
 	if _, err := io.WriteString(c.conn, raw); err != nil {
@@ -436,27 +438,29 @@
 	return res
 }
 
-// hand hands a message in and wants it taken on.
-func (s *site) hand(id, class string, dest int) {
+// submit submits a message and fails the test unless it is accepted.
+func (s *testbed) submit(id, class string, dest int) {
 	s.t.Helper()
 	if res := s.client().send(request(id, class, dest, 20*time.Second, "body of "+id)); res.StatusCode != 202 {
 		s.t.Fatalf("%s: answered %s", id, res.Status)
 	}
 }
 
-// bound is an address of this test's own where nobody listens yet: connections are refused, and nobody else gets the port.
-type bound struct {
-	socket  *os.File // the descriptor's one owner
+// boundAddress is a bound address without a listener: connections to it are refused, and no other process gets the
+// port.
+type boundAddress struct {
+	socket  *os.File // owns the descriptor
 	address string
 }
 
-func boundOnly(t *testing.T) *bound {
+// bindUnused binds an address without listening on it.
+func bindUnused(t *testing.T) *boundAddress {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bound{socket: os.NewFile(uintptr(fd), "bound")}
+	b := &boundAddress{socket: os.NewFile(uintptr(fd), "bound")}
 	t.Cleanup(func() { b.socket.Close() })
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
@@ -469,13 +473,13 @@
 	return b
 }
 
-// listen has somebody listen there.
-func (b *bound) listen(t *testing.T) net.Listener {
+// listen starts listening on the address.
+func (b *boundAddress) listen(t *testing.T) net.Listener {
 	t.Helper()
 	if err := syscall.Listen(int(b.socket.Fd()), 16); err != nil {
 		t.Fatal(err)
 	}
-	l, err := net.FileListener(b.socket) // on a copy of the descriptor
+	l, err := net.FileListener(b.socket) // duplicates the descriptor
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/larkreach/kill_test.go
+++ b/cmd/larkreach/kill_test.go
@@ -14,8 +14,8 @@
 	"mulleinbeam/internal/lab"
 )
 
-// Killed again and again under load, the program loses nothing that it took on and sends no fee charge twice. Behind each
-// kill the journal is read from outside, as it lies. LARKREACH_KILLS makes it as many kills as are wanted.
+// The program is killed repeatedly under load: it loses no accepted message and sends no unsafe message twice. After
+// each kill the journal is verified by the command line tool. LARKREACH_KILLS sets the number of kills.
 func TestKillsUnderLoad(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
@@ -36,18 +36,18 @@
 }
 
 func killUnderLoad(t *testing.T, kills int, own string) {
-	const between = 150 // messages taken on from kill to kill
+	const messagesPerKill = 150 // accepted messages between two kills
 	p, q := &lab.Endpoint{Name: "p", Group: 7}, &lab.Endpoint{Name: "q", Group: 8}
 	agent := &lab.Agent{}
 	must(t, p.Listen())
 	must(t, q.Listen())
 	must(t, agent.Listen(p, q))
-	f := &lab.Forwarder{Command: []string{os.Args[0]}, Env: []string{childMark + "=1"}, Settings: own}
+	f := &lab.Forwarder{Command: []string{os.Args[0]}, Env: []string{childProcessEnv + "=1"}, Settings: own}
 	dir := t.TempDir()
 	must(t, f.Prepare(dir, agent))
 	must(t, f.Start())
 	t.Cleanup(f.Kill)
-	check := lab.NewChecker()
+	checker := lab.NewChecker()
 	taken := make(chan struct{}, 1<<16)
 	stop := make(chan struct{})
 	var load sync.WaitGroup
@@ -63,7 +63,7 @@
 				}
 				c, err := lab.Dial(f.Address())
 				if err != nil {
-					time.Sleep(time.Millisecond) // it is down; the load's own pace
+					time.Sleep(time.Millisecond) // the program is down; limits the rate of attempts
 					continue
 				}
 				h := lab.Handover{
@@ -72,7 +72,7 @@
 				}
 				a := c.Hand(h, nil)
 				c.Close()
-				if check.Handed(h, a); a.Status == 202 {
+				if checker.Handed(h, a); a.Status == 202 {
 					taken <- struct{}{}
 				} else if a.Status == 503 {
 					time.Sleep(5 * time.Millisecond)
@@ -81,12 +81,12 @@
 		}()
 	}
 	for range kills {
-		for range between {
+		for range messagesPerKill {
 			<-taken
 		}
 		_ = f.End(syscall.SIGKILL)
 		stdout, stderr, code := program(t, nil, "journal", "verify", filepath.Join(dir, "state"))
-		if code != 0 && !strings.Contains(stdout, "torn tail") { // what the kill has cut short is no damage
+		if code != 0 && !strings.Contains(stdout, "torn tail") { // a record cut short by the kill is not damage
 			t.Errorf("verify: status %d\n%s%s", code, stdout, stderr)
 		}
 		must(t, f.Start())
@@ -101,8 +101,8 @@
 	agent.Close()
 	p.Close()
 	q.Close()
-	check.Saw(agent.Notices(), p.Arrivals(), q.Arrivals())
-	for _, broken := range check.Broken() {
+	checker.Saw(agent.Notices(), p.Arrivals(), q.Arrivals())
+	for _, broken := range checker.Broken() {
 		t.Error("rule broken: " + broken)
 	}
 	if t.Failed() {
@@ -110,12 +110,12 @@
 	}
 }
 
-// The tools tell what a journal holds while the program goes on, and find what was spoilt.
+// The journal commands work while the program runs, and verify finds damage.
 func TestJournalTools(t *testing.T) {
 	p := newEndpoint(t, "a", 7)
-	s := newSite(t, p)
+	s := newTestbed(t, p)
 	s.start()
-	s.hand("held", "unsafe", 7)
+	s.submit("held", "unsafe", 7)
 	c := <-p.calls
 	if stdout, _, code := program(t, nil, "journal", "stat", s.dir); code != 0 || !strings.HasPrefix(stdout, "1 messages not over") {
 		t.Errorf("stat: status %d\n%s", code, stdout)
@@ -127,7 +127,7 @@
 		t.Errorf("dump --json: status %d\n%s", code, stdout)
 	}
 	c.answer("200 OK")
-	s.counts(" ok=1 ")
+	s.waitForCounter(" ok=1 ")
 	if err := s.end(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/larkreach/larkreach_test.go
+++ b/cmd/larkreach/larkreach_test.go
@@ -13,10 +13,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A message goes on byte for byte, connections are kept, and the counters at the end tell what was done.
+// Messages are delivered byte for byte, connections are reused, and the counters at the exit match.
 func TestDelivery(t *testing.T) {
 	p := newEndpoint(t, "a", 7)
-	s := newSite(t, p)
+	s := newTestbed(t, p)
 	s.start()
 	body := "\x00\xff\r\n\r\nPOST / HTTP/1.1\r\n" + strings.Repeat("x", 60<<10)
 	c := s.client()
@@ -33,12 +33,12 @@
 			t.Errorf("call %d: connection %d, X-Timeout-Ms %q", i, got.connNumber, got.timeout)
 		}
 		got.answer("200 OK")
-		s.counts(fmt.Sprintf(" ok=%d ", i+1)) // the answer was read, so the connection is idle
+		s.waitForCounter(fmt.Sprintf(" ok=%d ", i+1)) // the answer has been read, so the connection is idle
 	}
 	if res := c.send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"); res.StatusCode != 200 {
 		t.Errorf("healthz: %s", res.Status)
 	}
-	s.counts("in: requests=2 taken=2 ")
+	s.waitForCounter("in: requests=2 taken=2 ")
 	if err := s.end(syscall.SIGTERM); err != nil {
 		t.Errorf("exit: %v", err)
 	}
@@ -47,11 +47,11 @@
 	}
 }
 
-// What an endpoint answers decides whether the message goes again, and which notice it ends with.
+// An endpoint's answer decides whether the message is retried, and with which delivery report it ends.
 func TestOutcomes(t *testing.T) {
 	answers := func(text string) func(*call) { return func(c *call) { c.answer(text) } }
 	drop := (*call).drop
-	stays := func(text string) func(*call) { // the connection stays open and is of no further use
+	stays := func(text string) func(*call) { // keeps the connection open without answering further calls
 		return func(c *call) { io.WriteString(c.conn, text); close(c.next) }
 	}
 	halfHead := func(c *call) { io.WriteString(c.conn, "HTTP/1.1 200 OK\r\nContent-Le"); c.drop() }
@@ -60,7 +60,7 @@
 		class string
 		first func(*call)
 		again bool
-		ends  string // the notice's outcome; "" for none
+		ends  string // outcome of the delivery report; "" for none
 	}{
 		"unsafe, error":               {"unsafe", answers("500 Error"), false, "given_up"},
 		"unsafe, reset":               {"unsafe", drop, false, "given_up"},
@@ -85,53 +85,53 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p := newEndpoint(t, "a", 7)
-			s := newSite(t, p)
+			s := newTestbed(t, p)
 			s.start()
-			s.hand("m1", c.class, 7)
+			s.submit("m1", c.class, 7)
 			c.first(<-p.calls)
 			if c.again {
 				next := <-p.calls
 				if next.id != "m1" || next.key != "key-m1" || next.body != "body of m1" {
-					t.Errorf("sent again as %+v", next)
+					t.Errorf("retried as %+v", next)
 				}
 				next.answer("200 OK")
 			}
 			if c.ends != "" {
-				if diff := cmp.Diff(notice{Message: "m1", Outcome: c.ends}, <-s.reports); diff != "" {
+				if diff := cmp.Diff(deliveryReport{Message: "m1", Outcome: c.ends}, <-s.reports); diff != "" {
 					t.Error(diff)
 				}
 			}
-			s.hand("m2", "unsafe", 7) // whatever m1 would still cause stands before it
+			s.submit("m2", "unsafe", 7) // any further call of m1 would come before it
 			got := <-p.calls
 			if got.answer("200 OK"); got.id != "m2" {
-				t.Errorf("%s was sent once more", got.id)
+				t.Errorf("%s was sent again", got.id)
 			}
 			if err := s.end(syscall.SIGTERM); err != nil {
 				t.Errorf("exit: %v\n%s", err, s.log)
 			}
 			select {
 			case n := <-s.reports:
-				t.Errorf("notice %+v", n)
+				t.Errorf("delivery report %+v", n)
 			default:
 			}
 		})
 	}
 }
 
-// A restart with no warning loses nothing: what may have run is given up or repeated as its class allows, what was not
-// sent is sent, and a notice that was not acknowledged comes again.
+// After SIGKILL and a restart nothing is lost: messages that may have run are abandoned or repeated as their class
+// allows, unsent messages are sent, and unacknowledged delivery reports are sent again.
 func TestKillAndRestart(t *testing.T) {
 	p, q := newEndpoint(t, "a", 7), newEndpoint(t, "b", 8)
-	s := newSite(t, p, q)
+	s := newTestbed(t, p, q)
 	s.start()
-	s.hand("unsafe", "unsafe", 7)
-	s.hand("keyed", "keyed", 8)
+	s.submit("unsafe", "unsafe", 7)
+	s.submit("keyed", "keyed", 8)
 	<-p.calls
 	<-q.calls
 	s.refuse.Store(true)
-	s.hand("failed", "unsafe", 8)
+	s.submit("failed", "unsafe", 8)
 	(<-q.calls).answer("500 Error")
-	if !s.sees("not acknowledged") {
+	if !s.waitForLog("not acknowledged") {
 		t.Fatal(s.log)
 	}
 	s.end(syscall.SIGKILL)
@@ -152,22 +152,23 @@
 	if err := s.end(syscall.SIGTERM); err != nil {
 		t.Errorf("exit: %v", err)
 	}
-	s.start() // nothing is left
+	s.start() // nothing is left to resume
 	if strings.Contains(s.log.String(), "resumed what") {
 		t.Errorf("left over:\n%s", s.log)
 	}
 }
 
-// After SIGTERM clients are still answered, a call that is out may finish, and what can't go is the next life's.
+// After SIGTERM clients are still answered, calls in flight may finish, and unsent messages are left to the next
+// process.
 func TestStop(t *testing.T) {
 	p := newEndpoint(t, "a", 7)
-	s := newSite(t, p)
+	s := newTestbed(t, p)
 	s.start()
-	s.hand("out", "unsafe", 7)
+	s.submit("out", "unsafe", 7)
 	out := <-p.calls
 	kept := s.client()
 	kept.send("GET /healthz HTTP/1.1\r\n\r\n")
-	// The program stands still while a request comes in and the signal is sent, so it meets both at once.
+	// The program is stopped while the request and the signal are sent, so that it receives both at once.
 	s.cmd.Process.Signal(syscall.SIGSTOP)
 	comes := s.client()
 	io.WriteString(comes.conn, request("late", "safe", 7, time.Minute, ""))
@@ -180,7 +181,7 @@
 		t.Errorf("an idle connection: %v", err)
 	}
 	late := <-p.calls
-	late.answer("503 Full") // it comes again too late for this life, or in it
+	late.answer("503 Full") // the retry falls into this process or the next
 	out.answer("200 OK")
 	go func() {
 		for c := range p.calls {
@@ -192,14 +193,14 @@
 	}
 	s.start()
 	if !strings.Contains(s.log.String(), "resumed messages of an earlier process messages=1 notices=0") {
-		t.Errorf("the next life:\n%s", s.log)
+		t.Errorf("the next process:\n%s", s.log)
 	}
 }
 
-// Whatever comes in is answered with a definite status, and what can't be read ends the connection.
+// Each request is answered with a defined status, and an unreadable request closes the connection.
 func TestBadInput(t *testing.T) {
 	p := newEndpoint(t, "a", 7)
-	s := newSite(t, p)
+	s := newTestbed(t, p)
 	s.start()
 	post := func(extra string) string { return "POST /api HTTP/1.1\r\n" + extra + "\r\n" }
 	whole := request("m", "safe", 7, time.Second, "")
@@ -242,7 +243,7 @@
 			}
 		})
 	}
-	res := s.client().send(request("m", "safe", 7, 0, "")) // its time is up: given up at once
+	res := s.client().send(request("m", "safe", 7, 0, "")) // its timeout has passed: refused at once
 	if res.StatusCode != 503 || res.Header.Get("Retry-After") == "" {
 		t.Errorf("time up: %s, Retry-After %q", res.Status, res.Header.Get("Retry-After"))
 	}
@@ -254,17 +255,17 @@
 	waits := s.client()
 	head, body, _ := strings.Cut(request("m", "safe", 7, time.Minute, "1234"), "\r\n\r\n")
 	if res := waits.send(head + "\r\nExpect: 100-continue\r\n\r\n"); res.StatusCode != 100 {
-		t.Fatalf("asked whether to go on: %s", res.Status)
+		t.Fatalf("Expect: 100-continue: %s", res.Status)
 	}
 	if res := waits.send(body); res.StatusCode != 202 {
-		t.Fatalf("after going on: %s", res.Status)
+		t.Fatalf("after 100 Continue: %s", res.Status)
 	}
 	if c := <-p.calls; c.body != "1234" {
 		t.Errorf("body %q", c.body)
 	}
 }
 
-// Beyond what may be held, and beyond what the disk takes, messages are refused and told when to come again.
+// Over the limit of held messages or of the disk, messages are refused with Retry-After.
 func TestNoRoom(t *testing.T) {
 	for name, c := range map[string]struct {
 		held int
@@ -272,7 +273,7 @@
 	}{"most held": {1, ""}, "disk": {1000, strings.Repeat("x", 64<<10)}} {
 		t.Run(name, func(t *testing.T) {
 			p := newEndpoint(t, "a", 7)
-			s := newSite(t, p)
+			s := newTestbed(t, p)
 			s.set(c.held, "settings", "limits", "most-held")
 			s.start()
 			client, taken := s.client(), 0
@@ -287,7 +288,7 @@
 				taken++
 			}
 			if taken < min(10, c.held) || taken > c.held {
-				t.Errorf("%d were taken", taken)
+				t.Errorf("%d were accepted", taken)
 			}
 			files, _ := filepath.Glob(filepath.Join(s.dir, "*"))
 			for _, f := range files {
@@ -299,26 +300,26 @@
 	}
 }
 
-// The known list serves while discovery is silent; what it tells later holds from then on.
-func TestList(t *testing.T) {
+// The known list applies until discovery answers; its later lists apply from then on.
+func TestEndpointList(t *testing.T) {
 	a, b := newEndpoint(t, "a", 7), newEndpoint(t, "b", 7)
-	s := newSite(t, a)
+	s := newTestbed(t, a)
 	s.start()
-	if got := <-s.watched; got != "" { // the known list's version may be that of another address
+	if got := <-s.watched; got != "" { // the known list's version may belong to another address
 		t.Errorf("first watch %q", got)
 	}
 	s.lists <- list(1, true, a)
 	if got := <-s.watched; !strings.HasPrefix(got, "since=1&timeout_ms=") {
 		t.Errorf("watch %q", got)
 	}
-	s.hand("m1", "safe", 7)
+	s.submit("m1", "safe", 7)
 	first := <-a.calls
 	a.status = "DRAINING"
 	s.lists <- list(2, false, a, b)
-	if got := <-s.watched; !strings.HasPrefix(got, "since=2&") { // the next watch: the change was read
+	if got := <-s.watched; !strings.HasPrefix(got, "since=2&") { // the change has been processed when the next watch comes
 		t.Errorf("watch %q", got)
 	}
-	s.hand("m2", "safe", 7)
+	s.submit("m2", "safe", 7)
 	second := <-b.calls
 	if first.id != "m1" || second.id != "m2" {
 		t.Errorf("sent %s, then %s", first.id, second.id)
@@ -328,31 +329,31 @@
 	first.answer("200 OK")
 	s.lists <- list(3, false, a)
 	if got := <-a.ends; got != 1 {
-		t.Errorf("connection %d of an endpoint that is gone ended", got)
+		t.Errorf("connection %d of a deleted endpoint was closed", got)
 	}
-	moved := newEndpoint(t, "b", 9) // a whole list, and b is another group's now
+	moved := newEndpoint(t, "b", 9) // a full list in which b belongs to another group
 	s.lists <- list(4, true, moved)
 	<-s.watched
 	<-s.watched
-	s.hand("m3", "unsafe", 9)
+	s.submit("m3", "unsafe", 9)
 	if got := <-moved.calls; got.id != "m3" {
 		t.Errorf("sent %s", got.id)
 	}
 }
 
-// SIGHUP moves the watch and the notices to the file's discovery at once, though it was the environment's that held
-// before; calls and connections stay, and a restart does not go back.
+// SIGHUP switches the watch and the delivery reports to the discovery address in the file, even if the environment's
+// address was in use before. Calls and connections stay, and a restart keeps the new address.
 func TestReload(t *testing.T) {
 	a, b := newEndpoint(t, "a", 7), newEndpoint(t, "b", 8)
-	s := newSite(t, a)
+	s := newTestbed(t, a)
 	old := s.discovery
 	s.env = []string{"ROUTER_DISCOVERY=" + s.address()}
 	s.start()
-	<-old.watched // the long poll that is out all the time
+	<-old.watched // the long poll
 	old.refuse.Store(true)
-	s.hand("failed", "unsafe", 7)
+	s.submit("failed", "unsafe", 7)
 	(<-a.calls).answer("500 Error")
-	s.hand("out", "unsafe", 7)
+	s.submit("out", "unsafe", 7)
 	out := <-a.calls
 	for _, wrong := range []any{"", "nowhere", 7} {
 		s.set(wrong, "discovery")
@@ -361,129 +362,129 @@
 	s.discovery = newDiscovery(t)
 	s.set(s.address(), "discovery")
 	s.reload("reload: discovery has moved address=" + s.address())
-	if got := <-s.watched; got != "" { // the old address's versions mean nothing here
+	if got := <-s.watched; got != "" { // versions of the old address are invalid here
 		t.Errorf("watch at the new address: %q", got)
 	}
 	s.lists <- list(0, true, a, b) // a lower version than before
 	if got := <-s.watched; !strings.HasPrefix(got, "since=0&") {
 		t.Errorf("next watch: %q", got)
 	}
-	if diff := cmp.Diff(notice{Message: "failed", Outcome: "given_up"}, <-s.reports); diff != "" {
+	if diff := cmp.Diff(deliveryReport{Message: "failed", Outcome: "given_up"}, <-s.reports); diff != "" {
 		t.Error(diff)
 	}
 	out.answer("200 OK")
-	s.counts(" ok=1 ")
-	s.hand("next", "unsafe", 7)
+	s.waitForCounter(" ok=1 ")
+	s.submit("next", "unsafe", 7)
 	if next := <-a.calls; next.connNumber != out.connNumber {
 		t.Errorf("a call before the reload on connection %d, one after it on %d", out.connNumber, next.connNumber)
 	}
-	s.hand("listed there", "unsafe", 8)
+	s.submit("listed there", "unsafe", 8)
 	<-b.calls
 	old.listener.Close()
 	s.end(syscall.SIGKILL)
 	s.start()
-	if got := <-s.watched; got != "" { // the known list's version, 1, is not this address's
+	if got := <-s.watched; got != "" { // the known list's version, 1, belongs to the old address
 		t.Errorf("watch after the restart: %q", got)
 	}
 }
 
-// A connection that the endpoint has closed while it was idle is noticed: the next call goes on a new one, and only once.
-func TestIdleConnectionThatEnded(t *testing.T) {
+// A connection closed by the endpoint while idle is detected: the next call uses a new connection and is sent once.
+func TestClosedIdleConnection(t *testing.T) {
 	p := newEndpoint(t, "a", 7)
-	s := newSite(t, p)
+	s := newTestbed(t, p)
 	s.start()
-	s.hand("m1", "unsafe", 7)
+	s.submit("m1", "unsafe", 7)
 	first := <-p.calls
 	io.WriteString(first.conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
-	s.hand("m2", "unsafe", 7)
+	s.submit("m2", "unsafe", 7)
 	second := <-p.calls
 	if second.answer("200 OK"); second.id != "m2" || second.connNumber != 2 {
 		t.Errorf("%s on connection %d", second.id, second.connNumber)
 	}
 }
 
-// What stands behind an answer is never read as the next call's, whether it comes with the answer or later.
-func TestSurplus(t *testing.T) {
+// Bytes after an answer are never read as the answer to the next call, whether they arrive with the answer or later.
+func TestSurplusAnswerBytes(t *testing.T) {
 	const ok, error500 = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
 	p := newEndpoint(t, "a", 7)
-	s := newSite(t, p)
+	s := newTestbed(t, p)
 	s.start()
 	for i, extra := range []string{error500, "noise", ""} {
-		s.hand(fmt.Sprint("m", i), "unsafe", 7)
+		s.submit(fmt.Sprint("m", i), "unsafe", 7)
 		c := <-p.calls
 		if c.connNumber != i+1 {
 			t.Errorf("call %d on connection %d", i, c.connNumber)
 		}
 		io.WriteString(c.conn, ok+extra)
 		close(c.next)
-		s.counts(fmt.Sprintf(" ok=%d ", i+1))
+		s.waitForCounter(fmt.Sprintf(" ok=%d ", i+1))
 		if extra == "" {
 			io.WriteString(c.conn, error500) // on an idle connection
 		}
 	}
-	s.hand("last", "unsafe", 7)
+	s.submit("last", "unsafe", 7)
 	c := <-p.calls
 	if c.answer("200 OK"); c.connNumber != 4 {
 		t.Errorf("after bytes on an idle connection: connection %d", c.connNumber)
 	}
-	s.counts(" surplus=2")
-	s.counts(" ok=4 ")
-	s.hand("spoilt", "unsafe", 7)
+	s.waitForCounter(" surplus=2")
+	s.waitForCounter(" ok=4 ")
+	s.submit("malformed", "unsafe", 7)
 	c = <-p.calls
 	io.WriteString(c.conn, "noise\r\n\r\n")
 	close(c.next)
-	s.counts(" error=1 ") // and no reset, from which the module learns of dead connections
+	s.waitForCounter(" error=1 ") // and not a reset, which the decision module would attribute to dead connections
 }
 
-// Settings that let messages share calls change nothing here: each message is a call of its own, and takes a slot.
-func TestOneMessageACall(t *testing.T) {
+// Settings for batches of messages have no effect here: each message is a separate call and takes a slot.
+func TestOneMessagePerCall(t *testing.T) {
 	p := newEndpoint(t, "a", 7)
-	s := newSite(t, p)
+	s := newTestbed(t, p)
 	s.set([]int{10}, "settings", "family-info", "batch-by-kind")
 	s.set(2, "settings", "family-info", "calls-out")
 	s.start()
 	for i := range 5 {
-		s.hand(fmt.Sprint("m", i), "unsafe", 7)
+		s.submit(fmt.Sprint("m", i), "unsafe", 7)
 	}
-	for i := range 5 { // one more begins with each that ends
-		s.counts(fmt.Sprintf(" held=%d ", 5-i))
-		s.counts(fmt.Sprintf(" calls=%d ", min(5, 1+i)))
+	for i := range 5 { // each call that ends lets another begin
+		s.waitForCounter(fmt.Sprintf(" held=%d ", 5-i))
+		s.waitForCounter(fmt.Sprintf(" calls=%d ", min(5, 1+i)))
 		(<-p.calls).answer("200 OK")
 	}
-	s.counts(" ok=5 ")
+	s.waitForCounter(" ok=5 ")
 }
 
-// Where kept connections are reset, a fee charge goes on a new one.
+// If reused connections are often reset, an unsafe message is sent on a new one.
 func TestFreshConnections(t *testing.T) {
 	p := newEndpoint(t, "a", 7)
-	s := newSite(t, p)
+	s := newTestbed(t, p)
 	s.start()
-	s.hand("first", "safe", 7)
+	s.submit("first", "safe", 7)
 	(<-p.calls).answer("200 OK")
-	for i := range 4 { // each reset on a connection that had carried a call
-		s.counts(fmt.Sprintf(" ok=%d ", i+1))
-		s.hand(fmt.Sprint("lost", i), "safe", 7)
+	for i := range 4 { // each call is reset on a reused connection
+		s.waitForCounter(fmt.Sprintf(" ok=%d ", i+1))
+		s.submit(fmt.Sprint("lost", i), "safe", 7)
 		(<-p.calls).drop()
 		(<-p.calls).answer("200 OK")
 	}
-	s.counts(" ok=5 ")
-	s.hand("kept", "safe", 7)
+	s.waitForCounter(" ok=5 ")
+	s.submit("kept", "safe", 7)
 	kept := <-p.calls
 	kept.answer("200 OK")
-	s.counts(" ok=6 ")
-	s.hand("fresh", "unsafe", 7)
+	s.waitForCounter(" ok=6 ")
+	s.submit("fresh", "unsafe", 7)
 	if fresh := <-p.calls; fresh.connNumber != kept.connNumber+1 {
 		t.Errorf("on connection %d, the one before on %d", fresh.connNumber, kept.connNumber)
 	}
 }
 
-// A connection closes before the endpoint would close it, and a call that is cut closes its own: slots are never kept.
-func TestConnectionsEndInTime(t *testing.T) {
+// Idle connections are closed before the endpoint's keepalive ends, and a call that is cut off closes its connection.
+func TestConnectionsCloseInTime(t *testing.T) {
 	p := newEndpoint(t, "a", 7)
-	s := newSite(t, p)
+	s := newTestbed(t, p)
 	s.set(1000000, "settings", "limits", "keepalive")
 	s.start()
-	s.hand("m1", "unsafe", 7)
+	s.submit("m1", "unsafe", 7)
 	(<-p.calls).answer("200 OK")
 	if got := <-p.ends; got != 1 {
 		t.Errorf("connection %d ended first", got)
@@ -492,35 +493,35 @@
 		t.Fatal(res.Status)
 	}
 	silent := <-p.calls
-	close(silent.next) // read on, to see the connection's end
+	close(silent.next) // read on until the connection is closed
 	if got := <-p.ends; got != 2 {
 		t.Errorf("connection %d ended second", got)
 	}
-	if diff := cmp.Diff(notice{Message: "m2", Outcome: "given_up"}, <-s.reports); diff != "" {
+	if diff := cmp.Diff(deliveryReport{Message: "m2", Outcome: "given_up"}, <-s.reports); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// A configuration that can't be used ends the program with one plain line.
+// An invalid configuration ends the program with a single error line.
 func TestBadConfig(t *testing.T) {
 	for name, c := range map[string]struct {
-		spoil func(*site)
-		want  string
+		damage func(*testbed)
+		want   string
 	}{
-		"no file":      {func(s *site) { s.env = []string{"ROUTER_CONFIG=/nowhere"} }, "config: open /nowhere"},
-		"no state":     {func(s *site) { s.env = []string{"ROUTER_STATE="} }, "config: ROUTER_STATE is not set"},
-		"seed":         {func(s *site) { s.set("xyz", "seed") }, "config: seed"},
-		"limits":       {func(s *site) { s.set(0, "limits", "sockets") }, "config: limits"},
-		"descriptors":  {func(s *site) { s.set(48, "limits", "sockets") }, "config: limits: 48 descriptors are too few"},
-		"a low limit":  {func(s *site) { s.files = 48 }, "config: limits: 48 descriptors are too few"},
-		"disk":         {func(s *site) { s.set(0.01, "limits", "disk_mb") }, "too few"},
-		"settings":     {func(s *site) { s.set(0, "settings", "family-info", "calls-out") }, "Slots must be at least 1"},
-		"known list":   {func(s *site) { s.set([]any{map[string]any{"name": ""}}, "known", "endpoints") }, "config: known"},
-		"address used": {func(s *site) { s.set(s.address(), "listen") }, "address already in use"},
+		"no file":      {func(s *testbed) { s.env = []string{"ROUTER_CONFIG=/nowhere"} }, "config: open /nowhere"},
+		"no state":     {func(s *testbed) { s.env = []string{"ROUTER_STATE="} }, "config: ROUTER_STATE is not set"},
+		"seed":         {func(s *testbed) { s.set("xyz", "seed") }, "config: seed"},
+		"limits":       {func(s *testbed) { s.set(0, "limits", "sockets") }, "config: limits"},
+		"descriptors":  {func(s *testbed) { s.set(48, "limits", "sockets") }, "config: limits: 48 descriptors are too few"},
+		"a low limit":  {func(s *testbed) { s.files = 48 }, "config: limits: 48 descriptors are too few"},
+		"disk":         {func(s *testbed) { s.set(0.01, "limits", "disk_mb") }, "too few"},
+		"settings":     {func(s *testbed) { s.set(0, "settings", "family-info", "calls-out") }, "Slots must be at least 1"},
+		"known list":   {func(s *testbed) { s.set([]any{map[string]any{"name": ""}}, "known", "endpoints") }, "config: known"},
+		"address used": {func(s *testbed) { s.set(s.address(), "listen") }, "address already in use"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t)
-			c.spoil(s)
+			s := newTestbed(t)
+			c.damage(s)
 			s.launch()
 			err := <-s.exited
 			text := s.log.String()
@@ -533,35 +534,35 @@
 
 const healthz = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
 
-// A flood of connections that ask for nothing, or for half a thing, gives way to clients that ask.
+// Clients with requests are served during a flood of connections that send nothing or half a request.
 func TestTooManyClients(t *testing.T) {
-	s := newSite(t, newEndpoint(t, "a", 7))
+	s := newTestbed(t, newEndpoint(t, "a", 7))
 	s.set(64, "limits", "sockets")
 	s.start()
 	c := s.client()
-	// A message that nobody answers is this test's clock: its notice comes when its time is up.
+	// A message whose call is never answered is the clock of this test: its delivery report comes at its deadline.
 	c.send(request("long enough for half a request", "unsafe", 7, 1500*time.Millisecond, ""))
 	for i := range 200 {
 		if c := s.client(); i%2 == 0 {
-			io.WriteString(c.conn, "POST /api HTTP/1.1\r\n") // and no more
+			io.WriteString(c.conn, "POST /api HTTP/1.1\r\n") // half a request
 		}
 	}
 	<-s.reports
 	res := s.client().send(request("m", "unsafe", 7, time.Second, ""))
 	if res.StatusCode != 202 || !res.Close {
-		t.Errorf("among connections that ask for nothing: %s, closing %v", res.Status, res.Close)
+		t.Errorf("among silent connections: %s, closing %v", res.Status, res.Close)
 	}
-	s.counts("clients: connections=")
+	s.waitForCounter("clients: connections=")
 	if text := s.log.String(); strings.Contains(text, " silent=0 ") {
 		t.Errorf("counters:\n%s", text)
 	}
 }
 
-// While few are open connections stay; with more than a quarter of the room taken they end with their answer, since
-// clients that may hold no more of them could not ask.
-func TestConnectionsStayWhileFewAreOpen(t *testing.T) {
-	s := newSite(t, newEndpoint(t, "a", 7))
-	s.set(74, "limits", "sockets") // of these, 19 for clients
+// Connections stay open while there are few. With more than a quarter of the limit in use they are closed after their
+// answer: otherwise idle connections would keep new clients out.
+func TestConnectionsStayOpenWhileFew(t *testing.T) {
+	s := newTestbed(t, newEndpoint(t, "a", 7))
+	s.set(74, "limits", "sockets") // of which 19 are for clients
 	s.start()
 	var got []bool
 	for range 6 {
@@ -572,9 +573,9 @@
 	}
 }
 
-// A connection that asks for nothing is closed in time, and an error reaches a client that sends on and reads later.
+// A silent connection is closed in time, and an error response reaches a client that keeps sending before it reads.
 func TestBadClients(t *testing.T) {
-	s := newSite(t, newEndpoint(t, "a", 7))
+	s := newTestbed(t, newEndpoint(t, "a", 7))
 	s.start()
 	quiet := s.client()
 	for name, raw := range map[string]string{
@@ -588,29 +589,29 @@
 		}
 	}
 	if _, err := quiet.r.ReadByte(); err != io.EOF {
-		t.Errorf("a connection that asks for nothing: %v", err)
+		t.Errorf("a silent connection: %v", err)
 	}
 }
 
-// An id that is held or was delivered is not sent again, and one that ended otherwise is not taken on again.
+// A message whose id is held or was delivered is not sent again; an id that ended otherwise is refused.
 func TestKnownID(t *testing.T) {
 	p := newEndpoint(t, "a", 7)
-	s := newSite(t, p)
+	s := newTestbed(t, p)
 	s.start()
-	s.hand("m1", "unsafe", 7)
+	s.submit("m1", "unsafe", 7)
 	c := <-p.calls
-	s.hand("m1", "unsafe", 7)
+	s.submit("m1", "unsafe", 7)
 	c.answer("200 OK")
-	s.counts(" ok=1 ")
-	s.hand("m1", "unsafe", 7)
-	s.hand("m2", "unsafe", 7)
+	s.waitForCounter(" ok=1 ")
+	s.submit("m1", "unsafe", 7)
+	s.submit("m2", "unsafe", 7)
 	if c = <-p.calls; c.id != "m2" {
-		t.Errorf("%s was sent once more", c.id)
+		t.Errorf("%s was sent again", c.id)
 	}
 	c.answer("500 Error")
 	<-s.reports
 	if res := s.client().send(request("m2", "unsafe", 7, time.Second, "")); res.StatusCode != 409 {
-		t.Errorf("an id that was given up: %s", res.Status)
+		t.Errorf("an abandoned id: %s", res.Status)
 	}
-	s.counts("in: requests=5 taken=2 repeated=3 ")
+	s.waitForCounter("in: requests=5 taken=2 repeated=3 ")
 }
--- a/cmd/larkreach/learned_test.go
+++ b/cmd/larkreach/learned_test.go
@@ -13,8 +13,9 @@
 	"mulleinbeam/internal/lab"
 )
 
-// Over a kill and over a stop a told wait holds and ended ids stay known, with [learned] and not without.
-func TestLearnedOutlastsTheProcess(t *testing.T) {
+// After a kill or a stop a Retry-After wait still applies and ended ids are still known with [learned], but not without
+// it.
+func TestLearnedStateSurvivesRestart(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		own   string
@@ -27,7 +28,7 @@
 	} {
 		t.Run(fmt.Sprintf("%v, learned %v", c.sig, c.knows), func(t *testing.T) {
 			t.Parallel()
-			s := newJournalSite(t, c.own)
+			s := newLabForwarder(t, c.own)
 			p := s.p
 			var mu sync.Mutex
 			var calls []time.Time
@@ -42,12 +43,12 @@
 				return c.ReadAll(0) == nil && c.Answer(200, "") == nil
 			}
 			refuse <- false
-			if a := s.hand(t, "unsafe", 10); a.Status != 202 { // unsafe1: delivered
+			if a := s.submit(t, "unsafe", 10); a.Status != 202 { // unsafe1: delivered
 				t.Fatal(a)
 			}
 			must(t, s.f.AwaitCounter("sent", "ok", 1))
 			refuse <- true
-			if a := s.hand(t, "safe", 10); a.Status != 202 { // safe2: refused with a wait
+			if a := s.submit(t, "safe", 10); a.Status != 202 { // safe2: refused with a wait
 				t.Fatal(a)
 			}
 			must(t, s.f.AwaitCounter("sent", "full", 1))
@@ -55,14 +56,14 @@
 			if c.knows && c.sig == syscall.SIGKILL {
 				files, err := s.f.Counter("learned", "files")
 				must(t, err)
-				must(t, s.f.AwaitCounterOver("learned", "files", files+1)) // one that was begun behind the refusal
+				must(t, s.f.AwaitCounterOver("learned", "files", files+1)) // a save that began after the refusal
 			}
 			_ = s.f.End(c.sig)
 			must(t, s.f.Start())
 			refuse <- false
 			refuse <- false
 			s.next = 0
-			again := s.hand(t, "unsafe", 10) // unsafe1 once more
+			again := s.submit(t, "unsafe", 10) // unsafe1 once more
 			must(t, s.f.AwaitCounter("in", "held", 0))
 			must(t, s.f.End(syscall.SIGTERM))
 			arrivals := map[string]int{}
@@ -77,10 +78,10 @@
 					t.Errorf("a known id: answered %d, arrived %d times", again.Status, arrivals["unsafe1"])
 				}
 				if last.Sub(told) < 2500*time.Millisecond {
-					t.Errorf("called %v after a wait of 3 s was told", last.Sub(told))
+					t.Errorf("called %v after a refusal with a wait of 3 s", last.Sub(told))
 				}
 				if text := s.f.Log(); !strings.Contains(text, "learned: state restored from an earlier process partners=1 ids=1") {
-					t.Error("nothing told")
+					t.Error("the restored state is not logged")
 				}
 			} else if arrivals["unsafe1"] != 2 {
 				t.Errorf("without learned state an ended id arrived %d times, so this shows nothing", arrivals["unsafe1"])
@@ -89,11 +90,11 @@
 	}
 }
 
-// A file that can't be used means a cold start with one line, and the program serves.
-func TestLearnedFileIsDamaged(t *testing.T) {
+// With a damaged file the program logs one line, starts cold and serves.
+func TestDamagedLearnedFile(t *testing.T) {
 	t.Parallel()
-	s := newJournalSite(t, "[learned]\n")
-	s.hand(t, "safe", 10)
+	s := newLabForwarder(t, "[learned]\n")
+	s.submit(t, "safe", 10)
 	must(t, s.f.AwaitCounter("in", "held", 0))
 	must(t, s.f.End(syscall.SIGTERM))
 	path := filepath.Join(s.state, "learned")
@@ -102,7 +103,7 @@
 	raw[len(raw)/2] ^= 1
 	must(t, os.WriteFile(path, raw, 0o600))
 	must(t, s.f.Start())
-	s.hand(t, "safe", 10)
+	s.submit(t, "safe", 10)
 	must(t, s.f.AwaitCounter("in", "held", 0))
 	if n := strings.Count(s.f.Log(), "learned: cold start"); n != 1 {
 		t.Errorf("%d lines", n)
--- a/cmd/larkreach/live_test.go
+++ b/cmd/larkreach/live_test.go
@@ -57,17 +57,18 @@
 interval = "200ms"
 `
 
-// A scenario of the laboratory in real time: the real program, killed in an outage, keeps the rules, and what came in ends.
+// Runs a scenario of the laboratory in real time: the program is killed during an outage, no delivery rule is broken,
+// and every message ends.
 func TestLiveScenario(t *testing.T) {
 	t.Parallel()
 	s, err := scenario.Parse("live.toml", []byte(liveScenario))
 	must(t, err)
 	r, err := live.Run{
-		Scenario: s, Seed: 1, Program: []string{os.Args[0]}, Env: []string{childMark + "=1"}, Dir: t.TempDir(), Log: t.Logf,
+		Scenario: s, Seed: 1, Program: []string{os.Args[0]}, Env: []string{childProcessEnv + "=1"}, Dir: t.TempDir(), Log: t.Logf,
 	}.Play(t.Context())
 	must(t, err)
-	for _, b := range r.Broken {
-		t.Error("rule broken: " + b)
+	for _, violation := range r.Broken {
+		t.Error("rule broken: " + violation)
 	}
 	ended := 0
 	for _, c := range r.Classes {
--- a/cmd/larkreach/log_test.go
+++ b/cmd/larkreach/log_test.go
@@ -18,7 +18,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// logPipe is the program's standard error as a pipe whose reader does as a test says.
+// logPipe is a pipe for the program's standard error; the test controls its reader.
 type logPipe struct {
 	reader, writer *os.File
 }
@@ -31,7 +31,7 @@
 	return &logPipe{r, w}
 }
 
-// fill fills the pipe to the last byte with empty lines, before the program has it.
+// fill fills the pipe completely with empty lines, before the program uses it.
 func (p *logPipe) fill(t *testing.T) {
 	t.Helper()
 	raw, err := p.writer.SyscallConn()
@@ -47,23 +47,23 @@
 	must(t, err)
 }
 
-// unreadSite is a site whose log goes to a pipe.
-func unreadSite(t *testing.T, endpoints ...*endpoint) (*site, *logPipe) {
+// newTestbedWithLogPipe returns a testbed whose log goes to a pipe.
+func newTestbedWithLogPipe(t *testing.T, endpoints ...*endpoint) (*testbed, *logPipe) {
 	t.Helper()
-	s, p := newSite(t, endpoints...), newLogPipe(t)
+	s, p := newTestbed(t, endpoints...), newLogPipe(t)
 	s.stderr = p.writer
 	return s, p
 }
 
-// startUnread starts the program and waits until it answers that it is ready.
-func (s *site) startUnread() {
+// startAndPoll starts the program and polls /healthz until it answers.
+func (s *testbed) startAndPoll() {
 	s.t.Helper()
 	s.launch()
 	for {
 		select {
 		case err := <-s.exited:
 			s.t.Fatalf("the program ended: %v", err)
-		case <-time.After(5 * time.Millisecond): // polls
+		case <-time.After(5 * time.Millisecond): // poll interval
 		}
 		conn, err := net.Dial("tcp", s.listen)
 		if err != nil {
@@ -78,30 +78,30 @@
 	}
 }
 
-// fillsByCounters has the program log far more than a pipe and its own queue hold.
-func (s *site) fillsByCounters() {
+// floodLog makes the program log far more than the pipe and its own queue hold.
+func (s *testbed) floodLog() {
 	const times = 1200
 	for range times {
 		s.cmd.Process.Signal(syscall.SIGUSR1)
-		time.Sleep(300 * time.Microsecond) // signals that come at once are one
+		time.Sleep(300 * time.Microsecond) // pending signals of one kind are merged
 	}
 }
 
-// endsInTime sends SIGTERM, and SIGKILL when the platform would.
-func (s *site) endsInTime() {
+// terminate sends SIGTERM, and SIGKILL after the delay of the platform. The program has to exit before that.
+func (s *testbed) terminate() {
 	s.t.Helper()
 	s.cmd.Process.Signal(syscall.SIGTERM)
-	kill := time.AfterFunc(killNoSooner, func() { s.cmd.Process.Kill() })
+	kill := time.AfterFunc(killDelay, func() { s.cmd.Process.Kill() })
 	defer kill.Stop()
 	if err := <-s.exited; err != nil {
 		s.t.Errorf("the exit: %v", err)
 	}
 }
 
-// delivers hands a message in and answers its call.
-func (s *site) delivers(p *endpoint, id string) {
+// deliver submits a message and answers its call.
+func (s *testbed) deliver(p *endpoint, id string) {
 	s.t.Helper()
-	s.hand(id, "unsafe", p.group)
+	s.submit(id, "unsafe", p.group)
 	call := <-p.calls
 	call.answer("200 OK")
 	if call.id != id {
@@ -109,19 +109,19 @@
 	}
 }
 
-// Guards against a start, message, signal, reload, report, stop or restart that waits for a full log.
-func TestAFullLogHoldsUpNothing(t *testing.T) {
+// Guards against a start, message, signal, reload, delivery report, stop or restart that blocks on a full log.
+func TestFullLogBlocksNothing(t *testing.T) {
 	t.Parallel()
 	p := newEndpoint(t, "a", 7)
-	s, log := unreadSite(t, p)
+	s, log := newTestbedWithLogPipe(t, p)
 	log.fill(t)
-	s.startUnread()
-	s.delivers(p, "first")
-	s.fillsByCounters()
-	s.delivers(p, "behind signals")
-	s.hand("failed", "unsafe", 7)
+	s.startAndPoll()
+	s.deliver(p, "first")
+	s.floodLog()
+	s.deliver(p, "after signals")
+	s.submit("failed", "unsafe", 7)
 	(<-p.calls).answer("500 Error")
-	if diff := cmp.Diff(notice{Message: "failed", Outcome: "given_up"}, <-s.reports); diff != "" {
+	if diff := cmp.Diff(deliveryReport{Message: "failed", Outcome: "given_up"}, <-s.reports); diff != "" {
 		t.Error(diff)
 	}
 	<-s.watched
@@ -130,22 +130,22 @@
 	s.write()
 	s.cmd.Process.Signal(syscall.SIGHUP)
 	<-s.watched
-	s.delivers(p, "behind a reload")
-	s.hand("kept", "keyed", 7)
+	s.deliver(p, "after a reload")
+	s.submit("kept", "keyed", 7)
 	call := <-p.calls
 	s.end(syscall.SIGKILL)
 	call.drop()
-	s.startUnread()
+	s.startAndPoll()
 	again := <-p.calls
 	again.answer("200 OK")
 	if again.id != "kept" {
-		t.Errorf("the next life calls %s", again.id)
+		t.Errorf("the next process calls %s", again.id)
 	}
-	s.endsInTime()
+	s.terminate()
 }
 
-// Guards against load that a log holds up when it fills meanwhile, and against a stop that does not end then.
-func TestALogThatFillsUnderLoadHoldsUpNothing(t *testing.T) {
+// Guards against a log that fills up under load and then blocks messages or the stop.
+func TestLogFillingUnderLoadBlocksNothing(t *testing.T) {
 	t.Parallel()
 	p := newEndpoint(t, "a", 7)
 	go func() {
@@ -153,23 +153,23 @@
 			c.answer("200 OK")
 		}
 	}()
-	s, _ := unreadSite(t, p)
-	s.startUnread()
+	s, _ := newTestbedWithLogPipe(t, p)
+	s.startAndPoll()
 	var clients sync.WaitGroup
 	for i := range 4 {
 		clients.Go(func() {
 			for j := range 100 {
-				s.hand(fmt.Sprint("m", i, ".", j), "safe", 7)
+				s.submit(fmt.Sprint("m", i, ".", j), "safe", 7)
 			}
 		})
 	}
-	s.fillsByCounters()
+	s.floodLog()
 	clients.Wait()
-	s.endsInTime()
+	s.terminate()
 }
 
-// Guards against a reader that is slow or goes away, and does more harm than one that has stopped.
-func TestSlowReadersOfTheLogHoldUpNothing(t *testing.T) {
+// Guards against a log reader that is slow or disappears and blocks the program.
+func TestSlowLogReaderBlocksNothing(t *testing.T) {
 	t.Parallel()
 	for name, read := range map[string]func(*logPipe){
 		"a byte a second": func(l *logPipe) {
@@ -183,25 +183,25 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newEndpoint(t, "a", 7)
-			s, log := unreadSite(t, p)
+			s, log := newTestbedWithLogPipe(t, p)
 			log.fill(t)
-			s.startUnread()
+			s.startAndPoll()
 			go read(log)
-			s.fillsByCounters()
-			s.delivers(p, "one")
-			s.endsInTime()
+			s.floodLog()
+			s.deliver(p, "one")
+			s.terminate()
 		})
 	}
 }
 
-// Guards against lines that are torn, out of order, or missing without a word once a reader comes back.
-func TestAReaderOfTheLogThatComesBack(t *testing.T) {
+// Guards against lines that are torn, out of order, or missing without a record once the reader resumes.
+func TestLogReaderThatResumes(t *testing.T) {
 	t.Parallel()
 	p := newEndpoint(t, "a", 7)
-	s, log := unreadSite(t, p)
-	s.startUnread()
-	s.fillsByCounters()
-	s.delivers(p, "one")
+	s, log := newTestbedWithLogPipe(t, p)
+	s.startAndPoll()
+	s.floodLog()
+	s.deliver(p, "one")
 	lines := make(chan string, 4096)
 	go func() {
 		var text logLines
@@ -216,7 +216,7 @@
 			t.Fatalf("line %q: %v", line, err)
 		}
 		if now := fields["time"].(string); now < latest && fields["message"] != "log lines dropped" {
-			t.Errorf("%s behind %s", now, latest)
+			t.Errorf("%s after %s", now, latest)
 		} else {
 			latest = now
 		}
@@ -227,12 +227,12 @@
 			dropped = line["lines"].(float64)
 		}
 	}
-	for told := false; !told; { // it goes on, and the counters tell of them too
+	for told := false; !told; { // logging continues, and the counters report the dropped lines too
 		s.cmd.Process.Signal(syscall.SIGUSR1)
 		group, _ := next()["log"].(map[string]any)
 		told = group != nil && group["dropped"].(float64) >= dropped
 	}
-	s.endsInTime()
+	s.terminate()
 }
 
 // logLines splits a log into its lines.
@@ -257,13 +257,13 @@
 	}
 }
 
-// Guards against a crash, or the one line of a start that cannot be, that waits for a full log instead of ending.
-func TestAFullLogKeepsNoEndFromComing(t *testing.T) {
+// Guards against a crash or a failed start that blocks on a full log instead of exiting.
+func TestFullLogDoesNotBlockExit(t *testing.T) {
 	t.Parallel()
 	t.Run("crash", func(t *testing.T) {
-		s, log := unreadSite(t, newEndpoint(t, "a", 7))
+		s, log := newTestbedWithLogPipe(t, newEndpoint(t, "a", 7))
 		log.fill(t)
-		s.startUnread()
+		s.startAndPoll()
 		s.cmd.Process.Signal(syscall.SIGQUIT) // the runtime prints all goroutines
 		var exit *exec.ExitError
 		if err := <-s.exited; !errors.As(err, &exit) || exit.ExitCode() != 2 {
@@ -271,7 +271,7 @@
 		}
 	})
 	t.Run("configuration", func(t *testing.T) {
-		s, log := unreadSite(t, newEndpoint(t, "a", 7))
+		s, log := newTestbedWithLogPipe(t, newEndpoint(t, "a", 7))
 		log.fill(t)
 		s.set("", "discovery")
 		s.launch()
@@ -282,9 +282,9 @@
 	})
 }
 
-// Guards against a crash that says nothing where somebody reads.
-func TestACrashIsToldOf(t *testing.T) {
-	s := newSite(t, newEndpoint(t, "a", 7))
+// Guards against a crash whose reason is not logged.
+func TestCrashIsLogged(t *testing.T) {
+	s := newTestbed(t, newEndpoint(t, "a", 7))
 	s.start()
 	_ = s.end(syscall.SIGQUIT)
 	if !strings.Contains(s.log.String(), "SIGQUIT: quit") {
--- a/cmd/larkreach/long_test.go
+++ b/cmd/larkreach/long_test.go
@@ -13,10 +13,10 @@
 	"mulleinbeam/internal/lab"
 )
 
-// The hard cases of long bodies, each with the real program between the laboratory's client and endpoint. What a test
-// waits for is an event: a call, an answer, a notice or a counter.
+// Tests of long bodies, with the real program between the laboratory's client and endpoint. Tests wait for events only:
+// a call, an answer, a delivery report or a counter.
 
-const bodies = `[bodies]
+const bodySettings = `[bodies]
 most = "64MiB"
 window = "128KiB"
 total = "2MiB"
@@ -25,41 +25,43 @@
 longest = "2m"
 `
 
-// long is a forwarder with long bodies on, one endpoint, "p" of destination 7, and all that checks them.
-type long struct {
+// longBodyTest is a forwarder with long bodies on and one endpoint, "p" of destination 7, with a checker of the
+// delivery rules.
+type longBodyTest struct {
 	t       *testing.T
 	f       *lab.Forwarder
 	p       *lab.Endpoint
 	agent   *lab.Agent
-	calls   chan *pending // each call, until the test lets it go
-	over    chan struct{} // the test is
+	calls   chan *pendingCall // calls that wait for the test
+	done    chan struct{}     // closed at the end of the test
 	notices chan lab.Notice
 	check   *lab.Checker
 }
 
-// pending is a call that the endpoint has until the test ends it.
-type pending struct {
+// pendingCall is a call that the endpoint keeps open until the test ends it.
+type pendingCall struct {
 	*lab.Call
-	gone chan bool
+	release chan bool
 }
 
-// end lets the call go; keep says whether its connection may carry another.
-func (p *pending) end(keep bool) { p.gone <- keep }
+// end ends the call; keep says whether its connection stays open for another.
+func (p *pendingCall) end(keep bool) { p.release <- keep }
 
-// newLong starts them. The endpoint's calls come to calls, and last until the test ends them.
-func newLong(t *testing.T, idle time.Duration, others ...*lab.Endpoint) *long {
+// newLongBodyTest starts the forwarder. Calls to the endpoint are sent to the channel calls and stay open until the
+// test ends them.
+func newLongBodyTest(t *testing.T, idle time.Duration, others ...*lab.Endpoint) *longBodyTest {
 	t.Helper()
-	l := &long{
-		t: t, calls: make(chan *pending, 64), over: make(chan struct{}), notices: make(chan lab.Notice, 64),
+	l := &longBodyTest{
+		t: t, calls: make(chan *pendingCall, 64), done: make(chan struct{}), notices: make(chan lab.Notice, 64),
 		check: lab.NewChecker(),
 	}
 	l.p = &lab.Endpoint{Name: "p", Group: 7, Small: 64 << 10, Handle: func(c *lab.Call) bool {
-		p := &pending{c, make(chan bool, 1)}
+		p := &pendingCall{c, make(chan bool, 1)}
 		l.calls <- p
 		select {
-		case keep := <-p.gone:
+		case keep := <-p.release:
 			return keep
-		case <-l.over:
+		case <-l.done:
 			return false
 		}
 	}}
@@ -70,13 +72,13 @@
 	}
 	must(t, l.agent.Listen(all...))
 	l.f = &lab.Forwarder{
-		Command: []string{os.Args[0]}, Env: []string{childMark + "=1"}, Settings: fmt.Sprintf(bodies, idle),
+		Command: []string{os.Args[0]}, Env: []string{childProcessEnv + "=1"}, Settings: fmt.Sprintf(bodySettings, idle),
 	}
 	must(t, l.f.Prepare(t.TempDir(), l.agent))
 	must(t, l.f.Start())
 	t.Cleanup(func() {
 		l.f.Kill()
-		close(l.over)
+		close(l.done)
 		l.agent.Close()
 		arrivals := [][]lab.Arrival{}
 		for _, p := range all {
@@ -107,8 +109,8 @@
 	}
 }
 
-// hand hands a message in on a connection of its own; its answer comes in the channel.
-func (l *long) hand(h lab.Handover) <-chan lab.Answer {
+// submit submits a message on a new connection; the answer is sent to the returned channel.
+func (l *longBodyTest) submit(h lab.Handover) <-chan lab.Answer {
 	l.t.Helper()
 	c, err := lab.Dial(l.f.Address())
 	must(l.t, err)
@@ -122,42 +124,42 @@
 	return answer
 }
 
-// next is the endpoint's next call.
-func (l *long) next() *pending { return <-l.calls }
+// nextCall returns the endpoint's next call.
+func (l *longBodyTest) nextCall() *pendingCall { return <-l.calls }
 
-// free waits until no long call is out and none is held.
-func (l *long) free() {
+// awaitIdle waits until no long call is in flight and no long message is held.
+func (l *longBodyTest) awaitIdle() {
 	l.t.Helper()
 	must(l.t, l.f.AwaitCounter("long", "out", 0))
 	must(l.t, l.f.AwaitCounter("long", "held", 0))
 }
 
-func (l *long) wants(a lab.Answer, status int, mayRun bool) {
+func (l *longBodyTest) expect(a lab.Answer, status int, mayRun bool) {
 	l.t.Helper()
 	if a.Status != status || a.MayHaveRun() != mayRun {
 		l.t.Errorf("answered %d with %v (%v), wanted %d and may have run %v", a.Status, a.Header, a.Err, status, mayRun)
 	}
 	if a.Status == 503 && a.Header.Get("Retry-After") == "" {
-		l.t.Errorf("refused with no time to come again: %v", a.Header)
+		l.t.Errorf("refused without Retry-After: %v", a.Header)
 	}
 }
 
-const large = 5 << 20
+const largeBody = 5 << 20
 
-// Bodies go through byte for byte, in every framing; both connections carry the next message too.
+// Bodies are forwarded byte for byte in every framing, and both connections are reused for the next message.
 func TestLongBodies(t *testing.T) {
-	l := newLong(t, 20*time.Second)
+	l := newLongBodyTest(t, 20*time.Second)
 	c, err := lab.Dial(l.f.Address())
 	must(t, err)
 	defer c.Close()
 	for i, how := range []string{"length", "chunked", "end"} {
 		for _, chunked := range []bool{false, true} {
-			h := upload(fmt.Sprintf("%s-%v", how, chunked), "unsafe", large)
+			h := upload(fmt.Sprintf("%s-%v", how, chunked), "unsafe", largeBody)
 			h.Chunked, h.Expect = chunked, i == 1
-			back := lab.Content{Seed: 2, Size: large + 1}
+			back := lab.Content{Seed: 2, Size: largeBody + 1}
 			l.check.Carries(h.ID, back)
 			go func() {
-				call := l.next()
+				call := l.nextCall()
 				if chunked != (call.Length < 0) || call.Key != h.Key || call.Timeout == "" {
 					t.Errorf("%s: length %d, key %q, time %q", h.ID, call.Length, call.Key, call.Timeout)
 				}
@@ -168,7 +170,7 @@
 			}()
 			a := c.Hand(h, nil)
 			l.check.Handed(h, a)
-			l.wants(a, 200, false)
+			l.expect(a, 200, false)
 			if !a.Whole || a.Digest != back.Digest() || a.Close || a.Continued != h.Expect {
 				t.Errorf("%s: %d bytes of %d, whole %v, closing %v, continued %v", h.ID, a.Bytes, back.Size, a.Whole, a.Close, a.Continued)
 			}
@@ -183,12 +185,12 @@
 	if got := l.p.Arrivals(); len(got) == 6 && got[3].Connection != got[0].Connection {
 		t.Errorf("connections were not kept: %+v", got)
 	}
-	l.free()
+	l.awaitIdle()
 }
 
-// A chunked body that has come whole before the call begins goes on with its length; its trailer goes no further.
+// A chunked body that was received completely before the call starts is sent with its length and without its trailer.
 func TestChunkedInLengthOut(t *testing.T) {
-	l := newLong(t, 20*time.Second)
+	l := newLongBodyTest(t, 20*time.Second)
 	h := upload("small-chunks", "safe", 100<<10)
 	c, err := lab.Dial(l.f.Address())
 	must(t, err)
@@ -196,11 +198,11 @@
 	h.Chunked, h.Trailer = true, "X-Sum: 1\r\n"
 	answer := make(chan lab.Answer, 1)
 	go func() { answer <- c.Hand(h, nil) }()
-	first := l.next() // it may have come in chunks
+	first := l.nextCall() // this one may be sent in chunks
 	must(t, first.ReadAll(0))
 	must(t, first.Answer(503, ""))
 	first.end(true)
-	second := l.next() // and by now it is whole
+	second := l.nextCall() // by now the body is complete
 	if second.Length != h.Body.Size || len(second.Request.Trailer) != 0 {
 		t.Errorf("length %d, trailers %v", second.Length, second.Request.Trailer)
 	}
@@ -209,75 +211,76 @@
 	second.end(true)
 	a := <-answer
 	l.check.Handed(h, a)
-	l.wants(a, 200, false)
+	l.expect(a, 200, false)
 }
 
-// Trailers of a request go on with its chunks.
+// Trailers of a request are forwarded with its chunks.
 func TestTrailersGoOn(t *testing.T) {
-	l := newLong(t, 20*time.Second)
-	h := upload("trailers", "unsafe", large)
+	l := newLongBodyTest(t, 20*time.Second)
+	h := upload("trailers", "unsafe", largeBody)
 	h.Chunked, h.Trailer = true, "X-Sum: 7\r\n"
-	answer := l.hand(h)
-	call := l.next()
+	answer := l.submit(h)
+	call := l.nextCall()
 	must(t, call.ReadAll(0))
 	if got := call.Request.Trailer.Get("X-Sum"); got != "7" {
 		t.Errorf("trailers %v", call.Request.Trailer)
 	}
 	must(t, call.Answer(200, ""))
 	call.end(true)
-	l.wants(<-answer, 200, false)
+	l.expect(<-answer, 200, false)
 }
 
-// Hard case 1: the endpoint stops reading half-way. Its client is slowed to a stop, and idle ends the call.
+// The endpoint stops reading in the middle of a body: backpressure stops the client, and the idle timeout ends the
+// call.
 func TestEndpointStopsReading(t *testing.T) {
-	l := newLong(t, 700*time.Millisecond)
+	l := newLongBodyTest(t, 700*time.Millisecond)
 	h := upload("stalled", "unsafe", 48<<20)
-	answer := l.hand(h)
-	call := l.next()
-	must(t, call.Read(1<<20)) // and no more
+	answer := l.submit(h)
+	call := l.nextCall()
+	must(t, call.Read(1<<20)) // then stops reading
 	a := <-answer
-	l.wants(a, 504, true)
+	l.expect(a, 504, true)
 	if a.Sent > 40<<20 {
-		t.Errorf("%d bytes were taken from the client while the endpoint had read %d", a.Sent, call.Bytes())
+		t.Errorf("%d bytes were read from the client while the endpoint had read %d", a.Sent, call.Bytes())
 	}
-	l.free()
+	l.awaitIdle()
 	if err := call.ReadAll(0); err == nil {
-		t.Error("the call came whole")
+		t.Error("the endpoint received the whole body")
 	}
 	call.end(false)
 }
 
-// Hard case 2: the client goes away in the middle of a fee batch. The endpoint can't take it for whole, a notice ends it
-// as one that may have run, and nothing sends it again: not the same id, and not a restart.
+// The client disconnects in the middle of an unsafe message. The endpoint cannot take the body for complete, a delivery
+// report ends the message as abandoned, and neither a submission of the same id nor a restart sends it again.
 func TestClientGoesAway(t *testing.T) {
 	for _, chunked := range []bool{false, true} {
 		t.Run(fmt.Sprint("chunked ", chunked), func(t *testing.T) {
-			l := newLong(t, 20*time.Second)
-			h := upload("fee", "unsafe", large)
+			l := newLongBodyTest(t, 20*time.Second)
+			h := upload("fee", "unsafe", largeBody)
 			h.Chunked, h.CutAfter = chunked, 2<<20
-			answer := l.hand(h)
-			call := l.next()
+			answer := l.submit(h)
+			call := l.nextCall()
 			if err := call.ReadAll(0); err == nil {
-				t.Error("the endpoint took a part for whole")
+				t.Error("the endpoint took a partial body for complete")
 			}
 			call.end(false)
 			<-answer
 			if n := <-l.notices; n.Message != "fee" || n.Outcome != "given_up" {
-				t.Errorf("notice %+v", n)
+				t.Errorf("delivery report %+v", n)
 			}
-			l.free()
+			l.awaitIdle()
 			h.CutAfter = 0
 			again := func() {
 				c, err := lab.Dial(l.f.Address())
 				must(t, err)
 				defer c.Close()
-				l.wants(c.Hand(h, nil), 409, false)
+				l.expect(c.Hand(h, nil), 409, false)
 			}
 			again()
 			_ = l.f.End(syscall.SIGKILL)
 			must(t, l.f.Start())
 			again()
-			l.free()
+			l.awaitIdle()
 			if n := len(l.p.Arrivals()); n != 1 {
 				t.Errorf("%d calls", n)
 			}
@@ -285,117 +288,117 @@
 	}
 }
 
-// Hard case 3: the endpoint answers before the body is whole. The answer reaches a client that is still sending, and
-// neither connection is used again.
+// The endpoint answers before it has the whole body. The answer reaches the client, which is still sending, and neither
+// connection is reused.
 func TestEarlyAnswers(t *testing.T) {
-	back := lab.Content{Seed: 3, Size: large}
+	back := lab.Content{Seed: 3, Size: largeBody}
 	for name, c := range map[string]struct {
 		class  string
-		answer func(*pending)
+		answer func(*pendingCall)
 		status int
 		ran    bool
 	}{
-		"delivered":   {"unsafe", func(c *pending) { _ = c.Answer(200, "") }, 200, false},
-		"with a body": {"unsafe", func(c *pending) { _ = c.AnswerWith(back, "length") }, 200, false},
-		"refused":     {"unsafe", func(c *pending) { _ = c.Answer(503, "") }, 503, false},
-		"spoilt":      {"unsafe", func(c *pending) { _ = c.Raw("\x00\x01\r\n\r\n") }, 502, true},
-		"error":       {"safe", func(c *pending) { _ = c.Answer(500, "") }, 502, true},
+		"delivered":   {"unsafe", func(c *pendingCall) { _ = c.Answer(200, "") }, 200, false},
+		"with a body": {"unsafe", func(c *pendingCall) { _ = c.AnswerWith(back, "length") }, 200, false},
+		"refused":     {"unsafe", func(c *pendingCall) { _ = c.Answer(503, "") }, 503, false},
+		"malformed":   {"unsafe", func(c *pendingCall) { _ = c.Raw("\x00\x01\r\n\r\n") }, 502, true},
+		"error":       {"safe", func(c *pendingCall) { _ = c.Answer(500, "") }, 502, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := newLong(t, 20*time.Second)
+			l := newLongBodyTest(t, 20*time.Second)
 			h := upload("early", c.class, 60<<20)
 			if name == "with a body" {
 				l.check.Carries("early", back)
 			}
-			answer := l.hand(h)
-			call := l.next()
+			answer := l.submit(h)
+			call := l.nextCall()
 			must(t, call.Read(1<<20)) // more than the window
 			c.answer(call)
 			a := <-answer
-			l.wants(a, c.status, c.ran)
+			l.expect(a, c.status, c.ran)
 			if !a.Close || name == "with a body" && (!a.Whole || a.Bytes != back.Size) {
 				t.Errorf("closing %v, whole %v, %d bytes", a.Close, a.Whole, a.Bytes)
 			}
-			l.free()
+			l.awaitIdle()
 			if err := call.ReadAll(0); err == nil {
-				t.Error("the endpoint's call went on to its end")
+				t.Error("the endpoint's call was completed")
 			}
 			call.end(false)
 		})
 	}
 }
 
-// Hard case 4: while all that was sent is still in the window, the module may send again; afterwards never. What is told
-// before the first byte acts before it.
+// A long message can be retried only while everything sent so far is still in the window. A Retry-After wait or a drain
+// that is known before the first byte takes effect before it.
 func TestRetries(t *testing.T) {
-	l := newLong(t, 20*time.Second)
+	l := newLongBodyTest(t, 20*time.Second)
 	h := upload("kept", "safe", 100<<10)
 	h.Chunked = true
-	answer := l.hand(h)
-	call := l.next()
+	answer := l.submit(h)
+	call := l.nextCall()
 	must(t, call.ReadAll(0))
 	must(t, call.Answer(500, ""))
 	call.end(true)
-	call = l.next()
+	call = l.nextCall()
 	must(t, call.ReadAll(0))
 	must(t, call.Answer(200, ""))
 	call.end(true)
-	l.wants(<-answer, 200, false)
+	l.expect(<-answer, 200, false)
 
-	answer = l.hand(upload("past the window", "safe", large))
-	call = l.next()
+	answer = l.submit(upload("past the window", "safe", largeBody))
+	call = l.nextCall()
 	must(t, call.ReadAll(0))
 	must(t, call.Answer(500, ""))
 	call.end(true)
-	l.wants(<-answer, 502, true)
+	l.expect(<-answer, 502, true)
 
-	answer = l.hand(upload("not for unsafe", "unsafe", 100<<10))
-	call = l.next()
+	answer = l.submit(upload("not for unsafe", "unsafe", 100<<10))
+	call = l.nextCall()
 	must(t, call.ReadAll(0))
 	must(t, call.Answer(500, ""))
 	call.end(true)
-	l.wants(<-answer, 502, true)
+	l.expect(<-answer, 502, true)
 
-	answer = l.hand(upload("told to wait", "unsafe", 100<<10))
-	call = l.next()
+	answer = l.submit(upload("told to wait", "unsafe", 100<<10))
+	call = l.nextCall()
 	must(t, call.ReadAll(0))
 	must(t, call.Answer(429, "X-RateLimit-Wait-Ms: 300\r\n"))
 	told := time.Now()
 	call.end(true)
 	must(t, l.f.AwaitCounter("sent", "full", 1))
-	h = upload("meanwhile", "unsafe", large) // it waits as well, and its body with it
+	h = upload("meanwhile", "unsafe", largeBody) // waits too, before its body is read
 	h.Expect = true
-	meanwhile := l.hand(h)
+	meanwhile := l.submit(h)
 	for range 2 {
-		call = l.next()
+		call = l.nextCall()
 		if since := time.Since(told); since < 250*time.Millisecond {
-			t.Errorf("%s came %v after a wait was told", call.ID, since)
+			t.Errorf("%s came %v after a refusal with a wait", call.ID, since)
 		}
 		must(t, call.ReadAll(0))
 		must(t, call.Answer(200, ""))
 		call.end(true)
 	}
-	l.wants(<-answer, 200, false)
-	l.wants(<-meanwhile, 200, false)
+	l.expect(<-answer, 200, false)
+	l.expect(<-meanwhile, 200, false)
 
 	l.p.Status = "DRAINING"
 	l.agent.List(l.p)
 	must(t, l.f.AwaitCounter("in", "held", 0))
-	h = upload("drained", "unsafe", large)
+	h = upload("drained", "unsafe", largeBody)
 	h.Expect, h.Left = true, time.Second
-	a := <-l.hand(h)
-	if l.wants(a, 503, false); a.Continued || a.Sent > 0 {
+	a := <-l.submit(h)
+	if l.expect(a, 503, false); a.Continued || a.Sent > 0 {
 		t.Errorf("a refused upload sent %d bytes", a.Sent)
 	}
 }
 
-// Hard case 5: what can't be one body is answered 4xx; nothing behind it is parsed, and nothing of it passes for whole.
+// Invalid framing of a body is answered 4xx; nothing after it is parsed, and no part is delivered as a complete body.
 func TestBadLongBodies(t *testing.T) {
-	l := newLong(t, 20*time.Second)
+	l := newLongBodyTest(t, 20*time.Second)
 	go func() {
 		for c := range l.calls {
 			if c.ReadAll(0) == nil {
-				t.Errorf("%s passed for whole", c.ID)
+				t.Errorf("%s was delivered as complete", c.ID)
 			}
 			c.end(false)
 		}
@@ -440,19 +443,19 @@
 			}
 		})
 	}
-	l.free()
+	l.awaitIdle()
 }
 
-// Hard case 6: after kill -9 each long message has exactly one end, and an unsafe one is not sent again. At SIGTERM long
-// calls have until the drain ends, then their one answer.
+// After SIGKILL each long message ends exactly once, and an unsafe one is not sent again. After SIGTERM long calls may
+// take until the end of the drain; then each gets its one answer.
 func TestLongRestarts(t *testing.T) {
-	l := newLong(t, 20*time.Second)
+	l := newLongBodyTest(t, 20*time.Second)
 	var answers []<-chan lab.Answer
 	for _, class := range []string{"unsafe", "safe"} {
 		h := upload("killed "+class, class, 40<<20)
 		h.Rate = 8 << 20
-		answers = append(answers, l.hand(h))
-		must(t, l.next().Read(1<<20))
+		answers = append(answers, l.submit(h))
+		must(t, l.nextCall().Read(1<<20))
 	}
 	_ = l.f.End(syscall.SIGKILL)
 	for _, a := range answers {
@@ -472,45 +475,46 @@
 
 	h := upload("stopped", "unsafe", 40<<20)
 	h.Rate = 2 << 20
-	answer := l.hand(h)
-	must(t, l.next().Read(1<<20))
-	quick := l.hand(upload("just in time", "unsafe", large))
-	call := l.next()
+	answer := l.submit(h)
+	must(t, l.nextCall().Read(1<<20))
+	quick := l.submit(upload("just in time", "unsafe", largeBody))
+	call := l.nextCall()
 	must(t, call.Read(1<<20))
 	must(t, l.f.Signal(syscall.SIGTERM))
 	must(t, call.ReadAll(0))
 	must(t, call.Answer(200, ""))
 	call.end(false)
-	l.wants(<-quick, 200, false)
-	l.wants(<-answer, 504, true)
+	l.expect(<-quick, 200, false)
+	l.expect(<-answer, 504, true)
 	must(t, l.f.Wait())
 	must(t, l.f.Start())
-	l.free()
+	l.awaitIdle()
 	if n := len(l.agent.Notices()); n != 2 {
-		t.Errorf("%d notices", n)
+		t.Errorf("%d delivery reports", n)
 	}
 }
 
-// Hard case 7: long uploads by the hundred. Those beyond slots and total are refused cleanly, and short messages go on.
+// A hundred long uploads: those over the slots and the total size are refused cleanly, and short messages are still
+// delivered.
 func TestManyLongUploads(t *testing.T) {
 	quick := &lab.Endpoint{Name: "quick", Group: 8}
-	l := newLong(t, 20*time.Second, quick)
+	l := newLongBodyTest(t, 20*time.Second, quick)
 	var answers []<-chan lab.Answer
-	var slots []*pending
-	for i := range 4 { // all slots
-		answers = append(answers, l.hand(upload(fmt.Sprint("slot ", i), "unsafe", large)))
-		slots = append(slots, l.next())
+	var slots []*pendingCall
+	for i := range 4 { // takes all slots
+		answers = append(answers, l.submit(upload(fmt.Sprint("slot ", i), "unsafe", largeBody)))
+		slots = append(slots, l.nextCall())
 		must(t, slots[i].Read(1))
 	}
 	for i := range 96 {
-		h := upload(fmt.Sprint("beyond ", i), "unsafe", large)
+		h := upload(fmt.Sprint("beyond ", i), "unsafe", largeBody)
 		h.Expect = i%2 == 0
-		l.wants(<-l.hand(h), 503, false)
+		l.expect(<-l.submit(h), 503, false)
 	}
 	for i := range 50 {
 		h := upload(fmt.Sprint("short ", i), "unsafe", 1000)
 		h.Destination = 8
-		l.wants(<-l.hand(h), 202, false)
+		l.expect(<-l.submit(h), 202, false)
 	}
 	must(t, l.f.AwaitCounter("in", "held", 4)) // the short ones were delivered
 	if n := len(quick.Arrivals()); n != 50 {
@@ -520,13 +524,13 @@
 		c.end(false)
 	}
 	for _, a := range answers {
-		l.wants(<-a, 502, true)
+		l.expect(<-a, 502, true)
 	}
 }
 
-// Without settings nothing changes: a body over 64 KiB is refused at once.
+// Without [bodies] settings a body over 64 KiB is refused at once.
 func TestLongBodiesAreOff(t *testing.T) {
-	s := newSite(t, newEndpoint(t, "a", 7))
+	s := newTestbed(t, newEndpoint(t, "a", 7))
 	s.start()
 	c := s.client()
 	io.WriteString(c.conn, upload("m", "safe", 64<<10+1).Head())
@@ -535,75 +539,77 @@
 	}
 }
 
-// A client that ends its sending behind a whole body still gets its answer; one that does so earlier has not handed it in.
+// A client that half-closes its connection after a whole body still gets the answer; if it does so earlier, its message
+// is not accepted.
 func TestHalfClosedClients(t *testing.T) {
-	l := newLong(t, 20*time.Second)
-	h := upload("whole", "unsafe", large)
+	l := newLongBodyTest(t, 20*time.Second)
+	h := upload("whole", "unsafe", largeBody)
 	h.HalfClose = true
-	back := lab.Content{Seed: 4, Size: large}
+	back := lab.Content{Seed: 4, Size: largeBody}
 	l.check.Carries(h.ID, back)
-	answer := l.hand(h)
-	call := l.next()
+	answer := l.submit(h)
+	call := l.nextCall()
 	must(t, call.ReadAll(0))
 	call.end(call.AnswerWith(back, "chunked") == nil)
 	if a := <-answer; a.Status != 200 || !a.Whole || a.Digest != back.Digest() {
 		t.Errorf("answered %d, whole %v, %d bytes", a.Status, a.Whole, a.Bytes)
 	}
-	h = upload("part", "unsafe", large)
+	h = upload("part", "unsafe", largeBody)
 	h.HalfClose, h.CutAfter = true, 1<<20
-	answer = l.hand(h)
-	call = l.next()
+	answer = l.submit(h)
+	call = l.nextCall()
 	if call.ReadAll(0) == nil {
-		t.Error("a part passed for whole")
+		t.Error("a partial body was taken for complete")
 	}
 	call.end(false)
 	if a := <-answer; a.Status != 0 {
-		t.Errorf("answered %d beside the notice", a.Status)
+		t.Errorf("answered %d in addition to the delivery report", a.Status)
 	}
 	if n := <-l.notices; n.Message != "part" || n.Outcome != "given_up" {
-		t.Errorf("notice %+v", n)
+		t.Errorf("delivery report %+v", n)
 	}
 }
 
-// A client that goes silent is no fault of its endpoint's: the call ends by idleness, and the next one goes at once.
+// A client that stops sending is not counted as a failure of the endpoint: the idle timeout ends the call, and the next
+// call starts at once.
 func TestClientGoesSilent(t *testing.T) {
-	l := newLong(t, 500*time.Millisecond)
+	l := newLongBodyTest(t, 500*time.Millisecond)
 	resume := make(chan struct{})
-	for i := range 4 { // as many failures of an endpoint would open its breaker
-		h := upload(fmt.Sprint("silent ", i), "unsafe", large)
+	for i := range 4 { // as many failures of an endpoint as open its breaker
+		h := upload(fmt.Sprint("silent ", i), "unsafe", largeBody)
 		h.StallAfter, h.Resume = 1<<20, resume
-		answer := l.hand(h)
-		call := l.next()
+		answer := l.submit(h)
+		call := l.nextCall()
 		if call.ReadAll(0) == nil {
-			t.Error("a part passed for whole")
+			t.Error("a partial body was taken for complete")
 		}
 		call.end(false)
-		l.wants(<-answer, 504, true)
+		l.expect(<-answer, 504, true)
 	}
 	close(resume)
 	must(t, l.f.AwaitCounter("long calls", "client_stalled", 4))
-	answer := l.hand(upload("next", "unsafe", large))
-	call := l.next()
+	answer := l.submit(upload("next", "unsafe", largeBody))
+	call := l.nextCall()
 	must(t, call.ReadAll(0))
 	must(t, call.Answer(200, ""))
 	call.end(true)
-	l.wants(<-answer, 200, false)
+	l.expect(<-answer, 200, false)
 	if strings.Contains(l.f.Log(), "breaker") {
-		t.Error("a breaker moved")
+		t.Error("a breaker changed its state")
 	}
 }
 
-// A 200 that is cut on its way is a delivery, and its client can tell that the answer is not whole. One that can't be read
-// behind its first line reaches the client as such.
+// A 200 whose body is cut off counts as delivered, and the client can tell that the answer is incomplete. A 200 with an
+// unreadable head reaches the client as a malformed answer.
 func TestAnswersThatAreCut(t *testing.T) {
-	l := newLong(t, 20*time.Second)
+	l := newLongBodyTest(t, 20*time.Second)
 	for name, raw := range map[string]string{
 		"length":  "HTTP/1.1 200 OK\r\nContent-Length: 9000000\r\n\r\n" + strings.Repeat("x", 4000000),
 		"chunked": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3d0900\r\n" + strings.Repeat("x", 4000000) + "\r\n",
 		"no size": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3d0900\r\n" + strings.Repeat("x", 4000000) + "\r\nxyz\r\n",
 	} {
-		answer := l.hand(upload(name, "unsafe", large))
-		call := l.next()
+		answer := l.submit(upload(name, "unsafe", largeBody))
+		call := l.nextCall()
 		must(t, call.ReadAll(0))
 		_ = call.Raw(raw)
 		call.end(false)
@@ -611,16 +617,16 @@
 			t.Errorf("%s: answered %d, whole %v, %d bytes", name, a.Status, a.Whole, a.Bytes)
 		}
 	}
-	answer := l.hand(upload("noise", "unsafe", large))
-	call := l.next()
+	answer := l.submit(upload("noise", "unsafe", largeBody))
+	call := l.nextCall()
 	must(t, call.ReadAll(0))
 	must(t, call.Raw("HTTP/1.1 200 OK\r\n\x00\x01\r\n\r\n"))
 	if a := <-answer; a.Status != 200 || a.Header.Get("X-Answer-Spoilt") != "1" || !a.Whole || a.Bytes != 0 {
 		t.Errorf("noise: answered %d with %v", a.Status, a.Header)
 	}
 	call.end(false)
-	l.free()
+	l.awaitIdle()
 	if n := l.agent.Notices(); len(n) != 0 {
-		t.Errorf("notices of what was delivered: %+v", n)
+		t.Errorf("delivery reports of delivered messages: %+v", n)
 	}
 }
--- a/cmd/larkreach/crossing_test.go
+++ b/cmd/larkreach/shutdown_test.go
@@ -10,27 +10,27 @@
 	"time"
 )
 
-// Where two events cross, on real sockets: the order is made by stand-ins that hold back what they do until they are told.
+// Tests of events that coincide, on real sockets. Stopping the program or holding back answers fixes their order.
 
-// A request that has come on a resting connection when the program is told to end is answered and delivered; the
-// connection then ends in order.
-func TestAStopMeetsARequestOnARestingConnection(t *testing.T) {
+// A request that arrives on an idle connection together with SIGTERM is answered and delivered; then the connection is
+// closed.
+func TestRequestOnIdleConnectionDuringShutdown(t *testing.T) {
 	p := newEndpoint(t, "a", 7)
-	s := newSite(t, p)
+	s := newTestbed(t, p)
 	s.start()
-	resting := s.client()
-	resting.send(healthz)
-	s.cmd.Process.Signal(syscall.SIGSTOP) // so it meets both at once
-	io.WriteString(resting.conn, request("crossed", "unsafe", 7, 20*time.Second, "body"))
+	idle := s.client()
+	idle.send(healthz)
+	s.cmd.Process.Signal(syscall.SIGSTOP) // so that it receives both at once
+	io.WriteString(idle.conn, request("crossed", "unsafe", 7, 20*time.Second, "body"))
 	s.cmd.Process.Signal(syscall.SIGTERM)
 	s.cmd.Process.Signal(syscall.SIGCONT)
-	if res := resting.read(); res.StatusCode != 202 {
+	if res := idle.read(); res.StatusCode != 202 {
 		t.Errorf("answered %s", res.Status)
 	}
-	if _, err := resting.r.ReadByte(); err != io.EOF {
+	if _, err := idle.r.ReadByte(); err != io.EOF {
 		t.Errorf("then %v", err)
 	}
-	resting.conn.Close()
+	idle.conn.Close()
 	c := <-p.calls
 	c.answer("200 OK")
 	if c.id != "crossed" {
@@ -41,8 +41,8 @@
 	}
 }
 
-// open is how many descriptors the program has open.
-func (s *site) open() int {
+// openDescriptors returns the number of descriptors that the program has open.
+func (s *testbed) openDescriptors() int {
 	s.t.Helper()
 	names, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", s.cmd.Process.Pid))
 	if err != nil {
@@ -51,46 +51,46 @@
 	return len(names)
 }
 
-// Clients that rest or ask for nothing fill all that is theirs while discovery is down, and endpoints' idle
-// connections what is theirs: descriptors are left for the watch, which learns of a change once discovery is back, for a call to
-// a new endpoint, for /healthz and for the end. So it is too where the machine gives fewer descriptors than the limits tell.
-func TestIdleClientsLeaveTheDescriptorsThatAreNeeded(t *testing.T) {
+// Idle clients and idle connections to endpoints use up their shares of the descriptors while discovery is down.
+// Descriptors remain for the watch once discovery is back, for a call to a new endpoint, for /healthz and for the
+// shutdown, also if the process limit is lower than the configured limit.
+func TestIdleClientsDoNotExhaustDescriptors(t *testing.T) {
 	const files, spare = 80, 8
 	for name, told := range map[string]int{"as told": files, "fewer than told": 1024} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			a, b := newEndpoint(t, "a", 7), newEndpoint(t, "b", 8)
-			s := newSite(t, a)
+			s := newTestbed(t, a)
 			s.files = files
 			s.set(told, "limits", "sockets")
-			down := boundOnly(t)
+			down := bindUnused(t)
 			s.set(down.address, "discovery")
 			s.start()
-			s.hand("first", "unsafe", 7)
+			s.submit("first", "unsafe", 7)
 			(<-a.calls).answer("200 OK")
 			for i := range 2 * files {
 				if c := s.client(); i%2 == 0 {
-					c.send(healthz) // and then it rests
+					c.send(healthz) // and then stays idle
 				}
-				if n := s.open(); n > files-spare {
-					t.Fatalf("%d descriptors are open behind %d clients", n, i+1)
+				if n := s.openDescriptors(); n > files-spare {
+					t.Fatalf("%d descriptors are open with %d clients", n, i+1)
 				}
 			}
-			back := discoveryOn(t, down.listen(t))
+			back := newDiscoveryOn(t, down.listen(t))
 			<-back.watched
 			back.lists <- list(2, true, a, b)
-			<-back.watched // it was learned
+			<-back.watched // the list has been processed
 			if res := s.client().send(healthz); res.StatusCode != 200 {
 				t.Errorf("/healthz: %s", res.Status)
 			}
-			s.hand("second", "unsafe", 8)
+			s.submit("second", "unsafe", 8)
 			if c := <-b.calls; c.id != "second" {
 				t.Errorf("%s was sent", c.id)
 			} else {
 				c.answer("500 Error")
 			}
 			if n := <-back.reports; n.Message != "second" || n.Outcome != "given_up" {
-				t.Errorf("told of %+v", n)
+				t.Errorf("reported %+v", n)
 			}
 			if err := s.end(syscall.SIGTERM); err != nil {
 				t.Errorf("exit: %v", err)
@@ -99,9 +99,9 @@
 	}
 }
 
-// Signals that come together, in any order and more than once, end the program only where one asks for it, in order and with status
-// 0; what was taken on is the next life's.
-func TestSignalsThatCross(t *testing.T) {
+// Simultaneous signals, in any order and repeated, end the program only if one of them is a stop signal, and then with
+// status 0. Accepted messages are resumed by the next process.
+func TestSimultaneousSignals(t *testing.T) {
 	const hup, term = syscall.SIGHUP, syscall.SIGTERM
 	for name, c := range map[string]struct {
 		signals []syscall.Signal
@@ -118,22 +118,22 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p := newEndpoint(t, "a", 7)
-			s := newSite(t, p)
+			s := newTestbed(t, p)
 			s.start()
-			s.hand("held", "unsafe", 7)
-			(<-p.calls).answer("429 Wait\r\nX-RateLimit-Wait-Ms: 9000") // so it is held
-			s.counts(" full=1 ")
+			s.submit("held", "unsafe", 7)
+			(<-p.calls).answer("429 Wait\r\nX-RateLimit-Wait-Ms: 9000") // so the message is held
+			s.waitForCounter(" full=1 ")
 			moved := newDiscovery(t)
 			s.set(moved.address(), "discovery")
 			s.write()
-			s.cmd.Process.Signal(syscall.SIGSTOP) // so it meets all of them at once
+			s.cmd.Process.Signal(syscall.SIGSTOP) // so that it receives all of them at once
 			for _, signal := range c.signals {
 				s.cmd.Process.Signal(signal)
 			}
 			s.cmd.Process.Signal(syscall.SIGCONT)
 			if !c.ends {
 				if got := <-moved.watched; got != "" {
-					t.Errorf("asked %q at the new address", got)
+					t.Errorf("requested %q at the new address", got)
 				}
 				s.cmd.Process.Signal(term)
 			}
@@ -142,7 +142,7 @@
 			}
 			s.start()
 			if text := s.log.String(); !strings.Contains(text, "resumed messages of an earlier process messages=1 notices=0") {
-				t.Errorf("the next life:\n%s", text)
+				t.Errorf("the next process:\n%s", text)
 			}
 		})
 	}
--- a/cmd/larkreach/sysfault_record_test.go
+++ b/cmd/larkreach/sysfault_record_test.go
@@ -11,15 +11,15 @@
 	"mulleinbeam/internal/lab"
 )
 
-// record is what clients, endpoints and the platform have seen of a play's messages.
+// record collects what clients, endpoints and the platform observed of the messages of a run.
 type record struct {
 	mu       sync.Mutex
-	messages map[string]*recorded
+	messages map[string]*messageRecord
 	kills    []time.Time
 }
 
-// recorded is what was seen of one message.
-type recorded struct {
+// messageRecord contains the observations of one message.
+type messageRecord struct {
 	lab.Handover
 	handedAt   time.Time
 	answeredAt time.Time
@@ -38,18 +38,18 @@
 	outcome string
 }
 
-func newRecord() *record { return &record{messages: map[string]*recorded{}} }
+func newRecord() *record { return &record{messages: map[string]*messageRecord{}} }
 
-func (r *record) message(id string) *recorded {
+func (r *record) message(id string) *messageRecord {
 	m := r.messages[id]
 	if m == nil {
-		m = &recorded{}
+		m = &messageRecord{}
 		r.messages[id] = m
 	}
 	return m
 }
 
-func (r *record) handing(h lab.Handover) {
+func (r *record) submitting(h lab.Handover) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := r.message(h.ID)
@@ -70,7 +70,7 @@
 	m.calls = append(m.calls, recordedCall{time.Now(), mayRun, delivered})
 }
 
-func (r *record) told(n lab.Notice) {
+func (r *record) reported(n lab.Notice) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := r.message(n.Message)
@@ -83,14 +83,15 @@
 	r.kills = append(r.kills, time.Now())
 }
 
-func (m *recorded) accepted() bool { return m.answer.Status == 202 || m.answer.Status == 200 }
+func (m *messageRecord) accepted() bool { return m.answer.Status == 202 || m.answer.Status == 200 }
 
-func (m *recorded) delivered() bool {
+func (m *messageRecord) delivered() bool {
 	return slices.ContainsFunc(m.calls, func(c recordedCall) bool { return c.delivered })
 }
 
-// taken counts the messages that were taken on, and gives by how much the latest end came behind its message's time.
-func (r *record) taken() (n int, latest time.Duration) {
+// acceptedCount returns the number of accepted messages, and the largest delay between the deadline and the end of a
+// message.
+func (r *record) acceptedCount() (n int, latest time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, m := range r.messages {
@@ -105,8 +106,8 @@
 	return n, latest.Round(time.Millisecond)
 }
 
-// end is when a message ended first; zero is never.
-func (m *recorded) end() (first time.Time) {
+// end returns the time at which the message first ended; zero if it did not.
+func (m *messageRecord) end() (first time.Time) {
 	at := func(t time.Time) {
 		if first.IsZero() || t.Before(first) {
 			first = t
@@ -117,14 +118,14 @@
 			at(c.at)
 		}
 	}
-	for _, told := range m.reports {
-		at(told.at)
+	for _, reported := range m.reports {
+		at(reported.at)
 	}
 	return first
 }
 
-// open names the messages that were taken on and have not ended.
-func (r *record) open() (ids []string) {
+// unfinished returns the ids of accepted messages that have not ended.
+func (r *record) unfinished() (ids []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id, m := range r.messages {
@@ -136,18 +137,19 @@
 	return ids
 }
 
-// reportTravel is how long a call may take from its first byte until it is recorded: one that was given up may be recorded behind its report.
-const reportTravel = 300 * time.Millisecond
+// recordingDelay bounds the time from the first byte of a call until it is recorded: a call of an abandoned message may
+// be recorded after its delivery report.
+const recordingDelay = 300 * time.Millisecond
 
-// broken lists what broke a rule.
+// broken lists the violations of delivery rules.
 func (r *record) broken() (out []string) {
-	for _, id := range r.open() {
-		out = append(out, id+": taken on, and it never ended")
+	for _, id := range r.unfinished() {
+		out = append(out, id+": accepted, and it never ended")
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id, m := range r.messages {
-		bad := func(format string, args ...any) {
+		violation := func(format string, args ...any) {
 			out = append(out, id+" ("+m.Class+"): "+fmt.Sprintf(format, args...))
 		}
 		effects := 0
@@ -155,39 +157,39 @@
 			if c.mayRun {
 				effects++
 			}
-			for _, told := range m.reports {
-				if c.at.After(told.at.Add(reportTravel)) {
-					bad("called %v after its end was reported as %s", c.at.Sub(told.at), told.outcome)
+			for _, reported := range m.reports {
+				if c.at.After(reported.at.Add(recordingDelay)) {
+					violation("called %v after its end was reported as %s", c.at.Sub(reported.at), reported.outcome)
 				}
 			}
 		}
 		if m.Class == "unsafe" && effects > 1 {
-			bad("may have run %d times", effects)
+			violation("may have run %d times", effects)
 		}
 		refused := m.answer.Status == 429 || m.answer.Status == 503
-		if long := m.Body.Size >= playLongBody; refused && (effects > 0 || len(m.calls) > 0 && !long) { // a long one is answered when it has ended
-			bad("refused with %d, and called", m.answer.Status)
+		if longBodyTest := m.Body.Size >= longBodySize; refused && (effects > 0 || len(m.calls) > 0 && !longBodyTest) { // a long message is answered when it has ended
+			violation("refused with %d, and called", m.answer.Status)
 		}
-		for _, told := range m.reports {
-			if told.outcome != m.reports[0].outcome {
-				bad("reported as %s and as %s", m.reports[0].outcome, told.outcome)
+		for _, reported := range m.reports {
+			if reported.outcome != m.reports[0].outcome {
+				violation("reported as %s and as %s", m.reports[0].outcome, reported.outcome)
 			}
-			if told.outcome == "handed_back" && m.Class == "unsafe" && effects > 0 {
-				bad("handed back, and it may have run")
+			if reported.outcome == "handed_back" && m.Class == "unsafe" && effects > 0 {
+				violation("returned, and it may have run")
 			}
 		}
-		if m.answer.Status == 0 && !r.excused(m) {
-			bad("no complete answer: %v", m.answer.Err)
+		if m.answer.Status == 0 && !r.answerExcused(m) {
+			violation("no complete answer: %v", m.answer.Err)
 		}
 	}
 	slices.Sort(out)
 	return out
 }
 
-// excused says whether a request may have had no answer: the program was killed while it waited, or just before.
-func (r *record) excused(m *recorded) bool {
-	const around = 2 * time.Second
+// answerExcused reports whether a request may have no answer: the program was killed while it waited, or just before.
+func (r *record) answerExcused(m *messageRecord) bool {
+	const tolerance = 2 * time.Second
 	return slices.ContainsFunc(r.kills, func(at time.Time) bool {
-		return at.After(m.handedAt.Add(-around)) && at.Before(m.answeredAt.Add(around))
+		return at.After(m.handedAt.Add(-tolerance)) && at.Before(m.answeredAt.Add(tolerance))
 	})
 }
