--- a/cmd/larkreach/sysfault_test.go
+++ b/cmd/larkreach/sysfault_test.go
@@ -25,23 +25,23 @@
 	"mulleinbeam/internal/lab/sysfault"
 )
 
-// Plays on the real program while its system calls fail: what was taken on ends exactly once and in its time, whatever fails for a
-// moment, also where the program is killed meanwhile. By hand: -sysfault.seeds N plays N seeds of each.
+// Tests of the real program while its system calls fail: each accepted message ends exactly once and in time, whichever
+// calls fail temporarily, also if the program is killed meanwhile. -sysfault.seeds N runs N seeds of each test.
 
 var (
-	sysfaultSeeds = flag.Int("sysfault.seeds", 1, "seeds of each play of system calls that fail")
-	sysfaultFirst = flag.Uint64("sysfault.first", 1, "the first of them")
+	sysfaultSeeds = flag.Int("sysfault.seeds", 1, "seeds of each test with failing system calls")
+	sysfaultFirst = flag.Uint64("sysfault.first", 1, "the first seed")
 )
 
-// faultKind is a play: what fails in its windows.
-type faultKind struct {
-	name  string
-	kill  bool // SIGKILL between, and a start while calls fail
-	stop  bool // SIGTERM between, SIGKILL at the earliest time that the platform allows, and a start while calls fail
-	rules func(chance float64) []sysfault.Rule
-	own   string // the program's own settings
-	long  bool   // some messages are long ones, whose answer is their end
-	mute  bool   // nobody reads the log but at starts and ends, and it is full
+// faultScenario describes a run: which calls fail in its fault windows, and how the program is ended.
+type faultScenario struct {
+	name      string
+	kill      bool // SIGKILL in each window, and a start while calls fail
+	stop      bool // SIGTERM in each window, SIGKILL as early as the platform may send it, and a start while calls fail
+	rules     func(chance float64) []sysfault.Rule
+	own       string // the program's own settings
+	long      bool   // some messages are long; their response is their end
+	logUnread bool   // the log is full, and read only at starts and ends
 }
 
 var (
@@ -88,50 +88,50 @@
 	return slices.Concat(diskRules(chance/2), acceptRules(chance/2), clientRules(chance/2), endpointRules(chance/2))
 }
 
-// play is one run of a kind with a seed.
-type play struct {
-	t       *testing.T
-	kind    faultKind
-	rng     *rand.Rand
-	f       *lab.Forwarder
-	faults  *sysfault.Supervisor
-	agent   *lab.Agent
-	servers []*lab.Endpoint
-	record  *record
-	crowd   bool // many connections that only rest
-	number  atomic.Int64
-	stop    atomic.Bool
+// faultRun is a run of a scenario with a seed.
+type faultRun struct {
+	t        *testing.T
+	scenario faultScenario
+	rng      *rand.Rand
+	f        *lab.Forwarder
+	faults   *sysfault.Supervisor
+	agent    *lab.Agent
+	servers  []*lab.Endpoint
+	record   *record
+	crowd    bool // whether there are many idle connections
+	number   atomic.Int64
+	stop     atomic.Bool
 }
 
 const (
-	playClients   = 12
-	playEndpoints = 4
-	playWindows   = 5
-	playCrowd     = 120              // more than a quarter of the room for clients
-	playLongEvery = 7                // one message in so many is long, where any is
-	playLongBody  = 200 << 10        // bytes, beyond what is kept and sent again
-	crowdedSeeds  = 3                // one seed in so many, the first among them
-	endsWithin    = 20 * time.Second // behind the last fault: longer than any message may live
+	runClients          = 12
+	runEndpoints        = 4
+	faultWindows        = 5
+	idleConnections     = 120              // more than a quarter of the limit for clients
+	longMessageInterval = 7                // one in this many messages is long, in scenarios with long messages
+	longBodySize        = 200 << 10        // bytes, too many to be kept for a retry
+	crowdSeedInterval   = 3                // one in this many seeds has idle connections, beginning with the first
+	endTimeout          = 20 * time.Second // after the last fault: longer than the timeout of any message
 )
 
-func newPlay(t *testing.T, kind faultKind, seed uint64) *play {
-	p := &play{t: t, kind: kind, rng: rand.New(rand.NewPCG(seed, 7)), record: newRecord(), agent: &lab.Agent{}, crowd: seed%crowdedSeeds == 1}
-	p.agent.Told = p.record.told
-	for i := range playEndpoints {
+func newFaultRun(t *testing.T, scenario faultScenario, seed uint64) *faultRun {
+	p := &faultRun{t: t, scenario: scenario, rng: rand.New(rand.NewPCG(seed, 7)), record: newRecord(), agent: &lab.Agent{}, crowd: seed%crowdSeedInterval == 1}
+	p.agent.Told = p.record.reported
+	for i := range runEndpoints {
 		server := &lab.Endpoint{Name: fmt.Sprint("s", i), Group: i}
 		chance := rand.New(rand.NewPCG(seed, uint64(100+i)))
-		var guard sync.Mutex
+		var mu sync.Mutex
 		server.Handle = func(c *lab.Call) bool {
-			guard.Lock()
+			mu.Lock()
 			roll := chance.Float64()
-			guard.Unlock()
+			mu.Unlock()
 			return p.serve(c, roll)
 		}
 		must(t, server.Listen())
 		p.servers = append(p.servers, server)
 	}
 	must(t, p.agent.Listen(p.servers...))
-	p.f = &lab.Forwarder{Command: []string{os.Args[0]}, Env: []string{childMark + "=1"}, Host: siteHost(), Slots: 16, Amend: shortLives, Settings: kind.own}
+	p.f = &lab.Forwarder{Command: []string{os.Args[0]}, Env: []string{childProcessEnv + "=1"}, Host: uniqueHost(), Slots: 16, Amend: shortenTimeouts, Settings: scenario.own}
 	dir, err := filepath.EvalSymlinks(t.TempDir())
 	must(t, err)
 	must(t, p.f.Prepare(dir, p.agent))
@@ -141,19 +141,19 @@
 	return p
 }
 
-// shortLives gives messages some seconds, so that a play does not last long.
-func shortLives(configuration map[string]any) {
+// shortenTimeouts gives messages timeouts of a few seconds, so that a run is short.
+func shortenTimeouts(configuration map[string]any) {
 	settings := configuration["settings"].(map[string]any)
 	for _, class := range settings["services"].([]any) {
 		c := class.(map[string]any)
 		c["give-up"], c["key-ttl"], c["target"] = 4e6, 3e6, 1e6
 	}
 	limits := settings["limits"].(map[string]any)
-	limits["most-held"], limits["keepalive"] = 400, 2e6 // connections that rest are closed soon behind the play
+	limits["most-held"], limits["keepalive"] = 400, 2e6 // idle connections are closed soon after the run
 }
 
-// serve answers a call of the program: mostly as delivered, some as failed, turned away, or not at all.
-func (p *play) serve(c *lab.Call, roll float64) bool {
+// serve answers a call of the program: most as delivered, some as failed or refused, some not at all.
+func (p *faultRun) serve(c *lab.Call, roll float64) bool {
 	if c.ReadAll(0) != nil {
 		return false
 	}
@@ -167,7 +167,7 @@
 	case roll < 0.06:
 		p.record.called(c.ID, ran, false)
 		err = c.Answer(500, "")
-	case roll < 0.07: // no answer, and the connection ends
+	case roll < 0.07: // closes the connection without an answer
 		p.record.called(c.ID, ran, false)
 		return false
 	default:
@@ -177,8 +177,8 @@
 	return err == nil
 }
 
-// client hands messages in, one behind the other, on a kept connection or on a new one for each.
-func (p *play) client(number int) {
+// client submits messages one after another, reusing one connection or with a new one for each.
+func (p *faultRun) client(number int) {
 	keep := number%2 == 0
 	var conn *lab.Client
 	used := false // the connection has carried a request
@@ -188,21 +188,21 @@
 			var err error
 			if conn, err = lab.Dial(p.f.Address()); err != nil {
 				conn = nil
-				time.Sleep(5 * time.Millisecond) // as a client that was refused
+				time.Sleep(5 * time.Millisecond) // pause after a refused connection
 				continue
 			}
 		}
 		n := p.number.Add(1)
 		h := lab.Handover{
-			ID: fmt.Sprintf("m%06d", n), Key: fmt.Sprint("k", n), Class: classes[n%3], Destination: int(n % playEndpoints),
+			ID: fmt.Sprintf("m%06d", n), Key: fmt.Sprint("k", n), Class: classes[n%3], Destination: int(n % runEndpoints),
 			Left: 1500*time.Millisecond + time.Duration(n%5)*500*time.Millisecond, Body: lab.Content{Seed: uint64(n), Size: 200},
 		}
-		if p.kind.long && n%playLongEvery == 0 {
-			h.Body.Size = playLongBody
+		if p.scenario.long && n%longMessageInterval == 0 {
+			h.Body.Size = longBodySize
 		}
-		p.record.handing(h)
+		p.record.submitting(h)
 		a := conn.Hand(h, nil)
-		if crossed := used && a.Silent; crossed { // the program may have ended a resting connection: once more, on a new one
+		if crossed := used && a.Silent; crossed { // the program may have closed the idle connection: retry once on a new one
 			conn.Close()
 			if again, err := lab.Dial(p.f.Address()); err == nil {
 				conn = again
@@ -214,19 +214,19 @@
 			conn.Close()
 			conn, used = nil, false
 		}
-		time.Sleep(4 * time.Millisecond) // the pace of one client
+		time.Sleep(4 * time.Millisecond) // limits the rate of a client
 	}
 	if conn != nil {
 		conn.Close()
 	}
 }
 
-// rest keeps one connection open that asks for nothing, and opens another where it is ended.
-func (p *play) rest() {
+// holdIdleConnection keeps an idle connection open, and opens another when it is closed.
+func (p *faultRun) holdIdleConnection() {
 	for !p.stop.Load() {
 		conn, err := net.Dial("tcp", p.f.Address())
 		if err != nil {
-			time.Sleep(50 * time.Millisecond) // as a client that was refused
+			time.Sleep(50 * time.Millisecond) // pause after a refused connection
 			continue
 		}
 		ended := make(chan struct{})
@@ -235,7 +235,7 @@
 			select {
 			case <-ended:
 				open = false
-			case <-time.After(50 * time.Millisecond): // whether the play has ended
+			case <-time.After(50 * time.Millisecond): // poll interval for the end of the run
 			}
 		}
 		conn.Close()
@@ -243,31 +243,32 @@
 	}
 }
 
-// run plays windows of faults under load, waits until everything has ended, and gives what broke a rule.
-func (p *play) run() []string {
+// run runs the fault windows under load, waits until all messages have ended, and returns the violations of delivery
+// rules.
+func (p *faultRun) run() []string {
 	var clients sync.WaitGroup
-	for i := range playClients {
+	for i := range runClients {
 		clients.Go(func() { p.client(i) })
 	}
 	if p.crowd {
-		for range playCrowd {
-			clients.Go(p.rest)
+		for range idleConnections {
+			clients.Go(p.holdIdleConnection)
 		}
 	}
-	windows := playWindows
-	if p.kind.stop {
+	windows := faultWindows
+	if p.scenario.stop {
 		windows = 2
 	}
 	for range windows {
 		p.fillLog()
-		time.Sleep(time.Duration(200+p.rng.IntN(300)) * time.Millisecond) // calm between two faults
-		p.faults.Set(p.kind.rules(0.05 + 0.85*p.rng.Float64())...)
-		time.Sleep(time.Duration(300+p.rng.IntN(500)) * time.Millisecond) // how long calls fail
-		if p.kind.kill || p.kind.stop {
+		time.Sleep(time.Duration(200+p.rng.IntN(300)) * time.Millisecond) // without faults between two windows
+		p.faults.Set(p.scenario.rules(0.05 + 0.85*p.rng.Float64())...)
+		time.Sleep(time.Duration(300+p.rng.IntN(500)) * time.Millisecond) // length of the fault window
+		if p.scenario.kill || p.scenario.stop {
 			p.end()
 			restarted := make(chan error, 1)
 			go func() { restarted <- p.f.Start() }()
-			time.Sleep(time.Duration(100+p.rng.IntN(300)) * time.Millisecond) // the start falls into the fault
+			time.Sleep(time.Duration(100+p.rng.IntN(300)) * time.Millisecond) // the start falls into the fault window
 			p.faults.Set()
 			must(p.t, <-restarted)
 		}
@@ -280,38 +281,38 @@
 	p.checkNothingLeft()
 	counts := p.faults.Counts()
 	must(p.t, p.f.End(syscall.SIGTERM))
-	taken, latest := p.record.taken()
-	p.t.Logf("%d messages taken on, the latest end %v behind its time, calls that failed: %v", taken, latest, counts)
+	acceptedCount, latest := p.record.acceptedCount()
+	p.t.Logf("%d messages accepted, the latest end %v after its deadline, failed calls: %v", acceptedCount, latest, counts)
 	if len(counts) == 0 {
-		p.t.Error("no call has failed")
+		p.t.Error("no call failed")
 	}
 	return p.record.broken()
 }
 
-// fillLog has nobody read the log any more, and the program log more than its pipe and its queue hold.
-func (p *play) fillLog() {
-	if !p.kind.mute {
+// fillLog stops reading the log and makes the program log more than its pipe and its queue hold.
+func (p *faultRun) fillLog() {
+	if !p.scenario.logUnread {
 		return
 	}
 	p.f.PauseLog()
 	const times = 600
 	for range times {
 		must(p.t, p.f.Signal(syscall.SIGUSR1))
-		time.Sleep(500 * time.Microsecond) // signals that come at once are one
+		time.Sleep(500 * time.Microsecond) // pending signals of one kind are merged
 	}
 }
 
-// killNoSooner is when SIGKILL comes behind SIGTERM, at the earliest.
-const killNoSooner = 3700 * time.Millisecond
+// killDelay is the shortest time from SIGTERM to SIGKILL on the platform.
+const killDelay = 3700 * time.Millisecond
 
-// end ends the program by a signal, or by two.
-func (p *play) end() {
-	if p.kind.stop {
+// end ends the program with SIGKILL, or with a stop signal followed by SIGKILL.
+func (p *faultRun) end() {
+	if p.scenario.stop {
 		for _, sig := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGUSR1, syscall.SIGTERM, syscall.SIGHUP} {
 			must(p.t, p.f.Signal(sig))
 		}
 		p.record.killed()
-		time.Sleep(killNoSooner) // as the platform does
+		time.Sleep(killDelay) // like the platform
 		_ = p.f.Signal(syscall.SIGKILL)
 		_ = p.f.Wait()
 		p.record.killed()
@@ -321,12 +322,13 @@
 	p.record.killed()
 }
 
-// checkNothingLeft holds what the program still has, once all has ended, against what it should.
-func (p *play) checkNothingLeft() {
+// checkNothingLeft checks that the program has released messages, calls, descriptors and disk space once all messages
+// have ended.
+func (p *faultRun) checkNothingLeft() {
 	must(p.t, p.f.AwaitCounter("in", "held", 0))
 	must(p.t, p.f.AwaitCounter("sent", "out", 0))
-	const mostFiles, mostBytes = 64, 3e6                                           // 8 for the journal, and the connections that rest
-	for until := time.Now().Add(endsWithin); ; time.Sleep(20 * time.Millisecond) { // until those that only rest are closed
+	const mostFiles, mostBytes = 64, 3e6                                           // 8 for the journal, and idle connections
+	for until := time.Now().Add(endTimeout); ; time.Sleep(20 * time.Millisecond) { // until idle connections are closed
 		files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.f.Pid()))
 		if err != nil || time.Now().After(until) {
 			p.t.Errorf("%d descriptors stay open at the end, %v", len(files), err)
@@ -347,17 +349,17 @@
 	return errors.Join(errors.New("the program had ended before it was killed"), err)
 }
 
-// awaitEnds waits until all that was taken on has ended, or until everything's time is long up.
-func (p *play) awaitEnds() {
-	for until := time.Now().Add(endsWithin); time.Now().Before(until); {
-		if len(p.record.open()) == 0 {
+// awaitEnds waits until all accepted messages have ended, or until all deadlines have passed long ago.
+func (p *faultRun) awaitEnds() {
+	for until := time.Now().Add(endTimeout); time.Now().Before(until); {
+		if len(p.record.unfinished()) == 0 {
 			return
 		}
-		time.Sleep(20 * time.Millisecond) // polls the records
+		time.Sleep(20 * time.Millisecond) // poll interval
 	}
 }
 
-func (p *play) close() {
+func (p *faultRun) close() {
 	p.f.Kill()
 	for _, s := range p.servers {
 		s.Close()
@@ -365,11 +367,11 @@
 	p.agent.Close()
 }
 
-func playFaults(t *testing.T, kind faultKind) {
+func runFaults(t *testing.T, scenario faultScenario) {
 	t.Parallel()
 	for i := range uint64(*sysfaultSeeds) {
 		seed := *sysfaultFirst + i
-		p := newPlay(t, kind, seed)
+		p := newFaultRun(t, scenario, seed)
 		broken := p.run()
 		for i, line := range broken {
 			if i == 10 {
@@ -388,10 +390,10 @@
 	}
 }
 
-// faultySite is a forwarder whose system calls a test can make fail, with one endpoint.
-func faultySite(t *testing.T) (*journalSite, *sysfault.Supervisor) {
+// newFaultyForwarder returns a forwarder with one endpoint, and the supervisor that makes its system calls fail.
+func newFaultyForwarder(t *testing.T) (*labForwarder, *sysfault.Supervisor) {
 	t.Helper()
-	s := prepareJournalSite(t, "")
+	s := prepareLabForwarder(t, "")
 	folder, err := filepath.EvalSymlinks(s.state)
 	must(t, err)
 	faults := sysfault.NewSupervisor(1, folder, s.f.Address())
@@ -399,13 +401,13 @@
 	return s, faults
 }
 
-// Guards against a start that exits, and leaves what was taken on, because the disk fails for a moment (incident 10321).
-func TestAStartOutlastsAFailingDisk(t *testing.T) {
+// Guards against a start that exits and abandons accepted messages because of a transient disk error (incident 10321).
+func TestStartRetriesDiskErrors(t *testing.T) {
 	t.Parallel()
-	s, faults := faultySite(t)
+	s, faults := newFaultyForwarder(t)
 	must(t, s.f.Start())
 	s.p.Down()
-	if a := s.hand(t, "safe", 100); a.Status != 202 {
+	if a := s.submit(t, "safe", 100); a.Status != 202 {
 		t.Fatalf("%+v", a)
 	}
 	_ = s.f.End(syscall.SIGKILL)
@@ -419,10 +421,11 @@
 	s.finish(t)
 }
 
-// Guards against a reload that is lost because its file cannot be read for a moment: discovery would stay where it is gone.
-func TestAReloadOutlastsAFailingRead(t *testing.T) {
+// Guards against a reload that is lost because of a transient read error: the forwarder would keep an address where
+// discovery no longer answers.
+func TestReloadRetriesReadErrors(t *testing.T) {
 	t.Parallel()
-	s, faults := faultySite(t)
+	s, faults := newFaultyForwarder(t)
 	must(t, s.f.Start())
 	moved := &lab.Agent{}
 	must(t, moved.Listen(s.p))
@@ -440,10 +443,10 @@
 	s.finish(t)
 }
 
-// Guards against an end that is reported too late because no connection to the platform can be opened just then.
-func TestAReportNeedsNoNewConnection(t *testing.T) {
+// Guards against a delivery report that comes too late because no new connection to the platform can be opened.
+func TestReportUsesOpenConnection(t *testing.T) {
 	t.Parallel()
-	s, faults := faultySite(t)
+	s, faults := newFaultyForwarder(t)
 	failing := &atomic.Bool{}
 	s.p.Handle = func(c *lab.Call) bool {
 		if c.ReadAll(0) != nil {
@@ -455,7 +458,7 @@
 		return c.Answer(200, "") == nil
 	}
 	must(t, s.f.Start())
-	if a := s.hand(t, "unsafe", 100); a.Status != 202 { // opens the connection to the endpoint
+	if a := s.submit(t, "unsafe", 100); a.Status != 202 { // opens the connection to the endpoint
 		t.Fatalf("%+v", a)
 	}
 	must(t, s.f.AwaitCounter("sent", "ok", 1))
@@ -464,24 +467,25 @@
 		Calls: []sysfault.Call{sysfault.Socket, sysfault.Connect}, Places: []sysfault.Place{sysfault.Outgoing},
 		Errors: []unix.Errno{unix.ENETUNREACH}, Chance: 1,
 	})
-	if a := s.hand(t, "unsafe", 100); a.Status != 202 {
+	if a := s.submit(t, "unsafe", 100); a.Status != 202 {
 		t.Fatalf("%+v", a)
 	}
-	must(t, s.f.AwaitCounter("notices", "acknowledged", 1)) // no connection can be opened all the time
+	must(t, s.f.AwaitCounter("notices", "acknowledged", 1)) // while no connection can be opened
 	faults.Set()
 	s.finish(t)
 }
 
-// Guards against attempts used up, and an endpoint held for unreachable, because this machine has no socket for a moment.
-func TestACallWaitsForASocket(t *testing.T) {
+// Guards against used-up attempts, and an endpoint considered unreachable, because this machine temporarily has no
+// socket.
+func TestCallWaitsForSocket(t *testing.T) {
 	t.Parallel()
 	for _, errno := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM} {
-		s, faults := faultySite(t)
+		s, faults := newFaultyForwarder(t)
 		must(t, s.f.Start())
 		faults.Set(sysfault.Rule{
 			Calls: []sysfault.Call{sysfault.Socket}, Places: []sysfault.Place{sysfault.Outgoing}, Errors: []unix.Errno{errno}, Chance: 1,
 		})
-		if a := s.hand(t, "unsafe", 100); a.Status != 202 {
+		if a := s.submit(t, "unsafe", 100); a.Status != 202 {
 			t.Fatalf("%+v", a)
 		}
 		must(t, s.f.AwaitCounterOver("endpoints", "no_room", 2))
@@ -496,79 +500,85 @@
 	}
 }
 
-// Guards against messages that are taken on and never decided on while the disk fails for a moment (incident 10321).
+// Guards against accepted messages that never end because of transient disk errors (incident 10321).
 func TestDiskFaultsLoseNothing(t *testing.T) {
-	playFaults(t, faultKind{name: "disk", rules: diskRules})
+	runFaults(t, faultScenario{name: "disk", rules: diskRules})
 }
 
-// Guards against ends that are told and forgotten, and records out of order, when a kill comes while the disk fails (incident 10321).
+// Guards against ends that are reported and then forgotten, and against records out of order, after a kill while the
+// disk fails (incident 10321).
 func TestDiskFaultsAndKillsLoseNothing(t *testing.T) {
-	playFaults(t, faultKind{name: "disk and kill", kill: true, rules: diskRules})
+	runFaults(t, faultScenario{name: "disk and kill", kill: true, rules: diskRules})
 }
 
-// Guards against answers that are cut short or missing when reads, writes and shutdowns of clients' connections fail for a moment.
+// Guards against truncated or missing responses when reads, writes and shutdowns of client connections temporarily
+// fail.
 func TestClientFaultsLoseNothing(t *testing.T) {
-	playFaults(t, faultKind{name: "client", rules: clientRules})
+	runFaults(t, faultScenario{name: "client", rules: clientRules})
 }
 
-// Guards against messages lost, or connections in use that are closed, while accept, socket and connect fail.
+// Guards against lost messages, and connections closed while in use, when accept, socket and connect fail.
 func TestAcceptFaultsLoseNothing(t *testing.T) {
-	playFaults(t, faultKind{name: "accept", rules: acceptRules})
+	runFaults(t, faultScenario{name: "accept", rules: acceptRules})
 }
 
-// Guards against a second effect of an unsafe message, and slots that are lost, while calls to endpoints and discovery fail.
+// Guards against an unsafe message that runs twice, and leaked slots, when calls to endpoints and discovery fail.
 func TestEndpointFaultsLoseNothing(t *testing.T) {
-	playFaults(t, faultKind{name: "endpoint", rules: endpointRules})
+	runFaults(t, faultScenario{name: "endpoint", rules: endpointRules})
 }
 
-// Guards against answers and ends that are missing where the program is told to stop while calls fail, clients go on using their open
-// connections, and the kill comes as early as it may.
+// Guards against missing responses and ends when the program is stopped while system calls fail, clients keep using
+// their open connections, and SIGKILL comes as early as the platform may send it.
 func TestStopsUnderFaultsLoseNothing(t *testing.T) {
-	playFaults(t, faultKind{name: "stop", stop: true, rules: allRules})
+	runFaults(t, faultScenario{name: "stop", stop: true, rules: allRules})
 }
 
-// Guards against faults that meet: disk, clients, endpoints and accept at once, with kills between.
+// Guards against faults that coincide: disk, clients, endpoints and accept at once, with kills.
 func TestAllFaultsAndKillsLoseNothing(t *testing.T) {
-	playFaults(t, faultKind{name: "all", kill: true, rules: allRules})
+	runFaults(t, faultScenario{name: "all", kill: true, rules: allRules})
 }
 
-// Guards against what was learned of ids or partners, and is wrong or lost behind a start, having a message called again or forgotten.
+// Guards against learned state of ids or destinations that is wrong or lost after a restart, so that a message is
+// called again or forgotten.
 func TestLearnedStateUnderFaultsLosesNothing(t *testing.T) {
-	playFaults(t, faultKind{name: "learned", kill: true, rules: allRules, own: "[learned]\ninterval = \"200ms\"\n"})
+	runFaults(t, faultScenario{name: "learned", kill: true, rules: allRules, own: "[learned]\ninterval = \"200ms\"\n"})
 }
 
-// Guards against long messages without an answer, and windows or slots that are lost, while the disk and calls to endpoints fail.
+// Guards against long messages without a response, and leaked windows or slots, when the disk and calls to endpoints
+// fail.
 func TestLongBodiesUnderFaultsLoseNothing(t *testing.T) {
 	rules := func(chance float64) []sysfault.Rule { return slices.Concat(diskRules(chance), endpointRules(chance)) }
-	playFaults(t, faultKind{name: "long bodies", rules: rules, long: true, own: "[bodies]\nslots = 4\n"})
+	runFaults(t, faultScenario{name: "long bodies", rules: rules, long: true, own: "[bodies]\nslots = 4\n"})
 }
 
-// Guards against long messages without a whole answer while reads and writes of clients' connections fail for a moment.
+// Guards against long messages without a complete response when reads and writes of client connections temporarily
+// fail.
 func TestLongBodiesOfFailingClientsLoseNothing(t *testing.T) {
-	playFaults(t, faultKind{name: "long bodies, client", rules: clientRules, long: true, own: "[bodies]\nslots = 4\n"})
+	runFaults(t, faultScenario{name: "long bodies, client", rules: clientRules, long: true, own: "[bodies]\nslots = 4\n"})
 }
 
-// Guards against a process that takes nothing on until somebody restarts it, because one sync has failed, and against what it had promised being lost.
-func TestAFailedSyncEndsTheProcessForTheNext(t *testing.T) {
+// Guards against a process that accepts no more messages until a manual restart because one sync failed, and against
+// the loss of messages that it had accepted.
+func TestFailedSyncEndsProcess(t *testing.T) {
 	for _, durability := range []string{"batch", "each"} {
 		t.Run(durability, func(t *testing.T) {
 			t.Parallel()
-			s := prepareJournalSite(t, fmt.Sprintf("[journal]\ndurability = %q\n", durability))
+			s := prepareLabForwarder(t, fmt.Sprintf("[journal]\ndurability = %q\n", durability))
 			folder, err := filepath.EvalSymlinks(s.state)
 			must(t, err)
 			faults := sysfault.NewSupervisor(1, folder, s.f.Address())
 			s.f.Attach = faults.Attach
 			must(t, s.f.Start())
 			s.p.Down()
-			if a := s.hand(t, "safe", 100); a.Status != 202 {
+			if a := s.submit(t, "safe", 100); a.Status != 202 {
 				t.Fatalf("%+v", a)
 			}
 			faults.Set(sysfault.Rule{
 				Calls: []sysfault.Call{sysfault.Sync}, Places: []sysfault.Place{sysfault.StateFile}, Errors: []unix.Errno{unix.EIO}, Chance: 1,
 			})
 			s.f.OnLine("a sync has failed", func() { faults.Set() })
-			if a := s.hand(t, "safe", 100); a.Status == 202 {
-				t.Errorf("taken on without a sync: %+v", a)
+			if a := s.submit(t, "safe", 100); a.Status == 202 {
+				t.Errorf("accepted without a sync: %+v", a)
 			}
 			var exit *exec.ExitError
 			if err := s.f.Wait(); !errors.As(err, &exit) || exit.ExitCode() != 1 {
@@ -576,20 +586,21 @@
 			}
 			must(t, s.f.Start())
 			must(t, s.p.Up())
-			if a := s.hand(t, "safe", 100); a.Status != 202 {
-				t.Errorf("the next life: %+v", a)
+			if a := s.submit(t, "safe", 100); a.Status != 202 {
+				t.Errorf("the next process: %+v", a)
 			}
 			s.finish(t)
 		})
 	}
 }
 
-// Guards against messages that are lost, or not answered, where nobody reads the log, calls fail and the program is killed and started again.
-func TestAFullLogUnderFaultsLosesNothing(t *testing.T) {
-	playFaults(t, faultKind{name: "unread log", kill: true, rules: allRules, mute: true})
+// Guards against lost or unanswered messages when the log is not read, system calls fail and the program is killed and
+// restarted.
+func TestFullLogUnderFaultsLosesNothing(t *testing.T) {
+	runFaults(t, faultScenario{name: "unread log", kill: true, rules: allRules, logUnread: true})
 }
 
-// Guards against a stop that a full log holds up, among failing calls and signals in series.
+// Guards against a stop that blocks on a full log, with failing system calls and several signals.
 func TestStopsWithAFullLogLoseNothing(t *testing.T) {
-	playFaults(t, faultKind{name: "unread log, stop", stop: true, rules: allRules, mute: true})
+	runFaults(t, faultScenario{name: "unread log, stop", stop: true, rules: allRules, logUnread: true})
 }
