--- a/cmd/larkreach/fleet_config_test.go
+++ b/cmd/larkreach/fleet_config_test.go
@@ -17,7 +17,8 @@
 
 const pollInterval = 10 * time.Millisecond
 
-// configFleet is five members, two of which ask through a relay, with an endpoint that discovery lists and one that it does not.
+// configFleet is a fleet of five members, two of which use a relay, with an endpoint in the discovery list and one that
+// is not.
 type configFleet struct {
 	*testFleet
 	unlisted *lab.Endpoint
@@ -28,7 +29,7 @@
 	f := newFleetOf(t, cluster.Setup{Members: 5, Relays: 1, Extra: longLease}, &lab.Endpoint{Name: "p"})
 	unlisted := &lab.Endpoint{Name: "q", Group: cluster.Group}
 	must(t, unlisted.Listen())
-	f.Partners = append(f.Partners, unlisted) // it is looked at, and closed, with the others
+	f.Partners = append(f.Partners, unlisted) // it is checked and closed with the others
 	return &configFleet{f, unlisted}
 }
 
@@ -40,7 +41,7 @@
 	return out, status
 }
 
-// committed has a command succeed, in force everywhere.
+// committed runs a command and fails the test unless its change comes into force on all members.
 func (f *configFleet) committed(i int, args ...string) {
 	f.t.Helper()
 	if out, status := f.config(i, append(args, "--wait", "30s")...); status != 0 || !strings.Contains(out, "in force on all") {
@@ -48,7 +49,7 @@
 	}
 }
 
-// file writes entries.
+// file writes a file of entries and returns its path.
 func (f *configFleet) file(text string) string {
 	f.t.Helper()
 	path := filepath.Join(f.t.TempDir(), "entries.toml")
@@ -56,12 +57,12 @@
 	return path
 }
 
-// destination is a file that has the unlisted endpoint alone.
+// destination returns a file of entries in which the unlisted endpoint is the only one.
 func (f *configFleet) destination() string {
 	return f.file(fmt.Sprintf("[[destination.%d.endpoint]]\nname = \"q\"\naddress = %q\ncapacity = 50\n", cluster.Group, f.unlisted.Address()))
 }
 
-// inForce waits until what is committed is in force everywhere, as a member is told.
+// inForce waits until a member reports the committed configuration as in force on all members.
 func (f *configFleet) inForce(i int) {
 	f.t.Helper()
 	for {
@@ -82,20 +83,20 @@
 	return s.State.Configured
 }
 
-// goTo hands a message in at each member and wants it at an endpoint.
+// expectDeliveredTo submits a message at each member and waits until it reaches the endpoint.
 func (f *configFleet) expectDeliveredTo(want *lab.Endpoint, members ...int) {
 	f.t.Helper()
 	for _, i := range members {
 		id := f.submit(i, "safe")
 		for !arrivedAt(want, id) {
 			if !lab.Sleep(f.ctx, pollInterval) {
-				f.t.Fatalf("%s did not come to %s", id, want.Name)
+				f.t.Fatalf("%s did not reach %s", id, want.Name)
 			}
 		}
 	}
 }
 
-// leads is the number of the member that leads the control plane.
+// leaderOf returns the number of the member that leads the control plane.
 func (f *configFleet) leaderOf() int {
 	f.t.Helper()
 	for i := range f.Members {
@@ -103,7 +104,7 @@
 			return i
 		}
 	}
-	f.t.Fatal("nobody leads")
+	f.t.Fatal("no member leads")
 	return -1
 }
 
@@ -116,8 +117,8 @@
 	return false
 }
 
-// A destination that is configured through one member is gone to by all, those behind a relay as well, one that was down meanwhile, and after
-// the leader's end; what is removed goes by discovery again.
+// A destination configured through one member is used by all members, also behind a relay, after downtime and after the
+// loss of the leader. After its removal the discovery list applies again.
 func TestFleetConfiguration(t *testing.T) {
 	t.Parallel()
 	f := newConfigFleet(t)
@@ -129,7 +130,7 @@
 	}
 	must(t, f.Start(4))
 	must(t, f.AwaitCopied(f.ctx, f.All()...))
-	f.expectDeliveredTo(f.unlisted, 4) // it takes nothing on before it has what was decided without it
+	f.expectDeliveredTo(f.unlisted, 4) // it accepts no message before it has the configuration committed during its downtime
 	f.inForce(4)
 	f.expectDeliveredTo(f.unlisted, f.All()...)
 	f.committed(4, "remove", "destination/7")
@@ -143,7 +144,7 @@
 	}))
 	out, status := f.config(other, "apply", f.destination(), "--wait", "1ms")
 	if status != 1 || !strings.Contains(out, "committed as revision") && !strings.Contains(out, "committed; ") {
-		t.Errorf("a change that nobody waited for: status %d, %s", status, out)
+		t.Errorf("a change not awaited to its end: status %d, %s", status, out)
 	}
 	must(t, f.Start(leader))
 	must(t, f.AwaitCopied(f.ctx, f.All()...))
@@ -152,8 +153,9 @@
 	f.checkRules(f.All()...)
 }
 
-// What can't be used is not committed and named in one line; of two operators one is told; an entry that members refuse is reported with the
-// reason while the one before stays in force; a class above its rate is refused with a time to come again.
+// An invalid file is not committed and is reported in one line. Of two concurrent changes one is rejected. An entry
+// that members refuse is reported with the reason while the previous one stays in force. Messages above the rate of a
+// class get Retry-After.
 func TestFleetConfigurationRefused(t *testing.T) {
 	t.Parallel()
 	f := newConfigFleet(t)
@@ -162,7 +164,7 @@
 		t.Errorf("a file with an unknown key: status %d, %s", status, out)
 	}
 	if out, status := f.config(0, "remove", "class/safe"); status != 1 || !strings.Contains(out, "nothing was committed") {
-		t.Errorf("an entry that is not there: status %d, %s", status, out)
+		t.Errorf("a missing entry: status %d, %s", status, out)
 	}
 	if revision := f.revision(0); revision != 0 {
 		t.Errorf("something was committed: revision %d", revision)
--- a/cmd/larkreach/fleet_faults_test.go
+++ b/cmd/larkreach/fleet_faults_test.go
@@ -17,14 +17,15 @@
 	"mulleinbeam/internal/routing/wal"
 )
 
-// newLife waits until a member is in a later life than it was, and may act.
+// awaitNewIncarnation waits until a member has a lease in a later incarnation than was.
 func (f *testFleet) awaitNewIncarnation(i int, was uint64) {
 	f.t.Helper()
-	must(f.t, f.Await(f.ctx, i, "another life", func(s node.Status) bool { return s.MayAct && s.Life.Number > was }))
+	must(f.t, f.Await(f.ctx, i, "another incarnation", func(s node.Status) bool { return s.MayAct && s.Life.Number > was }))
 }
 
-// A member that reaches its keeper, its clients and the partner, but nobody of the council: it has no lease, so what others hold
-// copies of is left alone and taken over, strict classes are refused; when the way is back it goes on under another life.
+// A member reaches its replica, its clients and the endpoint, but no voter of the control plane: without a lease it
+// suspends replicated messages, which are taken over, and refuses replicated classes. When the connection is back it
+// continues as a new incarnation.
 func TestFleetCutFromControlPlaneOnly(t *testing.T) {
 	t.Parallel()
 	g := newGate()
@@ -50,8 +51,8 @@
 	f.checkDelivered(append(waiting, out)...)
 }
 
-// The fleet falls into two halves. Members on the side that has a majority of the council go on with all classes, whoever they are;
-// those on the other side stop, and what they owed goes on where it was kept.
+// The fleet is partitioned. Members on the side with a majority of the voters continue with all classes; those on the
+// other side stop, and their messages are taken over by their replicas.
 func TestFleetMajorityOnOneSide(t *testing.T) {
 	t.Parallel()
 	g := newGate()
@@ -67,20 +68,20 @@
 		incarnations[i] = incarnation
 	}
 	must(t, f.AwaitCopied(f.ctx, f.All()...))
-	f.Split(2, 4) // 0, 1 and 3 have two founders of three
+	f.Split(2, 4) // 0, 1 and 3 have two voters of three
 	for _, i := range []int{2, 4} {
 		must(t, f.Await(f.ctx, i, "end of its lease", func(s node.Status) bool { return !s.MayAct }))
 		if id, a := f.Hand(i, "unsafe", 20*time.Second); a.Status != 503 {
 			t.Errorf("%s at n%d was answered %d on the side without a majority", id, i, a.Status)
 		}
 	}
-	must(t, f.AwaitCopied(f.ctx, 3)) // by one on its side
+	must(t, f.AwaitCopied(f.ctx, 3)) // by a replica on its side
 	waiting = append(waiting, f.submit(3, "unsafe"))
 	if incarnation, err := f.Life(3); err != nil || incarnation != incarnations[3] {
-		t.Errorf("n3 is in life %d, was in %d, %v", incarnation, incarnations[3], err)
+		t.Errorf("n3 is in incarnation %d, was in %d, %v", incarnation, incarnations[3], err)
 	}
-	for _, i := range []int{2, 4} { // who keeps their copies may be on either side
-		must(t, f.Await(f.ctx, 0, "end of a life", func(s node.Status) bool { return !s.State.Members[f.Members[i].Name].Alive }))
+	for _, i := range []int{2, 4} { // their replicas may be on either side
+		must(t, f.Await(f.ctx, 0, "end of an incarnation", func(s node.Status) bool { return !s.State.Members[f.Members[i].Name].Alive }))
 	}
 	g.release()
 	f.Heal()
@@ -91,12 +92,13 @@
 	f.checkDelivered(waiting...)
 }
 
-// The keeper has a record on its disk, its acknowledgement is lost, and it dies; later its folder is put back to what it was before
-// records that it did acknowledge. Each time what counts is sent anew, before its copy is all that is left.
+// A replica stores a record, its acknowledgement is lost, and it dies; later its folder is rolled back to a state
+// before records that it had acknowledged. Each time the missing records are sent again, before the replica is all that
+// is left.
 func TestFleetReplicaRolledBack(t *testing.T) {
 	t.Parallel()
 	g := newGate()
-	f := newFleet(t, cluster.Setup{Members: 4, Amend: slots(1), Extra: "patience = \"30s\""}, g) // no other is chosen meanwhile
+	f := newFleet(t, cluster.Setup{Members: 4, Amend: slots(1), Extra: "patience = \"30s\""}, g) // no other replica is chosen meanwhile
 	out := f.submit(3, "unsafe")
 	<-g.calls
 	waiting := []string{f.submit(3, "unsafe")}
@@ -138,7 +140,7 @@
 	must(t, f.Start(replica))
 	must(t, f.AwaitCopied(f.ctx, 3))
 	if now, err := f.Life(3); err != nil || now != incarnation {
-		t.Errorf("n3 went from life %d to %d, %v", incarnation, now, err)
+		t.Errorf("n3 went from incarnation %d to %d, %v", incarnation, now, err)
 	}
 	f.loseMember(3, replica)
 	g.release()
@@ -146,8 +148,8 @@
 	f.checkDelivered(append(waiting, out)...)
 }
 
-// A member of a later version, whose clock is an hour behind, belongs to the fleet and dies: its records of a kind that is not known
-// here are kept with their message, counted, and take nothing from it; what it owed goes on inside its time, and only there.
+// A member of a later version whose clock is an hour behind joins the fleet and dies. Its records of an unknown kind
+// are stored with their message and counted, and do not affect it. Its messages are sent only before their deadlines.
 func TestFleetLaterVersion(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, cluster.Setup{Members: 3}, nil)
@@ -165,11 +167,11 @@
 		return &wal.Message{Seq: seq, ID: id, Key: id, Class: class, Destination: cluster.Group, Deadline: clock().Add(15 * time.Second), Body: []byte("b")}
 	}
 	owed, ran := message(1, "unsafe-later", "unsafe"), message(2, "keyed-later", "keyed")
-	ran.Attempts, ran.MayRun, ran.RanAt = 1, true, clock().Add(-time.Minute) // its window is over
+	ran.Attempts, ran.MayRun, ran.RanAt = 1, true, clock().Add(-time.Minute) // its deduplication window has ended
 	var ack replication.Ack
 	must(t, p.Call(f.ctx, "Copies.Append", replication.Batch{Life: incarnation}, &ack))
 	batch := replication.Batch{Life: incarnation, Shelf: ack.Shelf, Clock: clock().UnixNano(), Snapshot: 1, Last: true, UpTo: 3}
-	batch.Records = []replication.Record{{Payload: wal.Condense(owed)[0]}, {Payload: []byte{200, 1, 42}}} // a kind of tomorrow, of message 1
+	batch.Records = []replication.Record{{Payload: wal.Condense(owed)[0]}, {Payload: []byte{200, 1, 42}}} // a record of a later kind, about message 1
 	for _, r := range wal.Condense(ran) {
 		batch.Records = append(batch.Records, replication.Record{Payload: r})
 	}
@@ -185,19 +187,19 @@
 		}
 		return false
 	}))
-	must(t, f.AwaitDone(f.ctx, 0, "later", incarnation.Number)) // it asks for no lease
+	must(t, f.AwaitDone(f.ctx, 0, "later", incarnation.Number)) // it requests no lease
 	must(t, f.AwaitSettled(0, 1, 2))
 	f.checkDelivered(owed.ID)
 	if n := f.arrivals(); n[owed.ID] != 1 || n[ran.ID] != 0 {
 		t.Errorf("%d and %d calls", n[owed.ID], n[ran.ID])
 	}
 	if n := f.Agent.Notices(); len(n) != 1 || n[0].Message != ran.ID || n[0].Outcome != "given_up" {
-		t.Errorf("notices %+v", n)
+		t.Errorf("delivery reports %+v", n)
 	}
 }
 
-// One returns with its folder when all that it owed is over elsewhere, and even the ids are forgotten there: it sends and tells nothing
-// of what the folder still says.
+// A member returns with its folder after its messages have ended elsewhere and their ids have expired there: it neither
+// sends nor reports the messages in its folder.
 func TestFleetReturnAfterIDsExpire(t *testing.T) {
 	t.Parallel()
 	g := newGate()
@@ -225,7 +227,7 @@
 	must(t, f.AwaitDone(f.ctx, 0, "n2", incarnation))
 	g.release()
 	must(t, f.AwaitSettled(0, 1))
-	for i := range 2 { // whoever took over has what it knows kept at the other
+	for i := range 2 { // the members that took over are replicas of each other
 		must(t, f.Await(f.ctx, i, "forgotten ids", func(s node.Status) bool {
 			for _, c := range s.Copies {
 				if c.Past > 0 || c.Messages > 0 {
@@ -245,8 +247,8 @@
 	}
 }
 
-// An owner whose folder is an older copy returns together with its keepers, one of which has a damaged copy and one an older one, in either
-// order: nothing that was taken on is lost, nothing that began goes again where it may not.
+// An owner with a rolled back folder returns together with its replicas, one damaged and one outdated, in either order:
+// no accepted message is lost, and no started unsafe message is sent again.
 func TestFleetReplicasThatDiffer(t *testing.T) {
 	t.Parallel()
 	for _, ownerFirst := range []bool{true, false} {
@@ -265,8 +267,8 @@
 			<-g.calls
 			waiting := []string{f.submit(3, "unsafe"), f.submit(3, "keyed")}
 			must(t, f.AwaitCopied(f.ctx, 3))
-			must(t, f.Kill(second)) // its copy is an older one from here on
-			must(t, f.Await(f.ctx, 3, "another keeper", func(s node.Status) bool {
+			must(t, f.Kill(second)) // its replica is outdated from here on
+			must(t, f.Await(f.ctx, 3, "another replica", func(s node.Status) bool {
 				counts := 0
 				for _, k := range s.Keepers {
 					if k.Counts && int(k.Name[1]-'0') != second && k.Has == k.Of {
--- a/cmd/larkreach/fleet_places_test.go
+++ b/cmd/larkreach/fleet_places_test.go
@@ -16,9 +16,10 @@
 	"mulleinbeam/internal/lab/cluster"
 )
 
-// Harder days of the plan: ways that are cut, members that are ill themselves, orders and releases in the middle of a failover.
+// Tests of the plan under combined faults: cut paths, members with bad networks, operator orders and releases during a
+// failover.
 
-// still waits until calls have come to sites, so many to each, from now on.
+// awaitCalls waits until each of the sites has received that many more calls.
 func (f *testFleet) awaitCalls(calls int, sites ...int) {
 	f.t.Helper()
 	for _, k := range sites {
@@ -30,26 +31,26 @@
 	}
 }
 
-// sees waits until a member sees something of the plan.
+// awaitPlan waits until a condition on the plan holds at a member.
 func (f *testFleet) awaitPlan(i int, what string, holds func(node.PlanStatus) bool) {
 	f.t.Helper()
 	must(f.t, f.AwaitPlan(f.ctx, i, what, holds))
 }
 
-// moved counts moves as a member has heard of them.
+// moveCount counts the moves of a kind and place in the history of a member.
 func (f *testFleet) moveCount(i int, kind, place string) (n int) {
 	f.awaitPlan(i, "history", func(s node.PlanStatus) bool { n = countMoves(s, kind, place); return true })
 	return n
 }
 
-// over ends the load and holds all that was seen against the rules.
+// finish stops the load and checks the delivery rules.
 func (f *testFleet) finish() {
 	f.t.Helper()
 	f.stop()
 	f.checkMembers(f.All()...)
 }
 
-// obeyOne waits until members go by one plan that is later than a version.
+// awaitCommonPlan waits until each member follows the newest plan that it knows, and that is later than a version.
 func (f *testFleet) awaitCommonPlan(later uint64, members ...int) {
 	f.t.Helper()
 	for _, i := range members {
@@ -62,20 +63,20 @@
 	return v
 }
 
-// The regions are cut from each other, both ways, links and calls alike; in one of them a partner goes down meanwhile. Each goes on by
-// itself: the one with the majority moves traffic within itself, the other goes by the rule, near alone, and nothing is sent across.
-// Healed, all go by one plan again.
+// The regions are partitioned from each other, for cluster connections and calls alike, and a site in one of them goes
+// down. The region with the majority moves traffic within itself; the other falls back to the default rule, near
+// traffic only; nothing is sent across. After the partition all members follow one plan again.
 func TestFleetRegionsCut(t *testing.T) {
 	t.Parallel()
-	s := cluster.Setup{Members: 6, Paths: true, Alone: []string{"safe", "keyed", "unsafe"}} // who has no majority goes on with these alone
+	s := cluster.Setup{Members: 6, Paths: true, Alone: []string{"safe", "keyed", "unsafe"}} // classes that continue without a majority
 	f := newZonedFleetFrom(t, s, &lab.Endpoint{Name: "p", Weight: 200}, 0, 2, 3)
 	f.awaitCalls(10, 0, 2, 3)
-	west, east := []int{0, 1, 4, 5}, []int{2, 3} // n0, n1 and n2 hold the council
+	west, east := []int{0, 1, 4, 5}, []int{2, 3} // n0, n1 and n2 are the voters
 	f.Split(east...)
 	f.CutPaths(west, east, false) // site k is in zone k
 	f.CutPaths(east, []int{0, 1}, false)
 	for _, i := range east {
-		f.awaitPlan(i, "the rule", func(s node.PlanStatus) bool {
+		f.awaitPlan(i, "the default rule", func(s node.PlanStatus) bool {
 			to := s.Targets[cluster.Group]
 			return s.Obeys == 0 && len(to) == 1 && to[s.Zone].Free
 		})
@@ -93,13 +94,14 @@
 	f.awaitCalls(20, 0, 2, 3)
 	for i, place := range []string{"z1", "z2", "z3"} {
 		if n := f.moveCount(4, "out", place); n > 0 {
-			t.Errorf("z%d was taken for down %d times", i+1, n)
+			t.Errorf("z%d was considered down %d times", i+1, n)
 		}
 	}
 	f.finish()
 }
 
-// A zone's site takes calls and answers none: as with one that is down its traffic goes to the next zone, and comes home when it answers.
+// A zone's site accepts calls but answers none: its traffic moves to the next zone as for a site that is down, and
+// returns when the site answers again.
 func TestFleetZoneFallsSilent(t *testing.T) {
 	t.Parallel()
 	f := newZonedFleetFrom(t, cluster.Setup{Members: 6, Paths: true}, &lab.Endpoint{Name: "p", Weight: 200}, 0, 4)
@@ -116,8 +118,8 @@
 	f.finish()
 }
 
-// A way that is silent from one zone alone: what crossed there goes elsewhere, the zone behind it is not taken for down and is served as
-// before by its own members.
+// A path is silent from one zone only: its traffic takes another path, and the zone at the other end is not considered
+// down and is still served by its own members.
 func TestFleetPathCutSilently(t *testing.T) {
 	t.Parallel()
 	f := newZonedFleetFrom(t, cluster.Setup{Members: 6, Paths: true}, &lab.Endpoint{Name: "p", Weight: 200}, 2, 3)
@@ -131,36 +133,37 @@
 	})
 	f.awaitCalls(20, 2)
 	if n := f.moveCount(0, "out", "z2"); n > 0 {
-		t.Errorf("the place behind the way was taken for down %d times", n)
+		t.Errorf("the place at the end of the path was considered down %d times", n)
 	}
 	f.Heal()
 	f.awaitPlan(0, "way back", func(s node.PlanStatus) bool { return countMoves(s, "path back", "z2") == 1 })
 	f.finish()
 }
 
-// One of three members of a zone has a bad network: it is named, and nothing moves. Two of three: nobody can say who is ill, but one that
-// reaches the place is enough for it not to count as down, and nothing moves either.
+// One of three members of a zone has a bad network: it is reported as sick, and no traffic moves. With two of three it
+// is unknown which are sick, but one member that reaches the place is enough for it not to count as down, and no
+// traffic moves either.
 func TestFleetSickMembers(t *testing.T) {
 	t.Parallel()
 	f := newZonedFleetFrom(t, cluster.Setup{Members: 9, Paths: true}, &lab.Endpoint{Name: "p", Weight: 200}, 0, 4, 8, 1)
 	f.awaitCalls(10, 0, 1)
 	f.CutPaths([]int{8}, []int{0, 1, 2, 3}, false)
-	f.awaitPlan(1, "patient", func(s node.PlanStatus) bool { return s.Plan != nil && slices.Equal(s.Plan.Sick, []string{"n8/1"}) })
+	f.awaitPlan(1, "sick member", func(s node.PlanStatus) bool { return s.Plan != nil && slices.Equal(s.Plan.Sick, []string{"n8/1"}) })
 	f.awaitCalls(20, 0)
 	f.CutPaths([]int{4}, []int{0, 1, 2, 3}, false)
 	f.awaitCalls(60, 0, 1)
 	for _, place := range []string{"z0", "z1"} {
 		if n := f.moveCount(1, "out", place) + f.moveCount(1, "path cut", place); n > 0 {
-			t.Errorf("patients moved %s %d times", place, n)
+			t.Errorf("sick members moved %s %d times", place, n)
 		}
 	}
 	f.Heal()
-	f.awaitPlan(1, "no patient", func(s node.PlanStatus) bool { return len(s.Plan.Sick) == 0 })
+	f.awaitPlan(1, "no sick member", func(s node.PlanStatus) bool { return len(s.Plan.Sick) == 0 })
 	f.finish()
 }
 
-// A release restarts one member behind the other while a zone's partner is down, and two members die in the middle of it. The zone is moved
-// out once, whoever comes back goes by no older plan than the one before, and every message has its end.
+// A rolling restart takes place while a zone's site is down, and two members are killed during it. The zone's traffic
+// is moved once, no restarted member follows an older plan than before, and every message ends.
 func TestFleetReleaseDuringFailover(t *testing.T) {
 	t.Parallel()
 	f := newZonedFleet(t, 0, 2)
@@ -179,7 +182,7 @@
 		must(t, f.Start(i))
 		f.awaitPlan(i, "plan that is not older", func(s node.PlanStatus) bool {
 			if s.Obeys > 0 && s.Obeys < newest {
-				t.Errorf("n%d goes by plan %d, and %d was in force before it ended", i, s.Obeys, newest)
+				t.Errorf("n%d follows plan %d, and %d was in force before it ended", i, s.Obeys, newest)
 			}
 			return s.Obeys >= newest
 		})
@@ -188,13 +191,14 @@
 	f.awaitCalls(10, 1)
 	for i := range f.Members {
 		if out, back := f.moveCount(i, "out", "z0"), f.moveCount(i, "back", "z0"); out > 1 || back > 0 {
-			t.Errorf("n%d heard of %d moves out and %d back", i, out, back)
+			t.Errorf("n%d has %d moves out and %d back in its history", i, out, back)
 		}
 	}
 	f.finish()
 }
 
-// The list names a zone anew, then every endpoint of one drains: traffic goes to what is there, and comes back with the list.
+// The endpoint list renames a zone, then all endpoints of another zone drain: traffic moves to the available sites, and
+// returns when the list does.
 func TestFleetZonesRenamed(t *testing.T) {
 	t.Parallel()
 	f := newZonedFleet(t, 0, 1)
@@ -212,16 +216,16 @@
 	f.awaitPlan(2, "way out of the region", func(s node.PlanStatus) bool { return quota(s, "z1", "z2").Rate+quota(s, "z1", "z3").Rate > 0 })
 	quiet := f.callCount(1)
 	f.awaitCalls(20, 2)
-	if n := f.callCount(1) - quiet; n > 2 { // what was on its way
-		t.Errorf("%d calls to the one that drains", n)
+	if n := f.callCount(1) - quiet; n > 2 { // calls in flight
+		t.Errorf("%d calls to the draining endpoint", n)
 	}
 	f.Agent.List(f.Partners...)
 	f.awaitCalls(20, 0, 1)
 	f.finish()
 }
 
-// An evacuation is ordered while the other zone of the region is down: its traffic goes to the other region, within what that has. Taken
-// back half-way, it comes home, and the zone that was down takes no part in any of it.
+// A zone is evacuated while the other zone of its region is down: its traffic moves to the other region, within the
+// capacity there. When the evacuation is undone half-way the traffic returns, and the zone that is down is never used.
 func TestFleetEvacuationDuringOutage(t *testing.T) {
 	t.Parallel()
 	f := newZonedFleetWithCapacity(t, 60, 0, 2)
@@ -246,7 +250,7 @@
 	f.finish()
 }
 
-// One call in twenty fails, and all of one class: errors that are answers move nothing.
+// One call in twenty fails, and all calls of one class: error answers move no traffic.
 func TestFleetErrorsMoveNothing(t *testing.T) {
 	t.Parallel()
 	var n atomic.Int64
@@ -271,7 +275,7 @@
 	f.finish()
 }
 
-// Whoever leads the council is stopped for longer than it takes to choose another, again and again: traffic goes on, and nothing moves.
+// The leader of the control plane is paused repeatedly until another is elected: traffic continues, and none is moved.
 func TestFleetRepeatedLeaderChanges(t *testing.T) {
 	t.Parallel()
 	f := newZonedFleet(t, 3, 5)
@@ -299,7 +303,7 @@
 	f.finish()
 }
 
-// A partner comes back cold while all want it: it gets no more than it bears until it is warm.
+// A site returns cold under full demand: it gets no more calls than it can handle until it is warm.
 func TestFleetColdReturn(t *testing.T) {
 	t.Parallel()
 	m := &cluster.Meter{Warm: 60, Cold: 0.3, Within: 14 * time.Second}
@@ -319,7 +323,7 @@
 	must(t, f.Partners[0].Up())
 	f.awaitPlan(5, "all at home", func(s node.PlanStatus) bool { return sitePhase(s, "z0") == plan.Open && quota(s, "z0", "z1").Rate == 0 })
 	for _, o := range m.Fell() {
-		t.Error("more than it bears: ", o)
+		t.Error("more than the site can handle: ", o)
 	}
 	f.finish()
 }
--- a/cmd/larkreach/fleet_plan_test.go
+++ b/cmd/larkreach/fleet_plan_test.go
@@ -18,29 +18,31 @@
 	"mulleinbeam/internal/lab/cluster"
 )
 
-// Six processes in two regions of two zones each, with a partner's site in each zone, under steady load.
+// Tests with six processes in two regions of two zones each, with a site of the destination in each zone, under steady
+// load.
 
-const messagesPerSecond = 20 // messages a second
+const messagesPerSecond = 20 // load at each loaded member
 
-// newPlaces starts them, waits for a plan that all go by, and hands messages in at members until the test ends.
+// newZonedFleet starts the fleet, waits until all members follow a plan, and submits messages at the loaded members
+// until the test ends.
 func newZonedFleet(t *testing.T, loaded ...int) *testFleet {
 	t.Helper()
 	return newZonedFleetWithCapacity(t, 200, loaded...)
 }
 
-// newPlacesOf does so with sites that take so many calls a second.
+// newZonedFleetWithCapacity does the same with sites of a capacity in calls a second.
 func newZonedFleetWithCapacity(t *testing.T, capacity float64, loaded ...int) *testFleet {
 	t.Helper()
 	return newZonedFleetWithSite(t, &lab.Endpoint{Name: "p", Weight: capacity}, loaded...)
 }
 
-// newPlacesWith does so with sites that are like one.
+// newZonedFleetWithSite does the same with sites that are copies of the given endpoint.
 func newZonedFleetWithSite(t *testing.T, site *lab.Endpoint, loaded ...int) *testFleet {
 	t.Helper()
 	return newZonedFleetFrom(t, cluster.Setup{Members: 6}, site, loaded...)
 }
 
-// newPlacesFleet does so with a fleet of another size, or with paths that can be cut.
+// newZonedFleetFrom does the same with another setup, such as more members or paths that can be cut.
 func newZonedFleetFrom(t *testing.T, s cluster.Setup, site *lab.Endpoint, loaded ...int) *testFleet {
 	t.Helper()
 	s.Zones, s.Sites = 4, 4
@@ -63,7 +65,7 @@
 	return f
 }
 
-// stands says how a place stands by the plan that a member knows.
+// sitePhase returns the phase of a place in the plan that a member knows.
 func sitePhase(s node.PlanStatus, place string) plan.Phase {
 	if s.Plan != nil {
 		for _, x := range s.Plan.Sites {
@@ -75,7 +77,7 @@
 	return plan.Open
 }
 
-// grant is what one place may send to another.
+// quota returns the quota from one place to another.
 func quota(s node.PlanStatus, from, to string) (g plan.Quota) {
 	if s.Plan != nil {
 		for _, g := range s.Plan.Grants {
@@ -98,14 +100,14 @@
 	return n
 }
 
-// came counts a partner's calls.
+// callCount returns the number of calls that a site received.
 func (f *testFleet) callCount(site int) int { return len(f.Partners[site].Arrivals()) }
 
-// A zone's partner goes down: its traffic goes to the other zone of the region and no further, whoever leads the council dies
-// meanwhile, and when the partner is back the traffic comes home. One move out, one back.
+// A zone's site goes down and the leader of the control plane dies: the traffic moves to the other zone of the region
+// only, and returns when the site is back, with one move out and one back.
 func TestFleetZoneFailsOver(t *testing.T) {
 	t.Parallel()
-	f := newZonedFleet(t, 0, 4) // both in z0
+	f := newZonedFleet(t, 0, 4) // both members in z0
 	before := f.callCount(1)
 	f.Partners[0].Down()
 	must(t, f.AwaitPlan(f.ctx, 5, "way out", func(s node.PlanStatus) bool { return sitePhase(s, "z0") == plan.Down && quota(s, "z0", "z1").Rate > 0 }))
@@ -121,7 +123,7 @@
 		}
 	}
 	if leader < 0 {
-		t.Fatal("nobody leads")
+		t.Fatal("no member leads")
 	}
 	must(t, f.Kill(leader))
 	rest := slices.DeleteFunc(f.All(), func(i int) bool { return i == leader })
@@ -144,8 +146,8 @@
 	}))
 }
 
-// A zone is evacuated: its traffic leaves within a few windows, of two operators one wins and the other is told, and it comes back when
-// that is taken back.
+// A zone is evacuated: its traffic leaves within a few windows and returns when the evacuation is undone. Of two
+// concurrent orders the second is refused.
 func TestFleetEvacuation(t *testing.T) {
 	t.Parallel()
 	f := newZonedFleet(t, 0, 1, 2)
@@ -160,19 +162,19 @@
 		t.Fatal(refused)
 	}
 	if refused := order(1, seen, "z1", true); refused != controlplane.ErrConflict.Error() {
-		t.Errorf("the second operator was told %q", refused)
+		t.Errorf("the second order was answered %q", refused)
 	}
 	must(t, f.AwaitPlan(f.ctx, 0, "empty place", func(s node.PlanStatus) bool {
 		return quota(s, "z0", "z0").Rate == 0 && quota(s, "z0", "z1").Rate > 0 && s.Obeys == s.Plan.Version
 	}))
 	quiet := f.callCount(0)
 	must(t, f.AwaitPlan(f.ctx, 3, "later plan", func(s node.PlanStatus) bool { seen = s.Ordered; return len(s.Evacuating) == 1 && s.Obeys > 0 }))
-	for n := f.callCount(1); f.callCount(1) < n+20; { // its clients are served elsewhere meanwhile
+	for n := f.callCount(1); f.callCount(1) < n+20; { // its clients are served by another zone meanwhile
 		must(t, f.ctx.Err())
 		lab.Sleep(f.ctx, 10*time.Millisecond)
 	}
-	if now := f.callCount(0); now > quiet+2 { // what was on its way
-		t.Errorf("%d calls came to the empty place", now-quiet)
+	if now := f.callCount(0); now > quiet+2 { // calls in flight
+		t.Errorf("%d calls reached the evacuated place", now-quiet)
 	}
 	if refused := order(2, seen, "z0", false); refused != "" {
 		t.Fatal(refused)
@@ -183,11 +185,12 @@
 	}
 }
 
-// A member that is cut off from the council goes by its plan until that runs out, then by the rule: near alone. One that was stopped for
-// longer than its plan holds does not act on it when it wakes. Both take the next plan when they hear of it.
+// A member that is cut off from the control plane follows its plan until that expires, then the default rule: near
+// traffic only. A member that was paused for longer than its plan holds does not follow it afterwards. Both adopt the
+// next plan that they receive.
 func TestFleetPlanRunsOut(t *testing.T) {
 	t.Parallel()
-	f := newZonedFleet(t, 5) // in z1, no founder
+	f := newZonedFleet(t, 5) // in z1, not a voter
 	f.Partners[1].Down()
 	must(t, f.AwaitPlan(f.ctx, 5, "way out", func(s node.PlanStatus) bool { return s.Targets[cluster.Group]["z0"].Rate > 0 }))
 	f.Split(5)
@@ -198,17 +201,17 @@
 	f.Heal()
 	must(t, f.AwaitPlan(f.ctx, 5, "plan again", func(s node.PlanStatus) bool { return s.Obeys > 0 && s.Targets[cluster.Group]["z0"].Rate > 0 }))
 	must(t, f.Pause(5))
-	for at := time.Now(); time.Since(at) < 4*time.Second; { // its plan holds for 3 s; it is the fault that lasts, not the test that waits
+	for at := time.Now(); time.Since(at) < 4*time.Second; { // its plan holds for 3 s; this is the length of the fault
 		lab.Sleep(f.ctx, 100*time.Millisecond)
 	}
 	must(t, f.Wake(5))
 	must(t, f.AwaitPlan(f.ctx, 5, "plan again", func(s node.PlanStatus) bool { return s.Obeys > 0 && s.Obeys == s.Plan.Version }))
 }
 
-// More is asked for than all places can take once one is down: what has room nowhere is turned away at once, and says so.
+// With one site down the demand exceeds the capacity of the others: the excess is refused at once and counted.
 func TestFleetNoRoomAnywhere(t *testing.T) {
 	t.Parallel()
-	const takes = 7 // calls a second; a third of what clients ask for, however slow this machine is
+	const takes = 7 // calls a second; a third of the demand, however slow this machine is
 	f := newZonedFleetWithCapacity(t, takes, 0, 4)
 	f.Partners[0].Down()
 	must(t, f.AwaitPlan(f.ctx, 4, "way out", func(s node.PlanStatus) bool {
@@ -216,7 +219,7 @@
 	}))
 	for refused := int64(0); refused == 0; {
 		must(t, f.ctx.Err())
-		refused, _ = f.Members[0].Counter("places", "refused") // it is told once there was one
+		refused, _ = f.Members[0].Counter("places", "refused") // the counter appears with the first refusal
 	}
 	must(t, f.AwaitPlan(f.ctx, 4, "bounds", func(s node.PlanStatus) bool {
 		for _, to := range []string{"z1", "z2", "z3"} {
@@ -228,14 +231,14 @@
 	}))
 }
 
-// A zone's partner takes thirty times as long without one failure: it is sent less, what it can't take goes to the next zone, and comes
-// home when it is quick again.
+// A zone's site becomes thirty times slower without failures: it gets less traffic, the rest moves to the next zone,
+// and returns when the site is fast again.
 func TestFleetSlowZone(t *testing.T) {
 	t.Parallel()
-	var slow atomic.Pointer[string] // its address
+	var slow atomic.Pointer[string] // address of the slow site
 	p := &lab.Endpoint{Name: "p", Weight: 100, Handle: func(c *lab.Call) bool {
 		if at := slow.Load(); at != nil && c.Conn.LocalAddr().String() == *at {
-			time.Sleep(300 * time.Millisecond) // the partner's own time
+			time.Sleep(300 * time.Millisecond) // service time
 		}
 		return c.ReadAll(0) == nil && c.Answer(200, "") == nil
 	}}
@@ -258,7 +261,8 @@
 	}))
 }
 
-// A partner that comes and goes every three seconds: it rests longer each time, and is not run after.
+// A site goes down and up every three seconds: each time it is left out for longer, and traffic does not follow each
+// change.
 func TestFleetFlapping(t *testing.T) {
 	t.Parallel()
 	f := newZonedFleet(t, 0, 4)
@@ -267,7 +271,7 @@
 	must(t, f.Partners[0].Up())
 	for range 6 {
 		f.Partners[0].Down()
-		lab.Sleep(f.ctx, 1500*time.Millisecond) // the fault's own time
+		lab.Sleep(f.ctx, 1500*time.Millisecond) // length of the fault
 		must(t, f.Partners[0].Up())
 		lab.Sleep(f.ctx, 1500*time.Millisecond)
 	}
--- a/cmd/larkreach/fleet_relay_test.go
+++ b/cmd/larkreach/fleet_relay_test.go
@@ -10,32 +10,33 @@
 	"mulleinbeam/internal/lab/cluster"
 )
 
-// longLease leaves a busy machine time to find another relay before a life is ended.
+// longLease gives members on a busy machine time to find another relay before their lease expires.
 const longLease = "lease = \"4s\"\nmargin = \"1s\"\n"
 
-// newRelayedFleet is five members, of which the last two reach each other and relays, and none of the voters.
+// newRelayedFleet starts five members, of which the last two reach each other and the relays, but no voter.
 func newRelayedFleet(t *testing.T, relays int, g *gate) *testFleet {
 	t.Helper()
 	f := newFleet(t, cluster.Setup{Members: 5, Relays: relays, Extra: longLease, Amend: slots(1)}, g)
 	f.Split(3, 4)
 	for i, other := range map[int]string{3: "n4", 4: "n3"} {
-		must(t, f.Await(f.ctx, i, "copies at the other member", func(s node.Status) bool {
+		must(t, f.Await(f.ctx, i, "replica at the other member", func(s node.Status) bool {
 			return len(s.Keepers) == 1 && s.Keepers[0].Name == other && s.Keepers[0].Counts
 		}))
 	}
 	return f
 }
 
-// Members that reach a relay and no voter keep what they hold, in the same life, and ask through the relay for a replica at each other. Without
-// the relay they have no lease; another in its place gives them one again, and all that was taken on ends.
+// Members that reach a relay but no voter keep their messages and their incarnation, and get replicas at each other
+// through the relay. Without the relay they lose their leases; after its restart they have leases again, and all
+// accepted messages end.
 func TestFleetBehindARelay(t *testing.T) {
 	t.Parallel()
 	g := newGate()
 	f := newRelayedFleet(t, 1, g)
 	if incarnation, err := f.Life(3); err != nil || incarnation != 1 {
-		t.Errorf("life %d, %v", incarnation, err)
+		t.Errorf("incarnation %d, %v", incarnation, err)
 	}
-	f.submit(3, "unsafe") // out, and held by the partner
+	f.submit(3, "unsafe") // in flight, held back by the endpoint
 	<-g.calls
 	behind := f.submit(3, "unsafe")
 	f.KillRelay(0)
@@ -54,8 +55,8 @@
 	f.checkDelivered(behind, after)
 }
 
-// A relay is stopped where it is, with renewals that it has not answered, and then the other one: members go to the one that answers and keep
-// their lives. Each wakes with what it had not sent, and nothing is taken for newer than it is.
+// First one relay is paused with unanswered lease renewals, then the other: members switch to the relay that answers
+// and keep their incarnations. A resumed relay sends its outdated answers, and none is taken for newer than it is.
 func TestFleetRelaysPauseAndResume(t *testing.T) {
 	t.Parallel()
 	g := newGate()
@@ -78,7 +79,7 @@
 	}
 	for _, i := range []int{3, 4} {
 		if incarnation, err := f.Life(i); err != nil || incarnation != 1 {
-			t.Errorf("n%d: life %d, %v", i, incarnation, err)
+			t.Errorf("n%d: incarnation %d, %v", i, incarnation, err)
 		}
 	}
 	f.Heal()
--- a/cmd/larkreach/fleet_sysfault_test.go
+++ b/cmd/larkreach/fleet_sysfault_test.go
@@ -17,9 +17,9 @@
 	"mulleinbeam/internal/lab/sysfault"
 )
 
-var fleetSysfaultSeed = flag.Uint64("fleet.sysfault.seed", 7, "first seed of the fleet's plays of failing system calls")
+var fleetSysfaultSeed = flag.Uint64("fleet.sysfault.seed", 7, "first seed of the fleet tests with failing system calls")
 
-// failingDisks are the folders of a fleet whose system calls a trial makes fail.
+// failingDisks makes system calls on the folders of the members of a fleet fail.
 type failingDisks struct {
 	t       *testing.T
 	seed    uint64
@@ -32,7 +32,7 @@
 	return &failingDisks{t: t, seed: seed, chances: rand.New(rand.NewPCG(seed, 21)), faults: map[*cluster.Member]*sysfault.Supervisor{}}
 }
 
-// Attach prepares a member.
+// Attach attaches a supervisor to a member.
 func (d *failingDisks) Attach(m *cluster.Member) {
 	folder, err := filepath.EvalSymlinks(m.State())
 	must(d.t, err)
@@ -42,7 +42,7 @@
 	m.Forwarder.Attach = s.Attach
 }
 
-// Fail sets whether the calls on a member's folder fail.
+// Fail sets whether system calls on a member's folder fail.
 func (d *failingDisks) Fail(m *cluster.Member, on bool) {
 	d.mu.Lock()
 	chance := 0.05 + 0.85*d.chances.Float64()
@@ -54,8 +54,8 @@
 	}
 }
 
-// Guards against messages that are lost, or unsafe ones called twice, where members' disks fail for a moment among other faults: logs,
-// leases, replicas and takeovers. By hand: -sysfault.seeds N plays N seeds.
+// Guards against lost messages, and unsafe ones called twice, when disks fail temporarily during other faults of logs,
+// leases, replicas and takeovers. -sysfault.seeds N runs N seeds.
 func TestFleetUnderDiskFaults(t *testing.T) {
 	t.Parallel()
 	for i := range uint64(*sysfaultSeeds) {
@@ -69,14 +69,14 @@
 		cancel()
 		t.Log(o.Summary(), o.Faults)
 		if err != nil || len(o.Broken) > 0 || o.Taken == 0 {
-			t.Errorf("seed %d: %v, broken %q, %d taken on\n%s", seed, err, o.Broken, o.Taken, strings.Join(o.Events, "\n"))
+			t.Errorf("seed %d: %v, broken %q, %d accepted\n%s", seed, err, o.Broken, o.Taken, strings.Join(o.Events, "\n"))
 		}
 		failed := 0
 		for _, s := range disks.faults {
 			failed += len(s.Counts())
 		}
 		if failed == 0 {
-			t.Logf("seed %d: no call has failed", seed)
+			t.Logf("seed %d: no call failed", seed)
 		}
 	}
 }
--- a/cmd/larkreach/fleet_test.go
+++ b/cmd/larkreach/fleet_test.go
@@ -24,25 +24,25 @@
 	"mulleinbeam/internal/lab/cluster"
 )
 
-// Several processes of the program with faults between them. Tests wait for what processes do; what bounds a wait is only there
-// to show what was awaited when it never comes.
+// Tests with several processes of the program and faults between them. Tests wait for events; the bound on a wait only
+// makes a failing test report what it was waiting for.
 
 const testTimeout = 60 * time.Second
 
-// gate holds a partner's answers until the test lets them go.
+// gate holds back an endpoint's answers until the test releases them.
 type gate struct {
 	calls chan *heldCall
-	open  chan struct{} // closed: everything is answered 200 at once
+	open  chan struct{} // when closed, every call is answered 200 at once
 	once  sync.Once
 }
 
-// release answers everything from here on.
+// release makes the endpoint answer all held and later calls.
 func (g *gate) release() { g.once.Do(func() { close(g.open) }) }
 
 type heldCall struct {
 	*lab.Call
 	answer   chan int
-	answered chan struct{} // the test has answered it itself
+	answered chan struct{} // signals that the test has answered the call itself
 }
 
 func newGate() *gate { return &gate{calls: make(chan *heldCall, 256), open: make(chan struct{})} }
@@ -71,10 +71,10 @@
 	*cluster.Fleet
 	t    *testing.T
 	ctx  context.Context
-	stop func() // the load, where there is one
+	stop func() // stops the load, if there is one
 }
 
-// newFleet starts a fleet and waits until each member's copies count.
+// newFleet starts a fleet and waits until each member has in-sync replicas.
 func newFleet(t *testing.T, s cluster.Setup, g *gate) *testFleet {
 	t.Helper()
 	var p *lab.Endpoint
@@ -83,12 +83,12 @@
 	}
 	site := newFleetOf(t, s, p)
 	if g != nil {
-		t.Cleanup(g.release) // before the fleet ends
+		t.Cleanup(g.release) // runs before the fleet is closed
 	}
 	return site
 }
 
-// newFleetOf does so with a partner that is told.
+// newFleetOf does the same with the given endpoint.
 func newFleetOf(t *testing.T, s cluster.Setup, p *lab.Endpoint) *testFleet {
 	t.Helper()
 	s.Program, s.Env, s.Dir, s.Seed = []string{os.Args[0]}, []string{childProcessEnv + "=1"}, t.TempDir(), 1
@@ -116,7 +116,7 @@
 	return site
 }
 
-// take hands a message in and wants it taken on.
+// submit submits a message at a member and fails the test unless it is accepted.
 func (f *testFleet) submit(i int, class string) string {
 	f.t.Helper()
 	id, a := f.Hand(i, class, 20*time.Second)
@@ -126,13 +126,14 @@
 	return id
 }
 
-// fill has every member make one unsafe call, which the partner holds, and take a message of each class on behind it. It gives those.
+// fillMembers has each member make one unsafe call, which the endpoint holds back, and accept a message of each class
+// after it. It returns the ids of the waiting messages.
 func (f *testFleet) fillMembers(g *gate, classes ...string) (waiting []string) {
 	f.t.Helper()
 	for i := range f.Members {
 		out := f.submit(i, "unsafe")
 		if c := <-g.calls; c.ID != out {
-			f.t.Fatalf("%s came for %s", c.ID, out)
+			f.t.Fatalf("%s was called instead of %s", c.ID, out)
 		}
 		for _, class := range classes {
 			waiting = append(waiting, f.submit(i, class))
@@ -141,7 +142,7 @@
 	return waiting
 }
 
-// keeperOf is the number of the member that keeps the counted copies of another.
+// replicaOf returns the number of the member that is the in-sync replica of member i.
 func (f *testFleet) replicaOf(i int) int {
 	f.t.Helper()
 	s, err := f.Look(i)
@@ -149,7 +150,7 @@
 	return int(s.Keepers[0].Name[1] - '0')
 }
 
-// gone ends a member for good and waits until what it owed is somebody else's.
+// loseMember kills a member, deletes its folder and waits until its messages are taken over.
 func (f *testFleet) loseMember(i int, asking int) {
 	f.t.Helper()
 	incarnation, err := f.Life(i)
@@ -159,14 +160,14 @@
 	must(f.t, f.AwaitDone(f.ctx, asking, f.Members[i].Name, incarnation))
 }
 
-// rules holds all that was seen against the rules once nothing is owed any more.
+// checkRules waits until all takeovers are complete and no message is held, and checks the delivery rules.
 func (f *testFleet) checkRules(members ...int) {
 	f.t.Helper()
 	must(f.t, f.AwaitJobs(f.ctx, members[0]))
 	f.checkMembers(members...)
 }
 
-// ends holds it against them once nothing is held at members, whoever else may owe something.
+// checkMembers waits until the given members hold no message, and checks the delivery rules.
 func (f *testFleet) checkMembers(members ...int) {
 	f.t.Helper()
 	must(f.t, f.AwaitSettled(members...))
@@ -175,8 +176,8 @@
 	}
 }
 
-// reached says that each message was called: an unsafe one once, the others once at least, since the module may call a stuck call off
-// and make another.
+// checkDelivered checks that each message was called: unsafe ones once, others at least once, since the decision module
+// may cancel a stuck call and make another.
 func (f *testFleet) checkDelivered(ids ...string) {
 	f.t.Helper()
 	arrivals := f.arrivals()
@@ -187,7 +188,7 @@
 	}
 }
 
-// arrived counts the calls that reached the partner, by message.
+// arrivals counts the calls that reached the endpoint, by message.
 func (f *testFleet) arrivals() map[string]int {
 	out := map[string]int{}
 	for _, a := range f.Partner.Arrivals() {
@@ -196,8 +197,8 @@
 	return out
 }
 
-// A member that dies with its folder: what it answered 202 for is delivered by who kept its copies, by class. What never began
-// goes on; what was out and is safe or keyed goes again; an unsafe one that was out is given up.
+// A member is lost with its folder: its replica delivers the messages that it had accepted. Messages that had not
+// started are sent; those with a call in flight are sent again if safe or keyed, and abandoned if unsafe.
 func TestFleetOwnerDiesWithItsFolder(t *testing.T) {
 	t.Parallel()
 	g := newGate()
@@ -206,11 +207,11 @@
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		id := f.submit(2, class)
 		if c := <-g.calls; c.ID != id {
-			t.Fatalf("%s came for %s", c.ID, id)
+			t.Fatalf("%s was called instead of %s", c.ID, id)
 		}
 		out[class] = id
 	}
-	must(t, f.AwaitCopied(f.ctx, 2)) // that they were out is known to who counts
+	must(t, f.AwaitCopied(f.ctx, 2)) // the replica knows that the calls had started
 	f.loseMember(2, 0)
 	g.release()
 	f.checkRules(0, 1)
@@ -221,16 +222,17 @@
 		}
 	}
 	if n := f.Agent.Notices(); len(n) != 1 || n[0].Message != out["unsafe"] || n[0].Outcome != "given_up" {
-		t.Errorf("notices %+v", n)
+		t.Errorf("delivery reports %+v", n)
 	}
 }
 
-// Paused just before a call's first byte, taken over meanwhile, and woken: the old life sends nothing more.
+// A member is paused just before the first byte of a call, taken over, and resumed: its old incarnation sends nothing
+// more.
 func TestFleetPausedOwnerResumes(t *testing.T) {
 	t.Parallel()
 	g := newGate()
 	f := newFleet(t, cluster.Setup{Members: 3}, g)
-	first := f.submit(2, "unsafe") // takes the calls' turn
+	first := f.submit(2, "unsafe") // occupies the call slot
 	<-g.calls
 	held := []string{f.submit(2, "unsafe"), f.submit(2, "keyed"), f.submit(2, "safe")}
 	incarnation, err := f.Life(2)
@@ -242,33 +244,33 @@
 	must(t, f.AwaitSettled(0, 1))
 	before := f.arrivals()
 	must(t, f.Wake(2))
-	must(t, f.Await(f.ctx, 2, "another life", func(s node.Status) bool { return s.MayAct && s.Life.Number > incarnation }))
+	must(t, f.Await(f.ctx, 2, "another incarnation", func(s node.Status) bool { return s.MayAct && s.Life.Number > incarnation }))
 	must(t, f.AwaitCopied(f.ctx, 2))
 	after := f.submit(2, "unsafe")
 	f.checkRules(0, 1, 2)
 	arrivals := f.arrivals()
 	for _, id := range append(held, first) {
 		if arrivals[id] != before[id] {
-			t.Errorf("%s: %d calls before the old one woke, %d after", id, before[id], arrivals[id])
+			t.Errorf("%s: %d calls before the member resumed, %d after", id, before[id], arrivals[id])
 		}
 	}
 	if arrivals[after] != 1 {
-		t.Errorf("the new life's message made %d calls", arrivals[after])
+		t.Errorf("the new incarnation's message made %d calls", arrivals[after])
 	}
 	if err := f.Members[2].End(syscall.SIGTERM); err != nil {
 		t.Error(err)
 	}
 }
 
-// slots has a member make so many calls at once.
+// slots limits the concurrent calls of a member.
 func slots(n int) func(map[string]any) {
 	return func(c map[string]any) {
 		c["settings"].(map[string]any)["family-info"].(map[string]any)["calls-out"] = n
 	}
 }
 
-// What had not begun when its owner died goes on at who kept its copies, once, whatever its class; what was over stays over, and an
-// end that nobody was told of yet is told.
+// Messages that had not started when their owner died are sent once by its replica, whatever their class. Ended
+// messages stay ended, and an end that was not reported yet is reported.
 func TestFleetUnstartedMessagesSurvive(t *testing.T) {
 	t.Parallel()
 	g := newGate()
@@ -293,12 +295,13 @@
 	f.checkRules(0, 1)
 	f.checkDelivered(append(waiting, over, out, failed)...)
 	if n := f.Agent.Notices(); len(n) != 2 {
-		t.Errorf("notices %+v", n)
+		t.Errorf("delivery reports %+v", n)
 	}
 }
 
-// A member that is cut off from all others, but not from its clients and the partner: classes that may go on alone do, the others
-// are refused; what others hold copies of is theirs once its lease is over; when the cut heals, it goes on under a new life.
+// A member is cut off from all others, but not from its clients and the endpoint: classes that may run unreplicated
+// continue, the others are refused. Its replicated messages are taken over once its lease expires. When the partition
+// heals, it continues as a new incarnation.
 func TestFleetCutOff(t *testing.T) {
 	t.Parallel()
 	g := newGate()
@@ -312,10 +315,10 @@
 	f.Split(2)
 	must(t, f.AwaitDone(f.ctx, 0, "n2", incarnation))
 	if id, a := f.Hand(2, "unsafe", 20*time.Second); a.Status != 503 {
-		t.Errorf("%s was answered %d without anybody to keep a copy", id, a.Status)
+		t.Errorf("%s was answered %d without a replica", id, a.Status)
 	}
 	alone := f.submit(2, "safe")
-	for c := range g.calls { // beside that of who took over
+	for c := range g.calls { // other calls are those of the member that took over
 		c.answer <- 200
 		if c.ID == alone {
 			break
@@ -324,15 +327,15 @@
 	g.release()
 	must(t, f.AwaitSettled(0, 1))
 	f.Heal()
-	must(t, f.Await(f.ctx, 2, "another life", func(s node.Status) bool { return s.MayAct && s.Life.Number > incarnation }))
+	must(t, f.Await(f.ctx, 2, "another incarnation", func(s node.Status) bool { return s.MayAct && s.Life.Number > incarnation }))
 	must(t, f.AwaitCopied(f.ctx, 2))
 	after := f.submit(2, "unsafe")
 	f.checkRules(0, 1, 2)
 	f.checkDelivered(out, copied, alone, after)
 }
 
-// One way only: what a member says reaches nobody, what others say reaches it. It has no lease then, and stops as one that is cut
-// off; whoever takes over does, and nothing is sent twice.
+// An asymmetric partition: a member receives from the others but cannot reach them. It loses its lease and stops like
+// one that is cut off; its messages are taken over, and nothing is sent twice.
 func TestFleetCutOneWay(t *testing.T) {
 	t.Parallel()
 	g := newGate()
@@ -349,13 +352,13 @@
 	g.release()
 	must(t, f.AwaitSettled(0, 1))
 	f.Heal()
-	must(t, f.Await(f.ctx, 2, "another life", func(s node.Status) bool { return s.MayAct && s.Life.Number > incarnation }))
+	must(t, f.Await(f.ctx, 2, "another incarnation", func(s node.Status) bool { return s.MayAct && s.Life.Number > incarnation }))
 	f.checkRules(0, 1, 2)
 	f.checkDelivered(waiting...)
 }
 
-// A keeper dies for good: another one is chosen, and is counted once it is as far; what was copied to the dead one alone is not
-// lost when the owner goes next.
+// A replica is lost: another member is chosen and is in sync once it has caught up. Messages that were replicated only
+// to the lost one survive the loss of their owner afterwards.
 func TestFleetReplicaDies(t *testing.T) {
 	t.Parallel()
 	g := newGate()
@@ -365,7 +368,7 @@
 	waiting := []string{f.submit(3, "unsafe"), f.submit(3, "safe")}
 	replica := f.replicaOf(3)
 	f.loseMember(replica, 3)
-	must(t, f.Await(f.ctx, 3, "another keeper", func(s node.Status) bool {
+	must(t, f.Await(f.ctx, 3, "another replica", func(s node.Status) bool {
 		return len(s.Keepers) > 0 && s.Keepers[0].Counts && s.Keepers[0].Name != f.Members[replica].Name && s.Keepers[0].Has == s.Keepers[0].Of
 	}))
 	waiting = append(waiting, f.submit(3, "keyed"))
@@ -382,7 +385,8 @@
 	f.checkDelivered(waiting...)
 }
 
-// All are killed at once, folders kept, and come back: each goes on with its own, and nothing is lost or done twice.
+// All members are killed at once and restarted with their folders: each resumes its own messages, and none is lost or
+// repeated.
 func TestFleetAllKilled(t *testing.T) {
 	t.Parallel()
 	g := newGate()
@@ -397,18 +401,18 @@
 	f.checkRules(f.All()...)
 	f.checkDelivered(ids...)
 	if n := f.Agent.Notices(); len(n) != 3 {
-		t.Errorf("of three unsafe calls that were out: %+v", n)
+		t.Errorf("of three unsafe calls in flight: %+v", n)
 	}
 }
 
-// A folder that is put back to an older copy: what its keepers know is taken back from them, so that nothing of it is lost or goes
-// again.
+// A folder is rolled back to an older copy: its owner recovers the newer records from its replicas, so that nothing is
+// lost or sent again.
 func TestFleetFolderRolledBack(t *testing.T) {
 	t.Parallel()
 	g := newGate()
 	f := newFleet(t, cluster.Setup{Members: 3, Amend: slots(1)}, g)
 	must(t, f.Kill(2))
-	must(t, f.SaveFolder(2)) // as it was before any message
+	must(t, f.SaveFolder(2)) // the state before any message
 	must(t, f.Start(2))
 	must(t, f.AwaitCopied(f.ctx, 2))
 	over := f.submit(2, "unsafe")
@@ -428,17 +432,17 @@
 	must(t, f.AwaitDone(f.ctx, 0, "n2", incarnation))
 	f.checkRules(f.All()...)
 	f.checkDelivered(over, out, waiting)
-	must(t, f.Await(f.ctx, 2, "ids of the life before", func(s node.Status) bool { return s.Knows }))
+	must(t, f.Await(f.ctx, 2, "ids of the previous incarnation", func(s node.Status) bool { return s.Knows }))
 	if a := f.HandAs(2, over, "unsafe", 20*time.Second); a.Status != 202 && a.Status != 409 {
-		t.Errorf("an id that is over, handed in again: %d", a.Status)
+		t.Errorf("an ended id, submitted again: %d", a.Status)
 	}
 	f.checkRules(f.All()...)
 	if n := f.arrivals()[over]; n != 1 {
-		t.Errorf("%s: %d calls after it came again", over, n)
+		t.Errorf("%s: %d calls after the second submission", over, n)
 	}
 }
 
-// Two processes that claim one name: the second is given no life while the first goes on, and takes nothing on.
+// Two processes use one name: the second is not admitted while the first is alive, and accepts no message.
 func TestFleetNameIsTaken(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, cluster.Setup{Members: 4}, nil)
@@ -456,14 +460,14 @@
 	must(t, err)
 	defer c.Close()
 	if a := c.Hand(lab.Handover{ID: "x", Key: "k", Class: "unsafe", Destination: cluster.Group, Left: 20 * time.Second}, nil); a.Status != 503 {
-		t.Errorf("the second of a name answered %d", a.Status)
+		t.Errorf("the second process of a name answered %d", a.Status)
 	}
 	f.submit(3, "unsafe")
 	f.checkRules(f.All()...)
 }
 
-// All are killed at once and one of them comes back without its folder, a founder of the council at that: it says nothing in the
-// council before it has met the others, and what it owed goes on at who kept its copies.
+// All members are killed at once and one voter restarts without its folder: it does not vote before it has contacted
+// the others, and its replica takes over its messages.
 func TestFleetAllKilledOneFolderLost(t *testing.T) {
 	t.Parallel()
 	g := newGate()
@@ -482,7 +486,7 @@
 	f.checkDelivered(ids...)
 }
 
-// fleetCommand runs a command of larkreach and gives what it printed, errors included, and its status.
+// fleetCommand runs a command of larkreach and returns its output, including errors, and its exit status.
 func fleetCommand(t *testing.T, name string, args ...string) (out string, status int) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], append([]string{name}, args...)...)
@@ -505,16 +509,17 @@
 	return out
 }
 
-// votes waits until just these founders vote, as a member sees it.
+// awaitVoters waits until a member reports exactly these voters.
 func (f *testFleet) awaitVoters(at int, names ...string) {
 	f.t.Helper()
-	must(f.t, f.Await(f.ctx, at, fmt.Sprint("council of ", names), func(s node.Status) bool {
+	must(f.t, f.Await(f.ctx, at, fmt.Sprint("voters ", names), func(s node.Status) bool {
 		return slices.EqualFunc(s.Founders, names, func(x controlplane.Voter, name string) bool { return x.Name == name && !x.Learns })
 	}))
 }
 
-// A council that goes on while its founders change: a machine that is lost for good is replaced by one that was no founder, the next
-// founder that dies leaves a majority of the new ones, and who comes back with the settings of old finds the council that is there.
+// The control plane keeps working while its voters change: a lost voter is replaced by another member, the new voters
+// have a majority when the next old one dies, and a member that restarts with its old settings finds the current
+// voters.
 func TestFleetVotersChange(t *testing.T) {
 	t.Parallel()
 	g := newGate()
@@ -529,14 +534,14 @@
 	f.operator("unfound", "n0", "--at", f.Members[4].Links)
 	f.awaitVoters(4, "n1", "n2", "n3")
 	if out := f.operator("founders", "--at", f.Members[3].Links); strings.Contains(out, "n0") || strings.Count(out, "true") != 4 {
-		t.Errorf("founders:\n%s", out) // three vote, one leads
+		t.Errorf("founders:\n%s", out) // three voters, one of them the leader
 	}
 	incarnation, err := f.Life(1)
 	must(t, err)
 	must(t, f.Kill(1))
-	must(t, f.AwaitDone(f.ctx, 4, "n1", incarnation)) // n2 and n3 decide that
+	must(t, f.AwaitDone(f.ctx, 4, "n1", incarnation)) // committed by n2 and n3
 	waiting = append(waiting, f.submit(4, "unsafe"), f.submit(2, "safe"))
-	must(t, f.Kill(4)) // knows the new founders by its settings no more
+	must(t, f.Kill(4)) // its settings do not name the new voters
 	must(t, f.Start(0, 4))
 	must(t, f.AwaitCopied(f.ctx, 0, 2, 3, 4))
 	must(t, f.Start(1))
@@ -547,8 +552,9 @@
 	f.checkDelivered(waiting...)
 }
 
-// A majority of the founders is lost for good: strict classes are refused, and the operator's command makes what the last one knows a
-// council again. What it held goes on, and what the lost ones owed goes on where it was kept.
+// A majority of the voters is lost: replicated classes are refused until an operator rebuilds the control plane from
+// the state of the last voter. The messages it held continue, and those of the lost members are taken over by their
+// replicas.
 func TestFleetMajorityLost(t *testing.T) {
 	t.Parallel()
 	g := newGate()
@@ -563,7 +569,7 @@
 	}
 	must(t, f.Await(f.ctx, 0, "end of its lease", func(s node.Status) bool { return !s.MayAct }))
 	if id, a := f.Hand(0, "unsafe", 20*time.Second); a.Status != 503 {
-		t.Errorf("%s was answered %d without a council", id, a.Status)
+		t.Errorf("%s was answered %d without a control plane", id, a.Status)
 	}
 	must(t, f.Kill(0))
 	must(t, f.Kill(3))
@@ -578,13 +584,13 @@
 	g.release()
 	must(t, f.Start(0, 3))
 	must(t, f.AwaitCopied(f.ctx, 0, 3))
-	must(t, f.AwaitDone(f.ctx, 0, "n0", 1)) // the two that are lost owe nothing, and may have kept copies for each other
+	must(t, f.AwaitDone(f.ctx, 0, "n0", 1)) // the two lost members had no messages, and may have been replicas of each other
 	f.checkMembers(0, 3)
 	f.checkDelivered(waiting...)
 }
 
-// A keeper that catches up is cut off ten times in the middle of it; it goes on, is counted only when it is level, and what it has then
-// is all that there is when the owner goes for good.
+// The catch-up of a new replica is interrupted ten times. It resumes, counts as in sync only once it has caught up, and
+// has all messages when the owner is lost.
 func TestFleetCatchUpIsCut(t *testing.T) {
 	t.Parallel()
 	g := newGate()
@@ -597,20 +603,20 @@
 	}
 	must(t, f.AwaitCopied(f.ctx, 3))
 	first := ""
-	must(t, f.Await(f.ctx, 3, "one keeper, and nobody on the way to be another", func(s node.Status) bool {
+	must(t, f.Await(f.ctx, 3, "a single in-sync replica", func(s node.Status) bool {
 		if len(s.Keepers) == 1 && s.Keepers[0].Counts {
 			first = s.Keepers[0].Name
 		}
 		return first != ""
 	}))
-	var links []*cluster.FaultProxy // to whoever may be chosen next
+	var links []*cluster.FaultProxy // to the members that may be chosen next
 	var rest []int
 	for i := range 3 {
 		if f.Members[i].Name != first {
 			links, rest = append(links, f.Proxy(3, i)), append(rest, i)
 		}
 	}
-	const piece, part = 600_000, 200_000 // bytes: a piece of the snapshot with some of the next, and not one
+	const piece, part = 600_000, 200_000 // bytes: more than a piece of the snapshot, and less than one
 	cutAfter := func(size int64) {
 		for _, l := range links {
 			l.Set(cluster.There, cluster.Way{Cut: size})
@@ -627,7 +633,7 @@
 		for links[0].Cuts()+links[1].Cuts() <= cut {
 			must(t, f.ctx.Err())
 			if s, err := f.Look(3); err == nil && replaced(s) {
-				t.Fatalf("counted after %d cuts", cut)
+				t.Fatalf("in sync after %d cuts", cut)
 			}
 		}
 		if cutAfter(piece); cut > 3 {
@@ -635,15 +641,16 @@
 		}
 	}
 	cutAfter(0)
-	must(t, f.Await(f.ctx, 3, "another keeper", replaced))
-	must(t, f.AwaitDone(f.ctx, rest[0], first, 1)) // its copy may be in the owner's folder, which goes next
+	must(t, f.Await(f.ctx, 3, "another replica", replaced))
+	must(t, f.AwaitDone(f.ctx, rest[0], first, 1)) // its replica may be in the owner's folder, which is lost next
 	f.loseMember(3, rest[0])
 	g.release()
 	f.checkRules(rest...)
 	f.checkDelivered(waiting...)
 }
 
-// Every machine is replaced in turn, founders of the council among them: each comes back empty under its name, and what it owed goes on.
+// All members are replaced one by one, including the voters: each restarts under its name with an empty folder, and its
+// messages are taken over.
 func TestFleetReplacedOneByOne(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, cluster.Setup{Members: 3}, nil)
@@ -662,7 +669,7 @@
 	f.checkDelivered(ids...)
 }
 
-// heeds says whether a member heeds a wait at the partner.
+// appliesRetryAfter reports whether a member applies a Retry-After wait to the destination.
 func appliesRetryAfter(s node.ObservationStatus) bool {
 	for _, l := range s.Heeded {
 		if l.Destination == cluster.Group && l.Wait > 0 {
@@ -672,7 +679,8 @@
 	return false
 }
 
-// A partner tells one forwarder to wait; the others, which it told nothing, call it no sooner.
+// A destination answers one forwarder with Retry-After; the other forwarders learn of it and do not call earlier
+// either.
 func TestFleetSharesRetryAfter(t *testing.T) {
 	t.Parallel()
 	g := newGate()
@@ -680,7 +688,7 @@
 	first := f.submit(0, "safe")
 	c := <-g.calls
 	if c.ID != first {
-		t.Fatalf("%s came for %s", c.ID, first)
+		t.Fatalf("%s was called instead of %s", c.ID, first)
 	}
 	const told = 3 * time.Second
 	must(t, c.Answer(429, fmt.Sprintf("X-RateLimit-Wait-Ms: %d\r\n", told.Milliseconds())))
@@ -688,13 +696,13 @@
 	c.answered <- struct{}{}
 	ids := map[string]bool{first: true}
 	for _, i := range []int{1, 2} {
-		must(t, f.AwaitFacts(f.ctx, i, "wait that n0 was told", appliesRetryAfter))
+		must(t, f.AwaitFacts(f.ctx, i, "wait that n0 received", appliesRetryAfter))
 		ids[f.submit(i, "safe")] = true
 	}
 	for len(ids) > 0 {
 		c := <-g.calls
 		if early := time.Until(end); early > 0 {
-			t.Errorf("%s was called %v before the wait's end", c.ID, early)
+			t.Errorf("%s was called %v before the end of the wait", c.ID, early)
 		}
 		delete(ids, c.ID)
 		c.answer <- 200
@@ -702,8 +710,8 @@
 	f.checkRules(f.All()...)
 }
 
-// A member tells absurd things of partners: a wait of a year, ages below zero, limits that are none, a name of nobody. They are
-// bounded or dropped, logged, and heeded no longer than one member's word counts.
+// A member sends invalid observations: a wait of a year, negative ages, infinite and negative limits, an unknown
+// origin. They are bounded or dropped, logged, and expire like any single member's observation.
 func TestFleetInvalidObservations(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, cluster.Setup{Members: 3, Extra: "believe = \"1s\""}, nil)
@@ -723,21 +731,22 @@
 	}
 	invalid = append(invalid, observation.Record{Kind: observation.RetryAfter, Destination: cluster.Group, Left: time.Minute, Origin: "nobody", Life: 1, Serial: 1})
 	must(t, p.Call(f.ctx, "Facts.Push", node.GossipRequest{From: controlplane.Incarnation{Name: "n2", Number: sender}, Facts: invalid}, &node.GossipReply{}))
-	must(t, f.AwaitFacts(f.ctx, 0, "account of lies", func(s node.ObservationStatus) bool { return s.Counts.Bounded == 2 && s.Counts.Absurd == 2 }))
+	must(t, f.AwaitFacts(f.ctx, 0, "counters of invalid observations", func(s node.ObservationStatus) bool { return s.Counts.Bounded == 2 && s.Counts.Absurd == 2 }))
 	if _, seen := f.Members[0].Sees(string(observation.ExcessiveWait)); !seen {
-		t.Error("no line of the log tells of it")
+		t.Error("the invalid observation is not logged")
 	}
-	must(t, f.AwaitFacts(f.ctx, 1, "word that it passed on", func(s node.ObservationStatus) bool { return s.Counts.News > 0 }))
+	must(t, f.AwaitFacts(f.ctx, 1, "observation that n0 passed on", func(s node.ObservationStatus) bool { return s.Counts.News > 0 }))
 	for i := range 2 {
-		f.submit(i, "safe") // delivered inside its 20 s: a wait of a year was not heeded
+		f.submit(i, "safe") // delivered within its 20 s: the wait of a year was not applied
 	}
 	f.checkRules(0, 1)
 	if n := f.Agent.Notices(); len(n) != 0 {
-		t.Errorf("given up by a lie: %+v", n)
+		t.Errorf("abandoned because of an invalid observation: %+v", n)
 	}
 }
 
-// The short form of larklab cluster faults: load and faults drawn from a seed, healed at the end, and no rule broken.
+// The short form of larklab cluster faults: load and random faults from a seed, healed at the end, without a broken
+// rule.
 func TestFleetRandomFaults(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -747,6 +756,6 @@
 	}.Run(ctx)
 	t.Log(o.Summary(), o.Faults)
 	if err != nil || len(o.Broken) > 0 || o.Taken == 0 {
-		t.Errorf("%v, broken %q, %d taken on\n%s", err, o.Broken, o.Taken, strings.Join(o.Events, "\n"))
+		t.Errorf("%v, broken %q, %d accepted\n%s", err, o.Broken, o.Taken, strings.Join(o.Events, "\n"))
 	}
 }
