--- a/cmd/larkreach/fleet_plan_test.go
+++ b/cmd/larkreach/fleet_plan_test.go
@@ -18,30 +18,32 @@
 	"mulleinbeam/internal/lab/cluster"
 )
 
-// Six processes in two regions of two zones each, with a partner's site in each zone, under steady load.
+// Tests with six processes in two regions of two zones each, with a site of the destination in each zone, under steady
+// load.
 
-const perMember = 20 // messages a second
+const messagesPerSecond = 20 // load at each loaded member
 
-// newPlaces starts them, waits for a plan that all go by, and hands messages in at members until the test ends.
-func newPlaces(t *testing.T, loaded ...int) *fleetSite {
+// newZonedFleet starts the fleet, waits until all members follow a plan, and submits messages at the loaded members
+// until the test ends.
+func newZonedFleet(t *testing.T, loaded ...int) *testFleet {
 	t.Helper()
-	return newPlacesOf(t, 200, loaded...)
+	return newZonedFleetWithCapacity(t, 200, loaded...)
 }
 
-// newPlacesOf does so with sites that take so many calls a second.
-func newPlacesOf(t *testing.T, capacity float64, loaded ...int) *fleetSite {
+// newZonedFleetWithCapacity does the same with sites of a capacity in calls a second.
+func newZonedFleetWithCapacity(t *testing.T, capacity float64, loaded ...int) *testFleet {
 	t.Helper()
-	return newPlacesWith(t, &lab.Endpoint{Name: "p", Weight: capacity}, loaded...)
+	return newZonedFleetWithSite(t, &lab.Endpoint{Name: "p", Weight: capacity}, loaded...)
 }
 
-// newPlacesWith does so with sites that are like one.
-func newPlacesWith(t *testing.T, site *lab.Endpoint, loaded ...int) *fleetSite {
+// newZonedFleetWithSite does the same with sites that are copies of the given endpoint.
+func newZonedFleetWithSite(t *testing.T, site *lab.Endpoint, loaded ...int) *testFleet {
 	t.Helper()
-	return newPlacesFleet(t, cluster.Setup{Members: 6}, site, loaded...)
+	return newZonedFleetFrom(t, cluster.Setup{Members: 6}, site, loaded...)
 }
 
-// newPlacesFleet does so with a fleet of another size, or with paths that can be cut.
-func newPlacesFleet(t *testing.T, s cluster.Setup, site *lab.Endpoint, loaded ...int) *fleetSite {
+// newZonedFleetFrom does the same with another setup, such as more members or paths that can be cut.
+func newZonedFleetFrom(t *testing.T, s cluster.Setup, site *lab.Endpoint, loaded ...int) *testFleet {
 	t.Helper()
 	s.Zones, s.Sites = 4, 4
 	s.Settings = cluster.PlacesSettings(s.Members)
@@ -52,7 +54,7 @@
 	t.Cleanup(f.stop)
 	for _, i := range loaded {
 		clients.Go(func() {
-			for lab.Sleep(ctx, time.Second/perMember) {
+			for lab.Sleep(ctx, time.Second/messagesPerSecond) {
 				f.Hand(i, []string{"safe", "keyed", "unsafe"}[rand.IntN(3)], 10*time.Second)
 			}
 		})
@@ -63,8 +65,8 @@
 	return f
 }
 
-// stands says how a place stands by the plan that a member knows.
-func stands(s node.PlanStatus, place string) plan.Phase {
+// sitePhase returns the phase of a place in the plan that a member knows.
+func sitePhase(s node.PlanStatus, place string) plan.Phase {
 	if s.Plan != nil {
 		for _, x := range s.Plan.Sites {
 			if x.Place == place {
@@ -75,8 +77,8 @@
 	return plan.Open
 }
 
-// grant is what one place may send to another.
-func grant(s node.PlanStatus, from, to string) (g plan.Quota) {
+// quota returns the quota from one place to another.
+func quota(s node.PlanStatus, from, to string) (g plan.Quota) {
 	if s.Plan != nil {
 		for _, g := range s.Plan.Grants {
 			if g.From == from && g.To == to {
@@ -87,7 +89,7 @@
 	return g
 }
 
-func movesOf(s node.PlanStatus, kind, place string) (n int) {
+func countMoves(s node.PlanStatus, kind, place string) (n int) {
 	for _, d := range s.History {
 		for _, m := range d.Moves {
 			if m.Kind == kind && m.Place == place {
@@ -98,18 +100,18 @@
 	return n
 }
 
-// came counts a partner's calls.
-func (f *fleetSite) came(site int) int { return len(f.Partners[site].Arrivals()) }
+// callCount returns the number of calls that a site received.
+func (f *testFleet) callCount(site int) int { return len(f.Partners[site].Arrivals()) }
 
-// A zone's partner goes down: its traffic goes to the other zone of the region and no further, whoever leads the council dies
-// meanwhile, and when the partner is back the traffic comes home. One move out, one back.
+// A zone's site goes down and the leader of the control plane dies: the traffic moves to the other zone of the region
+// only, and returns when the site is back, with one move out and one back.
 func TestFleetZoneFailsOver(t *testing.T) {
 	t.Parallel()
-	f := newPlaces(t, 0, 4) // both in z0
-	before := f.came(1)
+	f := newZonedFleet(t, 0, 4) // both members in z0
+	before := f.callCount(1)
 	f.Partners[0].Down()
-	must(t, f.AwaitPlan(f.ctx, 5, "way out", func(s node.PlanStatus) bool { return stands(s, "z0") == plan.Down && grant(s, "z0", "z1").Rate > 0 }))
-	for f.came(1) < before+20 {
+	must(t, f.AwaitPlan(f.ctx, 5, "way out", func(s node.PlanStatus) bool { return sitePhase(s, "z0") == plan.Down && quota(s, "z0", "z1").Rate > 0 }))
+	for f.callCount(1) < before+20 {
 		must(t, f.ctx.Err())
 		lab.Sleep(f.ctx, 10*time.Millisecond)
 	}
@@ -121,7 +123,7 @@
 		}
 	}
 	if leader < 0 {
-		t.Fatal("nobody leads")
+		t.Fatal("no member leads")
 	}
 	must(t, f.Kill(leader))
 	rest := slices.DeleteFunc(f.All(), func(i int) bool { return i == leader })
@@ -130,27 +132,27 @@
 	must(t, f.AwaitPlan(f.ctx, rest[3], "plan of another leader", func(s node.PlanStatus) bool { return s.Plan.Version > was+1 && s.Obeys == s.Plan.Version }))
 	must(t, f.Start(leader))
 	must(t, f.Partners[0].Up())
-	must(t, f.AwaitPlan(f.ctx, 5, "way back", func(s node.PlanStatus) bool { return stands(s, "z0") != plan.Down }))
-	home := f.came(0)
-	for f.came(0) < home+10 {
+	must(t, f.AwaitPlan(f.ctx, 5, "way back", func(s node.PlanStatus) bool { return sitePhase(s, "z0") != plan.Down }))
+	home := f.callCount(0)
+	for f.callCount(0) < home+10 {
 		must(t, f.ctx.Err())
 		lab.Sleep(f.ctx, 10*time.Millisecond)
 	}
 	must(t, f.AwaitPlan(f.ctx, 5, "history", func(s node.PlanStatus) bool {
-		if out, back := movesOf(s, "out", "z0"), movesOf(s, "back", "z0"); out != 1 || back != 1 || movesOf(s, "crossing", "z2")+movesOf(s, "crossing", "z3") > 0 {
+		if out, back := countMoves(s, "out", "z0"), countMoves(s, "back", "z0"); out != 1 || back != 1 || countMoves(s, "crossing", "z2")+countMoves(s, "crossing", "z3") > 0 {
 			t.Errorf("%d out, %d back, %+v", out, back, s.History)
 		}
 		return true
 	}))
 }
 
-// A zone is evacuated: its traffic leaves within a few windows, of two operators one wins and the other is told, and it comes back when
-// that is taken back.
+// A zone is evacuated: its traffic leaves within a few windows and returns when the evacuation is undone. Of two
+// concurrent orders the second is refused.
 func TestFleetEvacuation(t *testing.T) {
 	t.Parallel()
-	f := newPlaces(t, 0, 1, 2)
+	f := newZonedFleet(t, 0, 1, 2)
 	var seen uint64
-	must(t, f.AwaitPlan(f.ctx, 3, "demand", func(s node.PlanStatus) bool { seen = s.Ordered; return grant(s, "z0", "z0").Rate > 0 }))
+	must(t, f.AwaitPlan(f.ctx, 3, "demand", func(s node.PlanStatus) bool { seen = s.Ordered; return quota(s, "z0", "z0").Rate > 0 }))
 	order := func(at int, from uint64, place string, on bool) string {
 		r, err := node.SendCommand(f.ctx, f.Members[at].Links, controlplane.Command{Kind: controlplane.Evacuate, Place: place, On: on, From: from})
 		must(t, err)
@@ -160,34 +162,35 @@
 		t.Fatal(refused)
 	}
 	if refused := order(1, seen, "z1", true); refused != controlplane.ErrConflict.Error() {
-		t.Errorf("the second operator was told %q", refused)
+		t.Errorf("the second order was answered %q", refused)
 	}
 	must(t, f.AwaitPlan(f.ctx, 0, "empty place", func(s node.PlanStatus) bool {
-		return grant(s, "z0", "z0").Rate == 0 && grant(s, "z0", "z1").Rate > 0 && s.Obeys == s.Plan.Version
+		return quota(s, "z0", "z0").Rate == 0 && quota(s, "z0", "z1").Rate > 0 && s.Obeys == s.Plan.Version
 	}))
-	quiet := f.came(0)
+	quiet := f.callCount(0)
 	must(t, f.AwaitPlan(f.ctx, 3, "later plan", func(s node.PlanStatus) bool { seen = s.Ordered; return len(s.Evacuating) == 1 && s.Obeys > 0 }))
-	for n := f.came(1); f.came(1) < n+20; { // its clients are served elsewhere meanwhile
+	for n := f.callCount(1); f.callCount(1) < n+20; { // its clients are served by another zone meanwhile
 		must(t, f.ctx.Err())
 		lab.Sleep(f.ctx, 10*time.Millisecond)
 	}
-	if now := f.came(0); now > quiet+2 { // what was on its way
-		t.Errorf("%d calls came to the empty place", now-quiet)
+	if now := f.callCount(0); now > quiet+2 { // calls in flight
+		t.Errorf("%d calls reached the evacuated place", now-quiet)
 	}
 	if refused := order(2, seen, "z0", false); refused != "" {
 		t.Fatal(refused)
 	}
-	for f.came(0) < quiet+20 {
+	for f.callCount(0) < quiet+20 {
 		must(t, f.ctx.Err())
 		lab.Sleep(f.ctx, 10*time.Millisecond)
 	}
 }
 
-// A member that is cut off from the council goes by its plan until that runs out, then by the rule: near alone. One that was stopped for
-// longer than its plan holds does not act on it when it wakes. Both take the next plan when they hear of it.
+// A member that is cut off from the control plane follows its plan until that expires, then the default rule: near
+// traffic only. A member that was paused for longer than its plan holds does not follow it afterwards. Both adopt the
+// next plan that they receive.
 func TestFleetPlanRunsOut(t *testing.T) {
 	t.Parallel()
-	f := newPlaces(t, 5) // in z1, no founder
+	f := newZonedFleet(t, 5) // in z1, not a voter
 	f.Partners[1].Down()
 	must(t, f.AwaitPlan(f.ctx, 5, "way out", func(s node.PlanStatus) bool { return s.Targets[cluster.Group]["z0"].Rate > 0 }))
 	f.Split(5)
@@ -198,29 +201,29 @@
 	f.Heal()
 	must(t, f.AwaitPlan(f.ctx, 5, "plan again", func(s node.PlanStatus) bool { return s.Obeys > 0 && s.Targets[cluster.Group]["z0"].Rate > 0 }))
 	must(t, f.Pause(5))
-	for at := time.Now(); time.Since(at) < 4*time.Second; { // its plan holds for 3 s; it is the fault that lasts, not the test that waits
+	for at := time.Now(); time.Since(at) < 4*time.Second; { // its plan holds for 3 s; this is the length of the fault
 		lab.Sleep(f.ctx, 100*time.Millisecond)
 	}
 	must(t, f.Wake(5))
 	must(t, f.AwaitPlan(f.ctx, 5, "plan again", func(s node.PlanStatus) bool { return s.Obeys > 0 && s.Obeys == s.Plan.Version }))
 }
 
-// More is asked for than all places can take once one is down: what has room nowhere is turned away at once, and says so.
+// With one site down the demand exceeds the capacity of the others: the excess is refused at once and counted.
 func TestFleetNoRoomAnywhere(t *testing.T) {
 	t.Parallel()
-	const takes = 7 // calls a second; a third of what clients ask for, however slow this machine is
-	f := newPlacesOf(t, takes, 0, 4)
+	const takes = 7 // calls a second; a third of the demand, however slow this machine is
+	f := newZonedFleetWithCapacity(t, takes, 0, 4)
 	f.Partners[0].Down()
 	must(t, f.AwaitPlan(f.ctx, 4, "way out", func(s node.PlanStatus) bool {
-		return stands(s, "z0") == plan.Down && grant(s, "z0", "z1").Rate > 0 && grant(s, "z0", "z2").Rate > 0 && grant(s, "z0", "z3").Rate > 0
+		return sitePhase(s, "z0") == plan.Down && quota(s, "z0", "z1").Rate > 0 && quota(s, "z0", "z2").Rate > 0 && quota(s, "z0", "z3").Rate > 0
 	}))
 	for refused := int64(0); refused == 0; {
 		must(t, f.ctx.Err())
-		refused, _ = f.Members[0].Counter("places", "refused") // it is told once there was one
+		refused, _ = f.Members[0].Counter("places", "refused") // the counter appears with the first refusal
 	}
 	must(t, f.AwaitPlan(f.ctx, 4, "bounds", func(s node.PlanStatus) bool {
 		for _, to := range []string{"z1", "z2", "z3"} {
-			if rate := grant(s, "z0", to).Rate; rate > takes*plan.Defaults().Headroom {
+			if rate := quota(s, "z0", to).Rate; rate > takes*plan.Defaults().Headroom {
 				t.Errorf("%v a second may go to %s, which takes %d", rate, to, takes)
 			}
 		}
@@ -228,51 +231,52 @@
 	}))
 }
 
-// A zone's partner takes thirty times as long without one failure: it is sent less, what it can't take goes to the next zone, and comes
-// home when it is quick again.
+// A zone's site becomes thirty times slower without failures: it gets less traffic, the rest moves to the next zone,
+// and returns when the site is fast again.
 func TestFleetSlowZone(t *testing.T) {
 	t.Parallel()
-	var slow atomic.Pointer[string] // its address
+	var slow atomic.Pointer[string] // address of the slow site
 	p := &lab.Endpoint{Name: "p", Weight: 100, Handle: func(c *lab.Call) bool {
 		if at := slow.Load(); at != nil && c.Conn.LocalAddr().String() == *at {
-			time.Sleep(300 * time.Millisecond) // the partner's own time
+			time.Sleep(300 * time.Millisecond) // service time
 		}
 		return c.ReadAll(0) == nil && c.Answer(200, "") == nil
 	}}
-	f := newPlacesWith(t, p, 0, 4)
+	f := newZonedFleetWithSite(t, p, 0, 4)
 	must(t, f.AwaitPlan(f.ctx, 4, "usual time", func(s node.PlanStatus) bool {
 		return slices.ContainsFunc(s.Plan.Sites, func(x plan.Site) bool { return x.Place == "z0" && x.Usual > 0 })
 	}))
 	at := f.Partners[0].Address()
 	slow.Store(&at)
-	must(t, f.AwaitPlan(f.ctx, 4, "less for z0", func(s node.PlanStatus) bool { return movesOf(s, "slow", "z0") == 1 && grant(s, "z0", "z1").Rate > 0 }))
+	must(t, f.AwaitPlan(f.ctx, 4, "less for z0", func(s node.PlanStatus) bool { return countMoves(s, "slow", "z0") == 1 && quota(s, "z0", "z1").Rate > 0 }))
 	slow.Store(nil)
 	must(t, f.AwaitPlan(f.ctx, 4, "all for z0", func(s node.PlanStatus) bool {
-		return movesOf(s, "near again", "z0") == 1 && grant(s, "z0", "z1").Rate == 0
+		return countMoves(s, "near again", "z0") == 1 && quota(s, "z0", "z1").Rate == 0
 	}))
 	must(t, f.AwaitPlan(f.ctx, 4, "history", func(s node.PlanStatus) bool {
-		if n := movesOf(s, "out", "z0"); n > 0 {
+		if n := countMoves(s, "out", "z0"); n > 0 {
 			t.Errorf("%d times out: %+v", n, s.History)
 		}
 		return true
 	}))
 }
 
-// A partner that comes and goes every three seconds: it rests longer each time, and is not run after.
+// A site goes down and up every three seconds: each time it is left out for longer, and traffic does not follow each
+// change.
 func TestFleetFlapping(t *testing.T) {
 	t.Parallel()
-	f := newPlaces(t, 0, 4)
+	f := newZonedFleet(t, 0, 4)
 	f.Partners[0].Down()
-	must(t, f.AwaitPlan(f.ctx, 4, "first move", func(s node.PlanStatus) bool { return movesOf(s, "out", "z0") == 1 }))
+	must(t, f.AwaitPlan(f.ctx, 4, "first move", func(s node.PlanStatus) bool { return countMoves(s, "out", "z0") == 1 }))
 	must(t, f.Partners[0].Up())
 	for range 6 {
 		f.Partners[0].Down()
-		lab.Sleep(f.ctx, 1500*time.Millisecond) // the fault's own time
+		lab.Sleep(f.ctx, 1500*time.Millisecond) // length of the fault
 		must(t, f.Partners[0].Up())
 		lab.Sleep(f.ctx, 1500*time.Millisecond)
 	}
 	must(t, f.AwaitPlan(f.ctx, 4, "history", func(s node.PlanStatus) bool {
-		if out, back := movesOf(s, "out", "z0"), movesOf(s, "back", "z0"); out < 1 || out > 3 || back > out {
+		if out, back := countMoves(s, "out", "z0"), countMoves(s, "back", "z0"); out < 1 || out > 3 || back > out {
 			t.Errorf("%d out, %d back in 18 s: %+v", out, back, s.History)
 		}
 		return true
--- a/cmd/larkreach/fleet_test.go
+++ b/cmd/larkreach/fleet_test.go
@@ -24,25 +24,25 @@
 	"mulleinbeam/internal/lab/cluster"
 )
 
-// Several processes of the program with faults between them. Tests wait for what processes do; what bounds a wait is only there
-// to show what was awaited when it never comes.
+// Tests with several processes of the program and faults between them. Tests wait for events; the bound on a wait only
+// makes a failing test report what it was waiting for.
 
-const never = 60 * time.Second
+const testTimeout = 60 * time.Second
 
-// gate holds a partner's answers until the test lets them go.
+// gate holds back an endpoint's answers until the test releases them.
 type gate struct {
 	calls chan *heldCall
-	open  chan struct{} // closed: everything is answered 200 at once
+	open  chan struct{} // when closed, every call is answered 200 at once
 	once  sync.Once
 }
 
-// release answers everything from here on.
+// release makes the endpoint answer all held and later calls.
 func (g *gate) release() { g.once.Do(func() { close(g.open) }) }
 
 type heldCall struct {
 	*lab.Call
 	answer   chan int
-	answered chan struct{} // the test has answered it itself
+	answered chan struct{} // signals that the test has answered the call itself
 }
 
 func newGate() *gate { return &gate{calls: make(chan *heldCall, 256), open: make(chan struct{})} }
@@ -67,15 +67,15 @@
 	}
 }
 
-type fleetSite struct {
+type testFleet struct {
 	*cluster.Fleet
 	t    *testing.T
 	ctx  context.Context
-	stop func() // the load, where there is one
+	stop func() // stops the load, if there is one
 }
 
-// newFleet starts a fleet and waits until each member's copies count.
-func newFleet(t *testing.T, s cluster.Setup, g *gate) *fleetSite {
+// newFleet starts a fleet and waits until each member has in-sync replicas.
+func newFleet(t *testing.T, s cluster.Setup, g *gate) *testFleet {
 	t.Helper()
 	var p *lab.Endpoint
 	if g != nil {
@@ -83,19 +83,19 @@
 	}
 	site := newFleetOf(t, s, p)
 	if g != nil {
-		t.Cleanup(g.release) // before the fleet ends
+		t.Cleanup(g.release) // runs before the fleet is closed
 	}
 	return site
 }
 
-// newFleetOf does so with a partner that is told.
-func newFleetOf(t *testing.T, s cluster.Setup, p *lab.Endpoint) *fleetSite {
+// newFleetOf does the same with the given endpoint.
+func newFleetOf(t *testing.T, s cluster.Setup, p *lab.Endpoint) *testFleet {
 	t.Helper()
-	s.Program, s.Env, s.Dir, s.Seed = []string{os.Args[0]}, []string{childMark + "=1"}, t.TempDir(), 1
+	s.Program, s.Env, s.Dir, s.Seed = []string{os.Args[0]}, []string{childProcessEnv + "=1"}, t.TempDir(), 1
 	f, err := cluster.Open(s, p)
 	must(t, err)
-	ctx, cancel := context.WithTimeout(context.Background(), never)
-	site := &fleetSite{Fleet: f, t: t, ctx: ctx}
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+	site := &testFleet{Fleet: f, t: t, ctx: ctx}
 	t.Cleanup(func() {
 		cancel()
 		known := ""
@@ -116,8 +116,8 @@
 	return site
 }
 
-// take hands a message in and wants it taken on.
-func (f *fleetSite) take(i int, class string) string {
+// submit submits a message at a member and fails the test unless it is accepted.
+func (f *testFleet) submit(i int, class string) string {
 	f.t.Helper()
 	id, a := f.Hand(i, class, 20*time.Second)
 	if a.Status != 202 {
@@ -126,48 +126,49 @@
 	return id
 }
 
-// fill has every member make one unsafe call, which the partner holds, and take a message of each class on behind it. It gives those.
-func (f *fleetSite) fill(g *gate, classes ...string) (waiting []string) {
+// fillMembers has each member make one unsafe call, which the endpoint holds back, and accept a message of each class
+// after it. It returns the ids of the waiting messages.
+func (f *testFleet) fillMembers(g *gate, classes ...string) (waiting []string) {
 	f.t.Helper()
 	for i := range f.Members {
-		out := f.take(i, "unsafe")
+		out := f.submit(i, "unsafe")
 		if c := <-g.calls; c.ID != out {
-			f.t.Fatalf("%s came for %s", c.ID, out)
+			f.t.Fatalf("%s was called instead of %s", c.ID, out)
 		}
 		for _, class := range classes {
-			waiting = append(waiting, f.take(i, class))
+			waiting = append(waiting, f.submit(i, class))
 		}
 	}
 	return waiting
 }
 
-// keeperOf is the number of the member that keeps the counted copies of another.
-func (f *fleetSite) keeperOf(i int) int {
+// replicaOf returns the number of the member that is the in-sync replica of member i.
+func (f *testFleet) replicaOf(i int) int {
 	f.t.Helper()
 	s, err := f.Look(i)
 	must(f.t, err)
 	return int(s.Keepers[0].Name[1] - '0')
 }
 
-// gone ends a member for good and waits until what it owed is somebody else's.
-func (f *fleetSite) gone(i int, asking int) {
+// loseMember kills a member, deletes its folder and waits until its messages are taken over.
+func (f *testFleet) loseMember(i int, asking int) {
 	f.t.Helper()
-	life, err := f.Life(i)
+	incarnation, err := f.Life(i)
 	must(f.t, err)
 	must(f.t, f.Kill(i))
 	must(f.t, f.LoseFolder(i))
-	must(f.t, f.AwaitDone(f.ctx, asking, f.Members[i].Name, life))
+	must(f.t, f.AwaitDone(f.ctx, asking, f.Members[i].Name, incarnation))
 }
 
-// rules holds all that was seen against the rules once nothing is owed any more.
-func (f *fleetSite) rules(members ...int) {
+// checkRules waits until all takeovers are complete and no message is held, and checks the delivery rules.
+func (f *testFleet) checkRules(members ...int) {
 	f.t.Helper()
 	must(f.t, f.AwaitJobs(f.ctx, members[0]))
-	f.ends(members...)
+	f.checkMembers(members...)
 }
 
-// ends holds it against them once nothing is held at members, whoever else may owe something.
-func (f *fleetSite) ends(members ...int) {
+// checkMembers waits until the given members hold no message, and checks the delivery rules.
+func (f *testFleet) checkMembers(members ...int) {
 	f.t.Helper()
 	must(f.t, f.AwaitSettled(members...))
 	for _, b := range f.Broken() {
@@ -175,20 +176,20 @@
 	}
 }
 
-// reached says that each message was called: an unsafe one once, the others once at least, since the module may call a stuck call off
-// and make another.
-func (f *fleetSite) reached(ids ...string) {
+// checkDelivered checks that each message was called: unsafe ones once, others at least once, since the decision module
+// may cancel a stuck call and make another.
+func (f *testFleet) checkDelivered(ids ...string) {
 	f.t.Helper()
-	arrived := f.arrived()
+	arrivals := f.arrivals()
 	for _, id := range ids {
-		if n := arrived[id]; n < 1 || n > 1 && strings.HasPrefix(id, "unsafe") {
+		if n := arrivals[id]; n < 1 || n > 1 && strings.HasPrefix(id, "unsafe") {
 			f.t.Errorf("%s: %d calls", id, n)
 		}
 	}
 }
 
-// arrived counts the calls that reached the partner, by message.
-func (f *fleetSite) arrived() map[string]int {
+// arrivals counts the calls that reached the endpoint, by message.
+func (f *testFleet) arrivals() map[string]int {
 	out := map[string]int{}
 	for _, a := range f.Partner.Arrivals() {
 		out[a.ID]++
@@ -196,126 +197,128 @@
 	return out
 }
 
-// A member that dies with its folder: what it answered 202 for is delivered by who kept its copies, by class. What never began
-// goes on; what was out and is safe or keyed goes again; an unsafe one that was out is given up.
+// A member is lost with its folder: its replica delivers the messages that it had accepted. Messages that had not
+// started are sent; those with a call in flight are sent again if safe or keyed, and abandoned if unsafe.
 func TestFleetOwnerDiesWithItsFolder(t *testing.T) {
 	t.Parallel()
 	g := newGate()
 	f := newFleet(t, cluster.Setup{Members: 3}, g)
 	out := map[string]string{}
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
-		id := f.take(2, class)
+		id := f.submit(2, class)
 		if c := <-g.calls; c.ID != id {
-			t.Fatalf("%s came for %s", c.ID, id)
+			t.Fatalf("%s was called instead of %s", c.ID, id)
 		}
 		out[class] = id
 	}
-	must(t, f.AwaitCopied(f.ctx, 2)) // that they were out is known to who counts
-	f.gone(2, 0)
+	must(t, f.AwaitCopied(f.ctx, 2)) // the replica knows that the calls had started
+	f.loseMember(2, 0)
 	g.release()
-	f.rules(0, 1)
-	arrived := f.arrived()
+	f.checkRules(0, 1)
+	arrivals := f.arrivals()
 	for class, want := range map[string]int{"safe": 2, "keyed": 2, "unsafe": 1} {
-		if n := arrived[out[class]]; n != want {
+		if n := arrivals[out[class]]; n != want {
 			t.Errorf("%s: %d calls, want %d", class, n, want)
 		}
 	}
 	if n := f.Agent.Notices(); len(n) != 1 || n[0].Message != out["unsafe"] || n[0].Outcome != "given_up" {
-		t.Errorf("notices %+v", n)
+		t.Errorf("delivery reports %+v", n)
 	}
 }
 
-// Paused just before a call's first byte, taken over meanwhile, and woken: the old life sends nothing more.
-func TestFleetPausedOwnerWakes(t *testing.T) {
+// A member is paused just before the first byte of a call, taken over, and resumed: its old incarnation sends nothing
+// more.
+func TestFleetPausedOwnerResumes(t *testing.T) {
 	t.Parallel()
 	g := newGate()
 	f := newFleet(t, cluster.Setup{Members: 3}, g)
-	first := f.take(2, "unsafe") // takes the calls' turn
+	first := f.submit(2, "unsafe") // occupies the call slot
 	<-g.calls
-	held := []string{f.take(2, "unsafe"), f.take(2, "keyed"), f.take(2, "safe")}
-	life, err := f.Life(2)
+	held := []string{f.submit(2, "unsafe"), f.submit(2, "keyed"), f.submit(2, "safe")}
+	incarnation, err := f.Life(2)
 	must(t, err)
 	must(t, f.AwaitCopied(f.ctx, 2))
 	must(t, f.Pause(2))
-	must(t, f.AwaitDone(f.ctx, 0, "n2", life))
+	must(t, f.AwaitDone(f.ctx, 0, "n2", incarnation))
 	g.release()
 	must(t, f.AwaitSettled(0, 1))
-	before := f.arrived()
+	before := f.arrivals()
 	must(t, f.Wake(2))
-	must(t, f.Await(f.ctx, 2, "another life", func(s node.Status) bool { return s.MayAct && s.Life.Number > life }))
+	must(t, f.Await(f.ctx, 2, "another incarnation", func(s node.Status) bool { return s.MayAct && s.Life.Number > incarnation }))
 	must(t, f.AwaitCopied(f.ctx, 2))
-	after := f.take(2, "unsafe")
-	f.rules(0, 1, 2)
-	arrived := f.arrived()
+	after := f.submit(2, "unsafe")
+	f.checkRules(0, 1, 2)
+	arrivals := f.arrivals()
 	for _, id := range append(held, first) {
-		if arrived[id] != before[id] {
-			t.Errorf("%s: %d calls before the old one woke, %d after", id, before[id], arrived[id])
+		if arrivals[id] != before[id] {
+			t.Errorf("%s: %d calls before the member resumed, %d after", id, before[id], arrivals[id])
 		}
 	}
-	if arrived[after] != 1 {
-		t.Errorf("the new life's message made %d calls", arrived[after])
+	if arrivals[after] != 1 {
+		t.Errorf("the new incarnation's message made %d calls", arrivals[after])
 	}
 	if err := f.Members[2].End(syscall.SIGTERM); err != nil {
 		t.Error(err)
 	}
 }
 
-// slots has a member make so many calls at once.
+// slots limits the concurrent calls of a member.
 func slots(n int) func(map[string]any) {
 	return func(c map[string]any) {
 		c["settings"].(map[string]any)["family-info"].(map[string]any)["calls-out"] = n
 	}
 }
 
-// What had not begun when its owner died goes on at who kept its copies, once, whatever its class; what was over stays over, and an
-// end that nobody was told of yet is told.
-func TestFleetNothingBegunIsLost(t *testing.T) {
+// Messages that had not started when their owner died are sent once by its replica, whatever their class. Ended
+// messages stay ended, and an end that was not reported yet is reported.
+func TestFleetUnstartedMessagesSurvive(t *testing.T) {
 	t.Parallel()
 	g := newGate()
 	f := newFleet(t, cluster.Setup{Members: 3, Amend: slots(1)}, g)
-	over := f.take(2, "unsafe")
+	over := f.submit(2, "unsafe")
 	(<-g.calls).answer <- 200
 	must(t, f.Members[2].AwaitCounter("in", "held", 0))
-	failed := f.take(2, "unsafe")
+	failed := f.submit(2, "unsafe")
 	(<-g.calls).answer <- 500
 	must(t, f.Members[2].AwaitCounter("notices", "acknowledged", 1))
-	out := f.take(2, "unsafe")
+	out := f.submit(2, "unsafe")
 	<-g.calls
 	var waiting []string
 	for range 3 {
 		for _, class := range []string{"safe", "keyed", "unsafe"} {
-			waiting = append(waiting, f.take(2, class))
+			waiting = append(waiting, f.submit(2, class))
 		}
 	}
 	must(t, f.AwaitCopied(f.ctx, 2))
-	f.gone(2, 0)
+	f.loseMember(2, 0)
 	g.release()
-	f.rules(0, 1)
-	f.reached(append(waiting, over, out, failed)...)
+	f.checkRules(0, 1)
+	f.checkDelivered(append(waiting, over, out, failed)...)
 	if n := f.Agent.Notices(); len(n) != 2 {
-		t.Errorf("notices %+v", n)
+		t.Errorf("delivery reports %+v", n)
 	}
 }
 
-// A member that is cut off from all others, but not from its clients and the partner: classes that may go on alone do, the others
-// are refused; what others hold copies of is theirs once its lease is over; when the cut heals, it goes on under a new life.
+// A member is cut off from all others, but not from its clients and the endpoint: classes that may run unreplicated
+// continue, the others are refused. Its replicated messages are taken over once its lease expires. When the partition
+// heals, it continues as a new incarnation.
 func TestFleetCutOff(t *testing.T) {
 	t.Parallel()
 	g := newGate()
 	f := newFleet(t, cluster.Setup{Members: 3, Alone: []string{"safe"}, Amend: slots(1)}, g)
-	out := f.take(2, "unsafe")
+	out := f.submit(2, "unsafe")
 	<-g.calls
-	copied := f.take(2, "unsafe")
+	copied := f.submit(2, "unsafe")
 	must(t, f.AwaitCopied(f.ctx, 2))
-	life, err := f.Life(2)
+	incarnation, err := f.Life(2)
 	must(t, err)
 	f.Split(2)
-	must(t, f.AwaitDone(f.ctx, 0, "n2", life))
+	must(t, f.AwaitDone(f.ctx, 0, "n2", incarnation))
 	if id, a := f.Hand(2, "unsafe", 20*time.Second); a.Status != 503 {
-		t.Errorf("%s was answered %d without anybody to keep a copy", id, a.Status)
+		t.Errorf("%s was answered %d without a replica", id, a.Status)
 	}
-	alone := f.take(2, "safe")
-	for c := range g.calls { // beside that of who took over
+	alone := f.submit(2, "safe")
+	for c := range g.calls { // other calls are those of the member that took over
 		c.answer <- 200
 		if c.ID == alone {
 			break
@@ -324,121 +327,122 @@
 	g.release()
 	must(t, f.AwaitSettled(0, 1))
 	f.Heal()
-	must(t, f.Await(f.ctx, 2, "another life", func(s node.Status) bool { return s.MayAct && s.Life.Number > life }))
+	must(t, f.Await(f.ctx, 2, "another incarnation", func(s node.Status) bool { return s.MayAct && s.Life.Number > incarnation }))
 	must(t, f.AwaitCopied(f.ctx, 2))
-	after := f.take(2, "unsafe")
-	f.rules(0, 1, 2)
-	f.reached(out, copied, alone, after)
+	after := f.submit(2, "unsafe")
+	f.checkRules(0, 1, 2)
+	f.checkDelivered(out, copied, alone, after)
 }
 
-// One way only: what a member says reaches nobody, what others say reaches it. It has no lease then, and stops as one that is cut
-// off; whoever takes over does, and nothing is sent twice.
+// An asymmetric partition: a member receives from the others but cannot reach them. It loses its lease and stops like
+// one that is cut off; its messages are taken over, and nothing is sent twice.
 func TestFleetCutOneWay(t *testing.T) {
 	t.Parallel()
 	g := newGate()
 	f := newFleet(t, cluster.Setup{Members: 3, Amend: slots(1)}, g)
-	f.take(2, "unsafe")
+	f.submit(2, "unsafe")
 	<-g.calls
-	waiting := []string{f.take(2, "unsafe"), f.take(2, "keyed")}
+	waiting := []string{f.submit(2, "unsafe"), f.submit(2, "keyed")}
 	must(t, f.AwaitCopied(f.ctx, 2))
-	life, err := f.Life(2)
+	incarnation, err := f.Life(2)
 	must(t, err)
 	f.Stall(2, 0, true)
 	f.Stall(2, 1, true)
-	must(t, f.AwaitDone(f.ctx, 0, "n2", life))
+	must(t, f.AwaitDone(f.ctx, 0, "n2", incarnation))
 	g.release()
 	must(t, f.AwaitSettled(0, 1))
 	f.Heal()
-	must(t, f.Await(f.ctx, 2, "another life", func(s node.Status) bool { return s.MayAct && s.Life.Number > life }))
-	f.rules(0, 1, 2)
-	f.reached(waiting...)
+	must(t, f.Await(f.ctx, 2, "another incarnation", func(s node.Status) bool { return s.MayAct && s.Life.Number > incarnation }))
+	f.checkRules(0, 1, 2)
+	f.checkDelivered(waiting...)
 }
 
-// A keeper dies for good: another one is chosen, and is counted once it is as far; what was copied to the dead one alone is not
-// lost when the owner goes next.
-func TestFleetKeeperDies(t *testing.T) {
+// A replica is lost: another member is chosen and is in sync once it has caught up. Messages that were replicated only
+// to the lost one survive the loss of their owner afterwards.
+func TestFleetReplicaDies(t *testing.T) {
 	t.Parallel()
 	g := newGate()
 	f := newFleet(t, cluster.Setup{Members: 4, Amend: slots(1)}, g)
-	f.take(3, "unsafe")
+	f.submit(3, "unsafe")
 	<-g.calls
-	waiting := []string{f.take(3, "unsafe"), f.take(3, "safe")}
-	keeper := f.keeperOf(3)
-	f.gone(keeper, 3)
-	must(t, f.Await(f.ctx, 3, "another keeper", func(s node.Status) bool {
-		return len(s.Keepers) > 0 && s.Keepers[0].Counts && s.Keepers[0].Name != f.Members[keeper].Name && s.Keepers[0].Has == s.Keepers[0].Of
+	waiting := []string{f.submit(3, "unsafe"), f.submit(3, "safe")}
+	replica := f.replicaOf(3)
+	f.loseMember(replica, 3)
+	must(t, f.Await(f.ctx, 3, "another replica", func(s node.Status) bool {
+		return len(s.Keepers) > 0 && s.Keepers[0].Counts && s.Keepers[0].Name != f.Members[replica].Name && s.Keepers[0].Has == s.Keepers[0].Of
 	}))
-	waiting = append(waiting, f.take(3, "keyed"))
+	waiting = append(waiting, f.submit(3, "keyed"))
 	must(t, f.AwaitCopied(f.ctx, 3))
 	rest := []int{}
 	for i := range 3 {
-		if i != keeper {
+		if i != replica {
 			rest = append(rest, i)
 		}
 	}
-	f.gone(3, rest[0])
+	f.loseMember(3, rest[0])
 	g.release()
-	f.rules(rest...)
-	f.reached(waiting...)
+	f.checkRules(rest...)
+	f.checkDelivered(waiting...)
 }
 
-// All are killed at once, folders kept, and come back: each goes on with its own, and nothing is lost or done twice.
+// All members are killed at once and restarted with their folders: each resumes its own messages, and none is lost or
+// repeated.
 func TestFleetAllKilled(t *testing.T) {
 	t.Parallel()
 	g := newGate()
 	f := newFleet(t, cluster.Setup{Members: 3, Amend: slots(1)}, g)
-	ids := f.fill(g, "unsafe", "keyed", "safe")
+	ids := f.fillMembers(g, "unsafe", "keyed", "safe")
 	for i := range 3 {
 		must(t, f.Kill(i))
 	}
 	g.release()
 	must(t, f.Start(f.All()...))
 	must(t, f.AwaitCopied(f.ctx, f.All()...))
-	f.rules(f.All()...)
-	f.reached(ids...)
+	f.checkRules(f.All()...)
+	f.checkDelivered(ids...)
 	if n := f.Agent.Notices(); len(n) != 3 {
-		t.Errorf("of three unsafe calls that were out: %+v", n)
+		t.Errorf("of three unsafe calls in flight: %+v", n)
 	}
 }
 
-// A folder that is put back to an older copy: what its keepers know is taken back from them, so that nothing of it is lost or goes
-// again.
+// A folder is rolled back to an older copy: its owner recovers the newer records from its replicas, so that nothing is
+// lost or sent again.
 func TestFleetFolderRolledBack(t *testing.T) {
 	t.Parallel()
 	g := newGate()
 	f := newFleet(t, cluster.Setup{Members: 3, Amend: slots(1)}, g)
 	must(t, f.Kill(2))
-	must(t, f.SaveFolder(2)) // as it was before any message
+	must(t, f.SaveFolder(2)) // the state before any message
 	must(t, f.Start(2))
 	must(t, f.AwaitCopied(f.ctx, 2))
-	over := f.take(2, "unsafe")
+	over := f.submit(2, "unsafe")
 	(<-g.calls).answer <- 200
 	must(t, f.Members[2].AwaitCounter("in", "held", 0))
-	out := f.take(2, "unsafe")
+	out := f.submit(2, "unsafe")
 	<-g.calls
-	waiting := f.take(2, "unsafe")
+	waiting := f.submit(2, "unsafe")
 	must(t, f.AwaitCopied(f.ctx, 2))
-	life, err := f.Life(2)
+	incarnation, err := f.Life(2)
 	must(t, err)
 	must(t, f.Kill(2))
 	must(t, f.RollBack(2))
 	g.release()
 	must(t, f.Start(2))
 	must(t, f.Await(f.ctx, 2, "lease", func(s node.Status) bool { return s.MayAct }))
-	must(t, f.AwaitDone(f.ctx, 0, "n2", life))
-	f.rules(f.All()...)
-	f.reached(over, out, waiting)
-	must(t, f.Await(f.ctx, 2, "ids of the life before", func(s node.Status) bool { return s.Knows }))
+	must(t, f.AwaitDone(f.ctx, 0, "n2", incarnation))
+	f.checkRules(f.All()...)
+	f.checkDelivered(over, out, waiting)
+	must(t, f.Await(f.ctx, 2, "ids of the previous incarnation", func(s node.Status) bool { return s.Knows }))
 	if a := f.HandAs(2, over, "unsafe", 20*time.Second); a.Status != 202 && a.Status != 409 {
-		t.Errorf("an id that is over, handed in again: %d", a.Status)
+		t.Errorf("an ended id, submitted again: %d", a.Status)
 	}
-	f.rules(f.All()...)
-	if n := f.arrived()[over]; n != 1 {
-		t.Errorf("%s: %d calls after it came again", over, n)
+	f.checkRules(f.All()...)
+	if n := f.arrivals()[over]; n != 1 {
+		t.Errorf("%s: %d calls after the second submission", over, n)
 	}
 }
 
-// Two processes that claim one name: the second is given no life while the first goes on, and takes nothing on.
+// Two processes use one name: the second is not admitted while the first is alive, and accepts no message.
 func TestFleetNameIsTaken(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, cluster.Setup{Members: 4}, nil)
@@ -456,19 +460,19 @@
 	must(t, err)
 	defer c.Close()
 	if a := c.Hand(lab.Handover{ID: "x", Key: "k", Class: "unsafe", Destination: cluster.Group, Left: 20 * time.Second}, nil); a.Status != 503 {
-		t.Errorf("the second of a name answered %d", a.Status)
+		t.Errorf("the second process of a name answered %d", a.Status)
 	}
-	f.take(3, "unsafe")
-	f.rules(f.All()...)
+	f.submit(3, "unsafe")
+	f.checkRules(f.All()...)
 }
 
-// All are killed at once and one of them comes back without its folder, a founder of the council at that: it says nothing in the
-// council before it has met the others, and what it owed goes on at who kept its copies.
+// All members are killed at once and one voter restarts without its folder: it does not vote before it has contacted
+// the others, and its replica takes over its messages.
 func TestFleetAllKilledOneFolderLost(t *testing.T) {
 	t.Parallel()
 	g := newGate()
 	f := newFleet(t, cluster.Setup{Members: 3, Amend: slots(1)}, g)
-	ids := f.fill(g, "unsafe", "keyed")
+	ids := f.fillMembers(g, "unsafe", "keyed")
 	must(t, f.AwaitCopied(f.ctx, f.All()...))
 	for i := range 3 {
 		must(t, f.Kill(i))
@@ -478,15 +482,15 @@
 	must(t, f.Start(f.All()...))
 	must(t, f.AwaitCopied(f.ctx, f.All()...))
 	must(t, f.AwaitDone(f.ctx, 0, "n2", 1))
-	f.rules(f.All()...)
-	f.reached(ids...)
+	f.checkRules(f.All()...)
+	f.checkDelivered(ids...)
 }
 
-// fleetCommand runs a command of larkreach and gives what it printed, errors included, and its status.
+// fleetCommand runs a command of larkreach and returns its output, including errors, and its exit status.
 func fleetCommand(t *testing.T, name string, args ...string) (out string, status int) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], append([]string{name}, args...)...)
-	cmd.Env = append(os.Environ(), childMark+"=1")
+	cmd.Env = append(os.Environ(), childProcessEnv+"=1")
 	printed, err := cmd.CombinedOutput()
 	var ended *exec.ExitError
 	if err != nil && !errors.As(err, &ended) {
@@ -496,7 +500,7 @@
 }
 
 // operator runs a command of larkreach cluster.
-func (f *fleetSite) operator(args ...string) string {
+func (f *testFleet) operator(args ...string) string {
 	f.t.Helper()
 	out, status := fleetCommand(f.t, "cluster", args...)
 	if status != 0 {
@@ -505,57 +509,59 @@
 	return out
 }
 
-// votes waits until just these founders vote, as a member sees it.
-func (f *fleetSite) votes(at int, names ...string) {
+// awaitVoters waits until a member reports exactly these voters.
+func (f *testFleet) awaitVoters(at int, names ...string) {
 	f.t.Helper()
-	must(f.t, f.Await(f.ctx, at, fmt.Sprint("council of ", names), func(s node.Status) bool {
+	must(f.t, f.Await(f.ctx, at, fmt.Sprint("voters ", names), func(s node.Status) bool {
 		return slices.EqualFunc(s.Founders, names, func(x controlplane.Voter, name string) bool { return x.Name == name && !x.Learns })
 	}))
 }
 
-// A council that goes on while its founders change: a machine that is lost for good is replaced by one that was no founder, the next
-// founder that dies leaves a majority of the new ones, and who comes back with the settings of old finds the council that is there.
-func TestFleetFoundersChange(t *testing.T) {
+// The control plane keeps working while its voters change: a lost voter is replaced by another member, the new voters
+// have a majority when the next old one dies, and a member that restarts with its old settings finds the current
+// voters.
+func TestFleetVotersChange(t *testing.T) {
 	t.Parallel()
 	g := newGate()
 	f := newFleet(t, cluster.Setup{Members: 5, Amend: slots(1)}, g)
-	f.take(4, "unsafe")
+	f.submit(4, "unsafe")
 	<-g.calls
-	waiting := []string{f.take(4, "unsafe"), f.take(4, "keyed")}
+	waiting := []string{f.submit(4, "unsafe"), f.submit(4, "keyed")}
 	must(t, f.AwaitCopied(f.ctx, f.All()...))
-	f.gone(0, 4)
+	f.loseMember(0, 4)
 	f.operator("found", "n3", "--at", f.Members[4].Links)
-	f.votes(4, "n0", "n1", "n2", "n3")
+	f.awaitVoters(4, "n0", "n1", "n2", "n3")
 	f.operator("unfound", "n0", "--at", f.Members[4].Links)
-	f.votes(4, "n1", "n2", "n3")
+	f.awaitVoters(4, "n1", "n2", "n3")
 	if out := f.operator("founders", "--at", f.Members[3].Links); strings.Contains(out, "n0") || strings.Count(out, "true") != 4 {
-		t.Errorf("founders:\n%s", out) // three vote, one leads
+		t.Errorf("founders:\n%s", out) // three voters, one of them the leader
 	}
-	life, err := f.Life(1)
+	incarnation, err := f.Life(1)
 	must(t, err)
 	must(t, f.Kill(1))
-	must(t, f.AwaitDone(f.ctx, 4, "n1", life)) // n2 and n3 decide that
-	waiting = append(waiting, f.take(4, "unsafe"), f.take(2, "safe"))
-	must(t, f.Kill(4)) // knows the new founders by its settings no more
+	must(t, f.AwaitDone(f.ctx, 4, "n1", incarnation)) // committed by n2 and n3
+	waiting = append(waiting, f.submit(4, "unsafe"), f.submit(2, "safe"))
+	must(t, f.Kill(4)) // its settings do not name the new voters
 	must(t, f.Start(0, 4))
 	must(t, f.AwaitCopied(f.ctx, 0, 2, 3, 4))
 	must(t, f.Start(1))
 	must(t, f.AwaitCopied(f.ctx, f.All()...))
-	f.votes(0, "n1", "n2", "n3")
+	f.awaitVoters(0, "n1", "n2", "n3")
 	g.release()
-	f.rules(f.All()...)
-	f.reached(waiting...)
+	f.checkRules(f.All()...)
+	f.checkDelivered(waiting...)
 }
 
-// A majority of the founders is lost for good: strict classes are refused, and the operator's command makes what the last one knows a
-// council again. What it held goes on, and what the lost ones owed goes on where it was kept.
+// A majority of the voters is lost: replicated classes are refused until an operator rebuilds the control plane from
+// the state of the last voter. The messages it held continue, and those of the lost members are taken over by their
+// replicas.
 func TestFleetMajorityLost(t *testing.T) {
 	t.Parallel()
 	g := newGate()
 	f := newFleet(t, cluster.Setup{Members: 4, Amend: slots(1)}, g)
-	f.take(0, "unsafe")
+	f.submit(0, "unsafe")
 	<-g.calls
-	waiting := []string{f.take(0, "unsafe"), f.take(0, "keyed")}
+	waiting := []string{f.submit(0, "unsafe"), f.submit(0, "keyed")}
 	must(t, f.AwaitCopied(f.ctx, 0))
 	for i := 1; i < 3; i++ {
 		must(t, f.Kill(i))
@@ -563,7 +569,7 @@
 	}
 	must(t, f.Await(f.ctx, 0, "end of its lease", func(s node.Status) bool { return !s.MayAct }))
 	if id, a := f.Hand(0, "unsafe", 20*time.Second); a.Status != 503 {
-		t.Errorf("%s was answered %d without a council", id, a.Status)
+		t.Errorf("%s was answered %d without a control plane", id, a.Status)
 	}
 	must(t, f.Kill(0))
 	must(t, f.Kill(3))
@@ -578,39 +584,39 @@
 	g.release()
 	must(t, f.Start(0, 3))
 	must(t, f.AwaitCopied(f.ctx, 0, 3))
-	must(t, f.AwaitDone(f.ctx, 0, "n0", 1)) // the two that are lost owe nothing, and may have kept copies for each other
-	f.ends(0, 3)
-	f.reached(waiting...)
+	must(t, f.AwaitDone(f.ctx, 0, "n0", 1)) // the two lost members had no messages, and may have been replicas of each other
+	f.checkMembers(0, 3)
+	f.checkDelivered(waiting...)
 }
 
-// A keeper that catches up is cut off ten times in the middle of it; it goes on, is counted only when it is level, and what it has then
-// is all that there is when the owner goes for good.
+// The catch-up of a new replica is interrupted ten times. It resumes, counts as in sync only once it has caught up, and
+// has all messages when the owner is lost.
 func TestFleetCatchUpIsCut(t *testing.T) {
 	t.Parallel()
 	g := newGate()
 	f := newFleet(t, cluster.Setup{Members: 4, Amend: slots(1), Body: 50 << 10}, g)
-	f.take(3, "unsafe")
+	f.submit(3, "unsafe")
 	<-g.calls
 	var waiting []string
 	for range 100 {
-		waiting = append(waiting, f.take(3, "unsafe"))
+		waiting = append(waiting, f.submit(3, "unsafe"))
 	}
 	must(t, f.AwaitCopied(f.ctx, 3))
 	first := ""
-	must(t, f.Await(f.ctx, 3, "one keeper, and nobody on the way to be another", func(s node.Status) bool {
+	must(t, f.Await(f.ctx, 3, "a single in-sync replica", func(s node.Status) bool {
 		if len(s.Keepers) == 1 && s.Keepers[0].Counts {
 			first = s.Keepers[0].Name
 		}
 		return first != ""
 	}))
-	var links []*cluster.FaultProxy // to whoever may be chosen next
+	var links []*cluster.FaultProxy // to the members that may be chosen next
 	var rest []int
 	for i := range 3 {
 		if f.Members[i].Name != first {
 			links, rest = append(links, f.Proxy(3, i)), append(rest, i)
 		}
 	}
-	const piece, part = 600_000, 200_000 // bytes: a piece of the snapshot with some of the next, and not one
+	const piece, part = 600_000, 200_000 // bytes: more than a piece of the snapshot, and less than one
 	cutAfter := func(size int64) {
 		for _, l := range links {
 			l.Set(cluster.There, cluster.Way{Cut: size})
@@ -627,7 +633,7 @@
 		for links[0].Cuts()+links[1].Cuts() <= cut {
 			must(t, f.ctx.Err())
 			if s, err := f.Look(3); err == nil && replaced(s) {
-				t.Fatalf("counted after %d cuts", cut)
+				t.Fatalf("in sync after %d cuts", cut)
 			}
 		}
 		if cutAfter(piece); cut > 3 {
@@ -635,35 +641,36 @@
 		}
 	}
 	cutAfter(0)
-	must(t, f.Await(f.ctx, 3, "another keeper", replaced))
-	must(t, f.AwaitDone(f.ctx, rest[0], first, 1)) // its copy may be in the owner's folder, which goes next
-	f.gone(3, rest[0])
+	must(t, f.Await(f.ctx, 3, "another replica", replaced))
+	must(t, f.AwaitDone(f.ctx, rest[0], first, 1)) // its replica may be in the owner's folder, which is lost next
+	f.loseMember(3, rest[0])
 	g.release()
-	f.rules(rest...)
-	f.reached(waiting...)
+	f.checkRules(rest...)
+	f.checkDelivered(waiting...)
 }
 
-// Every machine is replaced in turn, founders of the council among them: each comes back empty under its name, and what it owed goes on.
+// All members are replaced one by one, including the voters: each restarts under its name with an empty folder, and its
+// messages are taken over.
 func TestFleetReplacedOneByOne(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, cluster.Setup{Members: 3}, nil)
 	var ids []string
 	for i := range 3 {
 		for k := range 3 {
-			ids = append(ids, f.take(k, "keyed"), f.take(k, "unsafe"))
+			ids = append(ids, f.submit(k, "keyed"), f.submit(k, "unsafe"))
 		}
 		must(t, f.AwaitCopied(f.ctx, f.All()...))
-		f.gone(i, (i+1)%3)
+		f.loseMember(i, (i+1)%3)
 		must(t, f.Start(i))
 		must(t, f.AwaitCopied(f.ctx, f.All()...))
 		must(t, f.AwaitJobs(f.ctx, i))
 	}
-	f.rules(f.All()...)
-	f.reached(ids...)
+	f.checkRules(f.All()...)
+	f.checkDelivered(ids...)
 }
 
-// heeds says whether a member heeds a wait at the partner.
-func heeds(s node.ObservationStatus) bool {
+// appliesRetryAfter reports whether a member applies a Retry-After wait to the destination.
+func appliesRetryAfter(s node.ObservationStatus) bool {
 	for _, l := range s.Heeded {
 		if l.Destination == cluster.Group && l.Wait > 0 {
 			return true
@@ -672,15 +679,16 @@
 	return false
 }
 
-// A partner tells one forwarder to wait; the others, which it told nothing, call it no sooner.
-func TestFleetToldWaitIsHeededByAll(t *testing.T) {
+// A destination answers one forwarder with Retry-After; the other forwarders learn of it and do not call earlier
+// either.
+func TestFleetSharesRetryAfter(t *testing.T) {
 	t.Parallel()
 	g := newGate()
 	f := newFleet(t, cluster.Setup{Members: 3}, g)
-	first := f.take(0, "safe")
+	first := f.submit(0, "safe")
 	c := <-g.calls
 	if c.ID != first {
-		t.Fatalf("%s came for %s", c.ID, first)
+		t.Fatalf("%s was called instead of %s", c.ID, first)
 	}
 	const told = 3 * time.Second
 	must(t, c.Answer(429, fmt.Sprintf("X-RateLimit-Wait-Ms: %d\r\n", told.Milliseconds())))
@@ -688,65 +696,66 @@
 	c.answered <- struct{}{}
 	ids := map[string]bool{first: true}
 	for _, i := range []int{1, 2} {
-		must(t, f.AwaitFacts(f.ctx, i, "wait that n0 was told", heeds))
-		ids[f.take(i, "safe")] = true
+		must(t, f.AwaitFacts(f.ctx, i, "wait that n0 received", appliesRetryAfter))
+		ids[f.submit(i, "safe")] = true
 	}
 	for len(ids) > 0 {
 		c := <-g.calls
 		if early := time.Until(end); early > 0 {
-			t.Errorf("%s was called %v before the wait's end", c.ID, early)
+			t.Errorf("%s was called %v before the end of the wait", c.ID, early)
 		}
 		delete(ids, c.ID)
 		c.answer <- 200
 	}
-	f.rules(f.All()...)
+	f.checkRules(f.All()...)
 }
 
-// A member tells absurd things of partners: a wait of a year, ages below zero, limits that are none, a name of nobody. They are
-// bounded or dropped, logged, and heeded no longer than one member's word counts.
-func TestFleetLiar(t *testing.T) {
+// A member sends invalid observations: a wait of a year, negative ages, infinite and negative limits, an unknown
+// origin. They are bounded or dropped, logged, and expire like any single member's observation.
+func TestFleetInvalidObservations(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, cluster.Setup{Members: 3, Extra: "believe = \"1s\""}, nil)
-	liar, err := f.Life(2)
+	sender, err := f.Life(2)
 	must(t, err)
 	p := links.NewPeer(f.Members[0].Links)
 	defer p.Close()
-	lies := []observation.Record{
+	invalid := []observation.Record{
 		{Kind: observation.RetryAfter, Destination: cluster.Group, Left: 365 * 24 * time.Hour},
 		{Kind: observation.Outage, Destination: cluster.Group, Age: -time.Hour},
 		{Kind: observation.RateLimit, Destination: cluster.Group, Rate: math.Inf(1)},
 		{Kind: observation.RateLimit, Destination: cluster.Group, Rate: -1},
 		{Kind: 200, Destination: -1, Left: -time.Second},
 	}
-	for i := range lies {
-		lies[i].Origin, lies[i].Life, lies[i].Serial = "n2", liar, 1e6+uint64(i)
+	for i := range invalid {
+		invalid[i].Origin, invalid[i].Life, invalid[i].Serial = "n2", sender, 1e6+uint64(i)
 	}
-	lies = append(lies, observation.Record{Kind: observation.RetryAfter, Destination: cluster.Group, Left: time.Minute, Origin: "nobody", Life: 1, Serial: 1})
-	must(t, p.Call(f.ctx, "Facts.Push", node.GossipRequest{From: controlplane.Incarnation{Name: "n2", Number: liar}, Facts: lies}, &node.GossipReply{}))
-	must(t, f.AwaitFacts(f.ctx, 0, "account of lies", func(s node.ObservationStatus) bool { return s.Counts.Bounded == 2 && s.Counts.Absurd == 2 }))
+	invalid = append(invalid, observation.Record{Kind: observation.RetryAfter, Destination: cluster.Group, Left: time.Minute, Origin: "nobody", Life: 1, Serial: 1})
+	must(t, p.Call(f.ctx, "Facts.Push", node.GossipRequest{From: controlplane.Incarnation{Name: "n2", Number: sender}, Facts: invalid}, &node.GossipReply{}))
+	must(t, f.AwaitFacts(f.ctx, 0, "counters of invalid observations", func(s node.ObservationStatus) bool { return s.Counts.Bounded == 2 && s.Counts.Absurd == 2 }))
 	if _, seen := f.Members[0].Sees(string(observation.ExcessiveWait)); !seen {
-		t.Error("no line of the log tells of it")
+		t.Error("the invalid observation is not logged")
 	}
-	must(t, f.AwaitFacts(f.ctx, 1, "word that it passed on", func(s node.ObservationStatus) bool { return s.Counts.News > 0 }))
+	must(t, f.AwaitFacts(f.ctx, 1, "observation that n0 passed on", func(s node.ObservationStatus) bool { return s.Counts.News > 0 }))
 	for i := range 2 {
-		f.take(i, "safe") // delivered inside its 20 s: a wait of a year was not heeded
+		f.submit(i, "safe") // delivered within its 20 s: the wait of a year was not applied
 	}
-	f.rules(0, 1)
+	f.checkRules(0, 1)
 	if n := f.Agent.Notices(); len(n) != 0 {
-		t.Errorf("given up by a lie: %+v", n)
+		t.Errorf("abandoned because of an invalid observation: %+v", n)
 	}
 }
 
-// The short form of larklab cluster faults: load and faults drawn from a seed, healed at the end, and no rule broken.
+// The short form of larklab cluster faults: load and random faults from a seed, healed at the end, without a broken
+// rule.
 func TestFleetRandomFaults(t *testing.T) {
 	t.Parallel()
-	ctx, cancel := context.WithTimeout(context.Background(), never)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	o, err := cluster.Trial{
-		Seed: 7, Members: 4, Length: 4 * time.Second, Rate: 60, Program: []string{os.Args[0]}, Env: []string{childMark + "=1"}, Dir: t.TempDir(),
+		Seed: 7, Members: 4, Length: 4 * time.Second, Rate: 60, Program: []string{os.Args[0]}, Env: []string{childProcessEnv + "=1"}, Dir: t.TempDir(),
 	}.Run(ctx)
 	t.Log(o.Summary(), o.Faults)
 	if err != nil || len(o.Broken) > 0 || o.Taken == 0 {
-		t.Errorf("%v, broken %q, %d taken on\n%s", err, o.Broken, o.Taken, strings.Join(o.Events, "\n"))
+		t.Errorf("%v, broken %q, %d accepted\n%s", err, o.Broken, o.Taken, strings.Join(o.Events, "\n"))
 	}
 }
