--- a/cmd/larkreach/config.go
+++ b/cmd/larkreach/config.go
@@ -85,7 +85,8 @@
 			return c, fmt.Errorf("config: %s is not set", required.name)
 		}
 	}
-	if l := (syscall.Rlimit{}); syscall.Getrlimit(syscall.RLIMIT_NOFILE, &l) == nil { // no more descriptors can be opened than the process limit
+	// No more descriptors can be opened than the limit of the process.
+	if l := (syscall.Rlimit{}); syscall.Getrlimit(syscall.RLIMIT_NOFILE, &l) == nil {
 		c.Limits.Sockets = int(min(uint64(max(0, c.Limits.Sockets)), l.Cur))
 	}
 	if c.Limits.MemoryMB <= 0 || c.Limits.Sockets < minSockets || c.Limits.DiskMB <= 0 || c.Limits.Cores <= 0 {
--- a/cmd/larkreach/fleet_on.go
+++ b/cmd/larkreach/fleet_on.go
@@ -166,7 +166,7 @@
 	if err != nil {
 		return err
 	}
-	rows := [][]string{{"NAME", "LIFE", "STATE", "ZONE", "REGION", "ADDRESS", "KEEPERS"}}
+	rows := [][]string{{"NAME", "INCARNATION", "STATE", "ZONE", "REGION", "ADDRESS", "REPLICAS"}}
 	for _, name := range s.State.Names() {
 		m := s.State.Members[name]
 		state := "alive"
@@ -197,13 +197,13 @@
 	if err != nil {
 		return err
 	}
-	rows := [][]string{{"KEPT FOR", "UP TO", "MESSAGES", "ENDED IDS", "UNKNOWN RECORDS", "CLOCK"}}
+	rows := [][]string{{"REPLICA OF", "UP TO", "MESSAGES", "ENDED IDS", "UNKNOWN RECORDS", "CLOCK"}}
 	for _, k := range s.Copies {
 		rows = append(rows, []string{
 			k.Life.String(), fmt.Sprint(k.Has), fmt.Sprint(k.Messages), fmt.Sprint(k.Past), fmt.Sprint(k.Unknown), fmt.Sprintf("%+.1f ms", k.SkewMS),
 		})
 	}
-	rows = append(rows, []string{""}, []string{"KEEPER OF " + s.Life.String(), "HAS", "OF", "COUNTS", "OUT OF REACH", "FULL"})
+	rows = append(rows, []string{""}, []string{"REPLICAS OF " + s.Life.String(), "HAS", "OF", "IN SYNC", "UNREACHABLE", "FULL"})
 	for _, k := range s.Keepers {
 		rows = append(rows, []string{
 			k.Name, fmt.Sprint(k.Has), fmt.Sprint(k.Of), fmt.Sprint(k.Counts), fmt.Sprintf("%.1f s", k.Missed), fmt.Sprint(k.Refuses),
@@ -220,7 +220,7 @@
 	if err != nil {
 		return err
 	}
-	rows := [][]string{{"LIFE", "ENDED AT", "KEEPERS", "TAKER", "DONE"}}
+	rows := [][]string{{"INCARNATION", "ENDED AT", "REPLICAS", "TAKEN OVER BY", "DONE"}}
 	for _, j := range s.State.Jobs {
 		successor := "none yet"
 		if j.Taker.Number > 0 {
@@ -239,7 +239,7 @@
 	if err != nil {
 		return err
 	}
-	rows := [][]string{{"DESTINATION", "ROUTE", "FACT", "ORIGIN", "AGE", "LEFT", "PER SECOND"}}
+	rows := [][]string{{"DESTINATION", "ENDPOINT", "OBSERVATION", "ORIGIN", "AGE", "LEFT", "PER SECOND"}}
 	for _, f := range s.Facts {
 		row := []string{fmt.Sprint(f.Destination), f.Endpoint, f.Kind.String(), controlplane.Incarnation{Name: f.Origin, Number: f.Life}.String(), formatDuration(f.Age), "", ""}
 		if f.Left > 0 {
@@ -250,11 +250,11 @@
 		}
 		rows = append(rows, row)
 	}
-	rows = append(rows, []string{""}, []string{"HEEDED", "ROUTE", "WAIT", "CARE", "LIMIT", "BELIEVED"})
+	rows = append(rows, []string{""}, []string{"APPLIED", "ENDPOINT", "WAIT", "SLOW START", "LIMIT", "TRUST"})
 	for _, l := range s.Heeded {
 		rows = append(rows, []string{fmt.Sprint(l.Destination), string(l.Endpoint), formatDuration(l.Wait), fmt.Sprint(l.Guard), fmt.Sprintf("%.1f", l.Limit), fmt.Sprintf("%.2f", l.Trust)})
 	}
-	rows = append(rows, []string{""}, []string{"TOLD", "HEARD", "KNOWN TO ENOUGH", "OLD", "BOUNDED", "ABSURD"})
+	rows = append(rows, []string{""}, []string{"OWN", "RECEIVED", "REDUNDANT", "OLD", "BOUNDED", "INVALID"})
 	n := s.Counts
 	rows = append(rows, []string{fmt.Sprint(n.Own), fmt.Sprint(n.News), fmt.Sprint(n.Redundant), fmt.Sprint(n.Old), fmt.Sprint(n.Bounded), fmt.Sprint(n.Absurd)})
 	return c.print(io, s, rows)
@@ -306,7 +306,7 @@
 	if err != nil {
 		return err
 	}
-	rows := [][]string{{"NAME", "ADDRESS", "VOTES", "LEADS"}}
+	rows := [][]string{{"NAME", "ADDRESS", "VOTER", "LEADER"}}
 	for _, f := range s.Founders {
 		rows = append(rows, []string{f.Name, f.Address, fmt.Sprint(!f.Learns), fmt.Sprint(f.Name == s.Leader)})
 	}
--- a/cmd/larkreach/main.go
+++ b/cmd/larkreach/main.go
@@ -87,7 +87,8 @@
 	defer journal.Close()
 
 	learnedState := openLearnedState(settingsFile, cfg, logger)
-	listener, err := retryTransient(logger, "listener", func() (net.Listener, error) { // it accepts no connection before earlier processes' messages are resumed
+	// The listener accepts no connection before the messages of earlier processes are resumed.
+	listener, err := retryTransient(logger, "listener", func() (net.Listener, error) {
 		return net.Listen("tcp", cfg.Listen)
 	})
 	if err != nil {
@@ -175,8 +176,8 @@
 // endpoints. All other descriptors are reserved, so that a flood of connections cannot take those that are needed
 // later: for the program's own files, the journal, connections over the limit that are refused, calls in flight, and
 // long messages. Calls in flight get at most half of the rest.
-func allocateDescriptors(cfg *config, long int) (connections int, err error) {
-	reserved := programDescriptors + wal.Descriptors + transport.OverflowConnections + long
+func allocateDescriptors(cfg *config, longDescriptors int) (connections int, err error) {
+	reserved := programDescriptors + wal.Descriptors + transport.OverflowConnections + longDescriptors
 	available := cfg.Limits.Sockets - reserved
 	if available < minConnectionDescriptors {
 		return 0, fmt.Errorf("config: limits: %d descriptors are too few, %d of them are reserved for other uses than connections", cfg.Limits.Sockets, reserved)
--- a/cmd/larkreach/plan_on.go
+++ b/cmd/larkreach/plan_on.go
@@ -37,7 +37,7 @@
 
 // siteRows returns a table of the plan's sites for which include returns true.
 func siteRows(p *plan.Plan, include func(plan.Site) bool) [][]string {
-	rows := [][]string{{""}, {"DESTINATION", "PLACE", "STANDS", "FOR", "SLOW", "FOUND", "CUT FROM", "WHY"}}
+	rows := [][]string{{""}, {"DESTINATION", "PLACE", "PHASE", "FOR", "SLOW", "FOUND", "CUT FROM", "WHY"}}
 	for _, x := range p.Sites {
 		if include(x) {
 			rows = append(rows, []string{
@@ -61,7 +61,7 @@
 		return c.print(io, s, [][]string{{"no plan is in force: traffic stays near, and goes across only within each forwarder's share of the reserve"}})
 	}
 	rows := [][]string{{fmt.Sprintf("plan %d, holds for %v; %s follows %d; frozen %v, evacuating %v, sick %v", s.Plan.Version, s.Plan.Hold, s.Name, s.Obeys, s.Frozen, s.Evacuating, s.Plan.Sick)},
-		{""}, {"DESTINATION", "FROM", "TO", "WAY", "PER SECOND", "SHARE", "TRIAL"}}
+		{""}, {"DESTINATION", "FROM", "TO", "ROUTE", "PER SECOND", "SHARE", "TRIAL"}}
 	for _, g := range s.Plan.Grants {
 		rows = append(rows, []string{fmt.Sprint(g.Destination), g.From, g.To, routeType(g), fmt.Sprintf("%.1f", g.Rate), fmt.Sprintf("%.2f", g.Share), fmt.Sprint(g.Trial)})
 	}
@@ -80,7 +80,7 @@
 	if err != nil {
 		return err
 	}
-	rows := [][]string{{"PLACE", "TAKES", fmt.Sprintf("%s MAY SEND", s.Name)}}
+	rows := [][]string{{"PLACE", "CAPACITY", fmt.Sprintf("%s MAY SEND", s.Name)}}
 	for _, z := range slices.Sorted(maps.Keys(s.Sites[c.Destination])) {
 		allowed := "nothing"
 		if t, found := s.Targets[c.Destination][z]; found {
@@ -109,7 +109,7 @@
 
 // moveRows returns a table of the moves of a destination, or of all if it is 0.
 func moveRows(s node.PlanStatus, destination int64) [][]string {
-	rows := [][]string{{"HEARD", "PLAN", "DESTINATION", "PLACE", "FROM", "MOVE", "WHY"}}
+	rows := [][]string{{"RECEIVED", "PLAN", "DESTINATION", "PLACE", "FROM", "MOVE", "WHY"}}
 	for _, d := range s.History {
 		for _, m := range d.Moves {
 			if destination == 0 || m.Destination == destination {
