--- a/internal/lab/sysfault/calls.go
+++ b/internal/lab/sysfault/calls.go
@@ -1,17 +1,17 @@
 //go:build linux
 
-// Package sysfault makes system calls of a real process fail, by schedule and by chance, without special rights. Launch runs in
-// the process that is to be tested: it installs a seccomp filter that reports a dozen calls, hands the filter's listener over a
-// socket, and becomes the program by exec. Supervisor runs in the test: it answers each report with an error, with a part of a
-// write, or lets the call go on.
+// Package sysfault injects faults into the system calls of a real process, on a schedule and at random, without
+// privileges. Launch runs in the process under test: it installs a seccomp filter with user notification for a fixed
+// set of system calls, sends the filter's listener over a socket, and executes the program. Supervisor runs in the
+// test: it answers each notification with an error, with a partial write, or lets the call continue.
 package sysfault
 
 import "golang.org/x/sys/unix"
 
-// Call is a system call that can be made to fail.
+// Call is the number of a system call that can be made to fail.
 type Call int
 
-// The calls that the filter reports.
+// The system calls that the filter reports.
 const (
 	Accept     Call = unix.SYS_ACCEPT4
 	Connect    Call = unix.SYS_CONNECT
@@ -32,30 +32,30 @@
 	Receive    Call = unix.SYS_RECVFROM
 )
 
-// reported are the calls of the filter.
-var reported = []Call{
+// reportedCalls are the system calls for which the filter notifies the supervisor.
+var reportedCalls = []Call{
 	Accept, Connect, Socket, Read, ReadAt, Write, WriteV, Open, Truncate, Rename, Unlink, Shutdown, SetOption, EpollAdd, Sync, SocketName, Receive,
 }
 
-// Place is what a call works on.
+// Place classifies the file or socket that a system call operates on.
 type Place int
 
-// The places.
+// The kinds of files and sockets.
 const (
 	Elsewhere Place = iota
-	StateFile       // a file in the state folder, by its descriptor or its path
-	Listener        // the socket that takes connections
-	Client          // a connection that was accepted
-	Outgoing        // a connection to an endpoint or to discovery, and a socket that may become one
+	StateFile       // a file in the state folder, given by descriptor or by path
+	Listener        // the listening socket
+	Client          // an accepted connection
+	Outgoing        // a connection to an endpoint or to discovery, or a socket that is not connected yet
 )
 
-// Rule is one way in which calls fail.
+// Rule describes which system calls fail, and how.
 type Rule struct {
 	Calls  []Call
 	Places []Place
-	Errors []unix.Errno // one of these, by chance
-	Chance float64      // from 0 to 1
-	// Part has a write that fails leave a part of its bytes before it does: with an error, or as a short write where Errors is
-	// empty.
+	Errors []unix.Errno // one of them is picked at random
+	Chance float64      // the probability of a failure, from 0 to 1
+	// Part makes a failing write store the first half of its bytes: before it returns an error or, where Errors is empty,
+	// as a short write.
 	Part bool
 }
--- a/internal/lab/sysfault/supervisor.go
+++ b/internal/lab/sysfault/supervisor.go
@@ -17,10 +17,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Supervisor decides on the reported calls of one program, over all its lives.
+// Supervisor decides on the reported system calls of one program across its restarts.
 type Supervisor struct {
 	Folder string // the program's state folder
-	Listen string // the address where it takes connections
+	Listen string // the address on which it accepts connections
 
 	mu     sync.Mutex
 	rng    *rand.Rand
@@ -28,19 +28,19 @@
 	counts map[string]int
 }
 
-// NewSupervisor draws its chances from a seed.
+// NewSupervisor returns a supervisor whose random choices follow from a seed.
 func NewSupervisor(seed uint64, folder, listen string) *Supervisor {
 	return &Supervisor{Folder: folder, Listen: listen, rng: rand.New(rand.NewPCG(seed, 1)), counts: map[string]int{}}
 }
 
-// Set sets the rules from now on; without any, all calls go on.
+// Set replaces the rules; without rules, all system calls continue.
 func (s *Supervisor) Set(rules ...Rule) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rules = rules
 }
 
-// Counts tells how many calls have failed so far, by call and error.
+// Counts returns the number of system calls that have failed so far, by call and error.
 func (s *Supervisor) Counts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,18 +51,19 @@
 	return out
 }
 
-// Attach prepares a command, and gives what is to be called once it has started. The calls are answered until the program ends.
+// Attach prepares a command and returns the function to call once the command has started. That function starts the
+// handling of its system calls, which ends when the program exits.
 func (s *Supervisor) Attach(cmd *exec.Cmd) (started func() error, err error) {
-	socket, err := mark(cmd)
+	socket, err := prepare(cmd)
 	if err != nil {
 		return nil, err
 	}
 	return func() error {
 		defer socket.Close()
 		for _, f := range cmd.ExtraFiles {
-			_ = f.Close() // the program has its own
+			_ = f.Close() // the program has its own descriptors
 		}
-		listener, err := receive(socket)
+		listener, err := receiveListener(socket)
 		if err != nil {
 			return err
 		}
@@ -70,23 +71,23 @@
 		if err != nil {
 			return fmt.Errorf("sysfault: %w", err)
 		}
-		t := &target{supervisor: s, pid: cmd.Process.Pid, pidfd: pidfd, listener: listener}
-		t.serve()
+		p := &process{supervisor: s, pid: cmd.Process.Pid, pidfd: pidfd, listener: listener}
+		p.serve()
 		return nil
 	}, nil
 }
 
-// target is one life of the program.
-type target struct {
+// process is one process of the program, from its start to its exit.
+type process struct {
 	supervisor *Supervisor
 	pid        int
 	pidfd      int
 	listener   int
-	receiving  sync.Mutex
+	receiveMu  sync.Mutex
 }
 
-// report is the kernel's struct seccomp_notif.
-type report struct {
+// notification is the kernel's struct seccomp_notif.
+type notification struct {
 	id    uint64
 	pid   uint32
 	flags uint32
@@ -105,75 +106,76 @@
 }
 
 const (
-	receiveReport = 0xC0502100 // SECCOMP_IOCTL_NOTIF_RECV
-	sendResponse  = 0xC0182101 // SECCOMP_IOCTL_NOTIF_SEND
-	answerers     = 4          // threads that answer
-	pollFor       = 100        // milliseconds
+	ioctlReceiveNotification = 0xC0502100 // SECCOMP_IOCTL_NOTIF_RECV
+	ioctlSendResponse        = 0xC0182101 // SECCOMP_IOCTL_NOTIF_SEND
+	responderCount           = 4          // number of goroutines that answer notifications
+	pollTimeoutMillis        = 100        // bounds one wait for a notification
 )
 
-// serve answers reports until the program has ended.
-func (t *target) serve() {
+// serve answers notifications until the process has exited.
+func (p *process) serve() {
 	var group sync.WaitGroup
-	for range answerers {
+	for range responderCount {
 		group.Go(func() {
 			for {
-				r, ended := t.next()
-				if ended {
+				r, exited := p.next()
+				if exited {
 					return
 				}
 				if r != nil {
-					t.answer(r)
+					p.respond(r)
 				}
 			}
 		})
 	}
 	go func() {
 		group.Wait()
-		_ = unix.Close(t.listener)
-		_ = unix.Close(t.pidfd)
+		_ = unix.Close(p.listener)
+		_ = unix.Close(p.pidfd)
 	}()
 }
 
-// next waits for a report for a while; ended says that none will come.
-func (t *target) next() (r *report, ended bool) {
-	t.receiving.Lock()
-	defer t.receiving.Unlock()
-	poll := []unix.PollFd{{Fd: int32(t.listener), Events: unix.POLLIN}}
-	if n, err := unix.Poll(poll, pollFor); err != nil || n == 0 {
+// next waits up to the poll timeout for a notification; exited reports that no more will come.
+func (p *process) next() (r *notification, exited bool) {
+	p.receiveMu.Lock()
+	defer p.receiveMu.Unlock()
+	poll := []unix.PollFd{{Fd: int32(p.listener), Events: unix.POLLIN}}
+	if n, err := unix.Poll(poll, pollTimeoutMillis); err != nil || n == 0 {
 		return nil, false
 	}
 	if poll[0].Revents&unix.POLLIN == 0 {
 		return nil, poll[0].Revents&(unix.POLLHUP|unix.POLLERR) != 0
 	}
-	r = &report{}
-	if _, _, errno := unix.Syscall(unix.SYS_IOCTL, uintptr(t.listener), receiveReport, uintptr(unsafe.Pointer(r))); errno != 0 {
-		return nil, false // the call was interrupted meanwhile
+	r = &notification{}
+	if _, _, errno := unix.Syscall(unix.SYS_IOCTL, uintptr(p.listener), ioctlReceiveNotification, uintptr(unsafe.Pointer(r))); errno != 0 {
+		return nil, false // the system call was interrupted in the meantime
 	}
 	return r, false
 }
 
-func (t *target) answer(r *report) {
+// respond answers a notification: the system call fails, writes a part of its bytes, or continues.
+func (p *process) respond(r *notification) {
 	resp := response{id: r.id, flags: unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE}
-	if rule, errno, fails := t.supervisor.draw(Call(r.nr), func() Place { return t.place(r) }); fails {
+	if rule, errno, fails := p.supervisor.decide(Call(r.nr), func() Place { return p.place(r) }); fails {
 		resp.flags = 0
 		written := 0
 		if rule.Part {
-			written = t.writePart(r)
+			written = p.writePart(r)
 		}
 		switch {
 		case errno != 0:
 			resp.errno = -int32(errno)
 		case written > 0:
 			resp.value = int64(written)
-		default: // there is nothing to cut
+		default: // nothing was written: the call continues unchanged
 			resp.flags = unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE
 		}
 	}
-	_, _, _ = unix.Syscall(unix.SYS_IOCTL, uintptr(t.listener), sendResponse, uintptr(unsafe.Pointer(&resp)))
+	_, _, _ = unix.Syscall(unix.SYS_IOCTL, uintptr(p.listener), ioctlSendResponse, uintptr(unsafe.Pointer(&resp)))
 }
 
-// draw decides on a call.
-func (s *Supervisor) draw(call Call, place func() Place) (rule Rule, errno unix.Errno, fails bool) {
+// decide picks the rule and the error for a system call; fails is false if the call is to continue.
+func (s *Supervisor) decide(call Call, place func() Place) (rule Rule, errno unix.Errno, fails bool) {
 	s.mu.Lock()
 	candidates := slices.DeleteFunc(slices.Clone(s.rules), func(r Rule) bool {
 		return !slices.Contains(r.Calls, call) || s.rng.Float64() >= r.Chance
@@ -182,7 +184,7 @@
 	if len(candidates) == 0 {
 		return Rule{}, 0, false
 	}
-	at := place() // looked up outside the lock: it asks the kernel
+	at := place() // outside the lock, since it makes system calls
 	i := slices.IndexFunc(candidates, func(r Rule) bool { return slices.Contains(r.Places, at) })
 	if i < 0 {
 		return Rule{}, 0, false
@@ -197,86 +199,88 @@
 	return rule, errno, true
 }
 
-// place looks up what a call works on.
-func (t *target) place(r *report) Place {
+// place classifies the file or socket that a system call operates on.
+func (p *process) place(r *notification) Place {
 	switch Call(r.nr) {
 	case Socket:
 		return Outgoing
 	case Open:
-		return t.pathPlace(r.args[1])
+		return p.pathPlace(r.args[1])
 	case Rename:
-		return t.pathPlace(r.args[1])
+		return p.pathPlace(r.args[1])
 	case Unlink:
-		return t.pathPlace(r.args[1])
+		return p.pathPlace(r.args[1])
 	case EpollAdd:
-		return t.descriptorPlace(int(r.args[2]))
+		return p.descriptorPlace(int(r.args[2]))
 	}
-	return t.descriptorPlace(int(r.args[0]))
+	return p.descriptorPlace(int(r.args[0]))
 }
 
-func (t *target) pathPlace(address uint64) Place {
+// pathPlace classifies the file whose path is at an address in the memory of the process.
+func (p *process) pathPlace(address uint64) Place {
 	path := make([]byte, unix.PathMax)
 	local := []unix.Iovec{{Base: &path[0], Len: uint64(len(path))}}
 	remote := []unix.RemoteIovec{{Base: uintptr(address), Len: len(path)}}
-	n, err := unix.ProcessVMReadv(t.pid, local, remote, 0)
+	n, err := unix.ProcessVMReadv(p.pid, local, remote, 0)
 	if err != nil && n <= 0 {
-		remote[0].Len = 256 // the page behind it may not be there
-		if n, err = unix.ProcessVMReadv(t.pid, local, remote, 0); err != nil {
+		remote[0].Len = 256 // the path may end close to a page that is not mapped
+		if n, err = unix.ProcessVMReadv(p.pid, local, remote, 0); err != nil {
 			return Elsewhere
 		}
 	}
 	text, _, _ := bytes.Cut(path[:n], []byte{0})
-	if strings.HasPrefix(string(text), t.supervisor.Folder+"/") {
+	if strings.HasPrefix(string(text), p.supervisor.Folder+"/") {
 		return StateFile
 	}
 	return Elsewhere
 }
 
-func (t *target) descriptorPlace(fd int) Place {
-	name, err := os.Readlink(fmt.Sprintf("/proc/%d/fd/%d", t.pid, fd))
+// descriptorPlace classifies the file or socket behind a descriptor of the process.
+func (p *process) descriptorPlace(fd int) Place {
+	link, err := os.Readlink(fmt.Sprintf("/proc/%d/fd/%d", p.pid, fd))
 	switch {
 	case err != nil:
 		return Elsewhere
-	case strings.HasPrefix(name, t.supervisor.Folder+"/"):
+	case strings.HasPrefix(link, p.supervisor.Folder+"/"):
 		return StateFile
-	case !strings.HasPrefix(name, "socket:"):
+	case !strings.HasPrefix(link, "socket:"):
 		return Elsewhere
 	}
-	own, err := unix.PidfdGetfd(t.pidfd, fd, 0)
+	duplicate, err := unix.PidfdGetfd(p.pidfd, fd, 0)
 	if err != nil {
 		return Elsewhere
 	}
-	defer unix.Close(own)
-	if v, err := unix.GetsockoptInt(own, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err == nil && v == 1 {
+	defer unix.Close(duplicate)
+	if listening, err := unix.GetsockoptInt(duplicate, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err == nil && listening == 1 {
 		return Listener
 	}
-	name4, err := unix.Getsockname(own)
-	if in, ok := name4.(*unix.SockaddrInet4); err == nil && ok {
-		if netip.AddrPortFrom(netip.AddrFrom4(in.Addr), uint16(in.Port)).String() == t.supervisor.Listen {
+	local, err := unix.Getsockname(duplicate)
+	if in, ok := local.(*unix.SockaddrInet4); err == nil && ok {
+		if netip.AddrPortFrom(netip.AddrFrom4(in.Addr), uint16(in.Port)).String() == p.supervisor.Listen {
 			return Client
 		}
 	}
 	return Outgoing
 }
 
-// writePart makes a write of the program with the first half of its bytes, and gives how many were written.
-func (t *target) writePart(r *report) int {
+// writePart performs the first half of a write of the program, and returns the number of bytes written.
+func (p *process) writePart(r *notification) int {
 	if Call(r.nr) != Write || r.args[2] < 2 {
 		return 0
 	}
 	part := make([]byte, r.args[2]/2)
 	local := []unix.Iovec{{Base: &part[0], Len: uint64(len(part))}}
 	remote := []unix.RemoteIovec{{Base: uintptr(r.args[1]), Len: len(part)}}
-	n, err := unix.ProcessVMReadv(t.pid, local, remote, 0)
+	n, err := unix.ProcessVMReadv(p.pid, local, remote, 0)
 	if err != nil || n <= 0 {
 		return 0
 	}
-	own, err := unix.PidfdGetfd(t.pidfd, int(r.args[0]), 0)
+	duplicate, err := unix.PidfdGetfd(p.pidfd, int(r.args[0]), 0)
 	if err != nil {
 		return 0
 	}
-	defer unix.Close(own)
-	written, err := unix.Write(own, part[:n])
+	defer unix.Close(duplicate)
+	written, err := unix.Write(duplicate, part[:n])
 	if err != nil {
 		return 0
 	}
