--- a/internal/cluster/plan/model_test.go
+++ b/internal/cluster/plan/model_test.go
@@ -161,7 +161,7 @@
 // changes, partitions and late answers.
 func TestAdoption(t *testing.T) {
 	exhaustive := explore.Walk(newAdoption(6, 1, 1, 1), 3_000, nil)
-	random := explore.Roam(func() *adoption { return newAdoption(40, 3, 4, 6) }, 4000, 120, 1)
+	random := explore.RandomWalk(func() *adoption { return newAdoption(40, 3, 4, 6) }, 4000, 120, 1)
 	t.Logf("%d states, depth %d, cut %v; random walks: %d moves, up to %d in a row", exhaustive.States, exhaustive.Depth, exhaustive.Cut, random.States, random.Depth)
 	for _, r := range []explore.Result{exhaustive, random} {
 		if r.Broken != "" {
@@ -188,7 +188,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			result := explore.Roam(func() *adoption { a := newAdoption(40, 0, 4, 12); disable(a); return a }, 20_000, 120, 2)
+			result := explore.RandomWalk(func() *adoption { a := newAdoption(40, 0, 4, 12); disable(a); return a }, 20_000, 120, 2)
 			t.Logf("%d moves: %s, %q", result.States, result.Broken, result.Trace)
 			if result.Broken == "" {
 				t.Error("the model finds no violation")
--- a/internal/lab/cluster/model_test.go
+++ b/internal/lab/cluster/model_test.go
@@ -24,7 +24,7 @@
 			for _, whole := range []bool{false, true} {
 				s.Whole = whole
 				all := explore.Walk(NewModel(s), states, nil)
-				some := explore.Roam(func() *Model { return NewModel(s) }, walks, moves, 1)
+				some := explore.RandomWalk(func() *Model { return NewModel(s) }, walks, moves, 1)
 				t.Logf("whole %v: %d states, depth %d; by chance %d moves, up to %d in a row", whole, all.States, all.Depth, some.States, some.Depth)
 				for _, r := range []explore.Result{all, some} {
 					if r.Broken != "" {
@@ -48,7 +48,7 @@
 			if s.Fault, s.Whole = fault, true; s.Expired > 0 { // nothing else is needed for these
 				s.Messages, s.Kills = s.Messages[:1], 0
 			}
-			r := explore.Roam(func() *Model { return NewModel(s) }, 100*walks, moves, 2)
+			r := explore.RandomWalk(func() *Model { return NewModel(s) }, 100*walks, moves, 2)
 			t.Logf("%d moves: %s, %q", r.States, r.Broken, r.Trace)
 			if r.Broken == "" {
 				t.Error("not found")
--- a/internal/lab/explore/explore.go
+++ b/internal/lab/explore/explore.go
@@ -1,5 +1,6 @@
-// Package explore walks all that can happen in a small world: every order of its moves, each state once. The world is plain Go
-// values, the very ones that the program runs; they are copied and compared field by field.
+// Package explore is a model checker: it visits each reachable state of a small model once, through every order of its
+// transitions. A model consists of plain Go values, the same types that the program runs; they are copied and compared
+// field by field.
 package explore
 
 import (
@@ -12,41 +13,43 @@
 	"unsafe"
 )
 
-// Move is something that can happen in a world. Do is handed the world in which it happens, a copy of the one that named it.
-type Move[W any] struct {
+// Move is a transition of a model. Do applies it to the model that it is given, which may be a copy of the one whose
+// Moves returned it.
+type Move[M any] struct {
 	Name string
-	Do   func(W)
+	Do   func(M)
 }
 
-// World is what is explored. Moves gives what can happen now; Broken says what is wrong, or "".
-type World[W any] interface {
-	Moves() []Move[W]
+// Model is a state machine that can be explored. Moves returns the transitions that are enabled in the current state;
+// Broken describes the invariant that the state violates, or is "".
+type Model[M any] interface {
+	Moves() []Move[M]
 	Broken() string
 }
 
-// Result is what a walk has found.
+// Result is the outcome of an exploration.
 type Result struct {
 	States, Depth int
-	Leaves        int
-	Cut           bool     // there was more than the bound on states
-	Broken        string   // "" for nothing
-	Trace         []string // the moves that lead there
+	Leaves        int      // states without an enabled transition
+	Cut           bool     // the bound on the number of states was reached
+	Broken        string   // the violated invariant, or ""
+	Trace         []string // the transitions that lead to the violation
 }
 
-// Walk explores breadth first, so that a trace is as short as can be, up to a number of states. Leaf, unless it is nil, is asked of
-// each state in which nothing can happen any more.
-func Walk[W World[W]](begin W, most int, leaf func(W) string) Result {
+// Walk explores up to maxStates states breadth first, so that a trace is as short as possible. Leaf, unless it is nil,
+// checks each state that has no enabled transition.
+func Walk[M Model[M]](initial M, maxStates int, leaf func(M) string) Result {
 	type step struct {
-		world W
-		back  int
-		name  string
-		depth int
+		model  M
+		parent int // index of the state from which this one was reached
+		name   string
+		depth  int
 	}
 	seen := map[[2]uint64]bool{}
-	list := []step{{world: begin, back: -1}}
+	list := []step{{model: initial, parent: -1}}
 	var r Result
 	trace := func(i int) (out []string) {
-		for ; i > 0; i = list[i].back {
+		for ; i > 0; i = list[i].parent {
 			out = append([]string{list[i].name}, out...)
 		}
 		return out
@@ -54,40 +57,40 @@
 	for i := 0; i < len(list); i++ {
 		s := list[i]
 		r.States, r.Depth = i+1, max(r.Depth, s.depth)
-		if r.Broken = s.world.Broken(); r.Broken != "" {
+		if r.Broken = s.model.Broken(); r.Broken != "" {
 			r.Trace = trace(i)
 			return r
 		}
-		moves := s.world.Moves()
+		moves := s.model.Moves()
 		if len(moves) == 0 {
 			r.Leaves++
 			if leaf != nil {
-				if r.Broken = leaf(Copy(s.world)); r.Broken != "" {
+				if r.Broken = leaf(Copy(s.model)); r.Broken != "" {
 					r.Trace = trace(i)
 					return r
 				}
 			}
 		}
-		for _, m := range moves {
-			next := Copy(s.world)
-			m.Do(next)
+		for _, move := range moves {
+			next := Copy(s.model)
+			move.Do(next)
 			key := Key(next)
 			if seen[key] {
 				continue
 			}
-			if seen[key] = true; len(list) >= most {
+			if seen[key] = true; len(list) >= maxStates {
 				r.Cut = true
 				continue
 			}
-			list = append(list, step{next, i, m.Name, s.depth + 1})
+			list = append(list, step{next, i, move.Name, s.depth + 1})
 		}
-		var none W
-		list[i].world = none
+		var none M
+		list[i].model = none
 	}
 	return r
 }
 
-// Copy copies a value with all that it reaches, but functions, which are shared.
+// Copy returns a deep copy of a value; functions and byte slices are shared.
 func Copy[T any](v T) T {
 	out := reflect.New(reflect.TypeOf(&v).Elem()).Elem()
 	copyInto(out, reflect.ValueOf(&v).Elem(), map[unsafe.Pointer]reflect.Value{})
@@ -96,16 +99,17 @@
 
 var timeType = reflect.TypeOf(time.Time{})
 
-// open makes a field settable that is not exported.
-func open(v reflect.Value) reflect.Value {
+// settable returns an unexported field in a form that can be set.
+func settable(v reflect.Value) reflect.Value {
 	if v.CanAddr() {
 		return reflect.NewAt(v.Type(), unsafe.Pointer(v.UnsafeAddr())).Elem()
 	}
 	return v
 }
 
+// copyInto copies src to dst; seen maps each pointer that was copied to its copy, so that shared pointers stay shared.
 func copyInto(dst, src reflect.Value, seen map[unsafe.Pointer]reflect.Value) {
-	dst, src = open(dst), open(src)
+	dst, src = settable(dst), settable(src)
 	switch src.Kind() {
 	case reflect.Pointer:
 		if src.IsNil() {
@@ -140,7 +144,7 @@
 		if src.IsNil() {
 			return
 		}
-		if src.Type().Elem().Kind() == reflect.Uint8 { // payloads are never changed
+		if src.Type().Elem().Kind() == reflect.Uint8 { // payloads are immutable
 			dst.Set(src)
 			return
 		}
@@ -171,9 +175,10 @@
 	}
 }
 
+// seeds are the seeds of the two hashes that form a key.
 var seeds = [2]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()}
 
-// Key tells states apart by all that they reach: equal for equal values, whatever they are made of in memory.
+// Key returns a hash of a value and of everything that it references: equal for equal values, whatever their addresses.
 func Key(v any) [2]uint64 {
 	var h [2]maphash.Hash
 	h[0].SetSeed(seeds[0])
@@ -193,7 +198,7 @@
 	}
 	walk = func(v reflect.Value, depth int) {
 		if depth > 40 {
-			panic("explore: a world that has no end")
+			panic("explore: the model is nested too deeply or contains a cycle")
 		}
 		switch v.Kind() {
 		case reflect.Pointer, reflect.Interface:
@@ -205,7 +210,7 @@
 			walk(v.Elem(), depth+1)
 		case reflect.Struct:
 			if v.Type() == timeType {
-				number(v.Field(0).Uint()) // without the zone that it is shown in
+				number(v.Field(0).Uint()) // without the location, which does not affect the instant
 				number(uint64(v.Field(1).Int()))
 				return
 			}
@@ -251,7 +256,7 @@
 			write([]byte(fmt.Sprint(v.Float())))
 		case reflect.Func:
 		default:
-			panic("explore: a " + v.Kind().String())
+			panic("explore: unsupported kind " + v.Kind().String())
 		}
 	}
 	root := reflect.New(reflect.TypeOf(v)).Elem()
@@ -260,26 +265,27 @@
 	return [2]uint64{h[0].Sum64(), h[1].Sum64()}
 }
 
-// Roam takes so many walks by chance through worlds that begin gives, of so many moves each at the most. It goes where a walk
-// through all states does not come in time; equal seeds take equal walks. States counts moves here.
-func Roam[W World[W]](begin func() W, walks, length int, seed uint64) Result {
+// RandomWalk takes a number of random walks through models that newModel returns, of at most length transitions each.
+// It reaches states for which the exhaustive exploration takes too long; equal seeds take equal walks. In its result
+// States counts transitions.
+func RandomWalk[M Model[M]](newModel func() M, walks, length int, seed uint64) Result {
 	rng := rand.New(rand.NewPCG(seed, 6))
 	var r Result
 	for range walks {
-		w := begin()
+		model := newModel()
 		var trace []string
 		for range length {
-			moves := w.Moves()
+			moves := model.Moves()
 			if len(moves) == 0 {
 				r.Leaves++
 				break
 			}
-			m := moves[rng.IntN(len(moves))]
-			m.Do(w)
-			trace = append(trace, m.Name)
+			move := moves[rng.IntN(len(moves))]
+			move.Do(model)
+			trace = append(trace, move.Name)
 			r.States++
 			r.Depth = max(r.Depth, len(trace))
-			if r.Broken = w.Broken(); r.Broken != "" {
+			if r.Broken = model.Broken(); r.Broken != "" {
 				r.Trace = trace
 				return r
 			}
