--- a/cmd/larkreach/cli_test.go
+++ b/cmd/larkreach/cli_test.go
@@ -88,7 +88,7 @@
 		t.Fatalf("%v\n%s", err, out.String())
 	}
 	for _, want := range []string{
-		"taken on", "extract-2: refused with 503", "extract-1: answered 200", "failing is down with fee-1", "fee-1: given up",
+		" accepted, ", "extract-2: refused with 503", "extract-1: answered 200", "failing is down with fee-1", "fee-1: given up",
 		"failing is back", "long: taken=1", "No rule was broken",
 	} {
 		if !strings.Contains(out.String(), want) {
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -1,5 +1,6 @@
-// Package demo shows the forwarder at work to somebody who has nothing yet: the real program on loopback, four partners
-// of the laboratory with their troubles, an agent, and messages of all classes.
+// Package demo runs a self-contained demonstration of the forwarder: the real program on loopback, four simulated
+// destinations that answer normally, answer slowly, fail or limit the rate, a discovery agent, and messages of all
+// classes.
 package demo
 
 import (
@@ -16,79 +17,84 @@
 )
 
 const (
-	lasts     = 6 * time.Second        // messages are handed in for so long
-	every     = 60 * time.Millisecond  // one of them
-	downFrom  = 1 * time.Second        // the partner that fails
-	downFor   = 2 * time.Second        //
-	slowness  = 300 * time.Millisecond // of the slow one's answers
-	perSecond = 4                      // calls that the limited one takes
-	settles   = 15 * time.Second       // the most that the last messages may take
-	longBody  = 48 << 20
-	longRate  = 24 << 20 // bytes a second
+	submitDuration         = 6 * time.Second        // time during which messages are submitted
+	submitInterval         = 60 * time.Millisecond  // time between two messages
+	outageStart            = 1 * time.Second        // start of the outage of the failing destination
+	outageDuration         = 2 * time.Second        // duration of that outage
+	slowAnswerDelay        = 300 * time.Millisecond // delay before each answer of the slow destination
+	callsPerSecond         = 4                      // rate limit of the limited destination
+	drainTimeout           = 15 * time.Second       // bounds the wait for the last messages
+	longBodyBytes          = 48 << 20
+	longBodyBytesPerSecond = 24 << 20
 )
 
-// lostFee is a fee charge whose partner goes down with it: it may have run, so nothing sends it again.
-const lostFee = "fee-1"
+// unansweredFeeID is the ID of a fee charge whose destination fails before it answers: the charge may have been
+// processed, so the forwarder never sends it again.
+const unansweredFeeID = "fee-1"
 
-const own = `[bodies]
+// settings are the forwarder's own settings: one slot for long bodies.
+const settings = `[bodies]
 slots = 1
 `
 
-type partner struct {
+// destination is an endpoint with a description of its behavior.
+type destination struct {
 	*lab.Endpoint
-	what string
+	description string
 }
 
-// show collects what happened and prints it.
-type show struct {
-	out    io.Writer
-	began  time.Time
-	check  *lab.Checker
-	mu     sync.Mutex
-	counts map[string]int
-	lost   chan struct{} // closed once the failing partner has the fee that it will not answer
-	tasks  sync.WaitGroup
+// demonstration is one run: it counts events, prints them and checks the rules.
+type demonstration struct {
+	out         io.Writer
+	began       time.Time
+	checker     *lab.Checker
+	mu          sync.Mutex
+	counts      map[string]int
+	feeReceived chan struct{} // closed once the failing destination has read the fee charge, which it never answers
+	tasks       sync.WaitGroup
 }
 
-func (s *show) line(format string, args ...any) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	fmt.Fprintf(s.out, "%5.1fs  %s\n", time.Since(s.began).Seconds(), fmt.Sprintf(format, args...))
+// printf prints a line with the time since the start.
+func (d *demonstration) printf(format string, args ...any) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	fmt.Fprintf(d.out, "%5.1fs  %s\n", time.Since(d.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
-func (s *show) count(what string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.counts[what]++
+// count adds one to the number of events of a kind.
+func (d *demonstration) count(event string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.counts[event]++
 }
 
-// Run plays the demonstration with a program and prints it. An error says that something could not be started, or that
-// a rule was broken.
+// Run runs the demonstration with a program, given by its command line, and prints its events. It returns an error if
+// something could not be started or a rule was broken.
 func Run(ctx context.Context, program []string, out io.Writer) error {
 	dir, err := os.MkdirTemp("", "larkreach-demo-")
 	if err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	s := &show{out: out, began: time.Now(), check: lab.NewChecker(), counts: map[string]int{}, lost: make(chan struct{})}
-	partners := s.partners()
-	var list []*lab.Endpoint
-	for _, p := range partners {
+	d := &demonstration{out: out, began: time.Now(), checker: lab.NewChecker(), counts: map[string]int{}, feeReceived: make(chan struct{})}
+	destinations := d.destinations()
+	var endpoints []*lab.Endpoint
+	for _, p := range destinations {
 		if err := p.Listen(); err != nil {
-			return fmt.Errorf("demo: partner %s: %w", p.Name, err)
+			return fmt.Errorf("demo: destination %s: %w", p.Name, err)
 		}
 		defer p.Close()
-		list = append(list, p.Endpoint)
+		endpoints = append(endpoints, p.Endpoint)
 	}
 	agent := &lab.Agent{Told: func(n lab.Notice) {
-		s.count(n.Outcome)
-		s.line("%s: %s", n.Message, strings.ReplaceAll(n.Outcome, "_", " "))
+		d.count(n.Outcome)
+		d.printf("%s: %s", n.Message, strings.ReplaceAll(n.Outcome, "_", " "))
 	}}
-	if err := agent.Listen(list...); err != nil {
+	if err := agent.Listen(endpoints...); err != nil {
 		return fmt.Errorf("demo: agent: %w", err)
 	}
 	defer agent.Close()
-	f := &lab.Forwarder{Command: program, Settings: own}
+	f := &lab.Forwarder{Command: program, Settings: settings}
 	if err := f.Prepare(dir, agent); err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
@@ -96,219 +102,222 @@
 		return fmt.Errorf("demo: %w", err)
 	}
 	defer f.Kill()
-	fmt.Fprintf(out, "The forwarder takes messages at %s, in a folder that goes with the demonstration. Its partners:\n", f.Address())
-	for _, p := range partners {
-		fmt.Fprintf(out, "  %-8s destination %d, %s\n", p.Name, p.Group, p.what)
+	fmt.Fprintf(out, "The forwarder accepts messages at %s, in a temporary folder. Its destinations:\n", f.Address())
+	for _, p := range destinations {
+		fmt.Fprintf(out, "  %-8s destination %d, %s\n", p.Name, p.Group, p.description)
 	}
-	s.began = time.Now()
-	if err := s.play(ctx, f, partners); err != nil {
+	d.began = time.Now()
+	if err := d.submitAll(ctx, f, destinations); err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
-	return s.close(f, agent, list)
+	return d.finish(f, agent, endpoints)
 }
 
-func (s *show) partners() []partner {
-	serve := func(wait time.Duration) func(*lab.Call) bool {
+// destinations returns the simulated destinations.
+func (d *demonstration) destinations() []destination {
+	serve := func(delay time.Duration) func(*lab.Call) bool {
 		return func(c *lab.Call) bool {
 			if c.ReadAll(0) != nil {
 				return false
 			}
-			time.Sleep(wait)
-			s.count("delivered")
+			time.Sleep(delay)
+			d.count("delivered")
 			return c.Answer(200, "") == nil
 		}
 	}
 	steady := &lab.Endpoint{Name: "steady", Group: 1}
 	steady.Handle = func(c *lab.Call) bool {
-		if c.Length < longBody {
+		if c.Length < longBodyBytes {
 			return serve(0)(c)
 		}
 		if c.ReadAll(0) != nil {
 			return false
 		}
-		s.line("%s: steady has its %d MiB and sends a receipt of 8 MiB", c.ID, c.Bytes()>>20)
+		d.printf("%s: steady has received its %d MiB and sends a receipt of 8 MiB", c.ID, c.Bytes()>>20)
 		receipt := lab.Content{Seed: 9, Size: 8 << 20}
-		s.check.Carries(c.ID, receipt)
-		s.count("delivered")
+		d.checker.Carries(c.ID, receipt)
+		d.count("delivered")
 		return c.AnswerWith(receipt, "chunked") == nil
 	}
-	limit := &window{most: perSecond}
+	limit := &rateLimit{max: callsPerSecond}
 	failing := &lab.Endpoint{Name: "failing", Group: 3}
 	failing.Handle = func(c *lab.Call) bool {
-		if c.ID != lostFee {
+		if c.ID != unansweredFeeID {
 			return serve(0)(c)
 		}
 		_ = c.ReadAll(0)
-		close(s.lost)
-		_, _ = c.Conn.Read(make([]byte, 1)) // until it is down
+		close(d.feeReceived)
+		_, _ = c.Conn.Read(make([]byte, 1)) // returns when the endpoint goes down
 		return false
 	}
-	return []partner{
-		{steady, "answers at once, and takes long bodies"},
-		{&lab.Endpoint{Name: "slow", Group: 2, Handle: serve(slowness)}, fmt.Sprintf("answers after %v", slowness)},
-		{failing, fmt.Sprintf("is down for %v", downFor)},
+	return []destination{
+		{steady, "answers at once and accepts long bodies"},
+		{&lab.Endpoint{Name: "slow", Group: 2, Handle: serve(slowAnswerDelay)}, fmt.Sprintf("answers after %v", slowAnswerDelay)},
+		{failing, fmt.Sprintf("is down for %v", outageDuration)},
 		{&lab.Endpoint{Name: "limited", Group: 4, Handle: func(c *lab.Call) bool {
 			if wait := limit.take(); wait > 0 {
 				_ = c.ReadAll(0)
 				return c.Answer(429, fmt.Sprintf("X-RateLimit-Wait-Ms: %d\r\n", wait.Milliseconds()+1)) == nil
 			}
 			return serve(0)(c)
-		}}, fmt.Sprintf("takes %d calls a second and tells others how long to wait", perSecond)},
+		}}, fmt.Sprintf("accepts %d calls per second and answers the others with the time to wait", callsPerSecond)},
 	}
 }
 
-// window is a limit that counts calls in seconds.
-type window struct {
+// rateLimit limits the number of calls in fixed windows of one second.
+type rateLimit struct {
 	mu   sync.Mutex
-	most int
+	max  int
 	used int
 	ends time.Time
 }
 
-// take counts a call; what it gives is how long a call beyond the limit has to wait.
-func (w *window) take() time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// take counts a call and returns how long it has to wait if it exceeds the limit.
+func (l *rateLimit) take() time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	now := time.Now()
-	if now.After(w.ends) {
-		w.used, w.ends = 0, now.Add(time.Second)
+	if now.After(l.ends) {
+		l.used, l.ends = 0, now.Add(time.Second)
 	}
-	if w.used++; w.used > w.most {
-		return w.ends.Sub(now)
+	if l.used++; l.used > l.max {
+		return l.ends.Sub(now)
 	}
 	return 0
 }
 
-// play hands messages in.
-func (s *show) play(ctx context.Context, f *lab.Forwarder, partners []partner) error {
-	failing := partners[2]
-	failed := make(chan error, 1)
-	s.tasks.Add(1)
+// submitAll submits the messages and takes the failing destination down and up again.
+func (d *demonstration) submitAll(ctx context.Context, f *lab.Forwarder, destinations []destination) error {
+	failing := destinations[2]
+	upFailed := make(chan error, 1)
+	d.tasks.Add(1)
 	go func() {
-		defer s.tasks.Done()
-		pause(ctx, downFrom)
-		s.hand(f, lab.Handover{
-			ID: lostFee, Key: "k", Class: "unsafe", Destination: 3, Left: 5 * time.Second, Body: lab.Content{Seed: 3, Size: 100},
+		defer d.tasks.Done()
+		pause(ctx, outageStart)
+		d.submit(f, lab.Handover{
+			ID: unansweredFeeID, Key: "k", Class: "unsafe", Destination: 3, Left: 5 * time.Second, Body: lab.Content{Seed: 3, Size: 100},
 		})
 		select {
-		case <-s.lost:
+		case <-d.feeReceived:
 		case <-ctx.Done():
 		}
 		failing.Down()
-		s.line("failing is down with %s in its hands: its connections end, and new ones are refused", lostFee)
-		pause(ctx, downFor)
+		d.printf("failing is down with %s unanswered: its connections are closed and new ones are refused", unansweredFeeID)
+		pause(ctx, outageDuration)
 		if err := failing.Up(); err != nil {
-			failed <- err
+			upFailed <- err
 		}
-		s.line("failing is back")
+		d.printf("failing is back")
 	}()
 	long := lab.Handover{
-		ID: "extract-1", Key: "k", Class: "unsafe", Destination: 1, Left: time.Minute, Expect: true, Rate: longRate,
-		Body: lab.Content{Seed: 1, Size: longBody},
+		ID: "extract-1", Key: "k", Class: "unsafe", Destination: 1, Left: time.Minute, Expect: true, Rate: longBodyBytesPerSecond,
+		Body: lab.Content{Seed: 1, Size: longBodyBytes},
 	}
-	s.hand(f, long)
-	pause(ctx, 3*every)
+	d.submit(f, long)
+	pause(ctx, 3*submitInterval)
 	second := long
-	second.ID, second.Body.Seed = "extract-2", 2 // the one slot is taken
-	s.hand(f, second)
+	second.ID, second.Body.Seed = "extract-2", 2 // refused: the only slot for long bodies is in use
+	d.submit(f, second)
 	classes := []string{"safe", "keyed", "unsafe"}
-	for i := 0; time.Since(s.began) < lasts && ctx.Err() == nil; i++ {
+	for i := 0; time.Since(d.began) < submitDuration && ctx.Err() == nil; i++ {
 		h := lab.Handover{
-			ID: fmt.Sprintf("m-%03d", i), Key: fmt.Sprint("k", i), Class: classes[i%len(classes)], Destination: 1 + i%len(partners),
+			ID: fmt.Sprintf("m-%03d", i), Key: fmt.Sprint("k", i), Class: classes[i%len(classes)], Destination: 1 + i%len(destinations),
 			Left: 10 * time.Second, Body: lab.Content{Seed: uint64(i), Size: 2000},
 		}
 		if i%24 == 2 {
-			h.Left = time.Second // may be too little for the partner that is down
+			h.Left = time.Second // may expire while the failing destination is down
 		}
-		s.hand(f, h)
-		pause(ctx, every)
+		d.submit(f, h)
+		pause(ctx, submitInterval)
 		if i%16 == 15 {
-			s.tell()
+			d.printTotals()
 		}
 	}
-	s.tasks.Wait()
+	d.tasks.Wait()
 	select {
-	case err := <-failed:
+	case err := <-upFailed:
 		return err
 	default:
 		return ctx.Err()
 	}
 }
 
-func (s *show) tell() {
-	s.mu.Lock()
-	n := s.counts
-	text := fmt.Sprintf("handed in %d: %d taken on, %d refused; delivered %d, handed back %d, given up %d", n["handed in"], n["taken"],
+// printTotals prints the numbers of messages by what became of them.
+func (d *demonstration) printTotals() {
+	d.mu.Lock()
+	n := d.counts
+	text := fmt.Sprintf("submitted %d: %d accepted, %d refused; delivered %d, handed back %d, given up %d", n["submitted"], n["accepted"],
 		n["refused"], n["delivered"], n["handed_back"], n["given_up"])
-	s.mu.Unlock()
-	s.line("%s", text)
+	d.mu.Unlock()
+	d.printf("%s", text)
 }
 
-// hand hands one message in, beside the others.
-func (s *show) hand(f *lab.Forwarder, h lab.Handover) {
-	s.count("handed in")
-	s.tasks.Add(1)
+// submit submits a message in the background.
+func (d *demonstration) submit(f *lab.Forwarder, h lab.Handover) {
+	d.count("submitted")
+	d.tasks.Add(1)
 	go func() {
-		defer s.tasks.Done()
+		defer d.tasks.Done()
 		c, err := lab.Dial(f.Address())
 		if err != nil {
-			s.line("%s: %v", h.ID, err)
+			d.printf("%s: %v", h.ID, err)
 			return
 		}
 		defer c.Close()
 		a := c.Hand(h, nil)
-		s.check.Handed(h, a)
+		d.checker.Handed(h, a)
 		switch {
 		case a.Status == 202:
-			s.count("taken")
+			d.count("accepted")
 		case a.Status == 200:
-			s.count("taken")
-			s.line("%s: answered 200 when its %d MiB were delivered, with the receipt of %d MiB", h.ID, a.Sent>>20, a.Bytes>>20)
+			d.count("accepted")
+			d.printf("%s: answered 200 after its %d MiB were delivered, with a receipt of %d MiB", h.ID, a.Sent>>20, a.Bytes>>20)
 		default:
-			s.count("refused")
-			s.line("%s: refused with %d, come again after %s s; %d bytes of its body were sent", h.ID, a.Status,
+			d.count("refused")
+			d.printf("%s: refused with %d, retry after %s s; %d bytes of its body were sent", h.ID, a.Status,
 				a.Header.Get("Retry-After"), a.Sent)
 		}
 	}()
 }
 
-// close waits for the last messages, stops the program and checks what all sides have seen.
-func (s *show) close(f *lab.Forwarder, agent *lab.Agent, list []*lab.Endpoint) error {
-	for until := time.Now().Add(settles); time.Now().Before(until); {
+// finish waits for the last messages, stops the program and checks the records of all sides against the rules.
+func (d *demonstration) finish(f *lab.Forwarder, agent *lab.Agent, endpoints []*lab.Endpoint) error {
+	for deadline := time.Now().Add(drainTimeout); time.Now().Before(deadline); {
 		if held, err := f.Counter("in", "held"); err != nil {
 			return fmt.Errorf("demo: %w", err)
 		} else if held == 0 {
 			break
 		}
-		time.Sleep(every)
+		time.Sleep(submitInterval)
 	}
-	s.tell()
+	d.printTotals()
 	if err := f.End(syscall.SIGTERM); err != nil {
-		return fmt.Errorf("demo: the forwarder ended with %w", err)
+		return fmt.Errorf("demo: the forwarder exited: %w", err)
 	}
 	_, counters, _ := strings.Cut(f.Log(), "counters at exit\n")
-	fmt.Fprintf(s.out, "\nThe forwarder's counters, as `kill -USR1` prints them:\n%s\n", counters)
+	fmt.Fprintf(d.out, "\nThe forwarder's counters, as `kill -USR1` prints them:\n%s\n", counters)
 	arrivals := [][]lab.Arrival{}
-	for _, p := range list {
+	for _, p := range endpoints {
 		p.Close()
 		arrivals = append(arrivals, p.Arrivals())
 	}
-	s.check.Saw(agent.Notices(), arrivals...)
-	broken := s.check.Broken()
+	d.checker.Saw(agent.Notices(), arrivals...)
+	broken := d.checker.Broken()
 	for _, b := range broken {
-		fmt.Fprintln(s.out, "rule broken: "+b)
+		fmt.Fprintln(d.out, "rule broken: "+b)
 	}
 	if len(broken) > 0 {
 		return fmt.Errorf("demo: %d rules broken", len(broken))
 	}
-	fmt.Fprintf(s.out, "\nChecked for %d messages: one end each, no fee charge sent twice, every body as it was. No rule was broken.\n",
-		s.counts["handed in"])
+	fmt.Fprintf(d.out, "\nChecked %d messages: each has one outcome, no fee charge was sent twice, every body is unchanged. No rule was broken.\n",
+		d.counts["submitted"])
 	return nil
 }
 
-func pause(ctx context.Context, d time.Duration) {
+// pause waits for a duration, or until ctx is done.
+func pause(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(d):
+	case <-time.After(duration):
 	}
 }
