--- a/internal/lab/agent.go
+++ b/internal/lab/agent.go
@@ -11,50 +11,53 @@
 	"sync"
 )
 
-// Notice is the end of a message as the platform is told of it.
+// Notice is a delivery report: the outcome of a message as the forwarder reports it to the platform.
 type Notice struct {
 	Message string `json:"message"`
 	Outcome string `json:"outcome"`
 	Retry   int64  `json:"retry_in_ms"`
 }
 
-// Agent is the platform's discovery on the forwarder's machine: it answers the watch and takes notices.
+// Agent simulates the platform's discovery agent on the forwarder's machine: it answers watches of the endpoint list
+// and receives delivery reports.
 type Agent struct {
-	// Told is called with each notice, unless it is nil; it must not wait.
+	// Told is called with each delivery report, unless it is nil; it must not block.
 	Told func(Notice)
 
-	of *Agent                 // whose list this one tells, and to whom notices go; nil is its own
-	at func(*Endpoint) string // where it says that an endpoint is; nil is where that listens
+	primary   *Agent                 // the agent that holds the list and the reports; nil for this one
+	addressOf func(*Endpoint) string // returns the address to list; nil for the one listened on
 
 	server   *http.Server
 	listener net.Listener
 	mu       sync.Mutex
 	index    int
 	list     []*Endpoint
-	changed  chan struct{} // closed with each change
+	changed  chan struct{} // closed at each change of the list
 	notices  []Notice
 }
 
-// Listen starts an agent that lists endpoints.
+// Listen starts the agent with a list of endpoints.
 func (a *Agent) Listen(list ...*Endpoint) error {
 	a.index, a.list, a.changed = 1, list, make(chan struct{})
 	return a.listen()
 }
 
-// Beside starts an agent on another machine: it tells the same list with other addresses, and passes notices on.
-func (a *Agent) Beside(at func(*Endpoint) string) (*Agent, error) {
-	b := &Agent{of: a, at: at}
-	return b, b.listen()
+// Beside starts an agent of another machine: it serves the same list with other addresses, and records delivery
+// reports in this one.
+func (a *Agent) Beside(addressOf func(*Endpoint) string) (*Agent, error) {
+	other := &Agent{primary: a, addressOf: addressOf}
+	return other, other.listen()
 }
 
-// source is the agent whose list this one tells.
+// source returns the agent that holds the endpoint list.
 func (a *Agent) source() *Agent {
-	if a.of != nil {
-		return a.of
+	if a.primary != nil {
+		return a.primary
 	}
 	return a
 }
 
+// listen starts the HTTP server on a loopback address.
 func (a *Agent) listen() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -69,13 +72,13 @@
 	return nil
 }
 
-// Address is where it listens.
+// Address returns the address on which the agent listens.
 func (a *Agent) Address() string { return a.listener.Addr().String() }
 
-// Close ends it.
+// Close stops the agent.
 func (a *Agent) Close() { _ = a.server.Close() }
 
-// List lists other endpoints from now on.
+// List replaces the list of endpoints.
 func (a *Agent) List(list ...*Endpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -85,38 +88,39 @@
 	a.changed = make(chan struct{})
 }
 
-// Notices are those that came so far.
+// Notices returns the delivery reports received so far.
 func (a *Agent) Notices() []Notice {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return append([]Notice(nil), a.notices...)
 }
 
-// Listed is the list in discovery's form.
+// Listed returns the endpoint list in the format of discovery.
 func (a *Agent) Listed() map[string]any {
-	src := a.source()
-	src.mu.Lock()
-	defer src.mu.Unlock()
+	source := a.source()
+	source.mu.Lock()
+	defer source.mu.Unlock()
 	entries := []any{}
-	for _, p := range src.list {
+	for _, p := range source.list {
 		address := p.Address()
-		if a.at != nil {
-			address = a.at(p)
+		if a.addressOf != nil {
+			address = a.addressOf(p)
 		}
 		entries = append(entries, map[string]any{
 			"name": p.Name, "address": address, "zone": cmp.Or(p.Zone, "z"), "type": "k", "group": p.Group, "status": p.Status,
 			"weight": p.weight(), "since_ms": 0,
 		})
 	}
-	return map[string]any{"index": src.index, "snapshot": true, "endpoints": entries}
+	return map[string]any{"index": source.index, "snapshot": true, "endpoints": entries}
 }
 
+// servers answers a watch: it responds once the list differs from the index that the client has.
 func (a *Agent) servers(w http.ResponseWriter, r *http.Request) {
 	since := r.URL.Query().Get("since")
-	for src := a.source(); ; {
-		src.mu.Lock()
-		same, changed := since == fmt.Sprint(src.index), src.changed
-		src.mu.Unlock()
+	for source := a.source(); ; {
+		source.mu.Lock()
+		same, changed := since == fmt.Sprint(source.index), source.changed
+		source.mu.Unlock()
 		if !same {
 			break
 		}
@@ -129,28 +133,29 @@
 	_ = json.NewEncoder(w).Encode(a.Listed())
 }
 
+// reports receives delivery reports, one JSON object a line.
 func (a *Agent) reports(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	var got []Notice
+	var received []Notice
 	for line := range bytes.Lines(body) {
 		var n Notice
 		if json.Unmarshal(line, &n) != nil {
-			http.Error(w, "unreadable", http.StatusBadRequest)
+			http.Error(w, "invalid delivery report", http.StatusBadRequest)
 			return
 		}
-		got = append(got, n)
+		received = append(received, n)
 	}
-	src := a.source()
-	src.mu.Lock()
-	src.notices = append(src.notices, got...)
-	src.mu.Unlock()
+	source := a.source()
+	source.mu.Lock()
+	source.notices = append(source.notices, received...)
+	source.mu.Unlock()
 	w.WriteHeader(http.StatusNoContent)
-	if src.Told != nil {
-		for _, n := range got {
-			src.Told(n)
+	if source.Told != nil {
+		for _, n := range received {
+			source.Told(n)
 		}
 	}
 }
--- a/internal/lab/checker.go
+++ b/internal/lab/checker.go
@@ -6,40 +6,42 @@
 	"sync"
 )
 
-// Checker holds what all sides of a run have seen against the rules: one end for each message, no second effect where
-// the class forbids it, and nothing taken for whole that was cut.
+// Checker checks the records of clients, endpoints and the agent of a run against the rules: each message has one
+// outcome, a message has no second effect where its class forbids it, and no truncated body is treated as complete.
 type Checker struct {
 	mu       sync.Mutex
-	messages map[string]*seen
+	messages map[string]*messageRecord
 	order    []string
 }
 
-type seen struct {
+// messageRecord holds everything that was observed of one message.
+type messageRecord struct {
 	Handover
-	answers  []Answer
-	notices  []Notice
-	arrivals []Arrival
-	answered Content // what the endpoint's 200 carried, if Answers told so
-	carried  bool
+	answers         []Answer
+	notices         []Notice
+	arrivals        []Arrival
+	responseBody    Content // the body of the endpoint's 200, if hasResponseBody is set by Carries
+	hasResponseBody bool
 }
 
-// shortBody is the largest body of a message that is held and journalled, in bytes.
-const shortBody = 64 << 10
+// maxShortBodyBytes is the largest body of a message that is held and journalled.
+const maxShortBodyBytes = 64 << 10
 
-// NewChecker starts with nothing seen.
-func NewChecker() *Checker { return &Checker{messages: map[string]*seen{}} }
+// NewChecker returns a checker without records.
+func NewChecker() *Checker { return &Checker{messages: map[string]*messageRecord{}} }
 
-func (c *Checker) message(id string) *seen {
+// message returns the record of a message, and creates it if there is none.
+func (c *Checker) message(id string) *messageRecord {
 	s := c.messages[id]
 	if s == nil {
-		s = &seen{}
+		s = &messageRecord{}
 		c.messages[id] = s
 		c.order = append(c.order, id)
 	}
 	return s
 }
 
-// Handed tells of a message and what its client heard.
+// Handed records a submitted message and the answer that its client received.
 func (c *Checker) Handed(h Handover, a Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,15 +50,15 @@
 	s.answers = append(s.answers, a)
 }
 
-// Carries tells which body the endpoint's 200 for a message carries.
+// Carries records the body of the endpoint's 200 response to a message.
 func (c *Checker) Carries(id string, body Content) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.message(id)
-	s.answered, s.carried = body, true
+	s.responseBody, s.hasResponseBody = body, true
 }
 
-// Saw tells of all that an endpoint and an agent have seen in a run.
+// Saw records the delivery reports that the agent received and the calls that the endpoints received.
 func (c *Checker) Saw(notices []Notice, arrivals ...[]Arrival) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,58 +74,60 @@
 	}
 }
 
-// Broken lists what broke a rule, in the order in which messages were first seen.
+// Broken describes the broken rules, in the order in which the messages were first recorded.
 func (c *Checker) Broken() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []string
 	for _, id := range c.order {
 		s := c.messages[id]
-		bad := func(format string, args ...any) { out = append(out, id+": "+fmt.Sprintf(format, args...)) }
-		taken := slices.IndexFunc(s.answers, func(a Answer) bool { return a.Status == 202 || a.Status == 200 }) >= 0
-		ends := 0 // definite ends that somebody was told of
+		broken := func(format string, args ...any) { out = append(out, id+": "+fmt.Sprintf(format, args...)) }
+		accepted := slices.IndexFunc(s.answers, func(a Answer) bool { return a.Status == 202 || a.Status == 200 }) >= 0
+		outcomeCount := 0 // final outcomes that the client or the platform was told
 		for _, a := range s.answers {
 			if a.Status != 0 && a.Status != 202 {
-				ends++
+				outcomeCount++
 			}
-			if a.Status == 200 && s.carried && a.Whole && a.Digest != s.answered.Digest() {
-				bad("the answer differs from what the endpoint sent, %d bytes for %d", a.Bytes, s.answered.Size)
+			if a.Status == 200 && s.hasResponseBody && a.Whole && a.Digest != s.responseBody.Digest() {
+				broken("the answer differs from the body that the endpoint sent: %d bytes instead of %d", a.Bytes, s.responseBody.Size)
 			}
 		}
-		outcomes := map[string]bool{} // a notice whose acknowledgement a kill has crossed comes again, and says the same
+		// A kill may lose the acknowledgement of a delivery report, which is then sent again with the same outcome.
+		outcomes := map[string]bool{}
 		for _, n := range s.notices {
 			outcomes[n.Outcome] = true
 		}
-		if ends += len(outcomes); ends > 1 && len(s.answers) <= 1 {
-			bad("%d ends", ends)
+		if outcomeCount += len(outcomes); outcomeCount > 1 && len(s.answers) <= 1 {
+			broken("%d outcomes", outcomeCount)
 		}
-		if !taken && ends == 0 && len(s.answers) > 0 && s.Body.Size > shortBody { // of a short one without an answer nothing is owed
-			bad("no end")
+		// A short message without an answer needs no outcome.
+		if !accepted && outcomeCount == 0 && len(s.answers) > 0 && s.Body.Size > maxShortBodyBytes {
+			broken("no outcome")
 		}
-		effects, whole := 0, 0
+		effects, complete := 0, 0
 		for _, a := range s.arrivals {
 			if !a.Refused {
 				effects++
 			}
 			if a.Whole {
-				whole++
+				complete++
 			}
 			if a.Whole && s.Class != "" && a.Digest != s.Body.Digest() {
-				bad("the body that reached %s differs, %d bytes for %d", a.Endpoint, a.Bytes, s.Body.Size)
+				broken("the body that %s received differs from the one sent: %d bytes instead of %d", a.Endpoint, a.Bytes, s.Body.Size)
 			}
 		}
 		if s.Class == "unsafe" && effects > 1 {
-			bad("sent %d times where it may have run", effects)
+			broken("sent %d times although it may have run", effects)
 		}
-		if s.CutAfter > 0 && whole > 0 {
-			bad("cut after %d bytes, and taken for whole", s.CutAfter)
+		if s.CutAfter > 0 && complete > 0 {
+			broken("truncated after %d bytes but treated as complete", s.CutAfter)
 		}
 		for _, a := range s.answers {
 			if a.Status == 202 && effects == 0 && len(s.notices) == 0 {
-				bad("taken on and lost")
+				broken("accepted but lost")
 			}
 			if a.Status == 503 && len(s.answers) == 1 && effects > 0 && s.Class == "unsafe" {
-				bad("refused as never run, and has run")
+				broken("refused as never run but has run")
 			}
 		}
 	}
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -10,59 +10,59 @@
 	"time"
 )
 
-// Handover is a message as a client of the laboratory hands it in.
+// Handover describes a message and the way in which a simulated client submits it.
 type Handover struct {
 	ID, Key, Class string
 	Destination    int
-	Left           time.Duration
+	Left           time.Duration // time until the deadline, sent as X-Timeout-Ms
 	Body           Content
 	Chunked        bool
-	Trailer        string // a line behind a chunked body
-	Expect         bool   // waits for 100 before the body
-	Rate           int64  // bytes a second that are sent, and that are read of the answer; 0 is no bound
-	CutAfter       int64  // bytes of the body after which the connection is closed; 0 is never
-	HalfClose      bool   // ends its sending behind the body, or behind CutAfter bytes of it, and still reads
-	StallAfter     int64  // bytes of the body after which it sends nothing until Resume is closed; 0 is never
+	Trailer        string // a trailer line after a chunked body
+	Expect         bool   // sends Expect: 100-continue and waits for the 100 before the body
+	Rate           int64  // rate limit in bytes per second of the body sent and of the answer read; 0 is no limit
+	CutAfter       int64  // bytes of the body after which the connection is closed; 0 for never
+	HalfClose      bool   // closes the sending side after the body or after CutAfter bytes of it, and still reads
+	StallAfter     int64  // bytes of the body after which sending pauses until Resume is closed; 0 for never
 	Resume         <-chan struct{}
 }
 
-// Answer is what a client heard.
+// Answer is the response that a client received.
 type Answer struct {
-	Status    int // 0: nothing that can be read
+	Status    int // 0 if there was no readable response
 	Header    http.Header
 	Trailer   http.Header
-	Bytes     int64 // of its body
+	Bytes     int64 // bytes of its body
 	Digest    uint64
-	Whole     bool  // the body's end was told and reached
-	Close     bool  // the connection ends
+	Whole     bool  // the body had a defined end and was read up to it
+	Close     bool  // the connection is closed after it
 	Sent      int64 // bytes of the message's body that were written
-	Continued bool  // 100 came first
+	Continued bool  // 100 Continue came first
 	Silent    bool  // the connection ended before the first byte of an answer
 	Err       error
 }
 
-// MayHaveRun says what an answer that is no delivery says of the message.
+// MayHaveRun reports whether an answer other than a delivery states that the message may have run.
 func (a Answer) MayHaveRun() bool { return a.Header.Get("X-May-Have-Run") == "1" }
 
-// Client is one connection of a client.
+// Client is a connection of a simulated client.
 type Client struct {
-	Conn net.Conn
-	r    *bufio.Reader
+	Conn   net.Conn
+	reader *bufio.Reader
 }
 
-// Dial connects a client.
+// Dial connects a client to an address.
 func Dial(address string) (*Client, error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return &Client{Conn: conn, r: bufio.NewReaderSize(conn, 64<<10)}, nil
+	return &Client{Conn: conn, reader: bufio.NewReaderSize(conn, 64<<10)}, nil
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Client) Close() { _ = c.Conn.Close() }
 
-// Head is the head that hands a message in.
+// Head returns the request head that submits the message.
 func (h Handover) Head() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "POST /api HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\nX-Timeout-Ms: %d\r\n"+
@@ -81,8 +81,8 @@
 	return b.String()
 }
 
-// Hand hands a message in and reads its answer, which may come before the body is sent whole. What the answer's body
-// says goes to sink as well, unless that is nil.
+// Hand submits a message and reads its answer, which may arrive before the whole body is sent. The answer's body is
+// also written to sink, unless that is nil.
 func (c *Client) Hand(h Handover, sink io.Writer) Answer {
 	var a Answer
 	if _, err := io.WriteString(c.Conn, h.Head()); err != nil {
@@ -90,7 +90,7 @@
 		return a
 	}
 	if h.Expect {
-		res, err := http.ReadResponse(c.r, nil)
+		res, err := http.ReadResponse(c.reader, nil)
 		if err != nil {
 			a.Err = err
 			return a
@@ -107,10 +107,10 @@
 		c.Close()
 		return a
 	}
-	_, silence := c.r.Peek(1)
-	res, err := http.ReadResponse(c.r, nil)
+	_, peekErr := c.reader.Peek(1)
+	res, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		a.Err, a.Silent = err, silence != nil
+		a.Err, a.Silent = err, peekErr != nil
 		close(answered)
 		c.Close()
 		a.Sent = <-sent
@@ -127,18 +127,19 @@
 	return a
 }
 
-// sendBody writes a message's body, or the part of it that is sent; an answer ends a stall.
+// sendBody writes a message's body or the part of it that is to be sent, and returns the number of bytes written. An
+// answer during a pause ends the sending.
 func (c *Client) sendBody(h Handover, answered <-chan struct{}) (sent int64) {
-	var body io.Reader = &Pace{R: h.Body.Reader(), Rate: h.Rate}
+	var body io.Reader = &RateLimitedReader{R: h.Body.Reader(), Rate: h.Rate}
 	if h.CutAfter > 0 {
 		body = io.LimitReader(body, h.CutAfter)
 	}
 	buf := make([]byte, 256<<10)
-	for stalled := h.StallAfter == 0; ; {
-		if !stalled && sent >= h.StallAfter {
+	for resumed := h.StallAfter == 0; ; {
+		if !resumed && sent >= h.StallAfter {
 			select {
 			case <-h.Resume:
-				stalled = true
+				resumed = true
 			case <-answered:
 				return sent
 			}
@@ -150,8 +151,8 @@
 					return sent
 				}
 			}
-			m, werr := c.Conn.Write(buf[:n])
-			if sent += int64(m); werr != nil {
+			written, writeErr := c.Conn.Write(buf[:n])
+			if sent += int64(written); writeErr != nil {
 				return sent
 			}
 			if h.Chunked {
@@ -181,10 +182,11 @@
 	if sink != nil {
 		w = io.MultiWriter(tally, sink)
 	}
-	_, a.Err = io.CopyBuffer(onlyWriter{w}, &Pace{R: res.Body, Rate: h.Rate}, make([]byte, 64<<10))
+	_, a.Err = io.CopyBuffer(onlyWriter{w}, &RateLimitedReader{R: res.Body, Rate: h.Rate}, make([]byte, 64<<10))
 	a.Whole = a.Err == nil && (res.ContentLength >= 0 || len(res.TransferEncoding) > 0)
 	a.Bytes, a.Digest, a.Trailer = tally.Bytes, tally.Digest(), res.Trailer
 	return a
 }
 
+// onlyWriter hides all methods but Write, so that io.CopyBuffer uses its buffer.
 type onlyWriter struct{ io.Writer }
--- a/internal/lab/endpoint.go
+++ b/internal/lab/endpoint.go
@@ -10,11 +10,11 @@
 	"sync"
 )
 
-// Call is one that reached an endpoint, from the last byte of its head on.
+// Call is a call that an endpoint received, once its head is complete.
 type Call struct {
 	ID, Key, Timeout string
-	Length           int64 // of its body as told; -1: chunked
-	Connection       int   // number of the connection that it came on
+	Length           int64 // length of its body as declared; -1 if chunked
+	Connection       int   // number of its connection
 	Request          *http.Request
 	Conn             net.Conn
 	tally            Tally
@@ -23,39 +23,40 @@
 	endpoint         *Endpoint
 }
 
-// Arrival is what an endpoint has seen of a call.
+// Arrival is the record of a call that an endpoint received.
 type Arrival struct {
 	Endpoint   string
 	ID         string
 	Connection int
-	Bytes      int64 // of its body
+	Bytes      int64 // bytes of its body
 	Digest     uint64
-	Whole      bool // the body's end came
-	Refused    bool // it was answered that it never ran
+	Whole      bool // the body was received completely
+	Refused    bool // the answer was 429 or 503, which state that it did not run
 }
 
-// Endpoint is an endpoint. Handle is called for each call, in the goroutine of its connection; the connection ends when
-// it says so. Without it a call is read whole and answered 200.
+// Endpoint is a simulated endpoint. Handle is called for each call, in the goroutine of its connection; the connection
+// is closed unless it returns true. Without Handle, a call is read completely and answered 200.
 type Endpoint struct {
 	Name   string
 	Group  int
 	Status string
-	Zone   string  // "" is z
-	Weight float64 // calls a second, as it is listed; 0 is 50
+	Zone   string  // "" for z
+	Weight float64 // calls per second, as listed in discovery; 0 for 50
 	Handle func(*Call) (keep bool)
-	// Small bounds what the kernel takes on for a reader that stops: its receive buffer, in bytes; 0 leaves it.
+	// Small is the size of the receive buffer in bytes, which bounds what the kernel accepts while the endpoint does not
+	// read; 0 for the kernel's default.
 	Small int
 
 	address  string
 	mu       sync.Mutex
 	listener net.Listener
-	number   int // of the latest connection
+	number   int // number of the latest connection
 	arrivals []Arrival
 	conns    map[net.Conn]struct{}
 	wg       sync.WaitGroup
 }
 
-// Listen starts an endpoint on a loopback address of its own.
+// Listen starts the endpoint on a loopback address with a free port.
 func (p *Endpoint) Listen() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// accept takes connections until the listener is closed.
+// accept accepts connections in the background until the listener is closed.
 func (p *Endpoint) accept(l net.Listener) {
 	p.mu.Lock()
 	p.listener = l
@@ -102,6 +103,7 @@
 	}()
 }
 
+// weight returns the weight to list in discovery.
 func (p *Endpoint) weight() float64 {
 	if p.Weight > 0 {
 		return p.Weight
@@ -109,15 +111,16 @@
 	return 50
 }
 
-// Address is where it listens.
+// Address returns the address on which the endpoint listens.
 func (p *Endpoint) Address() string { return p.address }
 
-// As is the same machine under another name and status, in another zone, to be listed; it does not listen by itself.
+// As returns an entry for the endpoint list with the same address under another name, zone and status; it does not
+// listen itself.
 func (p *Endpoint) As(name, zone, status string) *Endpoint {
 	return &Endpoint{Name: name, Zone: zone, Status: status, Group: p.Group, Weight: p.Weight, address: p.address}
 }
 
-// Down ends the endpoint as a dead process would: its connections end and new ones are refused, until Up.
+// Down simulates a crash of the endpoint: its connections are closed and new ones are refused until Up.
 func (p *Endpoint) Down() {
 	p.mu.Lock()
 	_ = p.listener.Close()
@@ -127,7 +130,7 @@
 	p.mu.Unlock()
 }
 
-// Up listens at its address again.
+// Up listens on the endpoint's address again.
 func (p *Endpoint) Up() error {
 	l, err := net.Listen("tcp", p.address)
 	if err == nil {
@@ -136,24 +139,25 @@
 	return err
 }
 
-// Close ends it with all its connections.
+// Close stops the endpoint, closes its connections and waits for their goroutines.
 func (p *Endpoint) Close() {
 	p.Down()
 	p.wg.Wait()
 }
 
-// Arrivals are the calls that have ended so far.
+// Arrivals returns the records of the calls that have ended so far.
 func (p *Endpoint) Arrivals() []Arrival {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]Arrival(nil), p.arrivals...)
 }
 
+// serve handles the calls of one connection.
 func (p *Endpoint) serve(conn net.Conn, number int) {
 	defer conn.Close()
-	r := bufio.NewReaderSize(conn, 64<<10)
+	reader := bufio.NewReaderSize(conn, 64<<10)
 	for {
-		req, err := http.ReadRequest(r)
+		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -178,23 +182,24 @@
 	}
 }
 
-// Read reads n bytes of the call's body, or up to its end.
+// Read reads the next n bytes of the call's body, or up to its end.
 func (c *Call) Read(n int64) error {
 	_, err := io.CopyN(&c.tally, c.Request.Body, n)
-	return c.ended(err)
+	return c.markEnd(err)
 }
 
-// ReadAll reads the rest of the call's body, so many bytes a second; 0 is no bound. An error says that it ended before
-// it was whole.
+// ReadAll reads the rest of the call's body at the given rate in bytes per second; 0 is no limit. It returns an error
+// if the body is truncated.
 func (c *Call) ReadAll(rate int64) error {
-	_, err := io.CopyBuffer(onlyWriter{&c.tally}, &Pace{R: c.Request.Body, Rate: rate}, make([]byte, 256<<10))
+	_, err := io.CopyBuffer(onlyWriter{&c.tally}, &RateLimitedReader{R: c.Request.Body, Rate: rate}, make([]byte, 256<<10))
 	if err == nil {
 		c.whole = true
 	}
 	return err
 }
 
-func (c *Call) ended(err error) error {
+// markEnd records the end of the body and returns any other error.
+func (c *Call) markEnd(err error) error {
 	if errors.Is(err, io.EOF) {
 		c.whole = true
 		return nil
@@ -202,48 +207,48 @@
 	return err
 }
 
-// Digest is the hash of what was read of the body.
+// Digest returns the hash of the bytes of the body read so far.
 func (c *Call) Digest() uint64 { return c.tally.Digest() }
 
-// Bytes is how much of the body was read.
+// Bytes returns the number of bytes of the body read so far.
 func (c *Call) Bytes() int64 { return c.tally.Bytes }
 
-// Answer answers without a body; fields are further lines of the head, each with its line end.
+// Answer sends a response without a body; fields are additional header lines, each with its line end.
 func (c *Call) Answer(status int, fields string) error {
 	c.refused = status == 429 || status == 503
 	_, err := fmt.Fprintf(c.Conn, "HTTP/1.1 %d %s\r\n%sContent-Length: 0\r\n\r\n", status, http.StatusText(status), fields)
 	return err
 }
 
-// AnswerWith answers 200 with a body; length says how its end is told: by its length, in chunks, or by the connection's
-// end.
-func (c *Call) AnswerWith(body Content, how string) error {
-	w := bufio.NewWriterSize(c.Conn, 256<<10)
-	r := body.Reader()
-	switch how {
+// AnswerWith sends a 200 response with a body. Framing is how the body's end is found: "length" for Content-Length,
+// "chunked", or "end" for the end of the connection.
+func (c *Call) AnswerWith(body Content, framing string) error {
+	writer := bufio.NewWriterSize(c.Conn, 256<<10)
+	reader := body.Reader()
+	switch framing {
 	case "length":
-		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Type: text/x-lab\r\nContent-Length: %d\r\n\r\n", body.Size)
-		_, _ = io.Copy(w, r)
+		fmt.Fprintf(writer, "HTTP/1.1 200 OK\r\nContent-Type: text/x-lab\r\nContent-Length: %d\r\n\r\n", body.Size)
+		_, _ = io.Copy(writer, reader)
 	case "chunked":
-		fmt.Fprint(w, "HTTP/1.1 200 OK\r\nTrailer: X-Sum\r\nTransfer-Encoding: chunked\r\n\r\n")
+		fmt.Fprint(writer, "HTTP/1.1 200 OK\r\nTrailer: X-Sum\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for buf := make([]byte, 40<<10); ; {
-			n, err := r.Read(buf)
+			n, err := reader.Read(buf)
 			if n > 0 {
-				fmt.Fprintf(w, "%X;e=\"q\"\r\n%s\r\n", n, buf[:n])
+				fmt.Fprintf(writer, "%X;e=\"q\"\r\n%s\r\n", n, buf[:n])
 			}
 			if err != nil {
 				break
 			}
 		}
-		fmt.Fprintf(w, "0\r\nX-Sum: %x\r\n\r\n", body.Digest())
+		fmt.Fprintf(writer, "0\r\nX-Sum: %x\r\n\r\n", body.Digest())
 	case "end":
-		fmt.Fprint(w, "HTTP/1.1 200 OK\r\n\r\n")
-		_, _ = io.Copy(w, r)
+		fmt.Fprint(writer, "HTTP/1.1 200 OK\r\n\r\n")
+		_, _ = io.Copy(writer, reader)
 	}
-	return w.Flush()
+	return writer.Flush()
 }
 
-// Raw writes bytes as they are.
+// Raw writes text to the connection unchanged.
 func (c *Call) Raw(text string) error {
 	_, err := io.WriteString(c.Conn, text)
 	return err
--- a/internal/lab/forwarder.go
+++ b/internal/lab/forwarder.go
@@ -13,31 +13,31 @@
 	"syscall"
 )
 
-// Class is a message class in the platform's configuration; times are in microseconds there.
+// Class is a message class in the platform's configuration. Its times are in microseconds, as in the configuration.
 type Class struct {
 	Name, Effect           string
 	Target, GiveUp, KeyTTL int64
 }
 
-// Classes are those that the laboratory's runs use.
+// Classes are the message classes of the laboratory's runs.
 var Classes = []Class{
 	{"keyed", "keyed", 4e6, 20e6, 15e6}, {"safe", "safe", 8e5, 20e6, 0}, {"unsafe", "unsafe", 3e6, 20e6, 0},
 }
 
-// Forwarder is the real program as a process, with its configuration and folder.
+// Forwarder runs the real program as a process, with its configuration and state folder.
 type Forwarder struct {
 	Command  []string // the program and its arguments
-	Env      []string // beside the platform's variables
-	Settings string   // its own settings, as TOML; "" for none
+	Env      []string // in addition to the platform's variables
+	Settings string   // the program's own settings, as TOML; "" for none
 	Sockets  int
 	MemoryMB int
 	Cores    float64
 	Slots    int
-	Name     string                             // "" is lab
-	Host     string                             // a loopback address, where it takes messages; "" is 127.0.0.1
-	Amend    func(configuration map[string]any) // the platform's configuration, before each start; nil leaves it
-	DiskMB   float64                            // 0 is 3
-	// Attach is called with each life's command before it starts, and gives what is called behind that; nil is nothing.
+	Name     string                             // "" for lab
+	Host     string                             // loopback address on which it accepts messages; "" for 127.0.0.1
+	Amend    func(configuration map[string]any) // changes the platform's configuration each time it is written
+	DiskMB   float64                            // 0 for 3
+	// Attach, if set, is called with the command before each start and returns a function to call after the start.
 	Attach func(*exec.Cmd) (started func() error, err error)
 
 	dir, listen string
@@ -46,32 +46,33 @@
 	exited      chan error
 	mu          sync.Mutex
 	log         []string
-	grown       chan struct{} // closed with each line, and at the end
-	ended       bool
-	read        int // lines that Sees has gone through
-	trigger     string
-	triggered   func()
-	reading     sync.Mutex // held while nobody reads the log
-	unread      bool
+	logChanged  chan struct{} // closed with each line, and when the process has exited
+	hasExited   bool
+	nextLine    int    // index of the first line that Sees has not examined
+	trigger     string // text of the line for which OnLine calls onTrigger
+	onTrigger   func()
+	readMu      sync.Mutex // held while reading of the log is paused
+	readPaused  bool
 }
 
-// PauseLog stops reading the program's log until ResumeLog, Wait or the next start. It is called by whoever starts the program.
+// PauseLog stops reading the program's log until ResumeLog, Wait or the next start. It must be called by the
+// goroutine that starts the program.
 func (f *Forwarder) PauseLog() {
-	if !f.unread {
-		f.unread = true
-		f.reading.Lock()
+	if !f.readPaused {
+		f.readPaused = true
+		f.readMu.Lock()
 	}
 }
 
-// ResumeLog goes on reading it.
+// ResumeLog continues reading the program's log.
 func (f *Forwarder) ResumeLog() {
-	if f.unread {
-		f.unread = false
-		f.reading.Unlock()
+	if f.readPaused {
+		f.readPaused = false
+		f.readMu.Unlock()
 	}
 }
 
-// Prepare lays the program's folder out; dir has to exist.
+// Prepare creates the state folder in dir, which must exist, picks a free port and sets the defaults.
 func (f *Forwarder) Prepare(dir string, agent *Agent) error {
 	if f.Host == "" {
 		f.Host = "127.0.0.1"
@@ -99,9 +100,10 @@
 	return l.Close()
 }
 
-// Address is where it takes messages.
+// Address returns the address on which the program accepts messages.
 func (f *Forwarder) Address() string { return f.listen }
 
+// configuration returns the platform's configuration of the program.
 func (f *Forwarder) configuration() map[string]any {
 	services := []any{}
 	for _, c := range Classes {
@@ -137,20 +139,20 @@
 	return out
 }
 
-// OnLine has f called, once, with the first line of the log that holds a text; it must not wait.
-func (f *Forwarder) OnLine(text string, do func()) {
+// OnLine calls action once, at the next line of the log that contains text; action must not block.
+func (f *Forwarder) OnLine(text string, action func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.trigger, f.triggered = text, do
+	f.trigger, f.onTrigger = text, action
 }
 
-// Reconfigure writes the program's files with another agent as its discovery, for a reload.
+// Reconfigure rewrites the program's files with another agent as its discovery; a reload applies them.
 func (f *Forwarder) Reconfigure(agent *Agent) error {
 	f.agent = agent
 	return f.writeFiles()
 }
 
-// writeFiles writes the configuration, and the settings if there are any.
+// writeFiles writes the configuration and, if there are any, the settings.
 func (f *Forwarder) writeFiles() error {
 	raw, err := json.Marshal(f.configuration())
 	if err != nil {
@@ -162,7 +164,7 @@
 	return os.WriteFile(filepath.Join(f.dir, "larkreach.toml"), []byte(f.Settings), 0o600)
 }
 
-// Start starts the program, or starts it again in its folder, and waits until it is ready.
+// Start starts or restarts the program in its folder and waits until it is ready.
 func (f *Forwarder) Start() error {
 	f.ResumeLog()
 	if err := f.writeFiles(); err != nil {
@@ -187,20 +189,20 @@
 		return err
 	}
 	f.mu.Lock()
-	f.log, f.read, f.grown, f.ended = nil, 0, make(chan struct{}), false
+	f.log, f.nextLine, f.logChanged, f.hasExited = nil, 0, make(chan struct{}), false
 	f.mu.Unlock()
 	exited := make(chan error, 1)
 	f.exited = exited
 	go func() {
 		_ = Lines(pipe, func(text string) {
-			f.reading.Lock()
-			defer f.reading.Unlock()
+			f.readMu.Lock()
+			defer f.readMu.Unlock()
 			for _, line := range Human(text) {
-				f.grow(line, false)
+				f.appendLog(line, false)
 			}
 		})
 		err := f.cmd.Wait()
-		f.grow("", true)
+		f.appendLog("", true)
 		exited <- err
 	}()
 	if _, ok := f.Sees("ready listen="); !ok {
@@ -209,7 +211,7 @@
 	return nil
 }
 
-// Environment is what the program is started with.
+// Environment returns the environment of the program.
 func (f *Forwarder) Environment() []string {
 	env := append(os.Environ(), "ROUTER_CONFIG="+filepath.Join(f.dir, "config.json"), "ROUTER_STATE="+filepath.Join(f.dir, "state"),
 		"ROUTER_NAME=", "ROUTER_LISTEN=", "ROUTER_DISCOVERY=")
@@ -219,65 +221,68 @@
 	return append(env, f.Env...)
 }
 
-func (f *Forwarder) grow(line string, end bool) {
+// appendLog appends a line to the log or, if exited is set, records the exit of the process.
+func (f *Forwarder) appendLog(line string, exited bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.ended = end; !end {
+	if f.hasExited = exited; !exited {
 		f.log = append(f.log, line)
-		if f.triggered != nil && strings.Contains(line, f.trigger) {
-			f.triggered()
-			f.triggered = nil
+		if f.onTrigger != nil && strings.Contains(line, f.trigger) {
+			f.onTrigger()
+			f.onTrigger = nil
 		}
 	}
-	close(f.grown)
-	f.grown = make(chan struct{})
+	close(f.logChanged)
+	f.logChanged = make(chan struct{})
 }
 
-// Log is what the program has logged since its start.
+// Log returns what the program has logged since its start.
 func (f *Forwarder) Log() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return strings.Join(f.log, "\n")
 }
 
-// Sees waits for a line that holds a text, behind those seen before; false if the program ends first.
+// Sees waits for a line that contains text, after the lines examined before; it returns false if the program exits
+// first.
 func (f *Forwarder) Sees(text string) (string, bool) {
 	return f.awaitLine(func(line string) bool { return strings.Contains(line, text) })
 }
 
-// awaitLine waits for a line that is wanted, as Sees does.
-func (f *Forwarder) awaitLine(wanted func(line string) bool) (string, bool) {
+// awaitLine waits for a line that satisfies a predicate, as Sees does.
+func (f *Forwarder) awaitLine(matches func(line string) bool) (string, bool) {
 	for {
 		f.mu.Lock()
-		for f.read < len(f.log) {
-			line := f.log[f.read]
-			f.read++
-			if wanted(line) {
+		for f.nextLine < len(f.log) {
+			line := f.log[f.nextLine]
+			f.nextLine++
+			if matches(line) {
 				f.mu.Unlock()
 				return line, true
 			}
 		}
-		ended, grown := f.ended, f.grown
+		hasExited, logChanged := f.hasExited, f.logChanged
 		f.mu.Unlock()
-		if ended {
+		if hasExited {
 			return "", false
 		}
-		<-grown
+		<-logChanged
 	}
 }
 
-// Counters asks for the counters and gives those of one line.
+// Counters requests the counters by SIGUSR1 and returns those of one line.
 func (f *Forwarder) Counters(line string) (map[string]int64, error) {
 	if err := f.cmd.Process.Signal(syscall.SIGUSR1); err != nil {
 		return nil, err
 	}
-	text, ok := f.awaitLine(func(text string) bool { return strings.HasPrefix(text, line+":") }) // others may hold it, as "again:"
+	// A prefix, since other lines may contain the text: "again:" contains "in:".
+	text, ok := f.awaitLine(func(text string) bool { return strings.HasPrefix(text, line+":") })
 	if !ok {
-		return nil, fmt.Errorf("lab: the program ended before it told %s", line)
+		return nil, fmt.Errorf("lab: the program exited before it logged the counters of %s", line)
 	}
 	out := map[string]int64{}
-	for word := range strings.FieldsSeq(text) {
-		key, value, _ := strings.Cut(word, "=")
+	for pair := range strings.FieldsSeq(text) {
+		key, value, _ := strings.Cut(pair, "=")
 		if n, err := strconv.ParseInt(value, 10, 64); err == nil {
 			out[key] = n
 		}
@@ -285,7 +290,7 @@
 	return out, nil
 }
 
-// Counter gives one of them, named by its line and its key.
+// Counter returns one counter, given by its line and its key.
 func (f *Forwarder) Counter(line, key string) (int64, error) {
 	all, err := f.Counters(line)
 	if err != nil {
@@ -293,42 +298,43 @@
 	}
 	n, ok := all[key]
 	if !ok {
-		return 0, fmt.Errorf("lab: no %s in %v", key, all)
+		return 0, fmt.Errorf("lab: no counter %s in %v", key, all)
 	}
 	return n, nil
 }
 
-// AwaitCounter asks for a counter until it has a value.
+// AwaitCounter polls a counter until it has a value.
 func (f *Forwarder) AwaitCounter(line, key string, want int64) error {
-	return f.await(line, key, func(got int64) bool { return got == want })
+	return f.awaitCounter(line, key, func(got int64) bool { return got == want })
 }
 
-// AwaitCounterOver asks for a counter until it is above a value.
-func (f *Forwarder) AwaitCounterOver(line, key string, than int64) error {
-	return f.await(line, key, func(got int64) bool { return got > than })
+// AwaitCounterOver polls a counter until it exceeds a value.
+func (f *Forwarder) AwaitCounterOver(line, key string, threshold int64) error {
+	return f.awaitCounter(line, key, func(got int64) bool { return got > threshold })
 }
 
-func (f *Forwarder) await(line, key string, enough func(int64) bool) error {
+// awaitCounter polls a counter until it satisfies a predicate.
+func (f *Forwarder) awaitCounter(line, key string, satisfied func(int64) bool) error {
 	for {
-		if got, err := f.Counter(line, key); err != nil || enough(got) {
+		if got, err := f.Counter(line, key); err != nil || satisfied(got) {
 			return err
 		}
 	}
 }
 
-// Pid is the process's number.
+// Pid returns the process ID.
 func (f *Forwarder) Pid() int { return f.cmd.Process.Pid }
 
 // Signal sends the program a signal.
 func (f *Forwarder) Signal(sig syscall.Signal) error { return f.cmd.Process.Signal(sig) }
 
-// Wait waits for the program's end.
+// Wait waits for the program to exit and returns its error.
 func (f *Forwarder) Wait() error {
 	f.ResumeLog()
 	return <-f.exited
 }
 
-// End sends a signal and waits for the program's end.
+// End sends a signal and waits for the program to exit.
 func (f *Forwarder) End(sig syscall.Signal) error {
 	if err := f.Signal(sig); err != nil {
 		return err
@@ -336,26 +342,26 @@
 	return f.Wait()
 }
 
-// Kill ends the program, if it runs.
+// Kill kills the program if it runs.
 func (f *Forwarder) Kill() {
 	if f.cmd != nil && f.cmd.Process != nil {
 		_ = f.cmd.Process.Kill()
 	}
 }
 
-// PeakMemory is the program's peak resident memory so far, in bytes.
+// PeakMemory returns the program's peak resident memory so far, in bytes.
 func (f *Forwarder) PeakMemory() (int64, error) { return ProcessPeak(f.cmd.Process.Pid) }
 
-// CPUSeconds is the processor time that the program has used, in seconds.
+// CPUSeconds returns the CPU time that the program has used.
 func (f *Forwarder) CPUSeconds() (float64, error) { return ProcessCPU(f.cmd.Process.Pid) }
 
-// Memory is what the process has in memory now, in bytes.
+// Memory returns the program's resident memory, in bytes.
 func (f *Forwarder) Memory() (int64, error) { return processStatus(f.cmd.Process.Pid, "VmRSS:") }
 
-// ProcessPeak reads a process's peak resident memory from the kernel, in bytes.
+// ProcessPeak returns the peak resident memory of a process, in bytes.
 func ProcessPeak(pid int) (int64, error) { return processStatus(pid, "VmHWM:") }
 
-// processStatus reads a size of a process from the kernel, in bytes.
+// processStatus returns a size from /proc/PID/status, in bytes.
 func processStatus(pid int, name string) (int64, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -367,10 +373,10 @@
 			return kb << 10, err
 		}
 	}
-	return 0, fmt.Errorf("lab: no %s told", name)
+	return 0, fmt.Errorf("lab: no %s in the process status", name)
 }
 
-// ProcessCPU reads a process's time from the kernel, in seconds; it counts in hundredths.
+// ProcessCPU returns the CPU time of a process in seconds; the kernel counts it in hundredths of a second.
 func ProcessCPU(pid int) (float64, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -379,7 +385,7 @@
 	_, rest, _ := strings.Cut(string(raw), ") ")
 	fields := strings.Fields(rest)
 	if len(fields) < 13 {
-		return 0, fmt.Errorf("lab: process times can't be read")
+		return 0, fmt.Errorf("lab: /proc/PID/stat has too few fields")
 	}
 	user, err := strconv.ParseFloat(fields[11], 64)
 	if err != nil {
--- a/internal/lab/logline.go
+++ b/internal/lab/logline.go
@@ -9,14 +9,14 @@
 	"strings"
 )
 
-// field is one of a JSON object, in the order in which it was written.
+// field is a member of a JSON object; a slice of fields keeps the order of the object.
 type field struct {
 	key   string
 	value any // string, json.Number, bool, nil, []field or []any
 }
 
-// Human puts one structured line of the program's log in lines for people: "part: message key=value ..."; an object's
-// fields get a line of their own behind that, "key: key=value ...". A line that is not structured stays as it is.
+// Human formats a JSON line of the program's log for people, as "part: message key=value ..."; each member that is an
+// object follows on a line of its own, as "key: key=value ...". A line that is not a JSON object is returned unchanged.
 func Human(line string) []string {
 	dec := json.NewDecoder(strings.NewReader(line))
 	dec.UseNumber()
@@ -25,16 +25,16 @@
 		return []string{line}
 	}
 	var part, message string
-	var words bytes.Buffer
-	var more []string
+	var values bytes.Buffer
+	var objectLines []string
 	for _, f := range fields {
 		switch v := f.value.(type) {
 		case []field:
 			var sub bytes.Buffer
-			for _, g := range v {
-				fmt.Fprintf(&sub, " %s=%v", g.key, g.value)
+			for _, member := range v {
+				fmt.Fprintf(&sub, " %s=%v", member.key, member.value)
 			}
-			more = append(more, f.key+":"+sub.String()+" ")
+			objectLines = append(objectLines, f.key+":"+sub.String()+" ")
 		default:
 			switch f.key {
 			case "part":
@@ -43,41 +43,41 @@
 				message = fmt.Sprint(v)
 			case "level", "time", "name":
 			default:
-				fmt.Fprintf(&words, " %s=%v", f.key, v)
+				fmt.Fprintf(&values, " %s=%v", f.key, v)
 			}
 		}
 	}
-	return append([]string{part + message + words.String()}, more...)
+	return append([]string{part + message + values.String()}, objectLines...)
 }
 
-// object reads one JSON object; false is anything else.
+// object decodes a JSON object; it returns false for anything else.
 func object(dec *json.Decoder) ([]field, bool) {
-	t, err := dec.Token()
-	if err != nil || t != json.Delim('{') {
+	token, err := dec.Token()
+	if err != nil || token != json.Delim('{') {
 		return nil, false
 	}
 	fields, err := members(dec)
 	return fields, err == nil
 }
 
-// members reads an object's members up to its end.
+// members decodes the members of an object up to its end.
 func members(dec *json.Decoder) ([]field, error) {
 	var fields []field
 	for {
-		t, err := dec.Token()
+		token, err := dec.Token()
 		if err != nil {
 			return nil, err
 		}
-		if t == json.Delim('}') {
+		if token == json.Delim('}') {
 			return fields, nil
 		}
-		key, _ := t.(string)
-		t, err = dec.Token()
+		key, _ := token.(string)
+		token, err = dec.Token()
 		if err != nil {
 			return nil, err
 		}
-		f := field{key, t}
-		switch t {
+		f := field{key, token}
+		switch token {
 		case json.Delim('{'):
 			if f.value, err = members(dec); err != nil {
 				return nil, err
@@ -100,7 +100,7 @@
 	}
 }
 
-// Lines gives each line that is read, up to the end.
+// Lines calls each with every line of r.
 func Lines(r io.Reader, each func(string)) error {
 	scanner := bufio.NewScanner(r)
 	for scanner.Scan() {
--- a/internal/lab/sleep.go
+++ b/internal/lab/sleep.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Sleep lets time pass that is the played world's own; false says that ctx ended first.
+// Sleep waits for a duration; it returns false if ctx is done first.
 func Sleep(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
 	case <-ctx.Done():
 		return false
