--- a/internal/lab/experiment/journal.go
+++ b/internal/lab/experiment/journal.go
@@ -19,42 +19,42 @@
 	"mulleinbeam/internal/routing/wal/store"
 )
 
-// Keeper is a journal under measurement: it keeps messages from their accept to their end.
+// Keeper is a storage engine under measurement. It stores each message from its acceptance until it is completed.
 type Keeper interface {
-	// Accept keeps a message; ErrNoRoom says that it should come again.
+	// Accept stores a message. It returns ErrNoRoom if the caller has to retry later.
 	Accept(seq uint64, body []byte) error
-	Attempt(seq uint64) error // that one went out, and how it ended
-	End(seq uint64) error
+	Attempt(seq uint64) error // records that a delivery attempt was started, and its outcome
+	End(seq uint64) error     // removes a completed message
 	Close() error
 }
 
-// Engine opens a Keeper in a folder that may hold so many bytes; sync asks for durability beyond the process's end. live is
-// told of each message that is there.
+// Engine opens a Keeper in a folder that is limited to disk bytes. With sync, accepted messages are synced to the disk, so
+// that they survive a crash of the machine as well as of the process. Open calls live for each message that it recovers.
 type Engine struct {
 	Name string
 	Open func(dir string, disk int64, sync bool, live func(seq uint64)) (Keeper, error)
 }
 
-// ErrNoRoom is a Keeper's refusal.
-var ErrNoRoom = errors.New("experiment: no room")
+// ErrNoRoom is returned by Keeper.Accept when the store is full for now.
+var ErrNoRoom = errors.New("experiment: message store is full")
 
-// Segments is the program's own journal, with all bodies on the disk.
+// Segments is the forwarder's own journal, configured to keep all message bodies on the disk.
 var Segments = Engine{"segments", func(dir string, disk int64, sync bool, live func(uint64)) (Keeper, error) {
-	o := wal.Options{MaxBytes: disk, BodyMemory: 1}
+	options := wal.Options{MaxBytes: disk, BodyMemory: 1}
 	if sync {
-		o.Durability = store.SyncBatch
+		options.Durability = store.SyncBatch
 	}
-	l, err := wal.Open(dir, o, func(string) {})
+	log, err := wal.Open(dir, options, func(string) {})
 	if err != nil {
 		return nil, err
 	}
-	for _, m := range l.Live() {
+	for _, m := range log.Live() {
 		live(m.Seq)
 	}
-	return segments{l}, nil
+	return segments{log}, nil
 }}
 
-type segments struct{ l *wal.Log }
+type segments struct{ log *wal.Log }
 
 var deadline = time.Unix(1_900_000_000, 0)
 
@@ -62,55 +62,57 @@
 	m := &wal.Message{
 		Seq: seq, Deadline: deadline, Destination: 7, ID: fmt.Sprintf("%016x", seq), Class: "fee", Body: body,
 	}
-	room, fits := s.l.Reserve(m)
+	reservation, fits := s.log.Reserve(m)
 	if !fits {
 		return ErrNoRoom
 	}
-	defer room.Release()
-	err := s.l.AcceptReserved(room, m)
-	if errors.Is(err, wal.ErrFull) { // records of earlier messages wait for room
+	defer reservation.Release()
+	err := s.log.AcceptReserved(reservation, m)
+	if errors.Is(err, wal.ErrFull) { // records of earlier messages are still waiting for free space
 		return ErrNoRoom
 	}
 	return err
 }
 
 func (s segments) Attempt(seq uint64) error {
-	err := errors.Join(s.l.Started(seq, deadline, "zone"), s.l.Outcome(seq, true))
-	if errors.Is(err, store.ErrFull) { // the call waits, in the program
+	err := errors.Join(s.log.Started(seq, deadline, "zone"), s.log.Outcome(seq, true))
+	if errors.Is(err, store.ErrFull) { // in the forwarder, the call waits for space instead
 		return nil
 	}
 	return err
 }
 
-func (s segments) End(seq uint64) error { return s.l.End(seq, wal.Completed, 0) }
+func (s segments) End(seq uint64) error { return s.log.End(seq, wal.Completed, 0) }
 
 func (s segments) Close() error {
-	return errors.Join(s.l.Commit(s.l.LastRecord()), s.l.Close())
+	return errors.Join(s.log.Commit(s.log.LastRecord()), s.log.Close())
 }
 
-// Journal measures journals: the same messages through their whole life, with a share of the disk live all the time.
+// Journal compares storage engines under the same workload: messages are accepted, attempted and completed, while live messages
+// occupy a fixed share of the disk.
 type Journal struct {
 	Engines  []Engine
-	Dir      string        // for the folders; "" is the system's
-	Disks    []int64       // bytes
-	Lives    []int         // hundredths of the disk
-	Bodies   []int         // bytes
-	Longest  time.Duration // of one run's steady part
-	Turnover float64       // of one run's steady part: bytes accepted, in shares of the disk
-	Sync     bool          // durability beyond the process's end
+	Dir      string        // parent of the temporary folders; "" is the default of the system
+	Disks    []int64       // disk limits, in bytes
+	Lives    []int         // shares of the disk that live messages occupy, in percent
+	Bodies   []int         // body sizes, in bytes
+	Longest  time.Duration // limit on the duration of the steady phase of a run
+	Turnover float64       // bytes to accept in the steady phase of a run, as a multiple of the disk limit
+	Sync     bool          // sync accepted messages to the disk
 	Out      io.Writer
 }
 
 const journalHead = "engine      disk MB  body   live%   accepts/s   us cpu  p50 us   p99 us  longest ms  waits  written/accepted  disk used%  open s   heap B/message\n"
 
-// Run measures each combination. What would need more than the longest time to fill is cut there, and says so.
+// Run measures each combination of disk limit, body size, live share and engine, and prints a line for each. A combination whose
+// fill phase takes longer than four times Longest is measured partly filled, and its line notes how far it was filled.
 func (j Journal) Run() error {
 	fmt.Fprint(j.Out, journalHead)
 	for _, disk := range j.Disks {
 		for _, body := range j.Bodies {
 			for _, live := range j.Lives {
 				for _, e := range j.Engines {
-					if err := j.one(e, disk, body, live); err != nil {
+					if err := j.measure(e, disk, body, live); err != nil {
 						return fmt.Errorf("%s: %w", e.Name, err)
 					}
 				}
@@ -120,36 +122,37 @@
 	return nil
 }
 
-// run is one combination under way.
+// run is the state of the measurement of one combination.
 type run struct {
-	k       Keeper
+	store   Keeper
 	rng     *rand.Rand
 	body    []byte
-	held    []uint64
-	next    uint64
-	hist    *hdrhistogram.Histogram
+	live    []uint64
+	nextSeq uint64
+	latency *hdrhistogram.Histogram
 	waits   int
 	longest time.Duration
 }
 
-// timed does one operation and books how long it took.
+// timed runs one operation and records its latency.
 func (r *run) timed(f func() error) error {
 	from := time.Now()
 	err := f()
 	took := time.Since(from)
 	r.longest = max(r.longest, took)
-	_ = r.hist.RecordValue(took.Nanoseconds())
+	_ = r.latency.RecordValue(took.Nanoseconds())
 	return err
 }
 
-// accept keeps a message, coming again while there is no room; false gives up.
-func (r *run) accept(patience time.Duration) (bool, error) {
-	until := time.Now().Add(patience)
+// accept stores the next message and retries while the store is full. It returns false if the store is still full after
+// the timeout.
+func (r *run) accept(timeout time.Duration) (bool, error) {
+	until := time.Now().Add(timeout)
 	for {
-		err := r.timed(func() error { return r.k.Accept(r.next, r.body) })
+		err := r.timed(func() error { return r.store.Accept(r.nextSeq, r.body) })
 		if err == nil {
-			r.held = append(r.held, r.next)
-			r.next++
+			r.live = append(r.live, r.nextSeq)
+			r.nextSeq++
 			return true, nil
 		}
 		if !errors.Is(err, ErrNoRoom) {
@@ -162,55 +165,56 @@
 	}
 }
 
-// drop ends a message: mostly an old one, as most end in their order.
-func (r *run) drop() error {
+// complete records an attempt of a live message and completes it. Four times in five this is the first in the list, since most
+// messages complete in the order in which they were accepted.
+func (r *run) complete() error {
 	i := 0
 	if r.rng.IntN(5) == 0 {
-		i = r.rng.IntN(len(r.held))
+		i = r.rng.IntN(len(r.live))
 	}
-	seq := r.held[i]
+	seq := r.live[i]
 	if i == 0 {
-		r.held = r.held[1:]
+		r.live = r.live[1:]
 	} else {
-		r.held[i] = r.held[len(r.held)-1]
-		r.held = r.held[:len(r.held)-1]
+		r.live[i] = r.live[len(r.live)-1]
+		r.live = r.live[:len(r.live)-1]
 	}
-	if err := r.timed(func() error { return r.k.Attempt(seq) }); err != nil {
+	if err := r.timed(func() error { return r.store.Attempt(seq) }); err != nil {
 		return err
 	}
-	return r.timed(func() error { return r.k.End(seq) })
+	return r.timed(func() error { return r.store.End(seq) })
 }
 
-func (j Journal) one(e Engine, disk int64, body, live int) error {
+func (j Journal) measure(e Engine, disk int64, body, live int) error {
 	dir, err := os.MkdirTemp(j.Dir, "larklab-journal-")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	r := &run{rng: rand.New(rand.NewPCG(1, 2)), body: make([]byte, body), next: 1, hist: hdrhistogram.New(100, 60e9, 3)}
+	r := &run{rng: rand.New(rand.NewPCG(1, 2)), body: make([]byte, body), nextSeq: 1, latency: hdrhistogram.New(100, 60e9, 3)}
 	for i := range r.body {
 		r.body[i] = byte(r.rng.Uint32())
 	}
-	if r.k, err = e.Open(dir, disk, j.Sync, func(uint64) {}); err != nil {
+	if r.store, err = e.Open(dir, disk, j.Sync, func(uint64) {}); err != nil {
 		return err
 	}
-	most := max(1, int(float64(disk)*float64(live)/100)/(body+150)) // what a message takes on the disk, about
+	most := max(1, int(float64(disk)*float64(live)/100)/(body+150)) // a message takes about 150 bytes on the disk beside its body
 	full := false
-	for began := time.Now(); len(r.held) < most && !full; {
+	for began := time.Now(); len(r.live) < most && !full; {
 		ok, err := r.accept(time.Second)
 		if err != nil {
 			return err
 		}
 		full = !ok || time.Since(began) > 4*j.Longest
 	}
-	filled := len(r.held)
-	r.hist.Reset()
+	filled := len(r.live)
+	r.latency.Reset()
 	r.waits, r.longest = 0, 0
 	cpu, wrote, began := cpuNow(), writtenNow(), time.Now()
 	steady, stuck := 0, false
 	for float64(steady)*float64(body) < j.Turnover*float64(disk) && time.Since(began) < j.Longest && !stuck {
-		for len(r.held) >= filled {
-			if err := r.drop(); err != nil {
+		for len(r.live) >= filled {
+			if err := r.complete(); err != nil {
 				return err
 			}
 		}
@@ -225,16 +229,16 @@
 	took := time.Since(began)
 	cpu, wrote = cpuNow()-cpu, writtenNow()-wrote
 	used := folderSize(dir)
-	if err := r.k.Close(); err != nil {
+	if err := r.store.Close(); err != nil {
 		return err
 	}
-	opened, heap, there, err := j.reopen(e, dir, disk)
+	opened, heap, recovered, err := j.reopen(e, dir, disk)
 	if err != nil {
 		return err
 	}
 	note := ""
-	if there != len(r.held) {
-		note = fmt.Sprintf("  %d MESSAGES FOR %d", there, len(r.held))
+	if recovered != len(r.live) {
+		note = fmt.Sprintf("  %d MESSAGES FOR %d", recovered, len(r.live))
 	}
 	if filled < most {
 		note += fmt.Sprintf("  filled to %d%%", 100*filled*(body+150)/int(disk))
@@ -244,17 +248,18 @@
 	}
 	accepted := float64(max(1, steady) * body)
 	_, err = fmt.Fprintf(j.Out, "%-10s %8d %6d %5d %12.0f %8.1f %7.1f %8.1f %11.2f %6.2f %17.2f %11.0f %7.2f %16.0f%s\n", e.Name, disk/1e6,
-		body, live, float64(steady)/took.Seconds(), cpu.Seconds()*1e6/float64(max(1, steady)), float64(r.hist.ValueAtQuantile(50))/1e3,
-		float64(r.hist.ValueAtQuantile(99))/1e3, r.longest.Seconds()*1e3, float64(r.waits)/float64(max(1, steady)), float64(wrote)/accepted,
-		100*float64(used)/float64(disk), opened.Seconds(), float64(heap)/float64(max(1, there)), note)
+		body, live, float64(steady)/took.Seconds(), cpu.Seconds()*1e6/float64(max(1, steady)), float64(r.latency.ValueAtQuantile(50))/1e3,
+		float64(r.latency.ValueAtQuantile(99))/1e3, r.longest.Seconds()*1e3, float64(r.waits)/float64(max(1, steady)), float64(wrote)/accepted,
+		100*float64(used)/float64(disk), opened.Seconds(), float64(heap)/float64(max(1, recovered)), note)
 	return err
 }
 
-// reopen opens what a run has left, and tells how long that takes and what it holds in memory.
-func (j Journal) reopen(e Engine, dir string, disk int64) (took time.Duration, heap uint64, there int, err error) {
+// reopen opens the store that a run has left. It returns how long that takes, the growth of the heap and the number of recovered
+// messages.
+func (j Journal) reopen(e Engine, dir string, disk int64) (took time.Duration, heap uint64, recovered int, err error) {
 	before := heapNow()
 	began := time.Now()
-	k, err := e.Open(dir, disk, j.Sync, func(uint64) { there++ })
+	k, err := e.Open(dir, disk, j.Sync, func(uint64) { recovered++ })
 	if err != nil {
 		return 0, 0, 0, err
 	}
@@ -262,9 +267,10 @@
 	if after := heapNow(); after > before {
 		heap = after - before
 	}
-	return took, heap, there, k.Close()
+	return took, heap, recovered, k.Close()
 }
 
+// heapNow returns the bytes of live heap objects.
 func heapNow() uint64 {
 	runtime.GC()
 	runtime.GC()
@@ -273,14 +279,14 @@
 	return m.HeapAlloc
 }
 
-// cpuNow is the processor time that this process has used.
+// cpuNow returns the CPU time that this process has used.
 func cpuNow() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// writtenNow is how many bytes this process has passed to write calls.
+// writtenNow returns the number of bytes that this process has passed to write calls, or 0 if the kernel does not report it.
 func writtenNow() int64 {
 	raw, err := os.ReadFile("/proc/self/io")
 	if err != nil {
@@ -295,7 +301,7 @@
 	return 0
 }
 
-// folderSize is what a folder's files take on the disk.
+// folderSize returns the disk space that the files of a folder occupy, in bytes.
 func folderSize(dir string) (total int64) {
 	_ = filepath.WalkDir(dir, func(_ string, d os.DirEntry, err error) error {
 		if err != nil || d.IsDir() {
--- a/internal/lab/experiment/long.go
+++ b/internal/lab/experiment/long.go
@@ -1,5 +1,5 @@
-// Package experiment measures the real program between the laboratory's peers. What it gives are figures of one machine
-// on one day: only ratios between runs of one call mean something elsewhere.
+// Package experiment measures the real forwarder between the simulated peers of the laboratory. Absolute figures depend on the
+// machine and its load; only ratios between runs of the same invocation can be compared with other machines.
 package experiment
 
 import (
@@ -18,13 +18,13 @@
 	"mulleinbeam/internal/lab"
 )
 
-// Long is the experiment on long bodies.
+// Long measures the streaming of long bodies.
 type Long struct {
-	Program []string // the forwarder
-	Relay   []string // a bare relay: takes an address to listen at and one to pass on to
-	Small   int64    // bytes of the smaller body
-	Size    int64    // bytes of the larger one
-	Rate    int64    // bytes a second of the peer that is throttled
+	Program []string // command line of the forwarder
+	Relay   []string // command line of the bare relay, which takes the address to forward to as its last argument and prints the one it listens on
+	Small   int64    // smaller body size, in bytes
+	Size    int64    // larger body size, in bytes
+	Rate    int64    // rate of the throttled peer, in bytes per second
 	Out     io.Writer
 }
 
@@ -33,29 +33,29 @@
 idle = "30s"
 `
 
-// bench is a forwarder with one endpoint, ready to be measured.
+// bench is a running forwarder with its peers: one endpoint for long calls and one for short messages.
 type bench struct {
-	f     *lab.Forwarder
-	p     *lab.Endpoint
-	quick *lab.Endpoint
-	agent *lab.Agent
-	dir   string
+	forwarder *lab.Forwarder
+	long      *lab.Endpoint
+	short     *lab.Endpoint
+	agent     *lab.Agent
+	dir       string
 }
 
-// start lays out one run. handle answers long calls.
+// start starts the forwarder and its peers for one run. handle answers the long calls.
 func (l Long) start(handle func(*lab.Call) bool) (*bench, error) {
 	dir, err := os.MkdirTemp("", "larklab-")
 	if err != nil {
 		return nil, err
 	}
 	b := &bench{
-		dir: dir, agent: &lab.Agent{}, p: &lab.Endpoint{Name: "p", Group: 7, Handle: handle},
-		quick: &lab.Endpoint{Name: "quick", Group: 8},
+		dir: dir, agent: &lab.Agent{}, long: &lab.Endpoint{Name: "p", Group: 7, Handle: handle},
+		short: &lab.Endpoint{Name: "quick", Group: 8},
 	}
-	b.f = &lab.Forwarder{Command: l.Program, Settings: settings}
+	b.forwarder = &lab.Forwarder{Command: l.Program, Settings: settings}
 	for _, step := range []func() error{
-		b.p.Listen, b.quick.Listen, func() error { return b.agent.Listen(b.p, b.quick) },
-		func() error { return b.f.Prepare(dir, b.agent) }, b.f.Start,
+		b.long.Listen, b.short.Listen, func() error { return b.agent.Listen(b.long, b.short) },
+		func() error { return b.forwarder.Prepare(dir, b.agent) }, b.forwarder.Start,
 	} {
 		if err := step(); err != nil {
 			return nil, err
@@ -65,21 +65,22 @@
 }
 
 func (b *bench) stop() {
-	b.f.Kill()
-	b.p.Close()
-	b.quick.Close()
+	b.forwarder.Kill()
+	b.long.Close()
+	b.short.Close()
 	b.agent.Close()
 	_ = os.RemoveAll(b.dir)
 }
 
-func handover(id string, size int64) lab.Handover {
+// newHandover returns a handover to the endpoint for long calls, with a generated body of size bytes.
+func newHandover(id string, size int64) lab.Handover {
 	return lab.Handover{
 		ID: id, Key: "k", Class: "unsafe", Destination: 7, Left: 30 * time.Minute, Body: lab.Content{Seed: 1, Size: size},
 	}
 }
 
-// moved is one transfer's figures.
-type moved struct {
+// transferResult holds the measurements of one transfer.
+type transferResult struct {
 	bytes   int64
 	took    time.Duration
 	cpu     float64
@@ -87,14 +88,14 @@
 	correct bool
 }
 
-func (m moved) row(what string) string {
+func (m transferResult) row(what string) string {
 	return fmt.Sprintf("%-44s %6d MiB  %7.1f s  %7.0f MB/s  peak %5.1f MB  cpu %5.2f s/GiB  %s", what, m.bytes>>20,
 		m.took.Seconds(), float64(m.bytes)/1e6/m.took.Seconds(), float64(m.peak)/1e6, m.cpu/(float64(m.bytes)/(1<<30)),
 		map[bool]string{true: "bytes right", false: "BYTES WRONG"}[m.correct])
 }
 
-// transfer moves one body through the forwarder, up or back as an answer.
-func (l Long) transfer(size, clientRate, endpointRate int64, back bool) (moved, error) {
+// transfer sends one body through the forwarder: as a request, or as a response if back is set.
+func (l Long) transfer(size, clientRate, endpointRate int64, back bool) (transferResult, error) {
 	content := lab.Content{Seed: 1, Size: size}
 	arrived := make(chan uint64, 1)
 	b, err := l.start(func(c *lab.Call) bool {
@@ -108,40 +109,40 @@
 		return c.Answer(200, "") == nil
 	})
 	if err != nil {
-		return moved{}, err
+		return transferResult{}, err
 	}
 	defer b.stop()
-	h := handover("one", size)
+	h := newHandover("one", size)
 	h.Rate = clientRate
 	if back {
 		h.Body.Size = 1 << 20
 	}
 	want := content.Digest()
-	c, err := lab.Dial(b.f.Address())
+	c, err := lab.Dial(b.forwarder.Address())
 	if err != nil {
-		return moved{}, err
+		return transferResult{}, err
 	}
 	defer c.Close()
 	began := time.Now()
 	a := c.Hand(h, nil)
-	m := moved{bytes: size, took: time.Since(began)}
+	m := transferResult{bytes: size, took: time.Since(began)}
 	if a.Status != 200 {
-		return m, fmt.Errorf("answered %d, %v:\n%s", a.Status, a.Err, b.f.Log())
+		return m, fmt.Errorf("answered %d, %v:\n%s", a.Status, a.Err, b.forwarder.Log())
 	}
 	if got := <-arrived; back {
 		m.correct = a.Whole && a.Digest == want
 	} else {
 		m.correct = got == want
 	}
-	if m.cpu, err = b.f.CPUSeconds(); err != nil {
+	if m.cpu, err = b.forwarder.CPUSeconds(); err != nil {
 		return m, err
 	}
-	m.peak, err = b.f.PeakMemory()
+	m.peak, err = b.forwarder.PeakMemory()
 	return m, err
 }
 
-// relayed moves one body through the bare relay.
-func (l Long) relayed(size int64) (moved, error) {
+// relayed sends one body through the bare relay.
+func (l Long) relayed(size int64) (transferResult, error) {
 	content := lab.Content{Seed: 1, Size: size}
 	arrived := make(chan uint64, 1)
 	p := &lab.Endpoint{Name: "p", Handle: func(c *lab.Call) bool {
@@ -152,16 +153,16 @@
 		return c.Answer(200, "") == nil
 	}}
 	if err := p.Listen(); err != nil {
-		return moved{}, err
+		return transferResult{}, err
 	}
 	defer p.Close()
 	cmd := exec.Command(l.Relay[0], append(l.Relay[1:], p.Address())...)
 	out, err := cmd.StdoutPipe()
 	if err != nil {
-		return moved{}, err
+		return transferResult{}, err
 	}
 	if err := cmd.Start(); err != nil {
-		return moved{}, err
+		return transferResult{}, err
 	}
 	defer func() {
 		_ = cmd.Process.Signal(syscall.SIGTERM)
@@ -170,16 +171,16 @@
 	line := make([]byte, 64)
 	n, err := out.Read(line)
 	if err != nil {
-		return moved{}, err
+		return transferResult{}, err
 	}
 	c, err := lab.Dial(strings.TrimSpace(string(line[:n])))
 	if err != nil {
-		return moved{}, err
+		return transferResult{}, err
 	}
 	defer c.Close()
 	began := time.Now()
-	a := c.Hand(handover("one", size), nil)
-	m := moved{bytes: size, took: time.Since(began)}
+	a := c.Hand(newHandover("one", size), nil)
+	m := transferResult{bytes: size, took: time.Since(began)}
 	m.correct = a.Status == 200 && <-arrived == content.Digest()
 	if m.cpu, err = lab.ProcessCPU(cmd.Process.Pid); err != nil {
 		return m, err
@@ -188,9 +189,9 @@
 	return m, err
 }
 
-// Run measures all and prints it.
+// Run runs all measurements and prints the results.
 func (l Long) Run() error {
-	say := func(format string, args ...any) { fmt.Fprintf(l.Out, format+"\n", args...) }
+	printf := func(format string, args ...any) { fmt.Fprintf(l.Out, format+"\n", args...) }
 	for _, c := range []struct {
 		what             string
 		client, endpoint int64
@@ -206,26 +207,26 @@
 			if err != nil {
 				return fmt.Errorf("%s: %w", c.what, err)
 			}
-			say("%s", m.row(c.what))
+			printf("%s", m.row(c.what))
 			peaks = append(peaks, m.peak)
 		}
-		say("  peak memory with the larger body over that with the smaller: %.2f", float64(peaks[1])/float64(peaks[0]))
+		printf("  peak memory with the larger body over that with the smaller: %.2f", float64(peaks[1])/float64(peaks[0]))
 	}
-	var ours, bare []moved
-	for range 3 { // in turn, so that both meet the machine's moods
+	var forwarder, bare []transferResult
+	for range 3 { // alternate, so that changes of the machine's load affect both alike
 		m, err := l.transfer(l.Size, 0, 0, false)
 		if err != nil {
 			return err
 		}
-		ours = append(ours, m)
-		say("%s", m.row("no throttle, the forwarder"))
+		forwarder = append(forwarder, m)
+		printf("%s", m.row("no throttle, the forwarder"))
 		if m, err = l.relayed(l.Size); err != nil {
 			return err
 		}
 		bare = append(bare, m)
-		say("%s", m.row("no throttle, a bare io.Copy relay"))
+		printf("%s", m.row("no throttle, a bare io.Copy relay"))
 	}
-	best := func(list []moved) (m moved) {
+	best := func(list []transferResult) (m transferResult) {
 		for _, o := range list {
 			if m.took == 0 || o.took < m.took {
 				m = o
@@ -233,16 +234,16 @@
 		}
 		return m
 	}
-	o, r := best(ours), best(bare)
-	say("  throughput over the relay's, best of three: %.2f; processor time per GiB over the relay's: %.2f",
+	o, r := best(forwarder), best(bare)
+	printf("  throughput over the relay's, best of three: %.2f; processor time per GiB over the relay's: %.2f",
 		r.took.Seconds()/o.took.Seconds(), o.cpu/max(r.cpu, 0.01))
-	return l.beside(say)
+	return l.shortBesideLong(printf)
 }
 
-// beside measures how long short messages take while a hundred long uploads are tried, and without them.
-func (l Long) beside(say func(string, ...any)) error {
-	const short, gap, longs = 300, 25 * time.Millisecond, 100 // 40 a second: within what one endpoint is listed with
-	var p [2]map[string]float64
+// shortBesideLong measures the latency of short messages with and without 100 concurrent long uploads.
+func (l Long) shortBesideLong(printf func(string, ...any)) error {
+	const short, gap, longs = 300, 25 * time.Millisecond, 100 // 40 messages per second, within the capacity that one endpoint is listed with
+	var percentiles [2]map[string]float64
 	for i, with := range []bool{false, true} {
 		b, err := l.start(func(c *lab.Call) bool {
 			ok := c.ReadAll(1<<20) == nil
@@ -256,7 +257,7 @@
 		var mu sync.Mutex
 		answered, delivered := hdrhistogram.New(1, 10e6, 3), hdrhistogram.New(1, 10e6, 3) // microseconds
 		began := map[string]time.Time{}
-		b.quick.Handle = func(c *lab.Call) bool {
+		b.short.Handle = func(c *lab.Call) bool {
 			if c.ReadAll(0) != nil {
 				return false
 			}
@@ -270,12 +271,12 @@
 				wg.Add(1)
 				go func() {
 					defer wg.Done()
-					c, err := lab.Dial(b.f.Address())
+					c, err := lab.Dial(b.forwarder.Address())
 					if err != nil {
 						return
 					}
 					defer c.Close()
-					h := handover(fmt.Sprint("long ", n), 16<<20)
+					h := newHandover(fmt.Sprint("long ", n), 16<<20)
 					h.Rate = 2 << 20
 					a := c.Hand(h, nil)
 					mu.Lock()
@@ -284,12 +285,12 @@
 				}()
 			}
 		}
-		c, err := lab.Dial(b.f.Address())
+		c, err := lab.Dial(b.forwarder.Address())
 		if err != nil {
 			return err
 		}
 		for n := range short {
-			h := handover(fmt.Sprint("short ", n), 1000)
+			h := newHandover(fmt.Sprint("short ", n), 1000)
 			h.Destination, h.Left = 8, 5*time.Second
 			from := time.Now()
 			mu.Lock()
@@ -297,7 +298,7 @@
 			mu.Unlock()
 			if a := c.Hand(h, nil); a.Status != 202 || a.Close {
 				c.Close()
-				if c, err = lab.Dial(b.f.Address()); err != nil {
+				if c, err = lab.Dial(b.forwarder.Address()); err != nil {
 					return err
 				}
 			}
@@ -307,22 +308,22 @@
 		c.Close()
 		wg.Wait()
 		b.stop()
-		p[i] = map[string]float64{
+		percentiles[i] = map[string]float64{
 			"answered p50": float64(answered.ValueAtQuantile(50)), "answered p99": float64(answered.ValueAtQuantile(99)),
 			"delivered p50": float64(delivered.ValueAtQuantile(50)), "delivered p99": float64(delivered.ValueAtQuantile(99)),
 		}
-		say("%d short messages %s: answered after p50 %.2f ms, p99 %.2f ms; %d delivered after p50 %.2f ms, p99 %.2f ms; long ones by"+
-			" answer: %v", short, map[bool]string{true: "beside 100 long uploads", false: "alone"}[with], p[i]["answered p50"]/1000,
-			p[i]["answered p99"]/1000, delivered.TotalCount(), p[i]["delivered p50"]/1000, p[i]["delivered p99"]/1000, statuses)
+		printf("%d short messages %s: answered after p50 %.2f ms, p99 %.2f ms; %d delivered after p50 %.2f ms, p99 %.2f ms; long ones by"+
+			" answer: %v", short, map[bool]string{true: "beside 100 long uploads", false: "alone"}[with], percentiles[i]["answered p50"]/1000,
+			percentiles[i]["answered p99"]/1000, delivered.TotalCount(), percentiles[i]["delivered p50"]/1000, percentiles[i]["delivered p99"]/1000, statuses)
 	}
 	for _, what := range []string{"answered p50", "answered p99", "delivered p50", "delivered p99"} {
-		say("  %s, ratio with over without: %.2f", what, p[1][what]/p[0][what])
+		printf("  %s, ratio with over without: %.2f", what, percentiles[1][what]/percentiles[0][what])
 	}
 	return nil
 }
 
-// Relay is the bare relay that the forwarder is held against: one connection after the other, copied both ways. It prints
-// its address and serves until its process is ended.
+// Relay is the bare TCP relay that the forwarder is compared with. It opens a connection to the address for each one that it
+// accepts and copies bytes both ways. It prints the address that it listens on and serves until the process is terminated.
 func Relay(to string, out io.Writer) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -334,16 +335,16 @@
 		if err != nil {
 			return err
 		}
-		on, err := net.Dial("tcp", to)
+		upstream, err := net.Dial("tcp", to)
 		if err != nil {
 			_ = in.Close()
 			continue
 		}
 		go func() {
 			defer in.Close()
-			defer on.Close()
-			go func() { _, _ = io.Copy(in, on) }()
-			_, _ = io.Copy(on, in)
+			defer upstream.Close()
+			go func() { _, _ = io.Copy(in, upstream) }()
+			_, _ = io.Copy(upstream, in)
 		}()
 	}
 }
