--- a/internal/lab/compare/main.go
+++ b/internal/lab/compare/main.go
@@ -1,5 +1,5 @@
-// Command compare measures the journal beside embedded stores that do the same work: bbolt, a B+tree, and pebble, a
-// log-structured merge tree. It is a module of its own, so that the program and its checks need neither.
+// Command compare measures the journal against embedded key-value stores under the same workload: bbolt, a B+tree, and
+// pebble, a log-structured merge tree. It is a separate module, so that the forwarder and its checks depend on neither.
 //
 //	cd internal/lab/compare && go run . --disks 32000000 --bodies 300,16384 --lives 10,50,80
 package main
@@ -21,10 +21,12 @@
 	"mulleinbeam/internal/lab/experiment"
 )
 
+// key returns the key of a message: its sequence number in big endian, so that keys sort by number.
 func key(seq uint64) []byte { return binary.BigEndian.AppendUint64(nil, seq) }
 
-// bolt keeps a message under its number, and its attempts under the same with a byte behind it. Each record is a transaction
-// of its own, as it must outlast the process before the next step.
+// bolt stores a message under its sequence number, and the records of its attempt under that number with a byte
+// appended. Each record is a transaction of its own, since it has to survive a crash of the process before the next
+// step.
 type bolt struct{ db *bbolt.DB }
 
 var bucket = []byte("m")
@@ -72,17 +74,17 @@
 
 func (b bolt) Close() error { return b.db.Close() }
 
-// lsm does so with pebble. Without sync its log is written by a goroutine of its own, a little behind: what it has taken may
-// not outlast the process.
+// lsm stores the same records in pebble. Without sync, pebble writes its log asynchronously in a goroutine, so that
+// records it has accepted may be lost if the process crashes.
 type lsm struct {
-	db *pebble.DB
-	o  *pebble.WriteOptions
+	db      *pebble.DB
+	options *pebble.WriteOptions
 }
 
 var pebbleEngine = experiment.Engine{Name: "pebble", Open: func(dir string, _ int64, sync bool, live func(uint64)) (experiment.Keeper, error) {
 	cache := pebble.NewCache(8 << 20)
 	defer cache.Unref()
-	db, err := pebble.Open(filepath.Join(dir, "db"), &pebble.Options{Cache: cache, MemTableSize: 4 << 20, Logger: quiet{}})
+	db, err := pebble.Open(filepath.Join(dir, "db"), &pebble.Options{Cache: cache, MemTableSize: 4 << 20, Logger: errorLogger{}})
 	if err != nil {
 		return nil, err
 	}
@@ -95,26 +97,27 @@
 			live(binary.BigEndian.Uint64(it.Key()))
 		}
 	}
-	o := pebble.NoSync
+	options := pebble.NoSync
 	if sync {
-		o = pebble.Sync
+		options = pebble.Sync
 	}
-	return lsm{db, o}, it.Close()
+	return lsm{db, options}, it.Close()
 }}
 
-type quiet struct{}
+// errorLogger drops informational messages of pebble and prints errors to the standard error.
+type errorLogger struct{}
 
-func (quiet) Infof(string, ...any)             {}
-func (quiet) Errorf(format string, a ...any)   { fmt.Fprintf(os.Stderr, format+"\n", a...) }
-func (q quiet) Fatalf(format string, a ...any) { q.Errorf(format, a...); os.Exit(1) }
+func (errorLogger) Infof(string, ...any)             {}
+func (errorLogger) Errorf(format string, a ...any)   { fmt.Fprintf(os.Stderr, format+"\n", a...) }
+func (q errorLogger) Fatalf(format string, a ...any) { q.Errorf(format, a...); os.Exit(1) }
 
-func (l lsm) Accept(seq uint64, body []byte) error { return l.db.Set(key(seq), body, l.o) }
+func (l lsm) Accept(seq uint64, body []byte) error { return l.db.Set(key(seq), body, l.options) }
 
 func (l lsm) Attempt(seq uint64) error {
-	if err := l.db.Set(append(key(seq), 1), []byte("started in a zone"), l.o); err != nil {
+	if err := l.db.Set(append(key(seq), 1), []byte("started in a zone"), l.options); err != nil {
 		return err
 	}
-	return l.db.Set(append(key(seq), 2), []byte{1}, l.o)
+	return l.db.Set(append(key(seq), 2), []byte{1}, l.options)
 }
 
 func (l lsm) End(seq uint64) error {
@@ -123,12 +126,13 @@
 	if err != nil {
 		return err
 	}
-	return b.Commit(l.o)
+	return b.Commit(l.options)
 }
 
 func (l lsm) Close() error { return l.db.Close() }
 
-func numbers(text string) (list []int64, err error) {
+// parseNumbers parses a comma-separated list of integers.
+func parseNumbers(text string) (list []int64, err error) {
 	for word := range strings.SplitSeq(text, ",") {
 		n, err := strconv.ParseInt(word, 10, 64)
 		if err != nil {
@@ -140,14 +144,14 @@
 }
 
 func main() {
-	disks := flag.String("disks", "3000000,32000000", "bytes of disk")
-	lives := flag.String("lives", "10,50,80", "share of it that is live, in hundredths")
-	bodies := flag.String("bodies", "300,16384,65536", "bytes of a body")
-	engines := flag.String("engines", "segments,bbolt,pebble", "what is measured")
-	dir := flag.String("dir", "", "where the folders are made")
-	longest := flag.Duration("longest", 3*time.Second, "of one run's steady part")
-	turnover := flag.Float64("turnover", 4, "of one run's steady part: bytes accepted, in shares of the disk")
-	sync := flag.Bool("sync", false, "durability beyond the process's end")
+	disks := flag.String("disks", "3000000,32000000", "disk limits, in bytes")
+	lives := flag.String("lives", "10,50,80", "shares of the disk that live messages occupy, in percent")
+	bodies := flag.String("bodies", "300,16384,65536", "body sizes, in bytes")
+	engines := flag.String("engines", "segments,bbolt,pebble", "engines to measure")
+	dir := flag.String("dir", "", "parent of the temporary folders")
+	longest := flag.Duration("longest", 3*time.Second, "limit on the duration of the steady phase of a run")
+	turnover := flag.Float64("turnover", 4, "bytes to accept in the steady phase of a run, as a multiple of the disk limit")
+	sync := flag.Bool("sync", false, "sync accepted messages to the disk")
 	flag.Parse()
 	j := experiment.Journal{Dir: *dir, Longest: *longest, Turnover: *turnover, Sync: *sync, Out: os.Stdout}
 	for _, e := range []experiment.Engine{experiment.Segments, boltEngine, pebbleEngine} {
@@ -156,10 +160,10 @@
 		}
 	}
 	var err error
-	if j.Disks, err = numbers(*disks); err == nil {
+	if j.Disks, err = parseNumbers(*disks); err == nil {
 		var l, b []int64
-		if l, err = numbers(*lives); err == nil {
-			b, err = numbers(*bodies)
+		if l, err = parseNumbers(*lives); err == nil {
+			b, err = parseNumbers(*bodies)
 		}
 		for _, n := range l {
 			j.Lives = append(j.Lives, int(n))
--- a/internal/lab/experiment/journal.go
+++ b/internal/lab/experiment/journal.go
@@ -28,8 +28,9 @@
 	Close() error
 }
 
-// Engine opens a Keeper in a folder that is limited to disk bytes. With sync, accepted messages are synced to the disk, so
-// that they survive a crash of the machine as well as of the process. Open calls live for each message that it recovers.
+// Engine opens a Keeper in a folder that is limited to disk bytes. With sync, accepted messages are synced to the disk,
+// so that they survive a crash of the machine as well as of the process. Open calls live for each message that it
+// recovers.
 type Engine struct {
 	Name string
 	Open func(dir string, disk int64, sync bool, live func(seq uint64)) (Keeper, error)
@@ -88,8 +89,8 @@
 	return errors.Join(s.log.Commit(s.log.LastRecord()), s.log.Close())
 }
 
-// Journal compares storage engines under the same workload: messages are accepted, attempted and completed, while live messages
-// occupy a fixed share of the disk.
+// Journal compares storage engines under the same workload: messages are accepted, attempted and completed, while live
+// messages occupy a fixed share of the disk.
 type Journal struct {
 	Engines  []Engine
 	Dir      string        // parent of the temporary folders; "" is the default of the system
@@ -104,8 +105,9 @@
 
 const journalHead = "engine      disk MB  body   live%   accepts/s   us cpu  p50 us   p99 us  longest ms  waits  written/accepted  disk used%  open s   heap B/message\n"
 
-// Run measures each combination of disk limit, body size, live share and engine, and prints a line for each. A combination whose
-// fill phase takes longer than four times Longest is measured partly filled, and its line notes how far it was filled.
+// Run measures each combination of disk limit, body size, live share and engine, and prints a line for each. A
+// combination whose fill phase takes longer than four times Longest is measured partly filled, and its line notes how
+// far it was filled.
 func (j Journal) Run() error {
 	fmt.Fprint(j.Out, journalHead)
 	for _, disk := range j.Disks {
@@ -165,8 +167,8 @@
 	}
 }
 
-// complete records an attempt of a live message and completes it. Four times in five this is the first in the list, since most
-// messages complete in the order in which they were accepted.
+// complete records an attempt of a live message and completes it. Four times in five this is the first in the list,
+// since most messages complete in the order in which they were accepted.
 func (r *run) complete() error {
 	i := 0
 	if r.rng.IntN(5) == 0 {
@@ -254,8 +256,8 @@
 	return err
 }
 
-// reopen opens the store that a run has left. It returns how long that takes, the growth of the heap and the number of recovered
-// messages.
+// reopen opens the store that a run has left. It returns how long that takes, the growth of the heap and the number of
+// recovered messages.
 func (j Journal) reopen(e Engine, dir string, disk int64) (took time.Duration, heap uint64, recovered int, err error) {
 	before := heapNow()
 	began := time.Now()
@@ -286,7 +288,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// writtenNow returns the number of bytes that this process has passed to write calls, or 0 if the kernel does not report it.
+// writtenNow returns the number of bytes that this process has passed to write calls, or 0 if the kernel does not
+// report it.
 func writtenNow() int64 {
 	raw, err := os.ReadFile("/proc/self/io")
 	if err != nil {
--- a/internal/lab/experiment/long.go
+++ b/internal/lab/experiment/long.go
@@ -1,5 +1,5 @@
-// Package experiment measures the real forwarder between the simulated peers of the laboratory. Absolute figures depend on the
-// machine and its load; only ratios between runs of the same invocation can be compared with other machines.
+// Package experiment measures the real forwarder between the simulated peers of the laboratory. Absolute figures depend
+// on the machine and its load; only ratios between runs of the same invocation can be compared with other machines.
 package experiment
 
 import (
@@ -21,7 +21,7 @@
 // Long measures the streaming of long bodies.
 type Long struct {
 	Program []string // command line of the forwarder
-	Relay   []string // command line of the bare relay, which takes the address to forward to as its last argument and prints the one it listens on
+	Relay   []string // command line of the bare relay; the address to forward to is appended
 	Small   int64    // smaller body size, in bytes
 	Size    int64    // larger body size, in bytes
 	Rate    int64    // rate of the throttled peer, in bytes per second
@@ -242,7 +242,7 @@
 
 // shortBesideLong measures the latency of short messages with and without 100 concurrent long uploads.
 func (l Long) shortBesideLong(printf func(string, ...any)) error {
-	const short, gap, longs = 300, 25 * time.Millisecond, 100 // 40 messages per second, within the capacity that one endpoint is listed with
+	const short, gap, longs = 300, 25 * time.Millisecond, 100 // 40 per second, within the listed capacity of one endpoint
 	var percentiles [2]map[string]float64
 	for i, with := range []bool{false, true} {
 		b, err := l.start(func(c *lab.Call) bool {
@@ -322,8 +322,9 @@
 	return nil
 }
 
-// Relay is the bare TCP relay that the forwarder is compared with. It opens a connection to the address for each one that it
-// accepts and copies bytes both ways. It prints the address that it listens on and serves until the process is terminated.
+// Relay is the bare TCP relay that the forwarder is compared with. It opens a connection to the address for each one
+// that it accepts and copies bytes both ways. It prints the address that it listens on and serves until the process is
+// terminated.
 func Relay(to string, out io.Writer) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
