--- a/internal/lab/places/places.go
+++ b/internal/lab/places/places.go
@@ -1,6 +1,7 @@
-// Package places plays days of a fleet in several zones and regions in virtual time: forwarders that make single calls, partners with a
-// site in each place, faults of places and of the ways between them. Where calls go is a policy's matter: the program's own planner
-// and followers (internal/cluster/plan), or one of the baselines that it is compared with. Equal seeds give equal runs.
+// Package places simulates days of a fleet in several zones and regions in virtual time: forwarders that make single
+// calls, destinations with a site in each zone, and faults of zones and of the links between them. A policy decides
+// which zone a call goes to: the forwarder's own planner and followers (internal/cluster/plan), or one of the baselines
+// that it is compared with. Equal seeds give equal runs.
 package places
 
 import (
@@ -14,65 +15,65 @@
 )
 
 const (
-	step        = 100 * time.Millisecond
-	window      = time.Second
-	service     = 60 * time.Millisecond // median of a call
-	within      = 2 * time.Millisecond
-	across      = 30 * time.Millisecond
-	withinPrice = 0.02 // of a crossing, where a reading is worth 1
-	acrossPrice = 0.1
-	late        = time.Second // until a call without an answer is given up
-	target      = time.Second // until which a message earns all of its worth,
-	deadline    = 4 * time.Second
-	lateEarn    = 0.4 // and its share at the deadline
-	tries       = 3
-	retry       = 200 * time.Millisecond
-	hearing     = 300 * time.Millisecond // until a plan that was decided is heard, at the most
-	overload    = 1.5                    // users' figures of partners that are pushed over
-	tipAfter    = 1500 * time.Millisecond
-	tipFor      = 4 * time.Second
-	coldFrom    = 0.3
-	warmIn      = 14 * time.Second
-	pace        = 1.1 // of a site's capacity that those who call it send together, as their modules pace
-	burst       = 1.5 // windows of its rate that a forwarder may have saved up for a place
+	step             = 100 * time.Millisecond // of virtual time
+	window           = time.Second            // report window of the forwarders
+	serviceTime      = 60 * time.Millisecond  // median time of a call at a healthy site
+	sameRegionDelay  = 2 * time.Millisecond
+	crossRegionDelay = 30 * time.Millisecond
+	sameRegionPrice  = 0.02 // of a cross-zone call, where a message of the lowest class is worth 1
+	crossRegionPrice = 0.1
+	callTimeout      = time.Second     // after which a call without an answer fails
+	fullWorthAge     = time.Second     // up to this age a delivered message earns its full worth
+	deadline         = 4 * time.Second // age at which a message is dropped
+	deadlineWorth    = 0.4             // share of its worth that a message earns at the deadline; linear in between
+	maxAttempts      = 3
+	retryDelay       = 200 * time.Millisecond
+	maxPlanDelay     = 300 * time.Millisecond  // until a new plan has reached every forwarder
+	overloadFactor   = 1.5                     // load at which a site fails, relative to its capacity; the users' figure
+	tipAfter         = 1500 * time.Millisecond // period over which the load is taken
+	tipFor           = 4 * time.Second         // how long an overloaded site is down
+	coldFrom         = 0.3                     // share of its capacity that a site has when it comes back
+	warmWithin       = 14 * time.Second        // until a returned site has its full capacity, linearly
+	rateLimitFactor  = 1.1                     // combined rate limit of the callers of a site, relative to its capacity
+	burstWindows     = 1.5                     // size of the token bucket for a zone, in report windows at its rate
 )
 
-// Classes are the users', by worth; shares add up to 1.
+// classes are the users' message classes with the worth of a message and the share of messages, which add up to 1.
 var classes = []struct{ worth, share float64 }{{5, 0.1}, {2, 0.3}, {1, 0.6}}
 
-// Day is what happens.
+// Day is a scenario: load and faults over time.
 type Day struct {
 	Name   string
 	Length time.Duration
-	Load   float64            // of all capacity
-	Skew   map[string]float64 // demand of zones, as a factor
+	Load   float64            // demand as a share of the capacity of all sites
+	Skew   map[string]float64 // factor on the demand of a zone; 1 by default
 	Faults []Fault
 }
 
-// Fault stands from a moment on for a time.
+// Fault is a fault of sites or of links. It starts at At and lasts for For.
 type Fault struct {
 	At, For time.Duration
-	Zones   []string // whose sites are down, or slow
-	Slow    float64  // their calls take so many times as long, growing over Ramp; 0 is down
-	Ramp    time.Duration
-	From    []string      // calls from these zones to Zones are lost without a word, and nothing else is wrong
-	Every   time.Duration // it comes and goes: on for half of it
+	Zones   []string      // zones whose sites are affected
+	Slow    float64       // factor on the time of calls, reached linearly over Ramp; 0 means the sites are down
+	Ramp    time.Duration // of Slow; 0 applies it at once
+	From    []string      // if set, only calls from these zones to Zones are affected: they get no answer
+	Every   time.Duration // period of an intermittent fault, active for the first half of each; 0 is permanent
 }
 
-// Setup is the fleet.
+// Setup describes the fleet and its destinations.
 type Setup struct {
 	Forwarders int
-	Zones      map[string]string // and their regions
-	Sites      int               // destinations with a site in each zone
-	Capacity   float64           // calls a second, of one site
+	Zones      map[string]string // region of each zone
+	Sites      int               // number of destinations, each with a site in every zone
+	Capacity   float64           // of one site, in calls per second
 }
 
-// Wide is the fleet that the figures are of: 300 forwarders in two regions of three zones.
+// Wide is the default fleet: 300 forwarders in two regions of three zones each.
 var Wide = Setup{
 	Forwarders: 300, Zones: map[string]string{"a1": "a", "a2": "a", "a3": "a", "b1": "b", "b2": "b", "b3": "b"}, Sites: 4, Capacity: 100,
 }
 
-// Days are those that are compared.
+// Days are the scenarios on which policies are compared.
 var Days = []Day{
 	{Name: "calm", Length: 60 * time.Second, Load: 0.6},
 	{Name: "zone lost", Length: 90 * time.Second, Load: 0.6, Faults: []Fault{{At: 15 * time.Second, For: 30 * time.Second, Zones: []string{"a1"}}}},
@@ -83,123 +84,130 @@
 	{Name: "skewed demand", Length: 60 * time.Second, Load: 0.85, Skew: map[string]float64{"a1": 1.6, "a2": 0.7, "b3": 0.7}},
 }
 
-// Result is what a run showed.
+// Result holds the figures of one run.
 type Result struct {
-	Day, Policy string
-	Seed        uint64
-	Offered     float64 // worth
-	Worth       float64 // delivered
-	Price       float64 // of crossings
-	Messages    int
-	Calls       int
-	Crossings   int // calls from one zone to another,
-	Needless    int // of these, while near was well and had room
-	Over        int // calls that a site had no room for
-	Tips        int // sites that were pushed over, and were well,
-	TipsSlow    int // and those that were slow then
-	Moves       int // out and back, of the plan
-	Plans       int
-	InForce     time.Duration // from the first fault until all forwarders go by a plan with a move out; 0 is never
-	P99         time.Duration
-	Series      []Point
+	Day, Policy       string
+	Seed              uint64
+	Offered           float64 // worth of all messages
+	Worth             float64 // worth of the delivered messages
+	Price             float64 // of cross-zone calls
+	Messages          int
+	Calls             int
+	CrossZone         int           // cross-zone calls
+	NeedlessCrossZone int           // cross-zone calls made while the local site was healthy and had spare capacity
+	Refused           int           // calls that a site refused for lack of capacity
+	Overloaded        int           // failures of healthy sites through overload
+	OverloadedSlow    int           // failures of slow sites through overload
+	Moves             int           // moves of traffic out of zones and back that plans made
+	Plans             int           // plans that differ from the one before
+	PlanRollout       time.Duration // from the first fault until all forwarders follow a plan with a move out; 0 is never
+	P99               time.Duration
+	Series            []Point
 }
 
-// Point is one second of a run.
+// Point holds the figures of one second of a run.
 type Point struct {
-	ByPlace map[string]float64 // calls answered
-	Room    map[string]float64 // calls a second that the place could answer
-	Demand  float64
-	Version uint64
+	AnsweredByZone map[string]float64 // answered calls by zone
+	CapacityByZone map[string]float64 // capacity of the sites that are up by zone, in calls per second
+	Demand         float64            // messages accepted
+	Version        uint64             // newest plan that any forwarder follows
 }
 
+// site is the endpoint of a destination in a zone.
 type site struct {
-	destination int64
-	place       string
-	capacity    float64
-	down        bool // by a fault
-	tipped      time.Duration
-	backAt      time.Duration // below zero: never away
-	slow        float64
-	recent      []float64 // calls of the last steps, for tipping
-	used        float64   // in this step
-	answered    float64
+	destination     int64
+	zone            string
+	capacity        float64
+	down            bool          // by a fault
+	overloadedUntil time.Duration // down through overload until then
+	backAt          time.Duration // end of the last outage; negative if there was none
+	slow            float64       // factor on the time of calls
+	recent          []float64     // calls in each of the last steps, within tipAfter
+	used            float64       // calls in the current step
+	answered        float64       // calls in the current report window
 }
 
-func (s *site) up(now time.Duration) bool { return !s.down && now >= s.tipped }
+func (s *site) up(now time.Duration) bool { return !s.down && now >= s.overloadedUntil }
 
-// present is its capacity now.
-func (s *site) present(now time.Duration) float64 {
+// currentCapacity returns the capacity of the site in calls per second, reduced while it is slow or warming up.
+func (s *site) currentCapacity(now time.Duration) float64 {
 	if s.backAt < 0 {
 		return s.capacity / s.slow
 	}
-	warm := math.Min(1, float64(now-s.backAt)/float64(warmIn))
+	warm := math.Min(1, float64(now-s.backAt)/float64(warmWithin))
 	return s.capacity / s.slow * (coldFrom + (1-coldFrom)*warm)
 }
 
+// forwarder is a simulated member of the fleet.
 type forwarder struct {
-	name    string
-	place   string
-	reports *plan.Report
-	runs    plan.LossStreaks
-	choose  chooser
-	tokens  map[plan.Path]float64
-	served  map[plan.Path]time.Duration // when tokens were last given
-	broken  map[plan.Path]breaker
+	name     string
+	zone     string
+	report   *plan.Report // of the current report window
+	streaks  plan.LossStreaks
+	selector targetSelector
+	tokens   map[plan.Path]float64       // token buckets of the rate limits
+	refilled map[plan.Path]time.Duration // when tokens were last added
+	breakers map[plan.Path]breaker
 }
 
+// breaker is the circuit breaker and slow start of a forwarder for a site.
 type breaker struct {
-	run   int
-	until time.Duration
-	saw   bool          // an outage,
-	well  time.Duration // and the first success since
+	failures    int // consecutive failures
+	openUntil   time.Duration
+	outage      bool          // the breaker was open, and slow start has not ended since
+	recoveredAt time.Duration // first success since the outage; 0 before
 }
 
+// message is a message that waits at a forwarder.
 type message struct {
-	class       int
-	destination int64
-	at, again   time.Duration
-	tries       int
+	class               int
+	destination         int64
+	acceptedAt, retryAt time.Duration
+	attempts            int
 }
 
-// chooser is a policy at one forwarder.
-type chooser interface {
-	// targets are the places for a destination, the best first, each with calls a second; +Inf is no bound.
+// targetSelector is the part of a policy that runs at one forwarder.
+type targetSelector interface {
+	// targets returns the zones to call for a destination, in order of preference, each with a rate limit in calls per
+	// second. A rate of +Inf leaves the limit to the forwarder.
 	targets(now time.Duration, destination int64) []plan.Target
 }
 
-// run is one play.
+// run is the state of one simulation.
 type run struct {
 	Setup
 	day       Day
 	rng       *rand.Rand
 	now       time.Duration
 	zones     []string
-	places    plan.Topology
+	topology  plan.Topology
 	sites     map[plan.Path]*site
-	order     []*site
-	capacity  map[int64]map[string]float64
+	allSites  []*site                      // in a fixed order, for equal runs
+	capacity  map[int64]map[string]float64 // of healthy sites, by destination and zone
 	fleet     []*forwarder
 	byZone    map[string][]*forwarder
-	waiting   map[*forwarder][]message
+	queues    map[*forwarder][]message
 	policy    policy
 	result    Result
-	latencies []float64
+	latencies []float64 // age of messages at delivery, in seconds
 }
 
-// policy is what decides in common, if anything does.
+// policy decides which zones forwarders call.
 type policy interface {
-	join(r *run, f *forwarder) chooser
-	window(r *run, reports map[string][]plan.Report)
+	// addForwarder returns the target selector of a forwarder.
+	addForwarder(r *run, f *forwarder) targetSelector
+	// endWindow receives the reports of a window by zone.
+	endWindow(r *run, reports map[string][]plan.Report)
 }
 
-// Play plays a day by a policy: plan, near, alike, alone or truth.
-func Play(s Setup, d Day, name string, seed uint64) (Result, error) {
+// Simulate runs a day under the named policy, which is one of Policies.
+func Simulate(s Setup, d Day, name string, seed uint64) (Result, error) {
 	r := &run{
 		Setup: s, day: d, rng: rand.New(rand.NewPCG(seed, 9)), sites: map[plan.Path]*site{}, capacity: map[int64]map[string]float64{},
-		byZone: map[string][]*forwarder{}, waiting: map[*forwarder][]message{},
+		byZone: map[string][]*forwarder{}, queues: map[*forwarder][]message{},
 		result: Result{Day: d.Name, Policy: name, Seed: seed},
 	}
-	r.places = plan.Topology{Region: s.Zones, Within: plan.Link{Delay: within, Price: withinPrice}, Across: plan.Link{Delay: across, Price: acrossPrice}}
+	r.topology = plan.Topology{Region: s.Zones, Within: plan.Link{Delay: sameRegionDelay, Price: sameRegionPrice}, Across: plan.Link{Delay: crossRegionDelay, Price: crossRegionPrice}}
 	for z := range s.Zones {
 		r.zones = append(r.zones, z)
 	}
@@ -207,9 +215,9 @@
 	for d := int64(1); d <= int64(s.Sites); d++ {
 		r.capacity[d] = map[string]float64{}
 		for _, z := range r.zones {
-			st := &site{destination: d, place: z, capacity: s.Capacity, backAt: -1, slow: 1}
+			st := &site{destination: d, zone: z, capacity: s.Capacity, backAt: -1, slow: 1}
 			r.sites[plan.Path{Destination: d, To: z}] = st
-			r.order = append(r.order, st)
+			r.allSites = append(r.allSites, st)
 			r.capacity[d][z] = s.Capacity
 		}
 	}
@@ -218,16 +226,16 @@
 		return Result{}, err
 	}
 	for i := range s.Forwarders {
-		f := &forwarder{name: fmt.Sprintf("f%03d", i), place: r.zones[i%len(r.zones)], tokens: map[plan.Path]float64{}, served: map[plan.Path]time.Duration{}, broken: map[plan.Path]breaker{}}
-		f.fresh()
-		f.runs = plan.LossStreaks{}
-		f.choose = r.policy.join(r, f)
+		f := &forwarder{name: fmt.Sprintf("f%03d", i), zone: r.zones[i%len(r.zones)], tokens: map[plan.Path]float64{}, refilled: map[plan.Path]time.Duration{}, breakers: map[plan.Path]breaker{}}
+		f.resetReport()
+		f.streaks = plan.LossStreaks{}
+		f.selector = r.policy.addForwarder(r, f)
 		r.fleet = append(r.fleet, f)
-		r.byZone[f.place] = append(r.byZone[f.place], f)
+		r.byZone[f.zone] = append(r.byZone[f.zone], f)
 	}
 	for ; r.now < d.Length+deadline; r.now += step {
-		r.faults()
-		r.step()
+		r.applyFaults()
+		r.advance()
 		if (r.now+step)%window == 0 {
 			r.endWindow()
 		}
@@ -239,28 +247,29 @@
 	return r.result, nil
 }
 
-func (f *forwarder) fresh() {
-	f.reports = &plan.Report{Observer: f.name, Place: f.place, Span: window, Demand: map[int64]float64{}, Paths: map[plan.Path]plan.Tally{}}
+// resetReport starts an empty report for the next window.
+func (f *forwarder) resetReport() {
+	f.report = &plan.Report{Observer: f.name, Place: f.zone, Span: window, Demand: map[int64]float64{}, Paths: map[plan.Path]plan.Tally{}}
 }
 
-// faults sets sites as the day says.
-func (r *run) faults() {
-	for _, s := range r.order {
+// applyFaults sets the state of the sites according to the faults of the day.
+func (r *run) applyFaults() {
+	for _, s := range r.allSites {
 		was := s.down
 		s.down, s.slow = false, 1
 		for _, f := range r.day.Faults {
-			if len(f.From) > 0 || !slices.Contains(f.Zones, s.place) || !f.on(r.now) {
+			if len(f.From) > 0 || !slices.Contains(f.Zones, s.zone) || !f.active(r.now) {
 				continue
 			}
 			if f.Slow == 0 {
 				s.down = true
 				continue
 			}
-			grown := 1.0
+			ramped := 1.0
 			if f.Ramp > 0 {
-				grown = math.Min(1, float64(r.now-f.At)/float64(f.Ramp))
+				ramped = math.Min(1, float64(r.now-f.At)/float64(f.Ramp))
 			}
-			s.slow = math.Max(s.slow, 1+(f.Slow-1)*grown)
+			s.slow = math.Max(s.slow, 1+(f.Slow-1)*ramped)
 		}
 		if was && !s.down {
 			s.backAt = r.now
@@ -268,22 +277,25 @@
 	}
 }
 
-func (f Fault) on(now time.Duration) bool {
+// active reports whether the fault is in effect.
+func (f Fault) active(now time.Duration) bool {
 	if now < f.At || now >= f.At+f.For {
 		return false
 	}
 	return f.Every == 0 || (now-f.At)%f.Every < f.Every/2
 }
 
-func (r *run) cut(from, to string) bool {
+// linkDown reports whether calls from one zone to another get no answer.
+func (r *run) linkDown(from, to string) bool {
 	for _, f := range r.day.Faults {
-		if slices.Contains(f.From, from) && slices.Contains(f.Zones, to) && f.on(r.now) {
+		if slices.Contains(f.From, from) && slices.Contains(f.Zones, to) && f.active(r.now) {
 			return true
 		}
 	}
 	return false
 }
 
+// poisson returns a random number from a Poisson distribution, with a normal approximation for means above 30.
 func (r *run) poisson(mean float64) int {
 	if mean > 30 {
 		return max(0, int(math.Round(mean+math.Sqrt(mean)*r.rng.NormFloat64())))
@@ -295,18 +307,18 @@
 	return n
 }
 
-// demandOf is what is handed in at a zone for each destination, messages a second.
+// demandOf returns the messages per second that clients in a zone send to each destination.
 func (r *run) demandOf(zone string) float64 {
 	skew := 1.0
-	if k, some := r.day.Skew[zone]; some {
+	if k, found := r.day.Skew[zone]; found {
 		skew = k
 	}
 	return r.day.Load * skew * r.Setup.Capacity
 }
 
-// step hands messages in and makes calls.
-func (r *run) step() {
-	for _, s := range r.order {
+// advance simulates one step: forwarders accept messages and make calls, and overloaded sites fail.
+func (r *run) advance() {
+	for _, s := range r.allSites {
 		s.used = 0
 	}
 	if r.now < r.day.Length {
@@ -314,24 +326,24 @@
 			for d := int64(1); d <= int64(r.Sites); d++ {
 				for range r.poisson(r.demandOf(z) * step.Seconds()) {
 					f := r.byZone[z][r.rng.IntN(len(r.byZone[z]))]
-					m := message{destination: d, at: r.now, again: r.now}
+					m := message{destination: d, acceptedAt: r.now, retryAt: r.now}
 					for x := r.rng.Float64(); m.class < 2 && x > classes[m.class].share; m.class++ {
 						x -= classes[m.class].share
 					}
 					r.result.Messages++
 					r.result.Offered += classes[m.class].worth
-					f.reports.Demand[d]++
-					r.waiting[f] = append(r.waiting[f], m)
+					f.report.Demand[d]++
+					r.queues[f] = append(r.queues[f], m)
 				}
 			}
 		}
 	}
 	for _, i := range r.rng.Perm(len(r.fleet)) {
-		if f := r.fleet[i]; len(r.waiting[f]) > 0 {
-			r.serve(f)
+		if f := r.fleet[i]; len(r.queues[f]) > 0 {
+			r.makeCalls(f)
 		}
 	}
-	for _, s := range r.order {
+	for _, s := range r.allSites {
 		s.recent = append(s.recent, s.used)
 		if n := int(tipAfter / step); len(s.recent) > n {
 			s.recent = s.recent[1:]
@@ -340,49 +352,49 @@
 		for _, n := range s.recent {
 			sum += n
 		}
-		if s.up(r.now) && sum > overload*s.present(r.now)*tipAfter.Seconds() {
-			s.tipped, s.backAt, s.recent = r.now+tipFor, r.now+tipFor, nil
+		if s.up(r.now) && sum > overloadFactor*s.currentCapacity(r.now)*tipAfter.Seconds() {
+			s.overloadedUntil, s.backAt, s.recent = r.now+tipFor, r.now+tipFor, nil
 			if s.slow > 1 {
-				r.result.TipsSlow++
+				r.result.OverloadedSlow++
 			} else {
-				r.result.Tips++
+				r.result.Overloaded++
 			}
 		}
 	}
 }
 
-// serve makes the calls of one forwarder that are due, the worthiest first.
-func (r *run) serve(f *forwarder) {
-	list := r.waiting[f]
+// makeCalls makes the calls of one forwarder that are due, in descending order of worth.
+func (r *run) makeCalls(f *forwarder) {
+	list := r.queues[f]
 	slices.SortStableFunc(list, func(a, b message) int { return a.class - b.class })
 	allowed := map[int64][]plan.Target{}
 	var rest []message
 	for _, m := range list {
-		if m.again > r.now {
+		if m.retryAt > r.now {
 			rest = append(rest, m)
 			continue
 		}
-		if _, asked := allowed[m.destination]; !asked {
-			allowed[m.destination] = f.choose.targets(r.now, m.destination)
+		if _, known := allowed[m.destination]; !known {
+			allowed[m.destination] = f.selector.targets(r.now, m.destination)
 			for i, t := range allowed[m.destination] {
 				at := plan.Path{Destination: m.destination, To: t.Zone}
-				if math.IsInf(t.Rate, 1) { // its own pace, from what the list says and how many call there
-					t.Rate = pace * r.Setup.Capacity / float64(r.callers(f, t.Zone))
+				if math.IsInf(t.Rate, 1) { // the forwarder's own limit: an even share of the listed capacity
+					t.Rate = rateLimitFactor * r.Setup.Capacity / float64(r.callerCount(f, t.Zone))
 				}
-				t.Rate *= r.guard(f, at)
+				t.Rate *= r.slowStart(f, at)
 				allowed[m.destination][i].Rate = t.Rate
-				if _, some := f.served[at]; !some {
-					f.tokens[at], f.served[at] = r.rng.Float64(), r.now
+				if _, found := f.refilled[at]; !found {
+					f.tokens[at], f.refilled[at] = r.rng.Float64(), r.now
 				}
-				gained := t.Rate * (r.now - f.served[at]).Seconds()
-				f.tokens[at] = math.Min(math.Max(1, t.Rate*burst*window.Seconds()), f.tokens[at]+gained)
-				f.served[at] = r.now
+				gained := t.Rate * (r.now - f.refilled[at]).Seconds()
+				f.tokens[at] = math.Min(math.Max(1, t.Rate*burstWindows*window.Seconds()), f.tokens[at]+gained)
+				f.refilled[at] = r.now
 			}
 		}
 		to := ""
 		for _, t := range allowed[m.destination] {
 			at := plan.Path{Destination: m.destination, To: t.Zone}
-			if b := f.broken[at]; r.now < b.until {
+			if b := f.breakers[at]; r.now < b.openUntil {
 				continue
 			}
 			if f.tokens[at] < 1 {
@@ -392,130 +404,131 @@
 			to = t.Zone
 			break
 		}
-		if to == "" { // nowhere to go now
-			if m.again = r.now + step; m.again < m.at+deadline {
+		if to == "" { // every target is over its rate limit or has an open breaker
+			if m.retryAt = r.now + step; m.retryAt < m.acceptedAt+deadline {
 				rest = append(rest, m)
 			}
 			continue
 		}
-		if m.tries++; !r.call(f, m, to) {
-			m.again = r.now + retry
-			if r.cut(f.place, to) {
-				m.again = r.now + late
+		if m.attempts++; !r.call(f, m, to) {
+			m.retryAt = r.now + retryDelay
+			if r.linkDown(f.zone, to) {
+				m.retryAt = r.now + callTimeout
 			}
-			if m.tries < tries && m.again < m.at+deadline {
+			if m.attempts < maxAttempts && m.retryAt < m.acceptedAt+deadline {
 				rest = append(rest, m)
 			}
 		}
 	}
-	r.waiting[f] = rest
+	r.queues[f] = rest
 }
 
-// guard is the share of its rate that a forwarder sends to a site of which it has seen an outage: as its module does.
-func (r *run) guard(f *forwarder, at plan.Path) float64 {
-	b := f.broken[at]
+// slowStart returns the share of its rate that a forwarder sends to a site after an outage, as the real forwarder does.
+func (r *run) slowStart(f *forwarder, at plan.Path) float64 {
+	b := f.breakers[at]
 	switch {
-	case !b.saw:
+	case !b.outage:
 		return 1
-	case b.well == 0:
+	case b.recoveredAt == 0:
 		return coldFrom
 	}
-	return math.Min(1, coldFrom+(1-coldFrom)*float64(r.now-b.well)/float64(warmIn))
+	return math.Min(1, coldFrom+(1-coldFrom)*float64(r.now-b.recoveredAt)/float64(warmWithin))
 }
 
-// callers is how many forwarders call a place by the policy's own rule: those there, or all.
-func (r *run) callers(f *forwarder, to string) int {
-	if f.place == to && r.result.Policy != "alike" {
+// callerCount returns the number of forwarders that share the capacity of a zone under the policy: those in the zone,
+// or the whole fleet.
+func (r *run) callerCount(f *forwarder, to string) int {
+	if f.zone == to && r.result.Policy != "alike" {
 		return len(r.byZone[to])
 	}
 	return len(r.fleet)
 }
 
-// call makes one, and says whether it was answered well.
+// call makes a call and reports whether it succeeded.
 func (r *run) call(f *forwarder, m message, to string) bool {
 	at := plan.Path{Destination: m.destination, To: to}
 	s := r.sites[at]
-	t := f.reports.Paths[at]
-	defer func() { f.reports.Paths[at] = t }()
+	t := f.report.Paths[at]
+	defer func() { f.report.Paths[at] = t }()
 	r.result.Calls++
-	if to != f.place {
-		r.result.Crossings++
-		r.result.Price += r.places.Link(f.place, to).Price
-		if home := r.sites[plan.Path{Destination: m.destination, To: f.place}]; home.up(r.now) && home.backAt < 0 && home.slow == 1 && !r.cut(f.place, f.place) && home.used < home.present(r.now)*step.Seconds() {
-			r.result.Needless++
+	if to != f.zone {
+		r.result.CrossZone++
+		r.result.Price += r.topology.Link(f.zone, to).Price
+		if local := r.sites[plan.Path{Destination: m.destination, To: f.zone}]; local.up(r.now) && local.backAt < 0 && local.slow == 1 && !r.linkDown(f.zone, f.zone) && local.used < local.currentCapacity(r.now)*step.Seconds() {
+			r.result.NeedlessCrossZone++
 		}
 	}
-	b := f.broken[at]
-	lose := func() bool {
-		if b.run++; b.run >= 3 {
-			b.saw, b.well = true, 0
-			b.until = r.now + min(4*time.Second, time.Second<<min(4, b.run-3))
+	b := f.breakers[at]
+	fail := func() bool {
+		if b.failures++; b.failures >= 3 {
+			b.outage, b.recoveredAt = true, 0
+			b.openUntil = r.now + min(4*time.Second, time.Second<<min(4, b.failures-3))
 		}
-		f.broken[at] = b
+		f.breakers[at] = b
 		return false
 	}
 	switch {
-	case r.cut(f.place, to):
+	case r.linkDown(f.zone, to):
 		t.Late++
-		return lose()
+		return fail()
 	case !s.up(r.now):
 		t.NoConnect++
-		return lose()
+		return fail()
 	}
-	if s.used++; s.used > s.present(r.now)*step.Seconds()*1.2+1 { // a bucket of some depth
+	if s.used++; s.used > s.currentCapacity(r.now)*step.Seconds()*1.2+1 { // tolerates bursts: 20 % above its capacity and one call more
 		t.Refused++
-		r.result.Over++
+		r.result.Refused++
 		return false
 	}
-	took := time.Duration(float64(service) * s.slow * math.Exp(0.4*r.rng.NormFloat64()))
-	took += r.places.Link(f.place, to).Delay
-	if took > late {
+	took := time.Duration(float64(serviceTime) * s.slow * math.Exp(0.4*r.rng.NormFloat64()))
+	took += r.topology.Link(f.zone, to).Delay
+	if took > callTimeout {
 		t.Late++
-		return lose()
+		return fail()
 	}
-	if b.run, b.until = 0, 0; b.saw && b.well == 0 {
-		b.well = r.now
+	if b.failures, b.openUntil = 0, 0; b.outage && b.recoveredAt == 0 {
+		b.recoveredAt = r.now
 	}
-	if b.saw && r.now-b.well > warmIn {
+	if b.outage && r.now-b.recoveredAt > warmWithin {
 		b = breaker{}
 	}
-	f.broken[at] = b
+	f.breakers[at] = b
 	t.OK++
 	t.RecordLatency(took)
 	s.answered++
-	age := r.now + took - m.at
+	age := r.now + took - m.acceptedAt
 	worth := classes[m.class].worth
-	if age > target {
-		worth *= 1 - (1-lateEarn)*math.Min(1, float64(age-target)/float64(deadline-target))
+	if age > fullWorthAge {
+		worth *= 1 - (1-deadlineWorth)*math.Min(1, float64(age-fullWorthAge)/float64(deadline-fullWorthAge))
 	}
 	r.result.Worth += worth
 	r.latencies = append(r.latencies, age.Seconds())
 	return true
 }
 
-// endWindow has reports go up, and whatever is decided come down.
+// endWindow ends a report window: it collects the reports of the forwarders and passes them to the policy.
 func (r *run) endWindow() {
 	reports := map[string][]plan.Report{}
-	p := Point{ByPlace: map[string]float64{}, Room: map[string]float64{}}
+	p := Point{AnsweredByZone: map[string]float64{}, CapacityByZone: map[string]float64{}}
 	for _, f := range r.fleet {
-		if o, obeys := f.choose.(interface{ obeys(time.Duration) uint64 }); obeys {
-			f.reports.Obeys = o.obeys(r.now)
-			p.Version = max(p.Version, f.reports.Obeys)
+		if planned, follows := f.selector.(interface{ activeVersion(time.Duration) uint64 }); follows {
+			f.report.Obeys = planned.activeVersion(r.now)
+			p.Version = max(p.Version, f.report.Obeys)
 		}
-		for _, n := range f.reports.Demand {
+		for _, n := range f.report.Demand {
 			p.Demand += n
 		}
-		f.reports.Lost = f.runs.EndWindow(f.reports.Paths)
-		reports[f.place] = append(reports[f.place], *f.reports)
-		f.fresh()
+		f.report.Lost = f.streaks.EndWindow(f.report.Paths)
+		reports[f.zone] = append(reports[f.zone], *f.report)
+		f.resetReport()
 	}
-	for _, s := range r.order {
-		p.ByPlace[s.place] += s.answered
+	for _, s := range r.allSites {
+		p.AnsweredByZone[s.zone] += s.answered
 		if s.up(r.now) {
-			p.Room[s.place] += s.present(r.now)
+			p.CapacityByZone[s.zone] += s.currentCapacity(r.now)
 		}
 		s.answered = 0
 	}
 	r.result.Series = append(r.result.Series, p)
-	r.policy.window(r, reports)
+	r.policy.endWindow(r, reports)
 }
--- a/internal/lab/places/policies.go
+++ b/internal/lab/places/policies.go
@@ -8,75 +8,83 @@
 	"mulleinbeam/internal/cluster/plan"
 )
 
-// Policies are their names, the program's own first.
+// Policies are the names of all policies, with the forwarder's own first.
 var Policies = []string{"plan", "near", "alike", "alone", "truth"}
 
 func newPolicy(name string, r *run) (policy, error) {
 	switch name {
 	case "plan":
-		return &planned{planner: plan.NewPlanner(plan.Defaults(), r.places, nil)}, nil
+		return &plannerPolicy{planner: plan.NewPlanner(plan.Defaults(), r.topology, nil)}, nil
 	case "near":
-		return fixed{near}, nil
+		return fixedPolicy{localZone}, nil
 	case "alike":
-		return fixed{alike}, nil
+		return fixedPolicy{anyZone}, nil
 	case "alone":
-		return &alone{}, nil
+		return &isolatedPolicy{}, nil
 	case "truth":
-		return &truth{}, nil
+		return &oraclePolicy{}, nil
 	}
-	return nil, fmt.Errorf("places: no policy %q", name)
+	return nil, fmt.Errorf("places: unknown policy %q", name)
 }
 
-// planned is the program's own: reports go up by zone, the planner steps, and each forwarder follows what it hears.
-type planned struct {
+// plannerPolicy is the forwarder's own policy: reports are merged by zone, the planner makes a plan, and each forwarder
+// follows the plans that it receives.
+type plannerPolicy struct {
 	planner *plan.Planner
-	members []*member
+	members []*plannedForwarder
 }
 
-type member struct {
+// plannedForwarder is a forwarder that follows the common plan.
+type plannedForwarder struct {
 	r        *run
 	f        *forwarder
 	follower *plan.Follower
-	coming   []told // plans on their way to it
+	pending  []pendingPlan // plans that have not arrived yet
 }
 
-type told struct {
-	at time.Duration
-	p  *plan.Plan
+// pendingPlan is a plan with the time at which it arrives at a forwarder.
+type pendingPlan struct {
+	at   time.Duration
+	plan *plan.Plan
 }
 
-func (p *planned) join(r *run, f *forwarder) chooser {
-	m := &member{r: r, f: f, follower: plan.NewFollower(f.place)}
+func (p *plannerPolicy) addForwarder(r *run, f *forwarder) targetSelector {
+	m := &plannedForwarder{r: r, f: f, follower: plan.NewFollower(f.zone)}
 	p.members = append(p.members, m)
 	return m
 }
 
-func (m *member) hear(now time.Duration) {
-	for len(m.coming) > 0 && now >= m.coming[0].at {
-		m.follower.Apply(now, m.coming[0].p)
-		m.coming = m.coming[1:]
+// applyArrived applies the plans that have arrived.
+func (m *plannedForwarder) applyArrived(now time.Duration) {
+	for len(m.pending) > 0 && now >= m.pending[0].at {
+		m.follower.Apply(now, m.pending[0].plan)
+		m.pending = m.pending[1:]
 	}
 }
 
-func (m *member) obeys(now time.Duration) uint64 { m.hear(now); return m.follower.ActiveVersion(now) }
+// activeVersion returns the version of the plan that the forwarder follows.
+func (m *plannedForwarder) activeVersion(now time.Duration) uint64 {
+	m.applyArrived(now)
+	return m.follower.ActiveVersion(now)
+}
 
-func (m *member) targets(now time.Duration, d int64) []plan.Target {
-	m.hear(now)
-	fleet := plan.FallbackConfig{MaxForwarders: m.r.Forwarders, Reserve: plan.Defaults().Reserve}
-	out := m.follower.Targets(now, d, m.r.capacity[d], m.r.places.SortByCost(m.f.place, m.r.zones), fleet)
-	for i, t := range out { // near before far
-		if t.Zone == m.f.place {
+func (m *plannedForwarder) targets(now time.Duration, d int64) []plan.Target {
+	m.applyArrived(now)
+	fallback := plan.FallbackConfig{MaxForwarders: m.r.Forwarders, Reserve: plan.Defaults().Reserve}
+	out := m.follower.Targets(now, d, m.r.capacity[d], m.r.topology.SortByCost(m.f.zone, m.r.zones), fallback)
+	for i, t := range out { // the local zone comes first
+		if t.Zone == m.f.zone {
 			out[0], out[i] = out[i], out[0]
 		}
 	}
 	return out
 }
 
-func (p *planned) window(r *run, reports map[string][]plan.Report) {
+func (p *plannerPolicy) endWindow(r *run, reports map[string][]plan.Report) {
 	in := plan.Input{Elapsed: window, Zones: map[string]plan.Summary{}, Capacity: r.capacity, Members: map[string]int{}}
-	for place, list := range reports {
-		in.Members[place] = len(list)
-		in.Zones[place] = plan.Merge(place, list)
+	for zone, list := range reports {
+		in.Members[zone] = len(list)
+		in.Zones[zone] = plan.Merge(zone, list)
 	}
 	next, changed := p.planner.Step(in)
 	out := false
@@ -89,46 +97,52 @@
 		}
 	}
 	last := r.now
-	for _, m := range p.members { // asked for a little later each
-		at := r.now + time.Duration(r.rng.Float64()*float64(hearing))
-		m.coming, last = append(m.coming, told{at, next}), max(last, at)
+	for _, m := range p.members { // each forwarder receives the plan after a random delay
+		at := r.now + time.Duration(r.rng.Float64()*float64(maxPlanDelay))
+		m.pending, last = append(m.pending, pendingPlan{at, next}), max(last, at)
 	}
-	if out && r.result.InForce == 0 && len(r.day.Faults) > 0 {
-		r.result.InForce = last - r.day.Faults[0].At
+	if out && r.result.PlanRollout == 0 && len(r.day.Faults) > 0 {
+		r.result.PlanRollout = last - r.day.Faults[0].At
 	}
 }
 
-// fixed is a rule without evidence.
-type fixed struct {
+// fixedPolicy applies a fixed rule that does not depend on reports.
+type fixedPolicy struct {
 	rule func(r *run, f *forwarder, d int64) []plan.Target
 }
 
-type byRule struct {
+// fixedSelector applies the rule of a fixedPolicy at one forwarder.
+type fixedSelector struct {
 	r    *run
 	f    *forwarder
 	rule func(r *run, f *forwarder, d int64) []plan.Target
 }
 
-func (p fixed) join(r *run, f *forwarder) chooser               { return byRule{r, f, p.rule} }
-func (p fixed) window(*run, map[string][]plan.Report)           {}
-func (c byRule) targets(_ time.Duration, d int64) []plan.Target { return c.rule(c.r, c.f, d) }
+func (p fixedPolicy) addForwarder(r *run, f *forwarder) targetSelector {
+	return fixedSelector{r, f, p.rule}
+}
+func (p fixedPolicy) endWindow(*run, map[string][]plan.Report)         {}
+func (c fixedSelector) targets(_ time.Duration, d int64) []plan.Target { return c.rule(c.r, c.f, d) }
 
-func near(_ *run, f *forwarder, _ int64) []plan.Target {
-	return []plan.Target{{Zone: f.place, Rate: math.Inf(1)}}
+// localZone calls only the forwarder's own zone.
+func localZone(_ *run, f *forwarder, _ int64) []plan.Target {
+	return []plan.Target{{Zone: f.zone, Rate: math.Inf(1)}}
 }
 
-// alike takes any place, and another where its own breaker is open.
-func alike(r *run, _ *forwarder, _ int64) (out []plan.Target) {
+// anyZone calls zones in random order, and the next one if the breaker for a zone is open.
+func anyZone(r *run, _ *forwarder, _ int64) (out []plan.Target) {
 	for _, i := range r.rng.Perm(len(r.zones)) {
 		out = append(out, plan.Target{Zone: r.zones[i], Rate: math.Inf(1)})
 	}
 	return out
 }
 
-// alone has each forwarder plan for itself by the same rules, from what it sees itself, with its even part of every site.
-type alone struct{}
+// isolatedPolicy runs a planner of its own in each forwarder. It uses the same rules, but only the forwarder's own
+// observations and an even share of the capacity of every site.
+type isolatedPolicy struct{}
 
-type hermit struct {
+// isolatedForwarder is a forwarder that plans by itself.
+type isolatedForwarder struct {
 	r        *run
 	planner  *plan.Planner
 	follower *plan.Follower
@@ -136,8 +150,8 @@
 	f        *forwarder
 }
 
-func (p *alone) join(r *run, f *forwarder) chooser {
-	h := &hermit{r: r, f: f, planner: plan.NewPlanner(plan.Defaults(), r.places, nil), follower: plan.NewFollower(f.place), capacity: map[int64]map[string]float64{}}
+func (p *isolatedPolicy) addForwarder(r *run, f *forwarder) targetSelector {
+	h := &isolatedForwarder{r: r, f: f, planner: plan.NewPlanner(plan.Defaults(), r.topology, nil), follower: plan.NewFollower(f.zone), capacity: map[int64]map[string]float64{}}
 	for d, by := range r.capacity {
 		h.capacity[d] = map[string]float64{}
 		for z, c := range by {
@@ -147,54 +161,58 @@
 	return h
 }
 
-func (h *hermit) targets(now time.Duration, d int64) []plan.Target {
-	return h.follower.Targets(now, d, h.capacity[d], []string{h.f.place}, plan.FallbackConfig{MaxForwarders: 1})
+func (h *isolatedForwarder) targets(now time.Duration, d int64) []plan.Target {
+	return h.follower.Targets(now, d, h.capacity[d], []string{h.f.zone}, plan.FallbackConfig{MaxForwarders: 1})
 }
 
-func (p *alone) window(r *run, reports map[string][]plan.Report) {
-	for place, list := range reports {
+func (p *isolatedPolicy) endWindow(r *run, reports map[string][]plan.Report) {
+	for zone, list := range reports {
 		for i, rep := range list {
-			h := r.byZone[place][i].choose.(*hermit)
+			h := r.byZone[zone][i].selector.(*isolatedForwarder)
 			rep.Obeys = h.follower.LatestVersion()
-			in := plan.Input{Elapsed: window, Zones: map[string]plan.Summary{place: plan.Merge(place, []plan.Report{rep})}, Capacity: h.capacity, Members: map[string]int{place: 1}}
+			in := plan.Input{Elapsed: window, Zones: map[string]plan.Summary{zone: plan.Merge(zone, []plan.Report{rep})}, Capacity: h.capacity, Members: map[string]int{zone: 1}}
 			next, _ := h.planner.Step(in)
 			h.follower.Apply(r.now, next)
 		}
 	}
 }
 
-// truth knows what is up, what it can take and what is asked for, at once, and shares it out at best.
-type truth struct {
+// oraclePolicy knows the state, capacity and demand of all sites without delay and assigns the capacity at
+// once. It is the reference for the other policies.
+type oraclePolicy struct {
 	at     time.Duration
 	grants map[int64]map[[2]string]float64
 }
 
 const (
-	truthRoom  = 0.95 // of what is there that it gives away,
-	truthSlack = 1.25 // and by so much more, since one forwarder has more to send when another has less
+	oracleCapacityShare = 0.95 // share of the capacity that is assigned
+	oracleRateSlack     = 1.25 // factor on each forwarder's rate, since demand is spread unevenly over forwarders
 )
 
-type oracle struct {
-	t *truth
-	r *run
-	f *forwarder
+// oracleSelector applies the assignment of an oraclePolicy at one forwarder.
+type oracleSelector struct {
+	policy *oraclePolicy
+	r      *run
+	f      *forwarder
 }
 
-func (p *truth) join(r *run, f *forwarder) chooser     { return oracle{p, r, f} }
-func (p *truth) window(*run, map[string][]plan.Report) {}
+func (p *oraclePolicy) addForwarder(r *run, f *forwarder) targetSelector {
+	return oracleSelector{p, r, f}
+}
+func (p *oraclePolicy) endWindow(*run, map[string][]plan.Report) {}
 
-func (o oracle) targets(now time.Duration, d int64) (out []plan.Target) {
-	if o.t.at != now || o.t.grants == nil {
-		o.t.at, o.t.grants = now, map[int64]map[[2]string]float64{}
+func (o oracleSelector) targets(now time.Duration, d int64) (out []plan.Target) {
+	if o.policy.at != now || o.policy.grants == nil {
+		o.policy.at, o.policy.grants = now, map[int64]map[[2]string]float64{}
 	}
-	if o.t.grants[d] == nil {
-		o.t.grants[d] = o.r.best(now, d)
+	if o.policy.grants[d] == nil {
+		o.policy.grants[d] = o.r.assignCapacity(now, d)
 	}
-	for _, to := range o.r.places.SortByCost(o.f.place, o.r.zones) {
-		if n := o.t.grants[d][[2]string{o.f.place, to}]; n > 0 {
-			rate := truthSlack * n / float64(len(o.r.byZone[o.f.place]))
-			if to == o.f.place && n > o.r.demandOf(to) {
-				rate = math.Inf(1) // all of near, as its module paces
+	for _, to := range o.r.topology.SortByCost(o.f.zone, o.r.zones) {
+		if n := o.policy.grants[d][[2]string{o.f.zone, to}]; n > 0 {
+			rate := oracleRateSlack * n / float64(len(o.r.byZone[o.f.zone]))
+			if to == o.f.zone && n > o.r.demandOf(to) {
+				rate = math.Inf(1) // the local site has spare capacity: the forwarder's own limit suffices
 			}
 			out = append(out, plan.Target{Zone: to, Rate: rate})
 		}
@@ -202,28 +220,28 @@
 	return out
 }
 
-// best shares a destination's room out, near first and the cheapest next. What near can take it may take, whatever is asked for on
-// average.
-func (r *run) best(now time.Duration, d int64) map[[2]string]float64 {
+// assignCapacity assigns the capacity of a destination to the demand of zones, local sites first and then by ascending
+// cost. Local traffic may use all remaining capacity of its site, even above the mean demand.
+func (r *run) assignCapacity(now time.Duration, d int64) map[[2]string]float64 {
 	free, left := map[string]float64{}, map[string]float64{}
 	for _, z := range r.zones {
 		s := r.sites[plan.Path{Destination: d, To: z}]
 		if s.up(now) {
-			free[z] = truthRoom * s.present(now)
+			free[z] = oracleCapacityShare * s.currentCapacity(now)
 		}
 		left[z] = r.demandOf(z)
 	}
 	grants := map[[2]string]float64{}
 	for rank := range r.zones {
 		for _, z := range r.zones {
-			to := r.places.SortByCost(z, r.zones)[rank]
-			if n := math.Min(left[z], free[to]); n > 0 && !r.cut(z, to) {
+			to := r.topology.SortByCost(z, r.zones)[rank]
+			if n := math.Min(left[z], free[to]); n > 0 && !r.linkDown(z, to) {
 				grants[[2]string{z, to}] += n
 				left[z], free[to] = left[z]-n, free[to]-n
 			}
 		}
 	}
-	for _, z := range r.zones { // bursts of near
+	for _, z := range r.zones { // remaining capacity is left to bursts of local traffic
 		if at := [2]string{z, z}; grants[at] > 0 {
 			grants[at] += free[z]
 		}
--- a/internal/lab/places/report.go
+++ b/internal/lab/places/report.go
@@ -10,10 +10,11 @@
 	"mulleinbeam/internal/lab/world"
 )
 
-// Net is the share of what was offered that was delivered, less what crossings cost.
+// Net returns the delivered share of the offered worth, less the price of cross-zone calls.
 func (r Result) Net() float64 { return (r.Worth - r.Price) / r.Offered }
 
-// Compare plays days by policies over seeds, paired, and prints what each policy delivers and where the first is ahead.
+// Compare simulates each day under each policy with the same seeds. It prints the figures of each policy and the lead
+// of the first policy over the others, with its confidence interval over paired seeds.
 func Compare(ctx context.Context, s Setup, days []Day, policies []string, seeds, atOnce int, out io.Writer) ([][][]Result, error) {
 	results := make([][][]Result, len(days))
 	group, ctx := errgroup.WithContext(ctx)
@@ -27,7 +28,7 @@
 					if ctx.Err() != nil {
 						return ctx.Err()
 					}
-					results[i][j][k], err = Play(s, d, p, uint64(k+1))
+					results[i][j][k], err = Simulate(s, d, p, uint64(k+1))
 					return err
 				})
 			}
@@ -41,10 +42,10 @@
 		for j, p := range policies {
 			list := results[i][j]
 			x := rowOf(p, list)
-			line := fmt.Sprintf("  %-6s worth %.4f of what was offered, less price %.4f  crossings %.3f of calls, needless %6.1f  no room for %6.0f calls  pushed over %d survivors, %d slow ones  p99 %4.0f ms  plans %3.0f, moves %2d at most",
-				p, x.Worth, x.Net, x.Crossings, x.Needless, x.Over, x.Tips, x.TipsSlow, x.P99, x.Plans, x.Moves)
-			if x.InForce > 0 {
-				line += fmt.Sprintf("  in force everywhere after %.1f s", x.InForce)
+			line := fmt.Sprintf("  %-6s worth %.4f of offered, net of price %.4f  cross-zone %.3f of calls, needless %6.1f  refused %6.0f calls  overloaded %d healthy sites, %d slow ones  p99 %4.0f ms  plans %3.0f, moves %2d at most",
+				p, x.Worth, x.Net, x.CrossZone, x.NeedlessCrossZone, x.Refused, x.Overloaded, x.OverloadedSlow, x.P99, x.Plans, x.Moves)
+			if x.PlanRollout > 0 {
+				line += fmt.Sprintf("  plan rolled out after %.1f s", x.PlanRollout)
 			}
 			if j > 0 {
 				diffs := make([]float64, len(list))
