--- a/internal/lab/experiment/journal.go
+++ b/internal/lab/experiment/journal.go
@@ -213,8 +213,8 @@
 	r.latency.Reset()
 	r.waits, r.longest = 0, 0
 	cpu, wrote, began := cpuNow(), writtenNow(), time.Now()
-	steady, stuck := 0, false
-	for float64(steady)*float64(body) < j.Turnover*float64(disk) && time.Since(began) < j.Longest && !stuck {
+	steady, stalled := 0, false
+	for float64(steady)*float64(body) < j.Turnover*float64(disk) && time.Since(began) < j.Longest && !stalled {
 		for len(r.live) >= filled {
 			if err := r.complete(); err != nil {
 				return err
@@ -224,7 +224,7 @@
 		if err != nil {
 			return err
 		}
-		if stuck = !ok; ok {
+		if stalled = !ok; ok {
 			steady++
 		}
 	}
@@ -240,13 +240,13 @@
 	}
 	note := ""
 	if recovered != len(r.live) {
-		note = fmt.Sprintf("  %d MESSAGES FOR %d", recovered, len(r.live))
+		note = fmt.Sprintf("  RECOVERED %d MESSAGES OF %d", recovered, len(r.live))
 	}
 	if filled < most {
 		note += fmt.Sprintf("  filled to %d%%", 100*filled*(body+150)/int(disk))
 	}
-	if stuck {
-		note += "  stuck"
+	if stalled {
+		note += "  stalled"
 	}
 	accepted := float64(max(1, steady) * body)
 	_, err = fmt.Fprintf(j.Out, "%-10s %8d %6d %5d %12.0f %8.1f %7.1f %8.1f %11.2f %6.2f %17.2f %11.0f %7.2f %16.0f%s\n", e.Name, disk/1e6,
--- a/internal/lab/experiment/long.go
+++ b/internal/lab/experiment/long.go
@@ -91,7 +91,7 @@
 func (m transferResult) row(what string) string {
 	return fmt.Sprintf("%-44s %6d MiB  %7.1f s  %7.0f MB/s  peak %5.1f MB  cpu %5.2f s/GiB  %s", what, m.bytes>>20,
 		m.took.Seconds(), float64(m.bytes)/1e6/m.took.Seconds(), float64(m.peak)/1e6, m.cpu/(float64(m.bytes)/(1<<30)),
-		map[bool]string{true: "bytes right", false: "BYTES WRONG"}[m.correct])
+		map[bool]string{true: "content correct", false: "CONTENT WRONG"}[m.correct])
 }
 
 // transfer sends one body through the forwarder: as a request, or as a response if back is set.
@@ -127,7 +127,7 @@
 	a := c.Hand(h, nil)
 	m := transferResult{bytes: size, took: time.Since(began)}
 	if a.Status != 200 {
-		return m, fmt.Errorf("answered %d, %v:\n%s", a.Status, a.Err, b.forwarder.Log())
+		return m, fmt.Errorf("status %d, %v:\n%s", a.Status, a.Err, b.forwarder.Log())
 	}
 	if got := <-arrived; back {
 		m.correct = a.Whole && a.Digest == want
@@ -210,7 +210,7 @@
 			printf("%s", m.row(c.what))
 			peaks = append(peaks, m.peak)
 		}
-		printf("  peak memory with the larger body over that with the smaller: %.2f", float64(peaks[1])/float64(peaks[0]))
+		printf("  peak memory ratio, larger to smaller body: %.2f", float64(peaks[1])/float64(peaks[0]))
 	}
 	var forwarder, bare []transferResult
 	for range 3 { // alternate, so that changes of the machine's load affect both alike
@@ -235,7 +235,7 @@
 		return m
 	}
 	o, r := best(forwarder), best(bare)
-	printf("  throughput over the relay's, best of three: %.2f; processor time per GiB over the relay's: %.2f",
+	printf("  throughput relative to the relay, best of three: %.2f; CPU time per GiB relative to the relay: %.2f",
 		r.took.Seconds()/o.took.Seconds(), o.cpu/max(r.cpu, 0.01))
 	return l.shortBesideLong(printf)
 }
@@ -312,12 +312,12 @@
 			"answered p50": float64(answered.ValueAtQuantile(50)), "answered p99": float64(answered.ValueAtQuantile(99)),
 			"delivered p50": float64(delivered.ValueAtQuantile(50)), "delivered p99": float64(delivered.ValueAtQuantile(99)),
 		}
-		printf("%d short messages %s: answered after p50 %.2f ms, p99 %.2f ms; %d delivered after p50 %.2f ms, p99 %.2f ms; long ones by"+
-			" answer: %v", short, map[bool]string{true: "beside 100 long uploads", false: "alone"}[with], percentiles[i]["answered p50"]/1000,
+		printf("%d short messages %s: answered after p50 %.2f ms, p99 %.2f ms; %d delivered after p50 %.2f ms, p99 %.2f ms; long uploads"+
+			" by status: %v", short, map[bool]string{true: "beside 100 long uploads", false: "alone"}[with], percentiles[i]["answered p50"]/1000,
 			percentiles[i]["answered p99"]/1000, delivered.TotalCount(), percentiles[i]["delivered p50"]/1000, percentiles[i]["delivered p99"]/1000, statuses)
 	}
 	for _, what := range []string{"answered p50", "answered p99", "delivered p50", "delivered p99"} {
-		printf("  %s, ratio with over without: %.2f", what, percentiles[1][what]/percentiles[0][what])
+		printf("  %s, ratio with to without long uploads: %.2f", what, percentiles[1][what]/percentiles[0][what])
 	}
 	return nil
 }
--- a/internal/lab/places/places.go
+++ b/internal/lab/places/places.go
@@ -475,7 +475,7 @@
 		t.NoConnect++
 		return fail()
 	}
-	if s.used++; s.used > s.currentCapacity(r.now)*step.Seconds()*1.2+1 { // tolerates bursts: 20 % above its capacity and one call more
+	if s.used++; s.used > s.currentCapacity(r.now)*step.Seconds()*1.2+1 { // allows bursts of 20 % plus one call
 		t.Refused++
 		r.result.Refused++
 		return false
