--- a/cmd/larklab/main.go
+++ b/cmd/larklab/main.go
@@ -24,7 +24,7 @@
 	"mulleinbeam/internal/lab/live"
 	"mulleinbeam/internal/lab/report"
 	"mulleinbeam/internal/lab/scenario"
-	"mulleinbeam/internal/lab/world"
+	"mulleinbeam/internal/lab/simulation"
 	"mulleinbeam/internal/settings"
 )
 
@@ -115,7 +115,7 @@
 		return err
 	}
 	began := time.Now()
-	variants := []world.Variant{{Name: s.Name, Scenario: s}}
+	variants := []simulation.Variant{{Name: s.Name, Scenario: s}}
 	results, err := play(variants, c.Seed, c.Seeds)
 	if err != nil {
 		return err
@@ -152,9 +152,9 @@
 }
 
 // figures prints each figure's mean over the seeds, with its interval.
-func figures(indent string, results []world.Result) {
-	for _, f := range world.Figures {
-		i := world.Bootstrap(f.Values(results), 1)
+func figures(indent string, results []simulation.Result) {
+	for _, f := range simulation.Figures {
+		i := simulation.Bootstrap(f.Values(results), 1)
 		fmt.Printf("%s%-45s %12.3f  (%.3f to %.3f)\n", indent, f.Name, i.Mean, i.Low, i.High)
 	}
 }
@@ -164,11 +164,11 @@
 
 // explain prints the smallest scenario found that breaks a rule with a seed, and the life of the message at which it did.
 func explain(s scenario.Scenario, seed uint64) error {
-	s = world.Shrink(s, func(s scenario.Scenario) bool {
-		w, err := world.New(s, seed)
+	s = simulation.Shrink(s, func(s scenario.Scenario) bool {
+		w, err := simulation.New(s, seed)
 		return err == nil && len(w.Run().Broken) > 0
 	}, shrinkRuns)
-	w, err := world.New(s, seed)
+	w, err := simulation.New(s, seed)
 	if err != nil {
 		return err
 	}
@@ -209,14 +209,14 @@
 }
 
 // play plays variants with seeds, and tells how far it is.
-func play(variants []world.Variant, seed uint64, n int) ([][]world.Result, error) {
+func play(variants []simulation.Variant, seed uint64, n int) ([][]simulation.Result, error) {
 	ctx, stop := interruptible()
 	defer stop()
 	var seeds []uint64
 	for i := range n {
 		seeds = append(seeds, seed+uint64(i))
 	}
-	return world.Sweep(ctx, variants, seeds, runtime.GOMAXPROCS(0), func(done, of int, left time.Duration) {
+	return simulation.Sweep(ctx, variants, seeds, runtime.GOMAXPROCS(0), func(done, of int, left time.Duration) {
 		if of > 1 {
 			fmt.Fprintf(os.Stderr, "\r%d of %d, %v left   ", done, of, left.Round(time.Second))
 			if done == of {
@@ -248,9 +248,9 @@
 	if err != nil {
 		return err
 	}
-	var variants []world.Variant
+	var variants []simulation.Variant
 	for _, p := range points {
-		variants = append(variants, world.Variant{Name: p.Name, Scenario: p.Scenario})
+		variants = append(variants, simulation.Variant{Name: p.Name, Scenario: p.Scenario})
 	}
 	results, err := play(variants, c.Seed, c.Seeds)
 	if err != nil {
@@ -287,7 +287,7 @@
 	default:
 		a.Learned.Keep, b.Learned.Keep = false, true
 	}
-	variants := []world.Variant{{Name: "without", Scenario: a}, {Name: "with " + c.With, Scenario: b}}
+	variants := []simulation.Variant{{Name: "without", Scenario: a}, {Name: "with " + c.With, Scenario: b}}
 	results, err := play(variants, c.Seed, c.Seeds)
 	if err != nil {
 		return err
@@ -296,7 +296,7 @@
 	if err := write(c.HTML, report.Page{Title: title, Variants: variants, Results: results}); err != nil {
 		return err
 	}
-	list, err := world.Compare(results[0], results[1])
+	list, err := simulation.Compare(results[0], results[1])
 	if err != nil {
 		return err
 	}
@@ -330,16 +330,16 @@
 	}
 	ctx, stop := interruptible()
 	defer stop()
-	variants := []world.Variant{{Name: "without", Scenario: s}, {Name: "with", Scenario: s}}
+	variants := []simulation.Variant{{Name: "without", Scenario: s}, {Name: "with", Scenario: s}}
 	variants[0].Scenario.Learned.Keep, variants[1].Scenario.Learned.Keep = false, true
 	virtual, err := play(variants, c.Seed, c.Seeds)
 	if err != nil {
 		return err
 	}
-	inRealTime := make([][]world.Result, len(variants))
+	inRealTime := make([][]simulation.Result, len(variants))
 	broken := false
 	for i := range c.Seeds {
-		results, errs := make([]world.Result, len(variants)), make([]error, len(variants))
+		results, errs := make([]simulation.Result, len(variants)), make([]error, len(variants))
 		var both sync.WaitGroup
 		for v := range variants {
 			both.Go(func() { results[v], errs[v] = c.one(ctx, program, variants[v].Scenario, c.Seed+uint64(i)) })
@@ -357,9 +357,9 @@
 		}
 	}
 	fmt.Printf("%-45s %14s %14s %14s %14s\n", fmt.Sprintf("%s, %d seeds, means", s.Name, c.Seeds), "real, without", "real, with", "virtual, w/o", "virtual, with")
-	for _, f := range world.Figures {
+	for _, f := range simulation.Figures {
 		fmt.Printf("%-45s", f.Name)
-		for _, results := range [][]world.Result{inRealTime[0], inRealTime[1], virtual[0], virtual[1]} {
+		for _, results := range [][]simulation.Result{inRealTime[0], inRealTime[1], virtual[0], virtual[1]} {
 			fmt.Printf(" %14.3f", f.Mean(results))
 		}
 		fmt.Println()
@@ -371,10 +371,10 @@
 }
 
 // one plays one run in a folder of its own.
-func (c liveCmd) one(ctx context.Context, program string, s scenario.Scenario, seed uint64) (world.Result, error) {
+func (c liveCmd) one(ctx context.Context, program string, s scenario.Scenario, seed uint64) (simulation.Result, error) {
 	dir, err := os.MkdirTemp("", "larklab-live-")
 	if err != nil {
-		return world.Result{}, err
+		return simulation.Result{}, err
 	}
 	defer os.RemoveAll(dir)
 	return live.Run{Scenario: s, Seed: seed, Program: []string{program, "serve"}, Dir: dir, Log: func(format string, args ...any) {
--- a/internal/lab/cluster/spread.go
+++ b/internal/lab/cluster/spread.go
@@ -15,7 +15,7 @@
 	"mulleinbeam/internal/cluster/controlplane"
 	"mulleinbeam/internal/cluster/node"
 	"mulleinbeam/internal/cluster/observation"
-	"mulleinbeam/internal/lab/agenda"
+	"mulleinbeam/internal/lab/eventqueue"
 )
 
 // Spreading plays how facts spread in a fleet of a size, in virtual time, with the program's own books.
@@ -47,7 +47,7 @@
 type spreading struct {
 	Spreading
 	Spread
-	agenda  agenda.Agenda
+	agenda  eventqueue.Agenda
 	rng     *rand.Rand
 	names   []string
 	number  map[string]int
--- a/internal/lab/agenda/agenda.go
+++ b/internal/lab/eventqueue/agenda.go
@@ -1,5 +1,5 @@
-// Package agenda keeps what is to happen in virtual time, in its order.
-package agenda
+// Package eventqueue is a priority queue of events in virtual time.
+package eventqueue
 
 import (
 	"cmp"
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -17,7 +17,7 @@
 	mb "mulleinbeam"
 	"mulleinbeam/internal/lab"
 	"mulleinbeam/internal/lab/scenario"
-	"mulleinbeam/internal/lab/world"
+	"mulleinbeam/internal/lab/simulation"
 )
 
 const (
@@ -47,7 +47,7 @@
 	tasks    sync.WaitGroup
 
 	mu       sync.Mutex
-	result   world.Result
+	result   simulation.Result
 	waiting  map[string]*wish // by the id that was taken on
 	killedAt time.Duration    // the first kill; negative is none
 }
@@ -55,7 +55,7 @@
 // site is a partner with its endpoints on sockets.
 type site struct {
 	mu        sync.Mutex
-	partner   world.Partner
+	partner   simulation.Partner
 	endpoints []*lab.Endpoint
 }
 
@@ -82,14 +82,14 @@
 func (s *stage) now() time.Duration { return time.Since(s.began) }
 
 // Play plays it to its end.
-func (r Run) Play(ctx context.Context) (world.Result, error) {
+func (r Run) Play(ctx context.Context) (simulation.Result, error) {
 	if r.Log == nil {
 		r.Log = func(string, ...any) {}
 	}
 	s := &stage{Run: r, check: lab.NewChecker(), waiting: map[string]*wish{}, killedAt: -1}
-	s.result = world.Result{Scenario: r.Scenario.Name, Seed: r.Seed, Classes: map[string]*world.ClassResult{}}
+	s.result = simulation.Result{Scenario: r.Scenario.Name, Seed: r.Seed, Classes: map[string]*simulation.ClassResult{}}
 	for _, c := range r.Scenario.Classes {
-		s.result.Classes[c.Name] = &world.ClassResult{}
+		s.result.Classes[c.Name] = &simulation.ClassResult{}
 	}
 	defer s.close()
 	if err := s.open(); err != nil {
@@ -120,7 +120,7 @@
 
 // open starts partners, agent and forwarders.
 func (s *stage) open() error {
-	partners, err := world.Partners(s.Scenario, s.Seed)
+	partners, err := simulation.Partners(s.Scenario, s.Seed)
 	if err != nil {
 		return err
 	}
@@ -254,7 +254,7 @@
 	delete(s.waiting, id)
 	close(w.ended)
 	now := s.now()
-	s.result.Deliver(w.class, now-w.at, s.killedAt >= 0 && now < s.killedAt+world.AfterKill)
+	s.result.Deliver(w.class, now-w.at, s.killedAt >= 0 && now < s.killedAt+simulation.AfterKill)
 }
 
 // told passes a notice on to its client.
--- a/internal/lab/places/report.go
+++ b/internal/lab/places/report.go
@@ -7,7 +7,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"mulleinbeam/internal/lab/world"
+	"mulleinbeam/internal/lab/simulation"
 )
 
 // Net is the share of what was offered that was delivered, less what crossings cost.
@@ -51,7 +51,7 @@
 				for k, r := range list {
 					diffs[k] = results[i][0][k].Net() - r.Net()
 				}
-				ahead := world.Bootstrap(diffs, 1)
+				ahead := simulation.Bootstrap(diffs, 1)
 				line += fmt.Sprintf("  %s is ahead by %+.4f (%+.4f to %+.4f)", policies[0], ahead.Mean, ahead.Low, ahead.High)
 			}
 			fmt.Fprintln(out, line)
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -15,14 +15,14 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"mulleinbeam/internal/lab/world"
+	"mulleinbeam/internal/lab/simulation"
 )
 
 // Page is what is shown: variants with their results, by variant and seed.
 type Page struct {
 	Title    string
-	Variants []world.Variant
-	Results  [][]world.Result
+	Variants []simulation.Variant
+	Results  [][]simulation.Result
 }
 
 var page = template.Must(template.New("page").Parse(`<!doctype html>
@@ -61,7 +61,7 @@
 
 type class struct {
 	Class, Variant string
-	R              world.ClassResult
+	R              simulation.ClassResult
 }
 
 type figure struct {
@@ -94,14 +94,14 @@
 		}
 		data.Classes = append(data.Classes, classes(v.Name, p.Results[i])...)
 	}
-	var differences []world.Difference
+	var differences []simulation.Difference
 	if data.Pairs {
 		var err error
-		if differences, err = world.Compare(p.Results[0], p.Results[1]); err != nil {
+		if differences, err = simulation.Compare(p.Results[0], p.Results[1]); err != nil {
 			return fmt.Errorf("report: %w", err)
 		}
 	}
-	for i, f := range world.Figures {
+	for i, f := range simulation.Figures {
 		r := row{Name: f.Name}
 		for _, results := range p.Results {
 			r.Values = append(r.Values, fmt.Sprintf("%.3f", f.Mean(results)))
@@ -114,12 +114,12 @@
 	}
 	for _, k := range []struct {
 		caption string
-		of      func(world.Second) float64
+		of      func(simulation.Second) float64
 	}{
-		{"worth delivered in each second, mean over the seeds", func(s world.Second) float64 { return s.Worth }},
-		{"messages taken in each second", func(s world.Second) float64 { return float64(s.Offered) }},
-		{"calls in each second", func(s world.Second) float64 { return float64(s.Calls) }},
-		{"messages held, at each second's first event", func(s world.Second) float64 { return float64(s.Held) }},
+		{"worth delivered in each second, mean over the seeds", func(s simulation.Second) float64 { return s.Worth }},
+		{"messages taken in each second", func(s simulation.Second) float64 { return float64(s.Offered) }},
+		{"calls in each second", func(s simulation.Second) float64 { return float64(s.Calls) }},
+		{"messages held, at each second's first event", func(s simulation.Second) float64 { return float64(s.Held) }},
 	} {
 		svg, err := p.plot(k.of)
 		if err != nil {
@@ -134,14 +134,14 @@
 }
 
 // classes adds up each class over the seeds.
-func classes(variant string, results []world.Result) (out []class) {
-	sums := map[string]*world.ClassResult{}
+func classes(variant string, results []simulation.Result) (out []class) {
+	sums := map[string]*simulation.ClassResult{}
 	var names []string
 	for _, r := range results {
 		for name, c := range r.Classes {
 			s := sums[name]
 			if s == nil {
-				s = &world.ClassResult{}
+				s = &simulation.ClassResult{}
 				sums[name] = s
 				names = append(names, name)
 			}
@@ -166,7 +166,7 @@
 }
 
 // plot draws one figure of each second, a line for each variant.
-func (p Page) plot(of func(world.Second) float64) (string, error) {
+func (p Page) plot(of func(simulation.Second) float64) (string, error) {
 	var lines []Line
 	for i, results := range p.Results {
 		l := Line{Name: p.Variants[i].Name}
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -8,21 +8,21 @@
 	"strings"
 	"testing"
 
-	"mulleinbeam/internal/lab/world"
+	"mulleinbeam/internal/lab/simulation"
 )
 
 // The page has each figure, each class, the plots as whole SVG, and what was broken, with nothing fetched from elsewhere and
 // names taken for text.
 func TestPage(t *testing.T) {
-	result := func(seed uint64, worth float64) world.Result {
-		return world.Result{
-			Seed: seed, Worth: world.Worth{Offered: 10, Delivered: worth}, Classes: map[string]*world.ClassResult{"fee": {Offered: 3, Delivered: 2}},
-			Seconds: []world.Second{{Worth: 1}, {Worth: worth}}, Broken: []string{"1s: message 4 has a second end"},
+	result := func(seed uint64, worth float64) simulation.Result {
+		return simulation.Result{
+			Seed: seed, Worth: simulation.Worth{Offered: 10, Delivered: worth}, Classes: map[string]*simulation.ClassResult{"fee": {Offered: 3, Delivered: 2}},
+			Seconds: []simulation.Second{{Worth: 1}, {Worth: worth}}, Broken: []string{"1s: message 4 has a second end"},
 		}
 	}
 	p := Page{
-		Title: "a <b>trial</b>", Variants: []world.Variant{{Name: "without"}, {Name: "with"}},
-		Results: [][]world.Result{{result(1, 5), result(2, 6)}, {result(1, 7), result(2, 8)}},
+		Title: "a <b>trial</b>", Variants: []simulation.Variant{{Name: "without"}, {Name: "with"}},
+		Results: [][]simulation.Result{{result(1, 5), result(2, 6)}, {result(1, 7), result(2, 8)}},
 	}
 	var b bytes.Buffer
 	if err := p.Write(&b); err != nil {
--- a/internal/lab/world/mends_test.go
+++ b/internal/lab/simulation/mends_test.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"strings"
--- a/internal/lab/world/random_test.go
+++ b/internal/lab/simulation/random_test.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"testing"
@@ -11,7 +11,7 @@
 
 // Whatever goes wrong together, the rules are kept. More of it, out of the tests:
 //
-//	go test ./internal/lab/world -run RandomScenarios -rapid.checks=2000
+//	go test ./internal/lab/simulation -run RandomScenarios -rapid.checks=2000
 func TestRandomScenarios(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := small()
--- a/internal/lab/world/world.go
+++ b/internal/lab/simulation/world.go
@@ -1,7 +1,7 @@
-// Package world plays a scenario in virtual time: a fleet of forwarders, each with its own decision module, partners, clients
+// Package simulation plays a scenario in virtual time: a fleet of forwarders, each with its own decision module, partners, clients
 // and faults, on one queue of events. It knows no socket and no clock, and equal seeds give equal runs. What happened is
 // held against the rules as it happens.
-package world
+package simulation
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"time"
 
 	mb "mulleinbeam"
-	"mulleinbeam/internal/lab/agenda"
+	"mulleinbeam/internal/lab/eventqueue"
 	"mulleinbeam/internal/lab/scenario"
 	"mulleinbeam/internal/memory"
 )
@@ -26,7 +26,7 @@
 type World struct {
 	s        scenario.Scenario
 	now      time.Duration
-	agenda   agenda.Agenda
+	agenda   eventqueue.Agenda
 	events   int64
 	rng      *rand.Rand // of the clients
 	partners []*partner
