--- a/cmd/larklab/main.go
+++ b/cmd/larklab/main.go
@@ -131,10 +131,10 @@
 				return err
 			}
 		}
-		for _, b := range r.Broken {
+		for _, b := range r.Violations {
 			fmt.Printf("seed %d: rule broken at %s\n", r.Seed, b)
 		}
-		if len(r.Broken) > 0 && !broken {
+		if len(r.Violations) > 0 && !broken {
 			broken = true
 			if err := explain(s, r.Seed); err != nil {
 				return err
@@ -153,7 +153,7 @@
 
 // figures prints each figure's mean over the seeds, with its interval.
 func figures(indent string, results []simulation.Result) {
-	for _, f := range simulation.Figures {
+	for _, f := range simulation.Metrics {
 		i := simulation.Bootstrap(f.Values(results), 1)
 		fmt.Printf("%s%-45s %12.3f  (%.3f to %.3f)\n", indent, f.Name, i.Mean, i.Low, i.High)
 	}
@@ -166,7 +166,7 @@
 func explain(s scenario.Scenario, seed uint64) error {
 	s = simulation.Shrink(s, func(s scenario.Scenario) bool {
 		w, err := simulation.New(s, seed)
-		return err == nil && len(w.Run().Broken) > 0
+		return err == nil && len(w.Run().Violations) > 0
 	}, shrinkRuns)
 	w, err := simulation.New(s, seed)
 	if err != nil {
@@ -187,9 +187,9 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("\nthe smallest scenario found that does so, with seed %d:\n\n%s\n%s\n", seed, text, strings.Join(r.Broken, "\n"))
+	fmt.Printf("\nthe smallest scenario found that does so, with seed %d:\n\n%s\n%s\n", seed, text, strings.Join(r.Violations, "\n"))
 	for _, l := range lines {
-		if l.id == r.Message {
+		if l.id == r.FirstViolationMessage {
 			fmt.Printf("  %v, event %d: %s\n", l.at, l.event, l.what)
 		}
 	}
@@ -283,9 +283,9 @@
 	a, b := s, s
 	switch c.With {
 	case "copies":
-		a.Copies.Keep, b.Copies.Keep = false, true
+		a.Copies.Enabled, b.Copies.Enabled = false, true
 	default:
-		a.Learned.Keep, b.Learned.Keep = false, true
+		a.Learned.Enabled, b.Learned.Enabled = false, true
 	}
 	variants := []simulation.Variant{{Name: "without", Scenario: a}, {Name: "with " + c.With, Scenario: b}}
 	results, err := play(variants, c.Seed, c.Seeds)
@@ -303,10 +303,10 @@
 	fmt.Printf("%-45s %12s %12s   difference\n", fmt.Sprintf("%s, %d seeds", s.Name, c.Seeds), "without", "with "+c.With)
 	for _, d := range list {
 		note := ""
-		if d.Diff.Noise() {
+		if d.Diff.IncludesZero() {
 			note = "  may be chance"
 		}
-		fmt.Printf("%-45s %12.3f %12.3f   %+.3f (%+.3f to %+.3f)%s\n", d.Figure, d.A, d.B, d.Diff.Mean, d.Diff.Low, d.Diff.High, note)
+		fmt.Printf("%-45s %12.3f %12.3f   %+.3f (%+.3f to %+.3f)%s\n", d.Metric, d.A, d.B, d.Diff.Mean, d.Diff.Low, d.Diff.High, note)
 	}
 	return nil
 }
@@ -331,7 +331,7 @@
 	ctx, stop := interruptible()
 	defer stop()
 	variants := []simulation.Variant{{Name: "without", Scenario: s}, {Name: "with", Scenario: s}}
-	variants[0].Scenario.Learned.Keep, variants[1].Scenario.Learned.Keep = false, true
+	variants[0].Scenario.Learned.Enabled, variants[1].Scenario.Learned.Enabled = false, true
 	virtual, err := play(variants, c.Seed, c.Seeds)
 	if err != nil {
 		return err
@@ -350,14 +350,14 @@
 		}
 		for v, r := range results {
 			inRealTime[v] = append(inRealTime[v], r)
-			for _, b := range r.Broken {
+			for _, b := range r.Violations {
 				broken = true
 				fmt.Printf("%s, seed %d: rule broken: %s\n", variants[v].Name, r.Seed, b)
 			}
 		}
 	}
 	fmt.Printf("%-45s %14s %14s %14s %14s\n", fmt.Sprintf("%s, %d seeds, means", s.Name, c.Seeds), "real, without", "real, with", "virtual, w/o", "virtual, with")
-	for _, f := range simulation.Figures {
+	for _, f := range simulation.Metrics {
 		fmt.Printf("%-45s", f.Name)
 		for _, results := range [][]simulation.Result{inRealTime[0], inRealTime[1], virtual[0], virtual[1]} {
 			fmt.Printf(" %14.3f", f.Mean(results))
--- a/cmd/larkreach/live_test.go
+++ b/cmd/larkreach/live_test.go
@@ -66,7 +66,7 @@
 		Scenario: s, Seed: 1, Program: []string{os.Args[0]}, Env: []string{childMark + "=1"}, Dir: t.TempDir(), Log: t.Logf,
 	}.Play(t.Context())
 	must(t, err)
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		t.Error("rule broken: " + b)
 	}
 	ended := 0
--- a/internal/lab/cluster/spread.go
+++ b/internal/lab/cluster/spread.go
@@ -47,7 +47,7 @@
 type spreading struct {
 	Spreading
 	Spread
-	agenda  eventqueue.Agenda
+	agenda  eventqueue.Queue
 	rng     *rand.Rand
 	names   []string
 	number  map[string]int
@@ -103,7 +103,7 @@
 
 // beatAt has a member tell at a moment, and then beat for beat.
 func (p *spreading) beatAt(now time.Duration, i int, others []string) {
-	p.agenda.At(now, func() {
+	p.agenda.Schedule(now, func() {
 		p.beatAt(now+p.Beat, i, others)
 		p.books[i].Expire(now, nil)
 		if i < p.Seers && now >= toldAt {
@@ -155,7 +155,7 @@
 	p.sent[int(now/time.Second)] += float64(p.size.Len()) + callHead
 	if p.rng.Float64() >= p.Loss {
 		at := now + time.Duration((0.5+p.rng.Float64())*float64(p.Delay))
-		p.agenda.At(at, func() { come(at) })
+		p.agenda.Schedule(at, func() { come(at) })
 	}
 }
 
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -55,7 +55,7 @@
 // site is a partner with its endpoints on sockets.
 type site struct {
 	mu        sync.Mutex
-	partner   simulation.Partner
+	partner   simulation.Destination
 	endpoints []*lab.Endpoint
 }
 
@@ -120,7 +120,7 @@
 
 // open starts partners, agent and forwarders.
 func (s *stage) open() error {
-	partners, err := simulation.Partners(s.Scenario, s.Seed)
+	partners, err := simulation.Destinations(s.Scenario, s.Seed)
 	if err != nil {
 		return err
 	}
@@ -128,7 +128,7 @@
 	for _, p := range partners {
 		t := &site{partner: p}
 		for _, name := range p.Endpoints() {
-			e := &lab.Endpoint{Name: name, Group: p.Number(), Weight: p.Hint(), Handle: func(c *lab.Call) bool { return s.call(t, c) }}
+			e := &lab.Endpoint{Name: name, Group: p.ID(), Weight: p.CapacityHint(), Handle: func(c *lab.Call) bool { return s.call(t, c) }}
 			if err := e.Listen(); err != nil {
 				return err
 			}
@@ -145,8 +145,8 @@
 		f := &lab.Forwarder{
 			Command: s.Program, Env: s.Env, Name: fmt.Sprint("f", i), Slots: s.Scenario.Fleet.Slots, DiskMB: 32, Amend: s.amend,
 		}
-		if s.Scenario.Learned.Keep {
-			f.Settings = fmt.Sprintf("[learned]\ninterval = %q\nsize = \"1MiB\"\n", s.Scenario.Learned.Interval.D())
+		if s.Scenario.Learned.Enabled {
+			f.Settings = fmt.Sprintf("[learned]\ninterval = %q\nsize = \"1MiB\"\n", s.Scenario.Learned.SaveInterval.D())
 		}
 		dir := filepath.Join(s.Dir, f.Name)
 		if err := f.Prepare(dir, s.agent); err != nil {
@@ -168,7 +168,7 @@
 	services := []any{}
 	for _, k := range s.Scenario.Classes {
 		services = append(services, map[string]any{
-			"name": k.Name, "effect": k.Effect, "target": micro(k.Target), "give-up": micro(k.GiveUp), "key-ttl": micro(k.KeyTTL),
+			"name": k.Name, "effect": k.Effect, "target": micro(k.Target), "give-up": micro(k.DeliveryTimeout), "key-ttl": micro(k.KeyTTL),
 			"group": "all", "credit": k.Worth, "late-worth": scenario.LateWorth,
 		})
 	}
@@ -177,7 +177,7 @@
 	set["limits"].(map[string]any)["most-held"] = s.Scenario.Fleet.MostHeld
 	rules := set["rules"].(map[string]any)
 	rules["cold-from"], rules["warm-within"] = s.Scenario.Rules.ColdFrom, micro(s.Scenario.Rules.WarmWithin)
-	rules["overload-factor"], rules["tip-after"] = s.Scenario.Rules.Overload, micro(s.Scenario.Rules.TipAfter)
+	rules["overload-factor"], rules["tip-after"] = s.Scenario.Rules.OverloadFactor, micro(s.Scenario.Rules.OverloadWindow)
 }
 
 // call answers one call to a partner, as the partner's state says.
@@ -186,40 +186,40 @@
 		return false
 	}
 	t.mu.Lock()
-	f := t.partner.Take(s.now())
+	f := t.partner.HandleCall(s.now())
 	t.mu.Unlock()
 	s.mu.Lock()
 	s.result.Calls++
 	if f.Cold {
-		s.result.Cold++
+		s.result.ColdCalls++
 	}
 	if f.Early {
-		s.result.ColdEarly++
+		s.result.EarlyColdCalls++
 	}
 	if f.Outcome == mb.Refused {
 		s.result.OverLimit++
 	}
-	if f.Tipped {
-		s.result.Tips++
+	if f.Overloaded {
+		s.result.Overloads++
 	}
 	s.mu.Unlock()
 	switch {
-	case f.After < 0: // silent: until the forwarder gives up
+	case f.Latency < 0: // silent: until the forwarder gives up
 		_, _ = c.Conn.Read(make([]byte, 1))
 		return false
-	case f.Tipped:
-		s.shut(t, s.Scenario.Rules.TipFor.D())
+	case f.Overloaded:
+		s.shut(t, s.Scenario.Rules.OverloadDowntime.D())
 		return false
 	case f.Outcome == mb.ConnectFailed:
 		return false
 	case f.Outcome == mb.Refused:
 		fields := ""
-		if f.Wait > 0 {
-			fields = fmt.Sprintf("X-RateLimit-Wait-Ms: %d\r\n", f.Wait.Milliseconds())
+		if f.RetryAfter > 0 {
+			fields = fmt.Sprintf("X-RateLimit-Wait-Ms: %d\r\n", f.RetryAfter.Milliseconds())
 		}
 		return c.Answer(429, fields) == nil
 	}
-	time.Sleep(f.After) // the service itself
+	time.Sleep(f.Latency) // the service itself
 	if f.Outcome == mb.Reset {
 		return false
 	}
@@ -254,7 +254,7 @@
 	delete(s.waiting, id)
 	close(w.ended)
 	now := s.now()
-	s.result.Deliver(w.class, now-w.at, s.killedAt >= 0 && now < s.killedAt+simulation.AfterKill)
+	s.result.RecordDelivery(w.class, now-w.at, s.killedAt >= 0 && now < s.killedAt+simulation.AfterKillWindow)
 }
 
 // told passes a notice on to its client.
@@ -290,7 +290,7 @@
 		}
 		w := &wish{
 			n: n, class: class, partner: s.partners[rng.IntN(len(s.partners))], host: s.hosts[rng.IntN(len(s.hosts))], at: s.now(),
-			until: s.now() + class.GiveUp.D(), returns: s.Scenario.Traffic.Returns,
+			until: s.now() + class.DeliveryTimeout.D(), returns: s.Scenario.Traffic.MaxRetries,
 		}
 		s.mu.Lock()
 		s.result.Offered++
@@ -363,7 +363,7 @@
 	}
 	defer c.Close()
 	h := lab.Handover{
-		ID: id, Class: w.class.Name, Destination: w.partner.partner.Number(), Left: left, Body: lab.Content{Seed: uint64(w.n), Size: 200},
+		ID: id, Class: w.class.Name, Destination: w.partner.partner.ID(), Left: left, Body: lab.Content{Seed: uint64(w.n), Size: 200},
 	}
 	if w.class.Effect == "keyed" {
 		h.Key = strconv.Itoa(w.n)
@@ -395,23 +395,23 @@
 		for _, i := range chosen(len(s.partners)) {
 			t := s.partners[i]
 			t.mu.Lock()
-			t.partner.Fall(s.now(), s.now()+f.For.D(), f.Kind == scenario.Silence)
+			t.partner.StartOutage(s.now(), s.now()+f.Duration.D(), f.Kind == scenario.Silence)
 			t.mu.Unlock()
 			if f.Kind == scenario.Silence {
 				continue
 			}
-			s.shut(t, f.For.D())
+			s.shut(t, f.Duration.D())
 		}
 	case scenario.Slow:
 		for _, i := range chosen(len(s.partners)) {
 			t := s.partners[i]
 			slow := func(by float64) {
 				t.mu.Lock()
-				t.partner.Slow(by)
+				t.partner.ScaleServiceTime(by)
 				t.mu.Unlock()
 			}
-			slow(f.By)
-			s.later(ctx, s.now()+f.For.D(), func() { slow(1 / f.By) })
+			slow(f.Factor)
+			s.later(ctx, s.now()+f.Duration.D(), func() { slow(1 / f.Factor) })
 		}
 	case scenario.Kill:
 		for _, i := range chosen(len(s.hosts)) {
@@ -424,7 +424,7 @@
 			if s.result.Kills++; s.killedAt < 0 {
 				s.killedAt = s.now()
 			}
-			back := f.Back.D() + time.Duration(rng.Float64()*float64(f.Until-f.Back))
+			back := f.MinDowntime.D() + time.Duration(rng.Float64()*float64(f.MaxDowntime-f.MinDowntime))
 			s.mu.Unlock()
 			s.later(ctx, s.now()+back, func() {
 				h.mu.Lock()
@@ -458,7 +458,7 @@
 		}
 	}
 	s.check.Saw(s.agent.Notices(), arrivals...)
-	s.result.Broken = append(s.result.Broken, s.check.Broken()...)
+	s.result.Violations = append(s.result.Violations, s.check.Broken()...)
 	return errors.Join(errs...)
 }
 
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -88,7 +88,7 @@
 		data.Seeds = len(p.Results[i])
 		for _, r := range p.Results[i] {
 			data.Events += r.Events
-			for _, b := range r.Broken {
+			for _, b := range r.Violations {
 				data.Broken = append(data.Broken, fmt.Sprintf("%s, seed %d: %s", v.Name, r.Seed, b))
 			}
 		}
@@ -101,25 +101,25 @@
 			return fmt.Errorf("report: %w", err)
 		}
 	}
-	for i, f := range simulation.Figures {
+	for i, f := range simulation.Metrics {
 		r := row{Name: f.Name}
 		for _, results := range p.Results {
 			r.Values = append(r.Values, fmt.Sprintf("%.3f", f.Mean(results)))
 		}
 		if data.Pairs {
 			d := differences[i].Diff
-			r.Difference, r.Chance = fmt.Sprintf("%+.3f (%+.3f to %+.3f)", d.Mean, d.Low, d.High), d.Noise()
+			r.Difference, r.Chance = fmt.Sprintf("%+.3f (%+.3f to %+.3f)", d.Mean, d.Low, d.High), d.IncludesZero()
 		}
 		data.Rows = append(data.Rows, r)
 	}
 	for _, k := range []struct {
 		caption string
-		of      func(simulation.Second) float64
+		of      func(simulation.SecondStats) float64
 	}{
-		{"worth delivered in each second, mean over the seeds", func(s simulation.Second) float64 { return s.Worth }},
-		{"messages taken in each second", func(s simulation.Second) float64 { return float64(s.Offered) }},
-		{"calls in each second", func(s simulation.Second) float64 { return float64(s.Calls) }},
-		{"messages held, at each second's first event", func(s simulation.Second) float64 { return float64(s.Held) }},
+		{"worth delivered in each second, mean over the seeds", func(s simulation.SecondStats) float64 { return s.Worth }},
+		{"messages taken in each second", func(s simulation.SecondStats) float64 { return float64(s.Offered) }},
+		{"calls in each second", func(s simulation.SecondStats) float64 { return float64(s.Calls) }},
+		{"messages held, at each second's first event", func(s simulation.SecondStats) float64 { return float64(s.Held) }},
 	} {
 		svg, err := p.plot(k.of)
 		if err != nil {
@@ -166,7 +166,7 @@
 }
 
 // plot draws one figure of each second, a line for each variant.
-func (p Page) plot(of func(simulation.Second) float64) (string, error) {
+func (p Page) plot(of func(simulation.SecondStats) float64) (string, error) {
 	var lines []Line
 	for i, results := range p.Results {
 		l := Line{Name: p.Variants[i].Name}
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -17,7 +17,7 @@
 	result := func(seed uint64, worth float64) simulation.Result {
 		return simulation.Result{
 			Seed: seed, Worth: simulation.Worth{Offered: 10, Delivered: worth}, Classes: map[string]*simulation.ClassResult{"fee": {Offered: 3, Delivered: 2}},
-			Seconds: []simulation.Second{{Worth: 1}, {Worth: worth}}, Broken: []string{"1s: message 4 has a second end"},
+			Seconds: []simulation.SecondStats{{Worth: 1}, {Worth: worth}}, Violations: []string{"1s: message 4 has a second end"},
 		}
 	}
 	p := Page{
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -31,48 +31,48 @@
 
 // Scenario is one.
 type Scenario struct {
-	Name     string     `toml:"name"`
-	Length   Duration   `toml:"length"` // of the traffic; what is held then still ends
-	Fleet    Fleet      `toml:"fleet"`
-	Partners []Partners `toml:"partners"`
-	Classes  []Class    `toml:"classes"`
-	Traffic  Traffic    `toml:"traffic"`
-	Faults   []Fault    `toml:"faults"`
-	Rules    Rules      `toml:"rules"`
-	Learned  Learned    `toml:"learned"`
-	Copies   Copies     `toml:"copies"`
-	Without  []Mend     `toml:"without"` // safeguards that are taken out, to see that their rule then breaks
+	Name               string             `toml:"name"`
+	Length             Duration           `toml:"length"` // of the traffic; what is held then still ends
+	Fleet              Fleet              `toml:"fleet"`
+	Destinations       []DestinationGroup `toml:"partners"`
+	Classes            []Class            `toml:"classes"`
+	Traffic            Traffic            `toml:"traffic"`
+	Faults             []Fault            `toml:"faults"`
+	Rules              Rules              `toml:"rules"`
+	Learned            Learned            `toml:"learned"`
+	Copies             Copies             `toml:"copies"`
+	DisabledSafeguards []Safeguard        `toml:"without"` // safeguards that are taken out, to see that their rule then breaks
 }
 
-// Mend is a safeguard of the forwarder that a run can go without.
-type Mend string
+// Safeguard is a safeguard of the forwarder that a run can go without.
+type Safeguard string
 
 // The safeguards. The first two are asked when a call's connection is up, just before its first byte.
 const (
-	MendWindow Mend = "window"      // a repeat begins only inside its key's time
-	MendWait   Mend = "wait"        // no call begins in a wait that was told while its connection came up
-	MendKill   Mend = "out-at-kill" // a call that was out at a kill counts as one that may have run for all later lives
+	SafeguardKeyTTL     Safeguard = "window"      // a repeat begins only inside its key's time
+	SafeguardRetryAfter Safeguard = "wait"        // no call begins in a wait that was told while its connection came up
+	SafeguardOutAtKill  Safeguard = "out-at-kill" // a call that was out at a kill counts as one that may have run for all later lives
 )
 
 // Fleet is the forwarders.
 type Fleet struct {
-	Forwarders int `toml:"forwarders"`
-	Told       int `toml:"told"` // how many they are told to be; 0 is the truth
-	Slots      int `toml:"slots"`
-	MostHeld   int `toml:"most-held"`
+	Forwarders           int `toml:"forwarders"`
+	ConfiguredForwarders int `toml:"told"` // how many they are told to be; 0 is the truth
+	Slots                int `toml:"slots"`
+	MostHeld             int `toml:"most-held"`
 }
 
-// Partners is a number of partners that are alike.
-type Partners struct {
-	Count     int          `toml:"count"`
-	Endpoints int          `toml:"endpoints"` // of each
-	Capacity  float64      `toml:"capacity"`  // calls a second, of one partner
-	Hint      float64      `toml:"hint"`      // what the list says of that, as a share of it; 0 says nothing
-	Service   Distribution `toml:"service"`   // of a call's time, in milliseconds
-	Limit     float64      `toml:"limit"`     // calls a second that are taken; 0 is none
-	Counts    bool         `toml:"counts"`    // refused calls count for the limit
-	Tells     Duration     `toml:"tells"`     // the wait told with a refusal; 0 tells none
-	Resets    float64      `toml:"resets"`    // share of calls whose answer is lost
+// DestinationGroup is a number of partners that are alike.
+type DestinationGroup struct {
+	Count         int          `toml:"count"`
+	Endpoints     int          `toml:"endpoints"` // of each
+	Capacity      float64      `toml:"capacity"`  // calls a second, of one partner
+	CapacityHint  float64      `toml:"hint"`      // what the list says of that, as a share of it; 0 says nothing
+	ServiceTime   Distribution `toml:"service"`   // of a call's time, in milliseconds
+	Limit         float64      `toml:"limit"`     // calls a second that are taken; 0 is none
+	RefusalsCount bool         `toml:"counts"`    // refused calls count for the limit
+	RetryAfter    Duration     `toml:"tells"`     // the wait told with a refusal; 0 tells none
+	ResetShare    float64      `toml:"resets"`    // share of calls whose answer is lost
 }
 
 // Distribution names one of gonum's, by its mean and its spread.
@@ -84,46 +84,46 @@
 
 // Class is one of messages.
 type Class struct {
-	Name   string   `toml:"name"`
-	Effect string   `toml:"effect"` // safe, keyed, unsafe
-	Share  float64  `toml:"share"`
-	Worth  float64  `toml:"worth"`
-	Target Duration `toml:"target"`
-	GiveUp Duration `toml:"give-up"`
-	KeyTTL Duration `toml:"key-ttl"`
+	Name            string   `toml:"name"`
+	Effect          string   `toml:"effect"` // safe, keyed, unsafe
+	Share           float64  `toml:"share"`
+	Worth           float64  `toml:"worth"`
+	Target          Duration `toml:"target"`
+	DeliveryTimeout Duration `toml:"give-up"`
+	KeyTTL          Duration `toml:"key-ttl"`
 }
 
 // LateWorth is the share of its worth that a message still has at its deadline.
 const LateWorth = 0.4
 
-// Value is what a delivery at an age is worth: all of it within the target, then evenly less down to LateWorth.
-func (c Class) Value(age time.Duration) (worth float64, inTime bool) {
+// WorthAt is what a delivery at an age is worth: all of it within the target, then evenly less down to LateWorth.
+func (c Class) WorthAt(age time.Duration) (worth float64, inTime bool) {
 	if age <= c.Target.D() {
 		return c.Worth, true
 	}
-	late := (age - c.Target.D()).Seconds() / max(1e-3, (c.GiveUp-c.Target).D().Seconds())
+	late := (age - c.Target.D()).Seconds() / max(1e-3, (c.DeliveryTimeout-c.Target).D().Seconds())
 	return c.Worth * (1 - (1-LateWorth)*min(1, late)), false
 }
 
 // Traffic is what clients hand in.
 type Traffic struct {
-	Rate    float64 `toml:"rate"`    // messages a second, at all forwarders together
-	Skew    float64 `toml:"skew"`    // of the partners: the nth gets n^-skew
-	Uneven  float64 `toml:"uneven"`  // of the forwarders: the same
-	Returns int     `toml:"returns"` // how often a client comes again after a refusal
+	Rate            float64 `toml:"rate"`    // messages a second, at all forwarders together
+	DestinationSkew float64 `toml:"skew"`    // of the partners: the nth gets n^-skew
+	ForwarderSkew   float64 `toml:"uneven"`  // of the forwarders: the same
+	MaxRetries      int     `toml:"returns"` // how often a client comes again after a refusal
 }
 
 // Fault is something that goes wrong, from a moment on and for a time.
 type Fault struct {
-	At    Duration `toml:"at"`
-	For   Duration `toml:"for"`
-	Kind  string   `toml:"kind"`
-	Share float64  `toml:"share"` // of the partners, or of the forwarders
-	By    float64  `toml:"by"`    // a factor: of load, or of service times
-	Back  Duration `toml:"back"`  // killed forwarders are back between Back
-	Until Duration `toml:"until"` // and Until after
-	Lose  float64  `toml:"lose"`  // share of killed forwarders whose folder is lost
-	Takes Duration `toml:"takes"` // how long a connection needs to come up
+	At              Duration `toml:"at"`
+	Duration        Duration `toml:"for"`
+	Kind            string   `toml:"kind"`
+	Share           float64  `toml:"share"` // of the partners, or of the forwarders
+	Factor          float64  `toml:"by"`    // a factor: of load, or of service times
+	MinDowntime     Duration `toml:"back"`  // killed forwarders are back between Back
+	MaxDowntime     Duration `toml:"until"` // and Until after
+	FolderLossShare float64  `toml:"lose"`  // share of killed forwarders whose folder is lost
+	ConnectTime     Duration `toml:"takes"` // how long a connection needs to come up
 }
 
 // The kinds of faults.
@@ -140,27 +140,27 @@
 
 // Rules are the users' figures of outages and of partners that come back cold.
 type Rules struct {
-	ColdFrom   float64  `toml:"cold-from"`   // share of the capacity that a partner has as it comes back
-	WarmWithin Duration `toml:"warm-within"` // until it has all of it
-	Overload   float64  `toml:"overload"`    // calls over the present share, in TipAfter, at which it falls over
-	TipAfter   Duration `toml:"tip-after"`
-	TipFor     Duration `toml:"tip-for"` // how long it is down then
-	// Chance is how many calls beyond these are put down to chance: so many times the root of what it bears, and as many again.
+	ColdFrom         float64  `toml:"cold-from"`   // share of the capacity that a partner has as it comes back
+	WarmWithin       Duration `toml:"warm-within"` // until it has all of it
+	OverloadFactor   float64  `toml:"overload"`    // calls over the present share, in TipAfter, at which it falls over
+	OverloadWindow   Duration `toml:"tip-after"`
+	OverloadDowntime Duration `toml:"tip-for"` // how long it is down then
+	// ChanceFactor is how many calls beyond these are put down to chance: so many times the root of what it bears, and as many again.
 	// 0 is one call.
-	Chance float64 `toml:"chance"`
+	ChanceFactor float64 `toml:"chance"`
 }
 
 // Learned says whether what was learned outlasts a kill.
 type Learned struct {
-	Keep     bool     `toml:"keep"`
-	Interval Duration `toml:"interval"` // between two saves
+	Enabled      bool     `toml:"keep"`
+	SaveInterval Duration `toml:"interval"` // between two saves
 }
 
 // Copies says whether others hold copies of what a forwarder owes, and take it over.
 type Copies struct {
-	Keep     bool     `toml:"keep"`
-	Takeover Duration `toml:"takeover"` // from a kill until another goes on with it, where it is not back with its folder by then
-	Ahead    Duration `toml:"ahead"`    // by which each message is taken later, until its copy is there
+	Enabled          bool     `toml:"keep"`
+	TakeoverDelay    Duration `toml:"takeover"` // from a kill until another goes on with it, where it is not back with its folder by then
+	ReplicationDelay Duration `toml:"ahead"`    // by which each message is taken later, until its copy is there
 }
 
 // defaults stand where a file says nothing.
@@ -168,9 +168,9 @@
 	return Scenario{
 		Length: Duration(time.Minute), Fleet: Fleet{Forwarders: 4, Slots: 24, MostHeld: 400},
 		Rules: Rules{
-			ColdFrom: 0.3, WarmWithin: Duration(14 * time.Second), Overload: 1.5, TipAfter: Duration(1500 * time.Millisecond), TipFor: Duration(4 * time.Second),
+			ColdFrom: 0.3, WarmWithin: Duration(14 * time.Second), OverloadFactor: 1.5, OverloadWindow: Duration(1500 * time.Millisecond), OverloadDowntime: Duration(4 * time.Second),
 		},
-		Traffic: Traffic{Returns: 2}, Learned: Learned{Interval: Duration(2 * time.Second)}, Copies: Copies{Takeover: Duration(2 * time.Second), Ahead: Duration(time.Millisecond)},
+		Traffic: Traffic{MaxRetries: 2}, Learned: Learned{SaveInterval: Duration(2 * time.Second)}, Copies: Copies{TakeoverDelay: Duration(2 * time.Second), ReplicationDelay: Duration(time.Millisecond)},
 	}
 }
 
@@ -211,20 +211,20 @@
 	if s.Length <= 0 || s.Length.D() > 24*time.Hour {
 		return bad("length: %v", s.Length.D())
 	}
-	if s.Fleet.Forwarders < 1 || s.Fleet.Slots < 1 || s.Fleet.MostHeld < 1 || s.Fleet.Told < 0 {
+	if s.Fleet.Forwarders < 1 || s.Fleet.Slots < 1 || s.Fleet.MostHeld < 1 || s.Fleet.ConfiguredForwarders < 0 {
 		return bad("fleet: forwarders, slots and most-held are 1 at least, told is not below 0")
 	}
-	if len(s.Partners) == 0 || len(s.Classes) == 0 {
+	if len(s.Destinations) == 0 || len(s.Classes) == 0 {
 		return bad("partners and classes are needed")
 	}
-	for i, p := range s.Partners {
+	for i, p := range s.Destinations {
 		if p.Count < 1 || p.Endpoints < 1 || p.Capacity <= 0 {
 			return bad("partners %d: count, endpoints and capacity are needed", i+1)
 		}
-		if _, err := p.Service.Sampler(nil); err != nil {
+		if _, err := p.ServiceTime.Sampler(nil); err != nil {
 			return bad("partners %d: service: %w", i+1, err)
 		}
-		if p.Resets < 0 || p.Resets >= 1 || p.Limit < 0 || p.Hint < 0 {
+		if p.ResetShare < 0 || p.ResetShare >= 1 || p.Limit < 0 || p.CapacityHint < 0 {
 			return bad("partners %d: resets is a share, limit and hint are not below 0", i+1)
 		}
 	}
@@ -233,44 +233,44 @@
 		if c.Effect != "safe" && c.Effect != "keyed" && c.Effect != "unsafe" {
 			return bad("class %s: effect %q is not safe, keyed or unsafe", c.Name, c.Effect)
 		}
-		if c.Target <= 0 || c.GiveUp < c.Target || c.Share < 0 || c.Effect == "keyed" && c.KeyTTL <= 0 {
+		if c.Target <= 0 || c.DeliveryTimeout < c.Target || c.Share < 0 || c.Effect == "keyed" && c.KeyTTL <= 0 {
 			return bad("class %s: target, give-up from target on, share and, if keyed, key-ttl are needed", c.Name)
 		}
 		total += c.Share
 	}
-	if total <= 0 || s.Traffic.Rate <= 0 || s.Traffic.Uneven < 0 {
+	if total <= 0 || s.Traffic.Rate <= 0 || s.Traffic.ForwarderSkew < 0 {
 		return bad("traffic: no class has a share, or no rate is said")
 	}
 	for i, f := range s.Faults {
 		switch f.Kind {
 		case Outage, Silence, Kill, Drain:
 		case Connect:
-			if f.Takes <= 0 {
+			if f.ConnectTime <= 0 {
 				return bad("fault %d: %s needs takes", i+1, f.Kind)
 			}
 		case Slow, Load, Limit:
-			if f.By <= 0 {
+			if f.Factor <= 0 {
 				return bad("fault %d: %s needs by", i+1, f.Kind)
 			}
 		default:
 			return bad("fault %d: no kind %q", i+1, f.Kind)
 		}
-		if f.Share < 0 || f.Share > 1 || f.Lose < 0 || f.Lose > 1 || f.At < 0 || f.For < 0 || f.Back < 0 || f.Until < f.Back {
+		if f.Share < 0 || f.Share > 1 || f.FolderLossShare < 0 || f.FolderLossShare > 1 || f.At < 0 || f.Duration < 0 || f.MinDowntime < 0 || f.MaxDowntime < f.MinDowntime {
 			return bad("fault %d: share and lose are from 0 to 1, times are not below 0, until is not before back", i+1)
 		}
 	}
-	for _, m := range s.Without {
-		if m != MendWindow && m != MendWait && m != MendKill {
+	for _, m := range s.DisabledSafeguards {
+		if m != SafeguardKeyTTL && m != SafeguardRetryAfter && m != SafeguardOutAtKill {
 			return bad("without: no safeguard %q", m)
 		}
 	}
-	if r := s.Rules; r.ColdFrom <= 0 || r.ColdFrom > 1 || r.Overload <= 0 || r.TipAfter <= 0 || r.WarmWithin < 0 || r.Chance < 0 {
+	if r := s.Rules; r.ColdFrom <= 0 || r.ColdFrom > 1 || r.OverloadFactor <= 0 || r.OverloadWindow <= 0 || r.WarmWithin < 0 || r.ChanceFactor < 0 {
 		return bad("rules: cold-from is a share, overload and tip-after are needed")
 	}
-	if s.Copies.Takeover < 0 || s.Copies.Ahead < 0 {
+	if s.Copies.TakeoverDelay < 0 || s.Copies.ReplicationDelay < 0 {
 		return bad("copies: times are not below 0")
 	}
-	if s.Learned.Keep && s.Learned.Interval <= 0 {
+	if s.Learned.Enabled && s.Learned.SaveInterval <= 0 {
 		return bad("learned: interval is needed")
 	}
 	return nil
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -76,10 +76,10 @@
 	}
 	last := points[5]
 	if last.Name != "fleet.slots=16 partners.0.limit=7.0 length=3s learned.keep=true" || last.Scenario.Fleet.Slots != 16 ||
-		last.Scenario.Partners[0].Limit != 7 || last.Scenario.Length.D().Seconds() != 3 || !last.Scenario.Learned.Keep {
+		last.Scenario.Destinations[0].Limit != 7 || last.Scenario.Length.D().Seconds() != 3 || !last.Scenario.Learned.Enabled {
 		t.Errorf("%+v", last)
 	}
-	if points[0].Scenario.Fleet.Slots != 8 || points[0].Scenario.Partners[0].Limit != 5 {
+	if points[0].Scenario.Fleet.Slots != 8 || points[0].Scenario.Destinations[0].Limit != 5 {
 		t.Errorf("%+v", points[0])
 	}
 	for _, bad := range []string{"partners.7.limit=1.0", "fleet.solts=8", "fleet.slots=many", "name.x=1"} {
--- a/internal/lab/simulation/check.go
+++ b/internal/lab/simulation/check.go
@@ -8,49 +8,49 @@
 	"mulleinbeam/internal/lab/scenario"
 )
 
-// Ending is how a message ended.
-type Ending int
+// MessageOutcome is how a message ended.
+type MessageOutcome int
 
 // The endings.
 const (
-	Delivered Ending = iota
+	Delivered MessageOutcome = iota
 	Refused
 	Failed
 )
 
 // Result is what a run showed.
 type Result struct {
-	Scenario    string                  `json:"scenario"`
-	Seed        uint64                  `json:"seed"`
-	Events      int64                   `json:"events"`
-	Offered     int                     `json:"offered"` // wishes of clients
-	Worth       Worth                   `json:"worth"`
-	Classes     map[string]*ClassResult `json:"classes"`
-	Calls       int                     `json:"calls"`
-	Cold        int                     `json:"cold_calls"`       // that reached a partner which was still cold
-	ColdEarly   int                     `json:"cold_calls_early"` // of these, in the first 14 s
-	OverLimit   int                     `json:"over_limit"`       // calls that were refused
-	HeldBack    int                     `json:"held_back"`        // calls that did not begin when their connection was up
-	InWaits     int                     `json:"in_told_waits"`    // calls of a forwarder to a partner that had told it to wait, before its life began
-	Tips        int                     `json:"tips"`             // partners that fell over again
-	Pushed      int                     `json:"pushed"`           // of these, those pushed by forwarders that had seen the outage: over two thirds of the calls
-	Crowd       float64                 `json:"crowd"`            // calls that reached a cold partner, over what it bears, in the fullest span
-	Kills       int                     `json:"kills"`
-	FoldersLost int                     `json:"folders_lost"`
-	TakenOver   int                     `json:"taken_over"` // messages that another forwarder went on with
-	Gone        int                     `json:"gone"`       // messages that were taken, and lost with a folder of which there was no copy
-	Restarts    []time.Duration         `json:"-"`
-	Backs       []time.Duration         `json:"-"`
-	Seconds     []Second                `json:"seconds"`
-	Broken      []string                `json:"broken"`  // rules, with the moment
-	Message     mb.MessageID            `json:"message"` // at which the first of them broke; 0 is none
+	Scenario              string                  `json:"scenario"`
+	Seed                  uint64                  `json:"seed"`
+	Events                int64                   `json:"events"`
+	Offered               int                     `json:"offered"` // wishes of clients
+	Worth                 Worth                   `json:"worth"`
+	Classes               map[string]*ClassResult `json:"classes"`
+	Calls                 int                     `json:"calls"`
+	ColdCalls             int                     `json:"cold_calls"`       // that reached a partner which was still cold
+	EarlyColdCalls        int                     `json:"cold_calls_early"` // of these, in the first 14 s
+	OverLimit             int                     `json:"over_limit"`       // calls that were refused
+	NotSent               int                     `json:"held_back"`        // calls that did not begin when their connection was up
+	CallsInRetryAfter     int                     `json:"in_told_waits"`    // calls of a forwarder to a partner that had told it to wait, before its life began
+	Overloads             int                     `json:"tips"`             // partners that fell over again
+	InformedOverloads     int                     `json:"pushed"`           // of these, those pushed by forwarders that had seen the outage: over two thirds of the calls
+	PeakColdLoad          float64                 `json:"crowd"`            // calls that reached a cold partner, over what it bears, in the fullest span
+	Kills                 int                     `json:"kills"`
+	FoldersLost           int                     `json:"folders_lost"`
+	TakenOver             int                     `json:"taken_over"` // messages that another forwarder went on with
+	LostWithFolder        int                     `json:"gone"`       // messages that were taken, and lost with a folder of which there was no copy
+	KillTimes             []time.Duration         `json:"-"`
+	RecoveryTimes         []time.Duration         `json:"-"`
+	Seconds               []SecondStats           `json:"seconds"`
+	Violations            []string                `json:"broken"`  // rules, with the moment
+	FirstViolationMessage mb.MessageID            `json:"message"` // at which the first of them broke; 0 is none
 }
 
 // Worth is of messages, by their class and their age.
 type Worth struct {
 	Offered   float64 `json:"offered"`
 	Delivered float64 `json:"delivered"`
-	After     float64 `json:"after_kill"` // delivered within 20 s of the first kill
+	AfterKill float64 `json:"after_kill"` // delivered within 20 s of the first kill
 }
 
 // ClassResult is one class's.
@@ -58,26 +58,26 @@
 	Offered, Delivered, InTime, Refused, Failed, Lost int
 }
 
-// Deliver books a delivery at an age, and gives its worth; after says that it came soon after the first kill.
-func (r *Result) Deliver(class *scenario.Class, age time.Duration, after bool) float64 {
+// RecordDelivery books a delivery at an age, and gives its worth; after says that it came soon after the first kill.
+func (r *Result) RecordDelivery(class *scenario.Class, age time.Duration, after bool) float64 {
 	c := r.Classes[class.Name]
 	c.Delivered++
-	worth, inTime := class.Value(age)
+	worth, inTime := class.WorthAt(age)
 	if inTime {
 		c.InTime++
 	}
 	r.Worth.Delivered += worth
 	if after {
-		r.Worth.After += worth
+		r.Worth.AfterKill += worth
 	}
 	return worth
 }
 
-// AfterKill is how long after the first kill what is delivered counts as after it.
-const AfterKill = 20 * time.Second
+// AfterKillWindow is how long after the first kill what is delivered counts as after it.
+const AfterKillWindow = 20 * time.Second
 
-// Second is one of the run.
-type Second struct {
+// SecondStats is one of the run.
+type SecondStats struct {
 	Offered   int     `json:"offered"`
 	Delivered int     `json:"delivered"`
 	Worth     float64 `json:"worth"`
@@ -85,27 +85,27 @@
 	Held      int     `json:"held"`
 }
 
-func (w *World) second() *Second {
+func (w *Simulation) second() *SecondStats {
 	n := int(w.now / time.Second)
 	for len(w.result.Seconds) <= n {
 		held := 0
 		for _, h := range w.hosts {
 			held += len(h.held)
 		}
-		w.result.Seconds = append(w.result.Seconds, Second{Held: held})
+		w.result.Seconds = append(w.result.Seconds, SecondStats{Held: held})
 	}
 	return &w.result.Seconds[n]
 }
 
 // deliver books a delivery.
-func (w *World) deliver(m *message) {
+func (w *Simulation) deliver(m *message) {
 	x := m.wish
 	if x.delivered { // by an earlier handing in whose answer was lost: worth nothing more
 		return
 	}
 	x.delivered = true
-	after := len(w.result.Restarts) > 0 && w.now < w.result.Restarts[0]+AfterKill
-	worth := w.result.Deliver(x.class, w.now-x.at, after)
+	after := len(w.result.KillTimes) > 0 && w.now < w.result.KillTimes[0]+AfterKillWindow
+	worth := w.result.RecordDelivery(x.class, w.now-x.at, after)
 	s := w.second()
 	s.Delivered++
 	s.Worth += worth
@@ -113,7 +113,7 @@
 
 // checker holds a run against the rules, as it goes.
 type checker struct {
-	w     *World
+	w     *Simulation
 	open  int // messages taken and not ended
 	total int
 }
@@ -122,11 +122,11 @@
 
 // broken books a rule that broke, at a message or at none.
 func (c *checker) broken(m *message, format string, args ...any) {
-	if m != nil && len(c.w.result.Broken) == 0 {
-		c.w.result.Message = m.id
+	if m != nil && len(c.w.result.Violations) == 0 {
+		c.w.result.FirstViolationMessage = m.id
 	}
-	if len(c.w.result.Broken) < mostBroken {
-		c.w.result.Broken = append(c.w.result.Broken, fmt.Sprintf("%v, event %d: ", c.w.now, c.w.events)+fmt.Sprintf(format, args...))
+	if len(c.w.result.Violations) < mostBroken {
+		c.w.result.Violations = append(c.w.result.Violations, fmt.Sprintf("%v, event %d: ", c.w.now, c.w.events)+fmt.Sprintf(format, args...))
 	}
 }
 
@@ -138,7 +138,7 @@
 }
 
 // ended: one end, before the deadline.
-func (c *checker) ended(m *message, how Ending) {
+func (c *checker) ended(m *message, how MessageOutcome) {
 	c.w.trace(m, "ends: %s", [...]string{"delivered", "refused", "failed"}[how])
 	if m.ended {
 		c.broken(m, "message %d has a second end", m.id)
@@ -154,7 +154,7 @@
 	c.w.trace(m, "is lost with its forwarder's folder")
 	c.open--
 	m.ended = true
-	c.w.result.Gone++
+	c.w.result.LostWithFolder++
 	c.w.result.Classes[m.wish.class.Name].Lost++
 }
 
@@ -185,7 +185,7 @@
 		if told.life == h.life {
 			c.broken(k.m, "forwarder %d calls partner %d within a told wait", h.name, k.partner.id)
 		} else {
-			w.result.InWaits++
+			w.result.CallsInRetryAfter++
 		}
 	}
 }
--- a/internal/lab/simulation/cold_test.go
+++ b/internal/lab/simulation/cold_test.go
@@ -11,15 +11,15 @@
 // cold is a fleet before partners that are all down for a while and come back cold. What they bear then is the users' budget, and
 // twice its root and two calls more for chance.
 func cold(forwarders, partners int, capacity, rate float64) scenario.Scenario {
-	s := small(scenario.Fault{Kind: scenario.Outage, At: d(8 * time.Second), For: d(6 * time.Second), Share: 1})
+	s := small(scenario.Fault{Kind: scenario.Outage, At: d(8 * time.Second), Duration: d(6 * time.Second), Share: 1})
 	s.Name, s.Length = "cold", d(32*time.Second)
 	s.Fleet = scenario.Fleet{Forwarders: forwarders, Slots: max(4, 60/forwarders), MostHeld: max(40, 1200/forwarders)}
-	p := &s.Partners[0]
+	p := &s.Destinations[0]
 	p.Count, p.Capacity, p.Limit = partners, capacity, 0
-	s.Traffic = scenario.Traffic{Rate: rate, Skew: 0.6, Returns: 2}
+	s.Traffic = scenario.Traffic{Rate: rate, DestinationSkew: 0.6, MaxRetries: 2}
 	s.Rules = scenario.Rules{
-		ColdFrom: 0.3, WarmWithin: d(12 * time.Second), Overload: 1.5, TipAfter: d(1500 * time.Millisecond), TipFor: d(3 * time.Second),
-		Chance: 2,
+		ColdFrom: 0.3, WarmWithin: d(12 * time.Second), OverloadFactor: 1.5, OverloadWindow: d(1500 * time.Millisecond), OverloadDowntime: d(3 * time.Second),
+		ChanceFactor: 2,
 	}
 	return s
 }
@@ -37,15 +37,15 @@
 		"eight, small partners":   {cold(8, 20, 8, 110), nil, 0.8},
 		"twenty, small partners":  {cold(20, 20, 8, 110), nil, 0.75},
 		"thirty, small partners":  {cold(30, 20, 8, 110), nil, 0.75},
-		"twenty, uneven":          {cold(20, 6, 40, 150), func(s *scenario.Scenario) { s.Traffic.Uneven = 1 }, 0.77},
+		"twenty, uneven":          {cold(20, 6, 40, 150), func(s *scenario.Scenario) { s.Traffic.ForwarderSkew = 1 }, 0.77},
 		"thirty, silent partners": {cold(30, 6, 40, 150), func(s *scenario.Scenario) { s.Faults[0].Kind = scenario.Silence }, 0.77},
 		"thirty, restarted": {cold(30, 6, 40, 150), func(s *scenario.Scenario) {
 			s.Faults = append(s.Faults, scenario.Fault{
-				Kind: scenario.Kill, At: d(12 * time.Second), Share: 0.7, Back: d(600 * time.Millisecond), Until: d(1500 * time.Millisecond),
+				Kind: scenario.Kill, At: d(12 * time.Second), Share: 0.7, MinDowntime: d(600 * time.Millisecond), MaxDowntime: d(1500 * time.Millisecond),
 			})
 		}, 0.82},
 		"thirty, waits told": {cold(30, 6, 40, 150), func(s *scenario.Scenario) {
-			s.Partners[0].Limit, s.Partners[0].Counts, s.Partners[0].Tells = 44, true, d(900*time.Millisecond)
+			s.Destinations[0].Limit, s.Destinations[0].RefusalsCount, s.Destinations[0].RetryAfter = 44, true, d(900*time.Millisecond)
 		}, 0.75},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -57,12 +57,12 @@
 				r := play(t, c.s, seed)
 				share := r.Worth.Delivered / r.Worth.Offered
 				if told := fmt.Sprintf("seed %d: %d fell, %.2f of what one bears at the most, %.3f of the worth delivered",
-					seed, r.Tips, r.Crowd, share); r.Pushed > 0 || share < c.goes {
-					t.Errorf("%s; %d were pushed by those that knew", told, r.Pushed)
+					seed, r.Overloads, r.PeakColdLoad, share); r.InformedOverloads > 0 || share < c.goes {
+					t.Errorf("%s; %d were pushed by those that knew", told, r.InformedOverloads)
 				} else {
 					t.Log(told)
 				}
-				for _, b := range r.Broken {
+				for _, b := range r.Violations {
 					t.Error(b)
 				}
 			}
--- a/internal/lab/simulation/host.go
+++ b/internal/lab/simulation/host.go
@@ -66,7 +66,7 @@
 
 // host is one forwarder: the decision module and what stands round it, with what outlasts a kill. held is its journal.
 type host struct {
-	w       *World
+	w       *Simulation
 	name    int
 	seed    uint64
 	life    uint64
@@ -88,18 +88,18 @@
 func (h *host) settings() mb.Settings {
 	s := h.w.s
 	out := mb.Settings{
-		Forwarders: cmp.Or(s.Fleet.Told, s.Fleet.Forwarders), Slots: s.Fleet.Slots, MostHeld: s.Fleet.MostHeld, MaxAttempts: 6, MayCancel: true,
+		Forwarders: cmp.Or(s.Fleet.ConfiguredForwarders, s.Fleet.Forwarders), Slots: s.Fleet.Slots, MostHeld: s.Fleet.MostHeld, MaxAttempts: 6, MayCancel: true,
 		SendRetryAfter: true, MaxRetryAfter: 3 * time.Second, ConnectTimeout: time.Second, KeepAlive: 10 * time.Second,
-		AnswerSlack: 20 * time.Millisecond, OverloadFactor: s.Rules.Overload, TipAfter: s.Rules.TipAfter.D(),
+		AnswerSlack: 20 * time.Millisecond, OverloadFactor: s.Rules.OverloadFactor, TipAfter: s.Rules.OverloadWindow.D(),
 		ColdFrom: s.Rules.ColdFrom, WarmWithin: s.Rules.WarmWithin.D(),
 	}
-	for _, p := range s.Partners {
-		out.UseCapacityHints = out.UseCapacityHints || p.Hint > 0
+	for _, p := range s.Destinations {
+		out.UseCapacityHints = out.UseCapacityHints || p.CapacityHint > 0
 	}
 	effects := map[string]mb.Effect{"safe": mb.Safe, "keyed": mb.Keyed, "unsafe": mb.Unsafe}
 	for _, c := range s.Classes {
 		out.Classes = append(out.Classes, mb.Class{
-			Name: c.Name, Target: c.Target.D(), DeliveryTimeout: c.GiveUp.D(), Worth: c.Worth, LateWorth: scenario.LateWorth, Effect: effects[c.Effect],
+			Name: c.Name, Target: c.Target.D(), DeliveryTimeout: c.DeliveryTimeout.D(), Worth: c.Worth, LateWorth: scenario.LateWorth, Effect: effects[c.Effect],
 			KeyTTL: c.KeyTTL.D(),
 		})
 	}
@@ -118,7 +118,7 @@
 	if h.waits == nil {
 		h.waits = map[mb.DestinationID]told{}
 	}
-	if h.w.s.Learned.Keep {
+	if h.w.s.Learned.Enabled {
 		if h.life > 1 {
 			h.d.Restore(h.clock(), h.w.figures.Weigh(h.saved, h.w.now-h.savedAt, false))
 		}
@@ -155,7 +155,7 @@
 	if h.w.now > h.startAt {
 		h.saved, h.savedAt = h.d.Snapshot(h.clock()), h.w.now
 	}
-	h.w.at(h.w.now+h.w.s.Learned.Interval.D(), func() { h.save(life) })
+	h.w.at(h.w.now+h.w.s.Learned.SaveInterval.D(), func() { h.save(life) })
 }
 
 // kill ends a life at once. Calls that are out go on at their endpoints, and may run; the next life takes them for that, and so
@@ -177,7 +177,7 @@
 		}
 	}
 	w.result.Kills++
-	w.result.Restarts = append(w.result.Restarts, w.now)
+	w.result.KillTimes = append(w.result.KillTimes, w.now)
 	if lost {
 		w.result.FoldersLost++
 		clear(h.held)
@@ -185,8 +185,8 @@
 	}
 	life := h.life
 	switch {
-	case w.s.Copies.Keep:
-		w.at(w.now+w.s.Copies.Takeover.D(), func() {
+	case w.s.Copies.Enabled:
+		w.at(w.now+w.s.Copies.TakeoverDelay.D(), func() {
 			if !lost && !h.up && h.life == life { // whoever comes back later finds that it is somebody else's
 				clear(h.held)
 				h.order = nil
@@ -212,7 +212,7 @@
 		}
 	}
 	if len(up) == 0 { // until one of them is back
-		w.at(w.now+w.s.Copies.Takeover.D(), func() { h.takenOver(owed) })
+		w.at(w.now+w.s.Copies.TakeoverDelay.D(), func() { h.takenOver(owed) })
 		return
 	}
 	taker := up[w.rng.IntN(len(up))]
@@ -287,7 +287,7 @@
 }
 
 // end ends a message; its call, if one is out, still has to come back.
-func (h *host) end(m *message, how Ending) {
+func (h *host) end(m *message, how MessageOutcome) {
 	h.w.checks.ended(m, how)
 	m.ended = true
 	delete(h.held, m.id)
@@ -340,20 +340,20 @@
 func (h *host) begin(c *call) {
 	w, m, p, life := h.w, c.m, c.partner, h.life
 	if c.sentAt < w.now && (h.known[c.endpoint.name] != mb.Serving || !h.d.MayBegin(h.clock(), m.id) && !w.without[w.forbids(c)]) {
-		w.result.HeldBack++
+		w.result.NotSent++
 		h.answer(c, mb.NotSent, 0)
 		return
 	}
-	if c.begun, c.begunAt = true, w.now; w.without[scenario.MendKill] && m.booked.atKill {
+	if c.begun, c.begunAt = true, w.now; w.without[scenario.SafeguardOutAtKill] && m.booked.atKill {
 		m.booked = booking{} // the record of this call stands in that one's place
 	}
 	w.checks.begun(h, c)
 	w.at(w.now+network, func() {
 		f := p.take(w.now, c.endpoint, h.life == life && h.saw[p.id] == p.backAt && p.backAt >= 0)
 		if f.cold {
-			w.result.Cold++
+			w.result.ColdCalls++
 			if at := w.now - p.backAt; at < early {
-				w.result.ColdEarly++
+				w.result.EarlyColdCalls++
 			}
 		}
 		if f.outcome == mb.Refused {
@@ -384,11 +384,11 @@
 }
 
 // forbids names the safeguard that forbids a call to begin now.
-func (w *World) forbids(c *call) scenario.Mend {
+func (w *Simulation) forbids(c *call) scenario.Safeguard {
 	if c.m.mayRun && w.now >= c.m.ranAt+c.m.wish.class.KeyTTL.D() {
-		return scenario.MendWindow
+		return scenario.SafeguardKeyTTL
 	}
-	return scenario.MendWait
+	return scenario.SafeguardRetryAfter
 }
 
 var outcomes = map[mb.Outcome]string{
--- a/internal/lab/simulation/partner.go
+++ b/internal/lab/simulation/partner.go
@@ -13,7 +13,7 @@
 // machine on the world's time; a call's fate is settled when it arrives.
 type partner struct {
 	id        mb.DestinationID
-	group     scenario.Partners
+	group     scenario.DestinationGroup
 	rules     scenario.Rules
 	sample    func() float64 // milliseconds
 	rng       *rand.Rand
@@ -47,56 +47,56 @@
 
 const limitSpan = time.Second // over which a limit counts
 
-// Partner is a partner system for who plays it against a real forwarder, on a clock of their own that begins at 0. Its methods
+// Destination is a partner system for who plays it against a real forwarder, on a clock of their own that begins at 0. Its methods
 // are not safe for concurrent use.
-type Partner struct{ p *partner }
+type Destination struct{ p *partner }
 
 // Endpoints are its endpoints' names.
-func (p Partner) Endpoints() (names []string) {
+func (p Destination) Endpoints() (names []string) {
 	for _, e := range p.p.endpoints {
 		names = append(names, string(e.name))
 	}
 	return names
 }
 
-// Number is its destination.
-func (p Partner) Number() int { return int(p.p.id) }
+// ID is its destination.
+func (p Destination) ID() int { return int(p.p.id) }
 
-// Hint is what the list says of its capacity, in calls a second; 0 says nothing.
-func (p Partner) Hint() float64 { return p.p.group.Hint * p.p.group.Capacity }
+// CapacityHint is what the list says of its capacity, in calls a second; 0 says nothing.
+func (p Destination) CapacityHint() float64 { return p.p.group.CapacityHint * p.p.group.Capacity }
 
-// Fate is what becomes of a call.
-type Fate struct {
-	Outcome mb.Outcome
-	After   time.Duration // from its arrival to its answer; negative is never
-	Wait    time.Duration // told with Full
-	Cold    bool          // it reached a partner that was still cold,
-	Early   bool          // in its first 14 s
-	Tipped  bool          // and pushed it over
+// CallResult is what becomes of a call.
+type CallResult struct {
+	Outcome    mb.Outcome
+	Latency    time.Duration // from its arrival to its answer; negative is never
+	RetryAfter time.Duration // told with Full
+	Cold       bool          // it reached a partner that was still cold,
+	Early      bool          // in its first 14 s
+	Overloaded bool          // and pushed it over
 }
 
-// Take settles a call that arrives now.
-func (p Partner) Take(now time.Duration) Fate {
+// HandleCall settles a call that arrives now.
+func (p Destination) HandleCall(now time.Duration) CallResult {
 	tips := p.p.tips
 	f := p.p.take(now, p.p.endpoints[0], false)
-	return Fate{f.outcome, f.after, f.wait, f.cold, f.cold && now-p.p.backAt < early, p.p.tips > tips}
+	return CallResult{f.outcome, f.after, f.wait, f.cold, f.cold && now-p.p.backAt < early, p.p.tips > tips}
 }
 
-// Fall takes it down until a moment.
-func (p Partner) Fall(now, until time.Duration, silent bool) { p.p.fall(now, until, silent) }
+// StartOutage takes it down until a moment.
+func (p Destination) StartOutage(now, until time.Duration, silent bool) { p.p.fall(now, until, silent) }
 
-// Slow has its calls take by times as long as so far.
-func (p Partner) Slow(by float64) { p.p.slow *= by }
+// ScaleServiceTime has its calls take by times as long as so far.
+func (p Destination) ScaleServiceTime(by float64) { p.p.slow *= by }
 
-// Partners gives a scenario's partners, as a world of that seed has them.
-func Partners(s scenario.Scenario, seed uint64) ([]Partner, error) {
+// Destinations gives a scenario's partners, as a world of that seed has them.
+func Destinations(s scenario.Scenario, seed uint64) ([]Destination, error) {
 	w, err := New(s, seed)
 	if err != nil {
 		return nil, err
 	}
-	var list []Partner
+	var list []Destination
 	for _, p := range w.partners {
-		list = append(list, Partner{p})
+		list = append(list, Destination{p})
 	}
 	return list, nil
 }
@@ -131,11 +131,11 @@
 
 // bears is how many calls within TipAfter a cold partner stands, what is put down to chance among them.
 func (p *partner) bears(share float64) float64 {
-	n := p.rules.Overload * share * p.group.Capacity * p.rules.TipAfter.D().Seconds()
-	if p.rules.Chance == 0 {
+	n := p.rules.OverloadFactor * share * p.group.Capacity * p.rules.OverloadWindow.D().Seconds()
+	if p.rules.ChanceFactor == 0 {
 		return n + 1
 	}
-	return n + p.rules.Chance*(math.Sqrt(n)+1)
+	return n + p.rules.ChanceFactor*(math.Sqrt(n)+1)
 }
 
 // take settles a call that arrives now, from a forwarder that has seen the outage or has not.
@@ -151,7 +151,7 @@
 	share := p.share(now)
 	f := fate{cold: share < 1}
 	if f.cold {
-		for len(p.arrived) > 0 && p.arrived[0].at <= now-p.rules.TipAfter.D() {
+		for len(p.arrived) > 0 && p.arrived[0].at <= now-p.rules.OverloadWindow.D() {
 			p.arrived = p.arrived[1:]
 		}
 		p.arrived = append(p.arrived, arrival{now, seen})
@@ -166,7 +166,7 @@
 			if 3*knew > 2*len(p.arrived) {
 				p.pushed++
 			}
-			p.fall(now, now+p.rules.TipFor.D(), false)
+			p.fall(now, now+p.rules.OverloadDowntime.D(), false)
 			p.tips++
 			f.outcome, f.after, f.runs = mb.Reset, time.Millisecond, true // what was under way may have run
 			return f
@@ -175,10 +175,10 @@
 	if p.group.Limit > 0 {
 		p.taken = recent(p.taken, now-limitSpan)
 		if float64(len(p.taken)) >= p.lowered*p.group.Limit*limitSpan.Seconds() {
-			if p.group.Counts {
+			if p.group.RefusalsCount {
 				p.taken = append(p.taken, now)
 			}
-			f.outcome, f.after, f.wait = mb.Refused, time.Millisecond, p.group.Tells.D()
+			f.outcome, f.after, f.wait = mb.Refused, time.Millisecond, p.group.RetryAfter.D()
 			return f
 		}
 		p.taken = append(p.taken, now)
@@ -193,7 +193,7 @@
 	begin := max(now, p.servers[free])
 	p.servers[free] = begin + took
 	f.after, f.runs = begin+took-now, true
-	if p.group.Resets > 0 && p.rng.Float64() < p.group.Resets {
+	if p.group.ResetShare > 0 && p.rng.Float64() < p.group.ResetShare {
 		f.outcome = mb.Reset
 	}
 	return f
--- a/internal/lab/simulation/shrink.go
+++ b/internal/lab/simulation/shrink.go
@@ -12,7 +12,7 @@
 func Shrink(s scenario.Scenario, fails func(scenario.Scenario) bool, budget int) scenario.Scenario {
 	try := func(change func(*scenario.Scenario) bool) bool {
 		next := s
-		next.Faults, next.Partners = slices.Clone(s.Faults), slices.Clone(s.Partners)
+		next.Faults, next.Destinations = slices.Clone(s.Faults), slices.Clone(s.Destinations)
 		if budget <= 0 || !change(&next) || next.Check() != nil {
 			return false
 		}
@@ -43,11 +43,11 @@
 				again = true
 			}
 		}
-		for i := range s.Partners {
-			for try(func(n *scenario.Scenario) bool { n.Partners[i].Count /= 2; return n.Partners[i].Count > 0 }) {
+		for i := range s.Destinations {
+			for try(func(n *scenario.Scenario) bool { n.Destinations[i].Count /= 2; return n.Destinations[i].Count > 0 }) {
 				again = true
 			}
-			for try(func(n *scenario.Scenario) bool { n.Partners[i].Endpoints--; return n.Partners[i].Endpoints > 0 }) {
+			for try(func(n *scenario.Scenario) bool { n.Destinations[i].Endpoints--; return n.Destinations[i].Endpoints > 0 }) {
 				again = true
 			}
 		}
--- a/internal/lab/simulation/sweep.go
+++ b/internal/lab/simulation/sweep.go
@@ -53,14 +53,14 @@
 	return out, group.Wait()
 }
 
-// Figure is one number of a result.
-type Figure struct {
+// Metric is one number of a result.
+type Metric struct {
 	Name string
 	Of   func(Result) float64
 }
 
 // Values are the figure of each result.
-func (f Figure) Values(results []Result) []float64 {
+func (f Metric) Values(results []Result) []float64 {
 	values := make([]float64, len(results))
 	for i, r := range results {
 		values[i] = f.Of(r)
@@ -69,7 +69,7 @@
 }
 
 // Mean is the figure's over results.
-func (f Figure) Mean(results []Result) float64 {
+func (f Metric) Mean(results []Result) float64 {
 	sum := 0.0
 	for _, v := range f.Values(results) {
 		sum += v
@@ -77,25 +77,25 @@
 	return sum / float64(max(1, len(results)))
 }
 
-// Figures are those that comparisons show.
-var Figures = []Figure{
-	{"messages lost with folders", func(r Result) float64 { return float64(r.Gone) }},
+// Metrics are those that comparisons show.
+var Metrics = []Metric{
+	{"messages lost with folders", func(r Result) float64 { return float64(r.LostWithFolder) }},
 	{"messages taken over", func(r Result) float64 { return float64(r.TakenOver) }},
 	{"worth delivered, share of offered", func(r Result) float64 { return r.Worth.Delivered / max(1e-9, r.Worth.Offered) }},
-	{"worth in the 20 s after the first kill", func(r Result) float64 { return r.Worth.After }},
-	{"calls to a cold partner in its first 14 s", func(r Result) float64 { return float64(r.ColdEarly) }},
+	{"worth in the 20 s after the first kill", func(r Result) float64 { return r.Worth.AfterKill }},
+	{"calls to a cold partner in its first 14 s", func(r Result) float64 { return float64(r.EarlyColdCalls) }},
 	{"refusals above limits", func(r Result) float64 { return float64(r.OverLimit) }},
-	{"calls within waits told to an earlier life", func(r Result) float64 { return float64(r.InWaits) }},
-	{"partners that fell over again", func(r Result) float64 { return float64(r.Tips) }},
+	{"calls within waits told to an earlier life", func(r Result) float64 { return float64(r.CallsInRetryAfter) }},
+	{"partners that fell over again", func(r Result) float64 { return float64(r.Overloads) }},
 	{"calls", func(r Result) float64 { return float64(r.Calls) }},
-	{"rules broken", func(r Result) float64 { return float64(len(r.Broken)) }},
+	{"rules broken", func(r Result) float64 { return float64(len(r.Violations)) }},
 }
 
 // Interval is a mean with the range in which 95 of 100 resamples lie.
 type Interval struct{ Mean, Low, High float64 }
 
-// Noise says that the range has zero in it: a difference of that size may be chance.
-func (i Interval) Noise() bool { return i.Low <= 0 && i.High >= 0 }
+// IncludesZero says that the range has zero in it: a difference of that size may be chance.
+func (i Interval) IncludesZero() bool { return i.Low <= 0 && i.High >= 0 }
 
 const resamples = 2000
 
@@ -123,7 +123,7 @@
 
 // Difference is what a figure of B has more than A, paired by seed.
 type Difference struct {
-	Figure string
+	Metric string
 	A, B   float64 // means
 	Diff   Interval
 }
@@ -139,7 +139,7 @@
 		}
 	}
 	var out []Difference
-	for _, f := range Figures {
+	for _, f := range Metrics {
 		diffs := f.Values(b)
 		for i, x := range f.Values(a) {
 			diffs[i] -= x
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -22,11 +22,11 @@
 	settle  = 30 * time.Second       // after the traffic's end, for what is held
 )
 
-// World is one run.
-type World struct {
+// Simulation is one run.
+type Simulation struct {
 	s        scenario.Scenario
 	now      time.Duration
-	agenda   eventqueue.Agenda
+	agenda   eventqueue.Queue
 	events   int64
 	rng      *rand.Rand // of the clients
 	partners []*partner
@@ -39,42 +39,42 @@
 	nextID   mb.MessageID
 	list     []mb.Entry
 	figures  memory.Figures
-	without  map[scenario.Mend]bool
+	without  map[scenario.Safeguard]bool
 	result   Result
 	checks   checker
 	// Trace is told what happens to messages, unless it is nil.
 	Trace func(at time.Duration, event int64, message mb.MessageID, what string)
 }
 
-func (w *World) trace(m *message, format string, args ...any) {
+func (w *Simulation) trace(m *message, format string, args ...any) {
 	if w.Trace != nil {
 		w.Trace(w.now, w.events, m.id, fmt.Sprintf(format, args...))
 	}
 }
 
 // New lays a scenario out.
-func New(s scenario.Scenario, seed uint64) (*World, error) {
+func New(s scenario.Scenario, seed uint64) (*Simulation, error) {
 	if err := s.Check(); err != nil {
 		return nil, fmt.Errorf("world: %w", err)
 	}
-	w := &World{
+	w := &Simulation{
 		s: s, rng: rand.New(rand.NewPCG(seed, 1)), byName: map[mb.EndpointID]*partner{}, load: 1, figures: memory.DefaultFigures,
 		result: Result{Scenario: s.Name, Seed: seed, Classes: map[string]*ClassResult{}},
 	}
 	w.checks.w = w
-	w.without = make(map[scenario.Mend]bool, len(s.Without))
-	for _, m := range s.Without {
+	w.without = make(map[scenario.Safeguard]bool, len(s.DisabledSafeguards))
+	for _, m := range s.DisabledSafeguards {
 		w.without[m] = true
 	}
-	for g, group := range s.Partners {
+	for g, group := range s.Destinations {
 		for range group.Count {
 			id := mb.DestinationID(len(w.partners) + 1)
 			src := rand.NewPCG(seed, 1000+uint64(id))
-			sample, err := group.Service.Sampler(src)
+			sample, err := group.ServiceTime.Sampler(src)
 			if err != nil {
 				return nil, fmt.Errorf("world: partners %d: %w", g+1, err)
 			}
-			servers := max(1, int(math.Ceil(group.Capacity*group.Service.Mean/1000)))
+			servers := max(1, int(math.Ceil(group.Capacity*group.ServiceTime.Mean/1000)))
 			p := &partner{
 				id: id, group: group, rules: s.Rules, sample: sample, rng: rand.New(src), slow: 1, lowered: 1, backAt: -1,
 				servers: make([]time.Duration, servers),
@@ -87,7 +87,7 @@
 	}
 	total := 0.0
 	for i := range w.partners {
-		total += math.Pow(float64(i+1), -s.Traffic.Skew)
+		total += math.Pow(float64(i+1), -s.Traffic.DestinationSkew)
 		w.weights = append(w.weights, total)
 	}
 	total = 0
@@ -99,7 +99,7 @@
 	for i := range s.Fleet.Forwarders {
 		h := &host{w: w, name: i, seed: seed*1_000_003 + uint64(i), held: map[mb.MessageID]*message{}}
 		w.hosts = append(w.hosts, h)
-		part := math.Pow(float64(i+1), -s.Traffic.Uneven)
+		part := math.Pow(float64(i+1), -s.Traffic.ForwarderSkew)
 		if i > 0 {
 			part += w.parts[i-1]
 		}
@@ -114,23 +114,23 @@
 }
 
 // add lists one more endpoint.
-func (w *World) add(p *partner, name mb.EndpointID) {
+func (w *Simulation) add(p *partner, name mb.EndpointID) {
 	p.endpoints = append(p.endpoints, &endpoint{name: name})
 	w.byName[name] = p
 	w.list = append(w.list, w.entry(p, name, mb.Serving))
 }
 
-func (w *World) entry(p *partner, name mb.EndpointID, r mb.Readiness) mb.Entry {
-	return mb.Entry{Endpoint: name, Zone: "z", Kind: "k", Destination: p.id, Readiness: r, CapacityHint: p.group.Hint * p.group.Capacity}
+func (w *Simulation) entry(p *partner, name mb.EndpointID, r mb.Readiness) mb.Entry {
+	return mb.Entry{Endpoint: name, Zone: "z", Kind: "k", Destination: p.id, Readiness: r, CapacityHint: p.group.CapacityHint * p.group.Capacity}
 }
 
 // at has something happen at a moment.
-func (w *World) at(t time.Duration, do func()) {
-	w.agenda.At(max(t, w.now), do)
+func (w *Simulation) at(t time.Duration, do func()) {
+	w.agenda.Schedule(max(t, w.now), do)
 }
 
 // Run plays it to its end.
-func (w *World) Run() Result {
+func (w *Simulation) Run() Result {
 	end := w.s.Length.D() + settle
 	for {
 		at, do, some := w.agenda.Next(end)
@@ -144,9 +144,9 @@
 	w.checks.end()
 	w.result.Events = w.events
 	for _, p := range w.partners {
-		w.result.Tips += p.tips
-		w.result.Pushed += p.pushed
-		w.result.Crowd = max(w.result.Crowd, p.crowd)
+		w.result.Overloads += p.tips
+		w.result.InformedOverloads += p.pushed
+		w.result.PeakColdLoad = max(w.result.PeakColdLoad, p.crowd)
 	}
 	return w.result
 }
@@ -162,15 +162,15 @@
 }
 
 // arrive hands a client's message in, and asks for the next.
-func (w *World) arrive() {
+func (w *Simulation) arrive() {
 	if w.now >= w.s.Length.D() {
 		return
 	}
 	w.at(w.now+time.Duration(w.rng.ExpFloat64()/(w.s.Traffic.Rate*w.load)*float64(time.Second)), w.arrive)
 	class := &w.s.Classes[pick(w.shares, w.rng)]
 	m := &wish{
-		class: class, partner: w.partners[pick(w.weights, w.rng)], at: w.now, until: w.now + class.GiveUp.D(),
-		host: w.client(), returns: w.s.Traffic.Returns,
+		class: class, partner: w.partners[pick(w.weights, w.rng)], at: w.now, until: w.now + class.DeliveryTimeout.D(),
+		host: w.client(), returns: w.s.Traffic.MaxRetries,
 	}
 	w.result.Offered++
 	w.result.Classes[class.Name].Offered++
@@ -179,8 +179,8 @@
 }
 
 // client draws the forwarder that a client hands in at.
-func (w *World) client() *host {
-	if w.s.Traffic.Uneven == 0 {
+func (w *Simulation) client() *host {
+	if w.s.Traffic.ForwarderSkew == 0 {
 		return w.hosts[w.rng.IntN(len(w.hosts))]
 	}
 	return w.hosts[pick(w.parts, w.rng)]
@@ -206,12 +206,12 @@
 		w.at(w.now+retryIn, m.hand)
 	default:
 		h := m.host
-		if !w.s.Copies.Keep {
+		if !w.s.Copies.Enabled {
 			h.submit(m)
 			return
 		}
 		life := h.life
-		w.at(w.now+w.s.Copies.Ahead.D(), func() {
+		w.at(w.now+w.s.Copies.ReplicationDelay.D(), func() {
 			if h.up && h.life == life {
 				h.submit(m)
 			} else {
@@ -232,13 +232,13 @@
 }
 
 // chosen draws a share of n, at least one.
-func (w *World) chosen(n int, share float64) []int {
+func (w *Simulation) chosen(n int, share float64) []int {
 	return w.rng.Perm(n)[:min(n, max(1, int(math.Round(share*float64(n)))))]
 }
 
 // fault has something go wrong now.
-func (w *World) fault(f scenario.Fault) {
-	until := w.now + f.For.D()
+func (w *Simulation) fault(f scenario.Fault) {
+	until := w.now + f.Duration.D()
 	switch f.Kind {
 	case scenario.Outage, scenario.Silence:
 		for _, i := range w.chosen(len(w.partners), f.Share) {
@@ -246,33 +246,33 @@
 			p.fall(w.now, until, f.Kind == scenario.Silence)
 			w.at(until, func() { p.silent = false })
 		}
-		w.result.Backs = append(w.result.Backs, until)
+		w.result.RecoveryTimes = append(w.result.RecoveryTimes, until)
 	case scenario.Slow, scenario.Limit:
 		for _, i := range w.chosen(len(w.partners), f.Share) {
 			factor := &w.partners[i].slow
 			if f.Kind == scenario.Limit {
 				factor = &w.partners[i].lowered
 			}
-			*factor *= f.By
-			w.at(until, func() { *factor /= f.By })
+			*factor *= f.Factor
+			w.at(until, func() { *factor /= f.Factor })
 		}
 	case scenario.Connect:
 		for _, i := range w.chosen(len(w.partners), f.Share) {
 			p := w.partners[i]
-			p.connect = f.Takes.D()
+			p.connect = f.ConnectTime.D()
 			w.at(until, func() { p.connect = 0 })
 		}
 	case scenario.Load:
-		w.load *= f.By
-		w.at(until, func() { w.load /= f.By })
+		w.load *= f.Factor
+		w.at(until, func() { w.load /= f.Factor })
 	case scenario.Kill:
 		for _, i := range w.chosen(len(w.hosts), f.Share) {
 			h := w.hosts[i]
 			if !h.up {
 				continue
 			}
-			h.kill(f.Lose > 0 && w.rng.Float64() < f.Lose)
-			back := f.Back.D() + time.Duration(w.rng.Float64()*float64(f.Until-f.Back))
+			h.kill(f.FolderLossShare > 0 && w.rng.Float64() < f.FolderLossShare)
+			back := f.MinDowntime.D() + time.Duration(w.rng.Float64()*float64(f.MaxDowntime-f.MinDowntime))
 			w.at(w.now+back, h.start)
 		}
 	case scenario.Drain:
@@ -283,21 +283,21 @@
 }
 
 // replace takes a partner's oldest endpoint out of the list, in order: drained first, gone later; one of another name comes.
-func (w *World) replace(p *partner, f scenario.Fault) {
+func (w *Simulation) replace(p *partner, f scenario.Fault) {
 	old := p.endpoints[0]
 	w.tell(p, old, mb.Draining)
-	w.at(w.now+max(f.For.D(), 2*listLag), func() {
+	w.at(w.now+max(f.Duration.D(), 2*listLag), func() {
 		w.tell(p, old, mb.Deleted)
 		old.gone = true
 		p.endpoints = p.endpoints[1:]
-		name := mb.EndpointID(fmt.Sprintf("%s'%d", old.name, w.agenda.Told()))
+		name := mb.EndpointID(fmt.Sprintf("%s'%d", old.name, w.agenda.Scheduled()))
 		w.add(p, name)
 		w.tell(p, p.endpoints[len(p.endpoints)-1], mb.Serving)
 	})
 }
 
 // tell changes the list, and has the forwarders know a little later.
-func (w *World) tell(p *partner, e *endpoint, r mb.Readiness) {
+func (w *Simulation) tell(p *partner, e *endpoint, r mb.Readiness) {
 	e.state = r
 	for i := range w.list {
 		if w.list[i].Endpoint == e.name {
--- a/internal/lab/simulation/world_test.go
+++ b/internal/lab/simulation/world_test.go
@@ -20,20 +20,20 @@
 func small(faults ...scenario.Fault) scenario.Scenario {
 	return scenario.Scenario{
 		Name: "small", Length: d(25 * time.Second), Fleet: scenario.Fleet{Forwarders: 4, Slots: 16, MostHeld: 300},
-		Partners: []scenario.Partners{{
-			Count: 4, Endpoints: 2, Capacity: 40, Hint: 1, Service: scenario.Distribution{Kind: "lognormal", Mean: 60, Spread: 0.4},
-			Limit: 40, Counts: true, Tells: d(2 * time.Second),
+		Destinations: []scenario.DestinationGroup{{
+			Count: 4, Endpoints: 2, Capacity: 40, CapacityHint: 1, ServiceTime: scenario.Distribution{Kind: "lognormal", Mean: 60, Spread: 0.4},
+			Limit: 40, RefusalsCount: true, RetryAfter: d(2 * time.Second),
 		}},
 		Classes: []scenario.Class{
-			{Name: "safe", Effect: "safe", Share: 0.6, Worth: 1, Target: d(time.Second), GiveUp: d(15 * time.Second)},
-			{Name: "keyed", Effect: "keyed", Share: 0.2, Worth: 2, Target: d(3 * time.Second), GiveUp: d(15 * time.Second), KeyTTL: d(10 * time.Second)},
-			{Name: "unsafe", Effect: "unsafe", Share: 0.2, Worth: 5, Target: d(3 * time.Second), GiveUp: d(15 * time.Second)},
+			{Name: "safe", Effect: "safe", Share: 0.6, Worth: 1, Target: d(time.Second), DeliveryTimeout: d(15 * time.Second)},
+			{Name: "keyed", Effect: "keyed", Share: 0.2, Worth: 2, Target: d(3 * time.Second), DeliveryTimeout: d(15 * time.Second), KeyTTL: d(10 * time.Second)},
+			{Name: "unsafe", Effect: "unsafe", Share: 0.2, Worth: 5, Target: d(3 * time.Second), DeliveryTimeout: d(15 * time.Second)},
 		},
-		Traffic: scenario.Traffic{Rate: 90, Returns: 2}, Faults: faults,
+		Traffic: scenario.Traffic{Rate: 90, MaxRetries: 2}, Faults: faults,
 		Rules: scenario.Rules{
-			ColdFrom: 0.2, WarmWithin: d(8 * time.Second), Overload: 1.3, TipAfter: d(time.Second), TipFor: d(3 * time.Second),
+			ColdFrom: 0.2, WarmWithin: d(8 * time.Second), OverloadFactor: 1.3, OverloadWindow: d(time.Second), OverloadDowntime: d(3 * time.Second),
 		},
-		Learned: scenario.Learned{Interval: d(time.Second)},
+		Learned: scenario.Learned{SaveInterval: d(time.Second)},
 	}
 }
 
@@ -49,10 +49,10 @@
 // Equal seeds give equal runs, whatever else; another seed another one.
 func TestEqualSeeds(t *testing.T) {
 	s := small(
-		scenario.Fault{Kind: scenario.Outage, At: d(5 * time.Second), For: d(4 * time.Second), Share: 0.5},
-		scenario.Fault{Kind: scenario.Kill, At: d(7 * time.Second), Share: 0.5, Back: d(time.Second), Until: d(3 * time.Second)},
+		scenario.Fault{Kind: scenario.Outage, At: d(5 * time.Second), Duration: d(4 * time.Second), Share: 0.5},
+		scenario.Fault{Kind: scenario.Kill, At: d(7 * time.Second), Share: 0.5, MinDowntime: d(time.Second), MaxDowntime: d(3 * time.Second)},
 	)
-	s.Learned.Keep = true
+	s.Learned.Enabled = true
 	a, b, c := play(t, s, 1), play(t, s, 1), play(t, s, 2)
 	if diff := cmp.Diff(a, b); diff != "" {
 		t.Error(diff)
@@ -68,30 +68,30 @@
 		fault scenario.Fault
 		seen  func(r, calm Result) bool
 	}{
-		"outage":  {scenario.Fault{Kind: scenario.Outage, Share: 0.5}, func(r, calm Result) bool { return r.Cold > 0 }},
+		"outage":  {scenario.Fault{Kind: scenario.Outage, Share: 0.5}, func(r, calm Result) bool { return r.ColdCalls > 0 }},
 		"silence": {scenario.Fault{Kind: scenario.Silence, Share: 0.5}, func(r, calm Result) bool { return r.Worth.Delivered < 0.98*calm.Worth.Delivered }},
-		"slow":    {scenario.Fault{Kind: scenario.Slow, Share: 1, By: 20}, func(r, calm Result) bool { return r.Worth.Delivered < 0.98*calm.Worth.Delivered }},
-		"limit":   {scenario.Fault{Kind: scenario.Limit, Share: 1, By: 0.3}, func(r, calm Result) bool { return r.OverLimit > calm.OverLimit }},
-		"load":    {scenario.Fault{Kind: scenario.Load, By: 3}, func(r, calm Result) bool { return r.Offered > calm.Offered*6/5 }},
-		"kill":    {scenario.Fault{Kind: scenario.Kill, Share: 0.5, Back: d(time.Second), Until: d(4 * time.Second)}, func(r, calm Result) bool { return r.Kills == 2 }},
+		"slow":    {scenario.Fault{Kind: scenario.Slow, Share: 1, Factor: 20}, func(r, calm Result) bool { return r.Worth.Delivered < 0.98*calm.Worth.Delivered }},
+		"limit":   {scenario.Fault{Kind: scenario.Limit, Share: 1, Factor: 0.3}, func(r, calm Result) bool { return r.OverLimit > calm.OverLimit }},
+		"load":    {scenario.Fault{Kind: scenario.Load, Factor: 3}, func(r, calm Result) bool { return r.Offered > calm.Offered*6/5 }},
+		"kill":    {scenario.Fault{Kind: scenario.Kill, Share: 0.5, MinDowntime: d(time.Second), MaxDowntime: d(4 * time.Second)}, func(r, calm Result) bool { return r.Kills == 2 }},
 		"drain":   {scenario.Fault{Kind: scenario.Drain, Share: 1}, func(r, calm Result) bool { return r.Calls > 0 }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c.fault.At, c.fault.For = d(6*time.Second), d(6*time.Second)
+			c.fault.At, c.fault.Duration = d(6*time.Second), d(6*time.Second)
 			for seed := range uint64(2) {
 				calm := play(t, small(), seed)
 				for _, keep := range []bool{false, true} {
 					s := small(c.fault)
-					s.Learned.Keep = keep
+					s.Learned.Enabled = keep
 					r := play(t, s, seed)
-					for _, b := range r.Broken {
+					for _, b := range r.Violations {
 						t.Errorf("seed %d, learned %v: %s", seed, keep, b)
 					}
 					if !c.seen(r, calm) {
 						t.Errorf("seed %d: nothing to be seen of it: %+v", seed, r.Worth)
 					}
-					if share := calm.Worth.Delivered / calm.Worth.Offered; share < 0.95 || len(calm.Broken) > 0 {
-						t.Errorf("seed %d: a calm run delivers %.2f, broken %v", seed, share, calm.Broken)
+					if share := calm.Worth.Delivered / calm.Worth.Offered; share < 0.95 || len(calm.Violations) > 0 {
+						t.Errorf("seed %d: a calm run delivers %.2f, broken %v", seed, share, calm.Violations)
 					}
 				}
 			}
@@ -102,24 +102,24 @@
 // The checker finds each thing that it is there for.
 func TestCheckerFinds(t *testing.T) {
 	s := small()
-	for name, f := range map[string]func(w *World, h *host, m *message, c *call){
-		"a second end":  func(w *World, h *host, m *message, c *call) { h.end(m, Failed); h.end(m, Refused) },
-		"no end":        func(w *World, h *host, m *message, c *call) { w.checks.end() },
-		"late":          func(w *World, h *host, m *message, c *call) { w.now = m.deadline + time.Second; h.end(m, Failed) },
-		"second effect": func(w *World, h *host, m *message, c *call) { w.checks.ran(m); w.checks.ran(m) },
-		"sent again":    func(w *World, h *host, m *message, c *call) { m.mayRun = true; w.checks.begun(h, c) },
-		"behind its key": func(w *World, h *host, m *message, c *call) {
+	for name, f := range map[string]func(w *Simulation, h *host, m *message, c *call){
+		"a second end":  func(w *Simulation, h *host, m *message, c *call) { h.end(m, Failed); h.end(m, Refused) },
+		"no end":        func(w *Simulation, h *host, m *message, c *call) { w.checks.end() },
+		"late":          func(w *Simulation, h *host, m *message, c *call) { w.now = m.deadline + time.Second; h.end(m, Failed) },
+		"second effect": func(w *Simulation, h *host, m *message, c *call) { w.checks.ran(m); w.checks.ran(m) },
+		"sent again":    func(w *Simulation, h *host, m *message, c *call) { m.mayRun = true; w.checks.begun(h, c) },
+		"behind its key": func(w *Simulation, h *host, m *message, c *call) {
 			m.wish.class = &s.Classes[1]
 			m.mayRun = true
 			w.now = time.Minute
 			w.checks.begun(h, c)
 		},
-		"slots": func(w *World, h *host, m *message, c *call) { h.out = 99; w.checks.sent(h, c) },
-		"drained": func(w *World, h *host, m *message, c *call) {
+		"slots": func(w *Simulation, h *host, m *message, c *call) { h.out = 99; w.checks.sent(h, c) },
+		"drained": func(w *Simulation, h *host, m *message, c *call) {
 			h.known[c.endpoint.name] = mb.Draining
 			w.checks.sent(h, c)
 		},
-		"within a told wait": func(w *World, h *host, m *message, c *call) {
+		"within a told wait": func(w *Simulation, h *host, m *message, c *call) {
 			h.waits[c.partner.id] = told{time.Hour, h.life}
 			w.checks.begun(h, c)
 		},
@@ -134,11 +134,11 @@
 		h.submit(x)
 		m := h.held[1]
 		c := &call{m: m, endpoint: w.partners[0].endpoints[0], partner: w.partners[0]}
-		if len(w.result.Broken) > 0 {
-			t.Fatalf("%s: before anything: %v", name, w.result.Broken)
+		if len(w.result.Violations) > 0 {
+			t.Fatalf("%s: before anything: %v", name, w.result.Violations)
 		}
-		if f(w, h, m, c); len(w.result.Broken) != 1 {
-			t.Errorf("%s: %v", name, w.result.Broken)
+		if f(w, h, m, c); len(w.result.Violations) != 1 {
+			t.Errorf("%s: %v", name, w.result.Violations)
 		}
 	}
 }
@@ -192,12 +192,12 @@
 // earlier lives, and deliver no less.
 func TestLearnedStateAfterMassRestart(t *testing.T) {
 	s := small(
-		scenario.Fault{Kind: scenario.Load, At: d(4 * time.Second), For: d(8 * time.Second), By: 3},
-		scenario.Fault{Kind: scenario.Outage, At: d(6 * time.Second), For: d(5 * time.Second), Share: 0.5},
-		scenario.Fault{Kind: scenario.Kill, At: d(8 * time.Second), Share: 0.5, Back: d(200 * time.Millisecond), Until: d(time.Second)},
+		scenario.Fault{Kind: scenario.Load, At: d(4 * time.Second), Duration: d(8 * time.Second), Factor: 3},
+		scenario.Fault{Kind: scenario.Outage, At: d(6 * time.Second), Duration: d(5 * time.Second), Share: 0.5},
+		scenario.Fault{Kind: scenario.Kill, At: d(8 * time.Second), Share: 0.5, MinDowntime: d(200 * time.Millisecond), MaxDowntime: d(time.Second)},
 	)
 	kept := s
-	kept.Learned.Keep = true
+	kept.Learned.Enabled = true
 	seeds := []uint64{1, 2, 3, 4}
 	results, err := Sweep(t.Context(), []Variant{{"without", s}, {"with", kept}}, seeds, 4, nil)
 	if err != nil {
@@ -209,7 +209,7 @@
 	}
 	by := map[string]Difference{}
 	for _, x := range list {
-		by[x.Figure] = x
+		by[x.Metric] = x
 	}
 	if x := by["calls within waits told to an earlier life"]; x.A == 0 || x.B > x.A/2 {
 		t.Errorf("%+v", x)
@@ -225,9 +225,9 @@
 // A scenario that fails is made smaller as long as it fails, within its budget of runs, and never into one that can't be played.
 func TestShrink(t *testing.T) {
 	s := small(
-		scenario.Fault{Kind: scenario.Slow, At: d(2 * time.Second), For: d(time.Second), By: 2, Share: 1},
-		scenario.Fault{Kind: scenario.Outage, At: d(3 * time.Second), For: d(time.Second), Share: 1},
-		scenario.Fault{Kind: scenario.Load, At: d(4 * time.Second), For: d(time.Second), By: 2},
+		scenario.Fault{Kind: scenario.Slow, At: d(2 * time.Second), Duration: d(time.Second), Factor: 2, Share: 1},
+		scenario.Fault{Kind: scenario.Outage, At: d(3 * time.Second), Duration: d(time.Second), Share: 1},
+		scenario.Fault{Kind: scenario.Load, At: d(4 * time.Second), Duration: d(time.Second), Factor: 2},
 	)
 	runs := 0
 	fails := func(s scenario.Scenario) bool {
@@ -240,10 +240,10 @@
 	}
 	got := Shrink(s, fails, 1000)
 	if len(got.Faults) != 1 || got.Faults[0].Kind != scenario.Outage || got.Fleet.Forwarders != 3 || got.Length.D() > 4*time.Second ||
-		got.Partners[0].Count != 1 || got.Partners[0].Endpoints != 1 || got.Traffic.Rate > 0.5 {
+		got.Destinations[0].Count != 1 || got.Destinations[0].Endpoints != 1 || got.Traffic.Rate > 0.5 {
 		t.Errorf("%+v", got)
 	}
-	if len(s.Faults) != 3 || s.Partners[0].Count != 4 {
+	if len(s.Faults) != 3 || s.Destinations[0].Count != 4 {
 		t.Error("what was given was changed")
 	}
 	runs = 0
@@ -288,7 +288,7 @@
 		for k := range values {
 			values[k] -= 5
 		}
-		if Bootstrap(values, run).Noise() {
+		if Bootstrap(values, run).IncludesZero() {
 			noise++
 		}
 	}
@@ -308,7 +308,7 @@
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s := small()
-			s.Fleet.Forwarders, s.Partners[0].Count, s.Length = n, n/2, d(10*time.Second)
+			s.Fleet.Forwarders, s.Destinations[0].Count, s.Length = n, n/2, d(10*time.Second)
 			s.Traffic.Rate = 10 * float64(n)
 			events := int64(0)
 			for b.Loop() {
@@ -326,18 +326,18 @@
 // Folders that are lost take along what nobody has a copy of; with copies another forwarder goes on with it, by the same rules.
 func TestFoldersAreLost(t *testing.T) {
 	s := small(
-		scenario.Fault{Kind: scenario.Outage, At: d(5 * time.Second), For: d(5 * time.Second), Share: 0.5},
-		scenario.Fault{Kind: scenario.Kill, At: d(8 * time.Second), Share: 0.5, Lose: 1, Back: d(time.Second), Until: d(5 * time.Second)},
+		scenario.Fault{Kind: scenario.Outage, At: d(5 * time.Second), Duration: d(5 * time.Second), Share: 0.5},
+		scenario.Fault{Kind: scenario.Kill, At: d(8 * time.Second), Share: 0.5, FolderLossShare: 1, MinDowntime: d(time.Second), MaxDowntime: d(5 * time.Second)},
 	)
 	alone := play(t, s, 1)
-	s.Copies = scenario.Copies{Keep: true, Takeover: d(2 * time.Second), Ahead: d(time.Millisecond)}
+	s.Copies = scenario.Copies{Enabled: true, TakeoverDelay: d(2 * time.Second), ReplicationDelay: d(time.Millisecond)}
 	copied := play(t, s, 1)
-	if alone.Gone == 0 || alone.TakenOver != 0 || copied.Gone != 0 || copied.TakenOver == 0 {
-		t.Errorf("alone %d gone, %d taken over; with copies %d and %d", alone.Gone, alone.TakenOver, copied.Gone, copied.TakenOver)
+	if alone.LostWithFolder == 0 || alone.TakenOver != 0 || copied.LostWithFolder != 0 || copied.TakenOver == 0 {
+		t.Errorf("alone %d gone, %d taken over; with copies %d and %d", alone.LostWithFolder, alone.TakenOver, copied.LostWithFolder, copied.TakenOver)
 	}
 	for _, r := range []Result{alone, copied} {
-		if len(r.Broken) > 0 {
-			t.Error(r.Broken)
+		if len(r.Violations) > 0 {
+			t.Error(r.Violations)
 		}
 	}
 	if copied.Worth.Delivered <= alone.Worth.Delivered {
