--- a/internal/lab/eventqueue/agenda.go
+++ b/internal/lab/eventqueue/eventqueue.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Queue is what is still to happen. Moments that are equal keep the order in which they were told.
+// Queue holds the events that are still due. Events that are due at the same time run in the order in which they were scheduled.
 type Queue struct {
 	seq   uint64
 	queue eventHeap
@@ -34,13 +34,13 @@
 	return e
 }
 
-// Schedule has something happen at a moment.
+// Schedule adds an event: do is due at time t.
 func (a *Queue) Schedule(t time.Duration, do func()) {
 	a.seq++
 	heap.Push(&a.queue, event{t, a.seq, do})
 }
 
-// Next gives what happens next, and when. False says that nothing is left up to the end.
+// Next removes the earliest event and returns its time and its function. It returns false if no event is due up to end.
 func (a *Queue) Next(end time.Duration) (at time.Duration, do func(), some bool) {
 	if len(a.queue) == 0 || a.queue[0].at > end {
 		return 0, nil, false
@@ -49,5 +49,5 @@
 	return e.at, e.do, true
 }
 
-// Scheduled is how many things it was told of.
+// Scheduled returns the number of events scheduled so far, including those that Next has removed.
 func (a *Queue) Scheduled() uint64 { return a.seq }
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -1,6 +1,6 @@
-// Package live plays a scenario in real time: the real program as several processes on loopback, killed and restarted on the
-// scenario's schedule, between partners that are the world's and clients that hand in what the world's would. Runs of one seed
-// differ by what the machine does; their figures stand beside those of virtual time.
+// Package live runs a scenario in real time: several processes of the real program on loopback, which are killed and restarted on
+// the scenario's schedule, with simulated destinations and clients. Runs of one seed differ with the timing of the machine; their
+// metrics are shown beside those of virtual time.
 package live
 
 import (
@@ -21,72 +21,72 @@
 )
 
 const (
-	settleFor = 30 * time.Second // after the traffic's end
-	comeAgain = 500 * time.Millisecond
+	drainTime        = 30 * time.Second // after the end of the traffic, for the messages still held
+	clientRetryDelay = 500 * time.Millisecond
 )
 
-// Run is one scenario with one seed.
+// Run configures a run of one scenario with one seed.
 type Run struct {
 	Scenario scenario.Scenario
 	Seed     uint64
-	Program  []string // the forwarder and its arguments
+	Program  []string // command line of the forwarder
 	Env      []string
-	Dir      string // for the forwarders' folders; has to exist
+	Dir      string // existing folder for the forwarders' folders
 	Log      func(format string, args ...any)
 }
 
-// stage is a run under way.
-type stage struct {
+// run is a run in progress.
+type run struct {
 	Run
-	ctx      context.Context // of the whole run
-	began    time.Time
-	agent    *lab.Agent
-	partners []*site
-	hosts    []*host
-	check    *lab.Checker
-	tasks    sync.WaitGroup
+	ctx          context.Context // ends with the run
+	startedAt    time.Time
+	agent        *lab.Agent
+	destinations []*destination
+	forwarders   []*forwarder
+	check        *lab.Checker
+	tasks        sync.WaitGroup
 
 	mu       sync.Mutex
 	result   simulation.Result
-	waiting  map[string]*wish // by the id that was taken on
-	killedAt time.Duration    // the first kill; negative is none
+	waiting  map[string]*request // by the message ID of the latest submission
+	killedAt time.Duration       // time of the first kill; negative if none
 }
 
-// site is a partner with its endpoints on sockets.
-type site struct {
+// destination is a simulated destination whose endpoints listen on sockets.
+type destination struct {
 	mu        sync.Mutex
-	partner   simulation.Destination
+	model     simulation.Destination
 	endpoints []*lab.Endpoint
 }
 
-// host is one forwarder.
-type host struct {
-	mu sync.Mutex // round its starts and ends
-	f  *lab.Forwarder
-	up bool
+// forwarder is a process of the forwarder.
+type forwarder struct {
+	mu      sync.Mutex // serializes starts and stops
+	process *lab.Forwarder
+	up      bool
 }
 
-// wish is what a client wants delivered.
-type wish struct {
-	n       int
-	class   *scenario.Class
-	partner *site
-	host    *host
-	at      time.Duration
-	until   time.Duration
-	returns int
-	done    bool
-	ended   chan lab.Notice // how a message that was taken on ended, if not by a delivery
+// request is a message that a client wants delivered.
+type request struct {
+	number      int
+	class       *scenario.Class
+	destination *destination
+	forwarder   *forwarder
+	createdAt   time.Duration
+	deadline    time.Duration
+	retriesLeft int
+	done        bool
+	ended       chan lab.Notice // delivery report of a message that was accepted; closed on delivery
 }
 
-func (s *stage) now() time.Duration { return time.Since(s.began) }
+func (s *run) now() time.Duration { return time.Since(s.startedAt) }
 
-// Play plays it to its end.
+// Play carries out the run and returns its result.
 func (r Run) Play(ctx context.Context) (simulation.Result, error) {
 	if r.Log == nil {
 		r.Log = func(string, ...any) {}
 	}
-	s := &stage{Run: r, check: lab.NewChecker(), waiting: map[string]*wish{}, killedAt: -1}
+	s := &run{Run: r, check: lab.NewChecker(), waiting: map[string]*request{}, killedAt: -1}
 	s.result = simulation.Result{Scenario: r.Scenario.Name, Seed: r.Seed, Classes: map[string]*simulation.ClassResult{}}
 	for _, c := range r.Scenario.Classes {
 		s.result.Classes[c.Name] = &simulation.ClassResult{}
@@ -95,20 +95,20 @@
 	if err := s.open(); err != nil {
 		return s.result, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, r.Scenario.Length.D()+settleFor)
+	ctx, cancel := context.WithTimeout(ctx, r.Scenario.Length.D()+drainTime)
 	defer cancel()
-	s.ctx, s.began = ctx, time.Now()
+	s.ctx, s.startedAt = ctx, time.Now()
 	rng := rand.New(rand.NewPCG(r.Seed, 2))
 	for _, f := range r.Scenario.Faults {
-		s.later(ctx, f.At.D(), func() { s.fault(ctx, f, rng) })
+		s.schedule(ctx, f.At.D(), func() { s.injectFault(ctx, f, rng) })
 	}
-	s.clients(ctx)
+	s.generateTraffic(ctx)
 	s.tasks.Wait()
 	return s.result, s.finish()
 }
 
-// later does something at a moment, unless ctx ends first.
-func (s *stage) later(ctx context.Context, at time.Duration, do func()) {
+// schedule calls do at a time of the run, unless ctx ends first.
+func (s *run) schedule(ctx context.Context, at time.Duration, do func()) {
 	s.tasks.Add(1)
 	go func() {
 		defer s.tasks.Done()
@@ -118,32 +118,32 @@
 	}()
 }
 
-// open starts partners, agent and forwarders.
-func (s *stage) open() error {
+// open starts the destinations, the agent and the forwarders.
+func (s *run) open() error {
 	partners, err := simulation.Destinations(s.Scenario, s.Seed)
 	if err != nil {
 		return err
 	}
 	var all []*lab.Endpoint
 	for _, p := range partners {
-		t := &site{partner: p}
+		t := &destination{model: p}
 		for _, name := range p.Endpoints() {
-			e := &lab.Endpoint{Name: name, Group: p.ID(), Weight: p.CapacityHint(), Handle: func(c *lab.Call) bool { return s.call(t, c) }}
+			e := &lab.Endpoint{Name: name, Group: p.ID(), Weight: p.CapacityHint(), Handle: func(c *lab.Call) bool { return s.handleCall(t, c) }}
 			if err := e.Listen(); err != nil {
 				return err
 			}
 			t.endpoints = append(t.endpoints, e)
 			all = append(all, e)
 		}
-		s.partners = append(s.partners, t)
+		s.destinations = append(s.destinations, t)
 	}
-	s.agent = &lab.Agent{Told: s.told}
+	s.agent = &lab.Agent{Told: s.handleReport}
 	if err := s.agent.Listen(all...); err != nil {
 		return err
 	}
 	for i := range s.Scenario.Fleet.Forwarders {
 		f := &lab.Forwarder{
-			Command: s.Program, Env: s.Env, Name: fmt.Sprint("f", i), Slots: s.Scenario.Fleet.Slots, DiskMB: 32, Amend: s.amend,
+			Command: s.Program, Env: s.Env, Name: fmt.Sprint("f", i), Slots: s.Scenario.Fleet.Slots, DiskMB: 32, Amend: s.configure,
 		}
 		if s.Scenario.Learned.Enabled {
 			f.Settings = fmt.Sprintf("[learned]\ninterval = %q\nsize = \"1MiB\"\n", s.Scenario.Learned.SaveInterval.D())
@@ -152,8 +152,8 @@
 		if err := f.Prepare(dir, s.agent); err != nil {
 			return err
 		}
-		h := &host{f: f}
-		s.hosts = append(s.hosts, h)
+		h := &forwarder{process: f}
+		s.forwarders = append(s.forwarders, h)
 		if err := f.Start(); err != nil {
 			return err
 		}
@@ -162,8 +162,8 @@
 	return nil
 }
 
-// amend puts the scenario in the platform's configuration; its times are in microseconds.
-func (s *stage) amend(c map[string]any) {
+// configure writes the scenario's settings into the platform's configuration, whose times are in microseconds.
+func (s *run) configure(c map[string]any) {
 	micro := func(d scenario.Duration) int64 { return d.D().Microseconds() }
 	services := []any{}
 	for _, k := range s.Scenario.Classes {
@@ -180,13 +180,13 @@
 	rules["overload-factor"], rules["tip-after"] = s.Scenario.Rules.OverloadFactor, micro(s.Scenario.Rules.OverloadWindow)
 }
 
-// call answers one call to a partner, as the partner's state says.
-func (s *stage) call(t *site, c *lab.Call) bool {
+// handleCall answers a call to a destination according to the destination's state.
+func (s *run) handleCall(t *destination, c *lab.Call) bool {
 	if c.ReadAll(0) != nil {
 		return false
 	}
 	t.mu.Lock()
-	f := t.partner.HandleCall(s.now())
+	f := t.model.HandleCall(s.now())
 	t.mu.Unlock()
 	s.mu.Lock()
 	s.result.Calls++
@@ -204,11 +204,11 @@
 	}
 	s.mu.Unlock()
 	switch {
-	case f.Latency < 0: // silent: until the forwarder gives up
+	case f.Latency < 0: // silent: waits until the forwarder closes the connection
 		_, _ = c.Conn.Read(make([]byte, 1))
 		return false
 	case f.Overloaded:
-		s.shut(t, s.Scenario.Rules.OverloadDowntime.D())
+		s.disconnect(t, s.Scenario.Rules.OverloadDowntime.D())
 		return false
 	case f.Outcome == mb.ConnectFailed:
 		return false
@@ -219,31 +219,31 @@
 		}
 		return c.Answer(429, fields) == nil
 	}
-	time.Sleep(f.Latency) // the service itself
+	time.Sleep(f.Latency) // the service time
 	if f.Outcome == mb.Reset {
 		return false
 	}
 	if c.Answer(200, "") != nil {
 		return false
 	}
-	s.delivered(c.ID)
+	s.recordDelivery(c.ID)
 	return true
 }
 
-// shut ends a partner's connections and has new ones refused for a time.
-func (s *stage) shut(t *site, d time.Duration) {
+// disconnect closes a destination's connections and refuses new ones for a time.
+func (s *run) disconnect(t *destination, d time.Duration) {
 	for _, e := range t.endpoints {
 		e.Down()
 	}
-	s.later(s.ctx, s.now()+d, func() {
+	s.schedule(s.ctx, s.now()+d, func() {
 		for _, e := range t.endpoints {
-			_ = e.Up() // it is, if it fell over twice
+			_ = e.Up() // fails if the endpoint is up already, after two overlapping outages
 		}
 	})
 }
 
-// delivered books a delivery by the id that its client had given.
-func (s *stage) delivered(id string) {
+// recordDelivery counts a delivery by the message ID that the client gave.
+func (s *run) recordDelivery(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w := s.waiting[id]
@@ -254,11 +254,11 @@
 	delete(s.waiting, id)
 	close(w.ended)
 	now := s.now()
-	s.result.RecordDelivery(w.class, now-w.at, s.killedAt >= 0 && now < s.killedAt+simulation.AfterKillWindow)
+	s.result.RecordDelivery(w.class, now-w.createdAt, s.killedAt >= 0 && now < s.killedAt+simulation.AfterKillWindow)
 }
 
-// told passes a notice on to its client.
-func (s *stage) told(n lab.Notice) {
+// handleReport passes a delivery report to the client that waits for it.
+func (s *run) handleReport(n lab.Notice) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if w := s.waiting[n.Message]; w != nil {
@@ -267,14 +267,14 @@
 	}
 }
 
-// clients hand in what the scenario says until its traffic ends.
-func (s *stage) clients(ctx context.Context) {
+// generateTraffic submits messages at the scenario's rate until its traffic ends.
+func (s *run) generateTraffic(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(s.Seed, 1))
 	share := 0.0
 	for _, c := range s.Scenario.Classes {
 		share += c.Share
 	}
-	next := time.Duration(0) // on the run's clock: what a sleep is late does not thin the traffic
+	next := time.Duration(0) // on the run's clock, so that late wake-ups do not lower the rate
 	for n := 0; ; n++ {
 		next += time.Duration(rng.ExpFloat64() / s.Scenario.Traffic.Rate * float64(time.Second))
 		if next >= s.Scenario.Length.D() || !lab.Sleep(ctx, next-s.now()) {
@@ -288,9 +288,9 @@
 				break
 			}
 		}
-		w := &wish{
-			n: n, class: class, partner: s.partners[rng.IntN(len(s.partners))], host: s.hosts[rng.IntN(len(s.hosts))], at: s.now(),
-			until: s.now() + class.DeliveryTimeout.D(), returns: s.Scenario.Traffic.MaxRetries,
+		w := &request{
+			number: n, class: class, destination: s.destinations[rng.IntN(len(s.destinations))], forwarder: s.forwarders[rng.IntN(len(s.forwarders))], createdAt: s.now(),
+			deadline: s.now() + class.DeliveryTimeout.D(), retriesLeft: s.Scenario.Traffic.MaxRetries,
 		}
 		s.mu.Lock()
 		s.result.Offered++
@@ -300,38 +300,38 @@
 		s.tasks.Add(1)
 		go func() {
 			defer s.tasks.Done()
-			s.want(ctx, w)
+			s.submitUntilDone(ctx, w)
 		}()
 	}
 }
 
-// want hands a wish in until it is delivered, given up, or nobody waits for it any more.
-func (s *stage) want(ctx context.Context, w *wish) {
+// submitUntilDone submits a request until it is delivered or abandoned, its retries are used up, or its deadline passes.
+func (s *run) submitUntilDone(ctx context.Context, w *request) {
 	class := s.result.Classes[w.class.Name]
 	book := func(which *int) { s.mu.Lock(); *which++; s.mu.Unlock() }
 	for try := 0; ; try++ {
-		left := w.until - s.now()
+		left := w.deadline - s.now()
 		if left <= 0 {
 			book(&class.Lost)
 			return
 		}
-		id := fmt.Sprintf("%d-%d", w.n, try)
+		id := fmt.Sprintf("%d-%d", w.number, try)
 		s.mu.Lock()
 		w.ended = make(chan lab.Notice, 2)
 		s.waiting[id] = w
 		s.mu.Unlock()
-		again, waits := s.hand(w, id, left)
-		if waits {
+		retryAfter, accepted := s.submit(w, id, left)
+		if accepted {
 			select {
-			case n, told := <-w.ended:
+			case n, open := <-w.ended:
 				switch {
-				case !told: // delivered
+				case !open: // closed: delivered
 					return
 				case n.Outcome != "handed_back":
 					book(&class.Failed)
 					return
 				}
-				again = time.Duration(n.Retry) * time.Millisecond
+				retryAfter = time.Duration(n.Retry) * time.Millisecond
 			case <-ctx.Done():
 				book(&class.Lost)
 				return
@@ -340,33 +340,33 @@
 		s.mu.Lock()
 		delete(s.waiting, id)
 		s.mu.Unlock()
-		if again >= 0 {
-			if w.returns--; w.returns < 0 {
+		if retryAfter >= 0 {
+			if w.retriesLeft--; w.retriesLeft < 0 {
 				book(&class.Refused)
 				return
 			}
 		}
-		if !lab.Sleep(ctx, max(comeAgain/10, again)) {
+		if !lab.Sleep(ctx, max(clientRetryDelay/10, retryAfter)) {
 			book(&class.Lost)
 			return
 		}
 	}
 }
 
-// hand hands a message in: it was taken on and its end is waited for, or it is to come again. Below zero nobody answered, and
-// coming again counts for nothing.
-func (s *stage) hand(w *wish, id string, left time.Duration) (again time.Duration, waits bool) {
-	c, err := lab.Dial(w.host.f.Address())
-	if err != nil { // it is dead
-		time.Sleep(comeAgain)
+// submit submits a message. If it is accepted, accepted is true; otherwise the client tries again after retryAfter. A negative
+// retryAfter means that there was no answer, and that the attempt does not count as a retry.
+func (s *run) submit(w *request, id string, left time.Duration) (retryAfter time.Duration, accepted bool) {
+	c, err := lab.Dial(w.forwarder.process.Address())
+	if err != nil { // the forwarder is down
+		time.Sleep(clientRetryDelay)
 		return -1, false
 	}
 	defer c.Close()
 	h := lab.Handover{
-		ID: id, Class: w.class.Name, Destination: w.partner.partner.ID(), Left: left, Body: lab.Content{Seed: uint64(w.n), Size: 200},
+		ID: id, Class: w.class.Name, Destination: w.destination.model.ID(), Left: left, Body: lab.Content{Seed: uint64(w.number), Size: 200},
 	}
 	if w.class.Effect == "keyed" {
-		h.Key = strconv.Itoa(w.n)
+		h.Key = strconv.Itoa(w.number)
 	}
 	a := c.Hand(h, nil)
 	s.check.Handed(h, a)
@@ -382,8 +382,8 @@
 	return 0, false
 }
 
-// fault has something go wrong now.
-func (s *stage) fault(ctx context.Context, f scenario.Fault, rng *rand.Rand) {
+// injectFault starts a fault now and schedules its end.
+func (s *run) injectFault(ctx context.Context, f scenario.Fault, rng *rand.Rand) {
 	chosen := func(n int) []int {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -392,32 +392,32 @@
 	s.Log("%v: %s", s.now().Round(time.Millisecond), f.Kind)
 	switch f.Kind {
 	case scenario.Outage, scenario.Silence:
-		for _, i := range chosen(len(s.partners)) {
-			t := s.partners[i]
+		for _, i := range chosen(len(s.destinations)) {
+			t := s.destinations[i]
 			t.mu.Lock()
-			t.partner.StartOutage(s.now(), s.now()+f.Duration.D(), f.Kind == scenario.Silence)
+			t.model.StartOutage(s.now(), s.now()+f.Duration.D(), f.Kind == scenario.Silence)
 			t.mu.Unlock()
 			if f.Kind == scenario.Silence {
 				continue
 			}
-			s.shut(t, f.Duration.D())
+			s.disconnect(t, f.Duration.D())
 		}
 	case scenario.Slow:
-		for _, i := range chosen(len(s.partners)) {
-			t := s.partners[i]
+		for _, i := range chosen(len(s.destinations)) {
+			t := s.destinations[i]
 			slow := func(by float64) {
 				t.mu.Lock()
-				t.partner.ScaleServiceTime(by)
+				t.model.ScaleServiceTime(by)
 				t.mu.Unlock()
 			}
 			slow(f.Factor)
-			s.later(ctx, s.now()+f.Duration.D(), func() { slow(1 / f.Factor) })
+			s.schedule(ctx, s.now()+f.Duration.D(), func() { slow(1 / f.Factor) })
 		}
 	case scenario.Kill:
-		for _, i := range chosen(len(s.hosts)) {
-			h := s.hosts[i]
+		for _, i := range chosen(len(s.forwarders)) {
+			h := s.forwarders[i]
 			h.mu.Lock()
-			_ = h.f.End(syscall.SIGKILL)
+			_ = h.process.End(syscall.SIGKILL)
 			h.up = false
 			h.mu.Unlock()
 			s.mu.Lock()
@@ -426,10 +426,10 @@
 			}
 			back := f.MinDowntime.D() + time.Duration(rng.Float64()*float64(f.MaxDowntime-f.MinDowntime))
 			s.mu.Unlock()
-			s.later(ctx, s.now()+back, func() {
+			s.schedule(ctx, s.now()+back, func() {
 				h.mu.Lock()
 				defer h.mu.Unlock()
-				if err := h.f.Start(); err != nil {
+				if err := h.process.Start(); err != nil {
 					s.Log("start: %v", err)
 					return
 				}
@@ -439,19 +439,19 @@
 	}
 }
 
-// finish ends the forwarders in order and holds what all sides have seen against the rules.
-func (s *stage) finish() error {
+// finish stops the forwarders gracefully and checks the rules against what clients, agent and endpoints recorded.
+func (s *run) finish() error {
 	var errs []error
-	for _, h := range s.hosts {
+	for _, h := range s.forwarders {
 		if h.up {
-			errs = append(errs, h.f.End(syscall.SIGTERM))
+			errs = append(errs, h.process.End(syscall.SIGTERM))
 			h.up = false
 		} else {
-			errs = append(errs, errors.New("live: a forwarder did not come back"))
+			errs = append(errs, errors.New("live: a forwarder did not restart"))
 		}
 	}
 	var arrivals [][]lab.Arrival
-	for _, t := range s.partners {
+	for _, t := range s.destinations {
 		for _, e := range t.endpoints {
 			e.Close()
 			arrivals = append(arrivals, e.Arrivals())
@@ -462,13 +462,13 @@
 	return errors.Join(errs...)
 }
 
-func (s *stage) close() {
-	for _, h := range s.hosts {
+func (s *run) close() {
+	for _, h := range s.forwarders {
 		if h.up {
-			h.f.Kill()
+			h.process.Kill()
 		}
 	}
-	for _, t := range s.partners {
+	for _, t := range s.destinations {
 		for _, e := range t.endpoints {
 			e.Close()
 		}
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,5 +1,4 @@
-// Package report puts runs of the laboratory on one page that needs nothing beside itself: figures, plots as SVG, and the rules
-// that were broken.
+// Package report renders runs of the laboratory as one self-contained HTML page: metrics, plots as inline SVG, and rule violations.
 package report
 
 import (
@@ -18,7 +17,7 @@
 	"mulleinbeam/internal/lab/simulation"
 )
 
-// Page is what is shown: variants with their results, by variant and seed.
+// Page is the content of a report: variants and their results, by variant and seed.
 type Page struct {
 	Title    string
 	Variants []simulation.Variant
@@ -41,7 +40,7 @@
 {{end}}</table>
 {{if .Pairs}}<p class="chance">Grey: the range has zero in it, so the difference may be chance.</p>{{end}}
 <h2>Classes</h2>
-<table><tr><th>class, all seeds<th>variant<th>offered<th>delivered<th>in time<th>refused<th>given up<th>lost</tr>
+<table><tr><th>class, all seeds<th>variant<th>offered<th>delivered<th>in time<th>refused<th>abandoned<th>lost</tr>
 {{range .Classes}}<tr><td>{{.Class}}<td>{{.Variant}}<td>{{.R.Offered}}<td>{{.R.Delivered}}<td>{{.R.InTime}}<td>{{.R.Refused}}<td>{{.R.Failed}}<td>{{.R.Lost}}</tr>
 {{end}}</table>
 <h2>Second by second</h2>
@@ -69,7 +68,7 @@
 	Caption string
 }
 
-// Write writes the page.
+// Write renders the page as HTML.
 func (p Page) Write(w io.Writer) error {
 	data := struct {
 		Title       string
@@ -133,7 +132,7 @@
 	return nil
 }
 
-// classes adds up each class over the seeds.
+// classes returns the sums of each class over the seeds, sorted by name.
 func classes(variant string, results []simulation.Result) (out []class) {
 	sums := map[string]*simulation.ClassResult{}
 	var names []string
@@ -165,20 +164,20 @@
 	color.RGBA{0x10, 0x90, 0x90, 0xff}, color.RGBA{0x90, 0x80, 0x10, 0xff}, color.RGBA{0x60, 0x60, 0x60, 0xff},
 }
 
-// plot draws one figure of each second, a line for each variant.
+// plot draws the mean over the seeds of a value of each second, with one line per variant.
 func (p Page) plot(of func(simulation.SecondStats) float64) (string, error) {
 	var lines []Line
 	for i, results := range p.Results {
 		l := Line{Name: p.Variants[i].Name}
 		for n := 0; ; n++ {
-			sum, there := 0.0, 0
+			sum, count := 0.0, 0
 			for _, r := range results {
 				if n < len(r.Seconds) {
 					sum += of(r.Seconds[n])
-					there++
+					count++
 				}
 			}
-			if there == 0 {
+			if count == 0 {
 				break
 			}
 			l.Values = append(l.Values, sum/float64(len(results)))
@@ -188,16 +187,16 @@
 	return Plot(lines)
 }
 
-// Line is one of a plot, a value for each second.
+// Line is one line of a plot, with a value for each second.
 type Line struct {
 	Name   string
 	Values []float64
 }
 
-// legendRoom is the part of a plot's width that its legend has.
-const legendRoom = 0.14
+// legendShare is the share of the lines' width that is added for the legend.
+const legendShare = 0.14
 
-// Plot draws lines over seconds, as SVG that stands in a page.
+// Plot draws lines over seconds and returns them as SVG for embedding in an HTML page.
 func Plot(lines []Line) (string, error) {
 	g := plot.New()
 	g.X.Label.Text = "seconds"
@@ -220,7 +219,7 @@
 		g.Add(line)
 		g.Legend.Add(l.Name, line)
 	}
-	g.X.Max += legendRoom * (g.X.Max - g.X.Min) // beside the lines, not on them
+	g.X.Max += legendShare * (g.X.Max - g.X.Min) // places the legend beside the lines instead of on them
 	to, err := g.WriterTo(22*vg.Centimeter, 7*vg.Centimeter, "svg")
 	if err != nil {
 		return "", err
@@ -230,7 +229,7 @@
 		return "", err
 	}
 	svg := b.String()
-	if i := strings.Index(svg, "<svg"); i > 0 { // within a page it has no head of its own
+	if i := strings.Index(svg, "<svg"); i > 0 { // drops the XML declaration, which is not allowed within HTML
 		svg = svg[i:]
 	}
 	return svg, nil
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -11,13 +11,13 @@
 	"mulleinbeam/internal/lab/simulation"
 )
 
-// The page has each figure, each class, the plots as whole SVG, and what was broken, with nothing fetched from elsewhere and
-// names taken for text.
+// The page has each metric, each class, the plots as complete SVG and the violations. It loads nothing from elsewhere and
+// escapes names.
 func TestPage(t *testing.T) {
 	result := func(seed uint64, worth float64) simulation.Result {
 		return simulation.Result{
 			Seed: seed, Worth: simulation.Worth{Offered: 10, Delivered: worth}, Classes: map[string]*simulation.ClassResult{"fee": {Offered: 3, Delivered: 2}},
-			Seconds: []simulation.SecondStats{{Worth: 1}, {Worth: worth}}, Violations: []string{"1s: message 4 has a second end"},
+			Seconds: []simulation.SecondStats{{Worth: 1}, {Worth: worth}}, Violations: []string{"1s: message 4 ended twice"},
 		}
 	}
 	p := Page{
@@ -31,7 +31,7 @@
 	text := b.String()
 	for _, want := range []string{
 		"a &lt;b&gt;trial", "worth delivered, share of offered<td>0.550<td>0.750<td>&#43;0.200", "<td>fee<td>with<td>6<td>4",
-		"without, seed 2: 1s: message 4 has a second end",
+		"without, seed 2: 1s: message 4 ended twice",
 	} {
 		if !strings.Contains(text, want) {
 			t.Errorf("no %q", want)
@@ -51,6 +51,6 @@
 	}
 	p.Results[1][0].Seed = 9
 	if err := p.Write(io.Discard); err == nil {
-		t.Error("other seeds were compared")
+		t.Error("results of different seeds were compared")
 	}
 }
--- a/internal/lab/scenario/grid.go
+++ b/internal/lab/scenario/grid.go
@@ -10,14 +10,14 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Setting is a key of a scenario's file and the values that are tried for it. A key is dotted, and a table of several is
-// meant by its place: fleet.slots, partners.0.limit, learned.keep.
+// Setting is a key of a scenario file and the values to try for it. Keys are dotted paths; an element of an array of tables is
+// addressed by its index: fleet.slots, partners.0.limit, learned.keep.
 type Setting struct {
 	Key    string
-	Values []string // as they would stand in the file
+	Values []string // in TOML syntax
 }
 
-// ParseSetting reads KEY=VALUE,VALUE,...
+// ParseSetting parses KEY=VALUE,VALUE,...
 func ParseSetting(text string) (Setting, error) {
 	key, values, ok := strings.Cut(text, "=")
 	if !ok || key == "" || values == "" {
@@ -26,13 +26,13 @@
 	return Setting{key, strings.Split(values, ",")}, nil
 }
 
-// Point is one scenario of a grid.
+// Point is one combination of settings in a grid and the scenario with these settings.
 type Point struct {
-	Name     string // the settings that it has
+	Name     string // the settings, as KEY=VALUE separated by spaces
 	Scenario Scenario
 }
 
-// Grid reads a file once for each combination of settings.
+// Grid returns one scenario of the file at path for each combination of the settings' values.
 func Grid(path string, settings []Setting) ([]Point, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -56,7 +56,7 @@
 	}
 	var out []Point
 	for _, p := range points {
-		changed, err := with(raw, p.sets)
+		changed, err := applySettings(raw, p.sets)
 		if err != nil {
 			return nil, fmt.Errorf("scenario: %s: %w", path, err)
 		}
@@ -69,8 +69,8 @@
 	return out, nil
 }
 
-// with sets keys in a file's content.
-func with(raw []byte, sets [][2]string) ([]byte, error) {
+// applySettings sets keys in a TOML document and returns the changed document.
+func applySettings(raw []byte, sets [][2]string) ([]byte, error) {
 	var tree map[string]any
 	if err := toml.Unmarshal(raw, &tree); err != nil {
 		return nil, err
@@ -78,18 +78,18 @@
 	for _, kv := range sets {
 		var value struct{ V any }
 		if toml.Unmarshal([]byte("V = "+kv[1]), &value) != nil {
-			value.V = kv[1] // a bare word is a text
+			value.V = kv[1] // not a TOML value: taken as a string
 		}
-		if err := set(tree, strings.Split(kv[0], "."), value.V); err != nil {
+		if err := setKey(tree, strings.Split(kv[0], "."), value.V); err != nil {
 			return nil, fmt.Errorf("%s: %w", kv[0], err)
 		}
 	}
 	return toml.Marshal(tree)
 }
 
-var errNoPlace = errors.New("there is no such place")
+var errNoSuchKey = errors.New("no such key")
 
-func set(at any, path []string, v any) error {
+func setKey(at any, path []string, v any) error {
 	switch node := at.(type) {
 	case map[string]any:
 		if len(path) == 1 {
@@ -99,13 +99,13 @@
 		if node[path[0]] == nil {
 			node[path[0]] = map[string]any{}
 		}
-		return set(node[path[0]], path[1:], v)
+		return setKey(node[path[0]], path[1:], v)
 	case []any:
 		i, err := strconv.Atoi(path[0])
 		if err != nil || i < 0 || i >= len(node) || len(path) == 1 {
-			return errNoPlace
+			return errNoSuchKey
 		}
-		return set(node[i], path[1:], v)
+		return setKey(node[i], path[1:], v)
 	}
-	return errNoPlace
+	return errNoSuchKey
 }
--- a/internal/lab/scenario/sample.go
+++ b/internal/lab/scenario/sample.go
@@ -8,10 +8,10 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Sampler gives draws in the distribution's unit, out of src.
+// Sampler returns a function that draws values of the distribution, in the unit of its mean, with src as the source of randomness.
 func (d Distribution) Sampler(src rand.Source) (func() float64, error) {
 	if d.Mean <= 0 || d.Spread < 0 || math.IsNaN(d.Mean) || math.IsInf(d.Mean, 0) {
-		return nil, fmt.Errorf("mean %v and spread %v can't be", d.Mean, d.Spread)
+		return nil, fmt.Errorf("mean %v or spread %v is out of range", d.Mean, d.Spread)
 	}
 	switch kind := d.Kind; {
 	case kind == "exponential":
@@ -27,7 +27,7 @@
 	case kind == "uniform":
 		half := d.Mean * d.Spread * math.Sqrt(3)
 		if half > d.Mean {
-			return nil, fmt.Errorf("a uniform spread of %v reaches below 0", d.Spread)
+			return nil, fmt.Errorf("a uniform distribution with a spread of %v has values below 0", d.Spread)
 		}
 		return distuv.Uniform{Min: d.Mean - half, Max: d.Mean + half, Src: src}.Rand, nil
 	}
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario reads what the laboratory plays: a fleet of forwarders, partners, traffic, faults on a timeline and the
-// settings under trial, as one TOML file. It starts nothing.
+// Package scenario parses and checks the laboratory's scenario files. A scenario describes a fleet of forwarders, destinations,
+// traffic, scheduled faults and the settings under test in one TOML file.
 package scenario
 
 import (
@@ -13,26 +13,26 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Duration is a time such as 20s.
+// Duration is a time.Duration that is written as text such as 20s.
 type Duration time.Duration
 
-// UnmarshalText reads a time.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	*d = Duration(v)
 	return err
 }
 
-// MarshalText writes a time.
+// MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// D is the time.
+// D returns the duration as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// Scenario is one.
+// Scenario is the content of a scenario file.
 type Scenario struct {
 	Name               string             `toml:"name"`
-	Length             Duration           `toml:"length"` // of the traffic; what is held then still ends
+	Length             Duration           `toml:"length"` // duration of the traffic; messages held at its end are still processed
 	Fleet              Fleet              `toml:"fleet"`
 	Destinations       []DestinationGroup `toml:"partners"`
 	Classes            []Class            `toml:"classes"`
@@ -41,48 +41,48 @@
 	Rules              Rules              `toml:"rules"`
 	Learned            Learned            `toml:"learned"`
 	Copies             Copies             `toml:"copies"`
-	DisabledSafeguards []Safeguard        `toml:"without"` // safeguards that are taken out, to see that their rule then breaks
+	DisabledSafeguards []Safeguard        `toml:"without"` // safeguards to switch off, to show that their rule is violated without them
 }
 
-// Safeguard is a safeguard of the forwarder that a run can go without.
+// Safeguard names a check of the forwarder that a run can switch off.
 type Safeguard string
 
-// The safeguards. The first two are asked when a call's connection is up, just before its first byte.
+// The safeguards. The first two are checked once a call's connection is up, before its first byte is written.
 const (
-	SafeguardKeyTTL     Safeguard = "window"      // a repeat begins only inside its key's time
-	SafeguardRetryAfter Safeguard = "wait"        // no call begins in a wait that was told while its connection came up
-	SafeguardOutAtKill  Safeguard = "out-at-kill" // a call that was out at a kill counts as one that may have run for all later lives
+	SafeguardKeyTTL     Safeguard = "window"      // a repeated call starts only before its idempotency key expires
+	SafeguardRetryAfter Safeguard = "wait"        // no call starts within a retry-after that arrived while its connection was being set up
+	SafeguardOutAtKill  Safeguard = "out-at-kill" // a call in progress at a kill counts as one that may have run, for all later incarnations
 )
 
-// Fleet is the forwarders.
+// Fleet describes the forwarders.
 type Fleet struct {
 	Forwarders           int `toml:"forwarders"`
-	ConfiguredForwarders int `toml:"told"` // how many they are told to be; 0 is the truth
+	ConfiguredForwarders int `toml:"told"` // fleet size in the forwarders' settings; 0 means Forwarders
 	Slots                int `toml:"slots"`
 	MostHeld             int `toml:"most-held"`
 }
 
-// DestinationGroup is a number of partners that are alike.
+// DestinationGroup describes a number of identical destinations.
 type DestinationGroup struct {
 	Count         int          `toml:"count"`
-	Endpoints     int          `toml:"endpoints"` // of each
-	Capacity      float64      `toml:"capacity"`  // calls a second, of one partner
-	CapacityHint  float64      `toml:"hint"`      // what the list says of that, as a share of it; 0 says nothing
-	ServiceTime   Distribution `toml:"service"`   // of a call's time, in milliseconds
-	Limit         float64      `toml:"limit"`     // calls a second that are taken; 0 is none
-	RefusalsCount bool         `toml:"counts"`    // refused calls count for the limit
-	RetryAfter    Duration     `toml:"tells"`     // the wait told with a refusal; 0 tells none
-	ResetShare    float64      `toml:"resets"`    // share of calls whose answer is lost
+	Endpoints     int          `toml:"endpoints"` // per destination
+	Capacity      float64      `toml:"capacity"`  // calls per second of one destination
+	CapacityHint  float64      `toml:"hint"`      // capacity hint in discovery, as a share of Capacity; 0 means no hint
+	ServiceTime   Distribution `toml:"service"`   // service time of a call, in milliseconds
+	Limit         float64      `toml:"limit"`     // rate limit in calls per second; 0 means no limit
+	RefusalsCount bool         `toml:"counts"`    // whether refused calls count towards the limit
+	RetryAfter    Duration     `toml:"tells"`     // retry-after sent with a refusal; 0 sends none
+	ResetShare    float64      `toml:"resets"`    // share of calls whose connection is reset before the answer
 }
 
-// Distribution names one of gonum's, by its mean and its spread.
+// Distribution selects a probability distribution by its kind, mean and spread.
 type Distribution struct {
 	Kind   string  `toml:"kind"`   // constant, exponential, lognormal, gamma, uniform
 	Mean   float64 `toml:"mean"`   //
-	Spread float64 `toml:"spread"` // standard deviation over mean; exponential has none of its own
+	Spread float64 `toml:"spread"` // standard deviation divided by the mean; ignored for constant and exponential
 }
 
-// Class is one of messages.
+// Class describes a message class.
 type Class struct {
 	Name            string   `toml:"name"`
 	Effect          string   `toml:"effect"` // safe, keyed, unsafe
@@ -93,10 +93,11 @@
 	KeyTTL          Duration `toml:"key-ttl"`
 }
 
-// LateWorth is the share of its worth that a message still has at its deadline.
+// LateWorth is the share of its worth that a message keeps at its deadline.
 const LateWorth = 0.4
 
-// WorthAt is what a delivery at an age is worth: all of it within the target, then evenly less down to LateWorth.
+// WorthAt returns the worth of a delivery at an age, and whether it is within the target latency. After the target the worth
+// decreases linearly and reaches the share LateWorth at the deadline.
 func (c Class) WorthAt(age time.Duration) (worth float64, inTime bool) {
 	if age <= c.Target.D() {
 		return c.Worth, true
@@ -105,65 +106,65 @@
 	return c.Worth * (1 - (1-LateWorth)*min(1, late)), false
 }
 
-// Traffic is what clients hand in.
+// Traffic describes the messages that clients submit.
 type Traffic struct {
-	Rate            float64 `toml:"rate"`    // messages a second, at all forwarders together
-	DestinationSkew float64 `toml:"skew"`    // of the partners: the nth gets n^-skew
-	ForwarderSkew   float64 `toml:"uneven"`  // of the forwarders: the same
-	MaxRetries      int     `toml:"returns"` // how often a client comes again after a refusal
+	Rate            float64 `toml:"rate"`    // messages per second over all forwarders
+	DestinationSkew float64 `toml:"skew"`    // the nth destination has the weight n^-skew
+	ForwarderSkew   float64 `toml:"uneven"`  // the nth forwarder has the weight n^-uneven
+	MaxRetries      int     `toml:"returns"` // how often a client submits again after a refusal
 }
 
-// Fault is something that goes wrong, from a moment on and for a time.
+// Fault is a fault that is injected at a time of the run.
 type Fault struct {
 	At              Duration `toml:"at"`
 	Duration        Duration `toml:"for"`
 	Kind            string   `toml:"kind"`
-	Share           float64  `toml:"share"` // of the partners, or of the forwarders
-	Factor          float64  `toml:"by"`    // a factor: of load, or of service times
-	MinDowntime     Duration `toml:"back"`  // killed forwarders are back between Back
-	MaxDowntime     Duration `toml:"until"` // and Until after
-	FolderLossShare float64  `toml:"lose"`  // share of killed forwarders whose folder is lost
-	ConnectTime     Duration `toml:"takes"` // how long a connection needs to come up
+	Share           float64  `toml:"share"` // share of the destinations or forwarders that are affected
+	Factor          float64  `toml:"by"`    // factor on load, limits or service times
+	MinDowntime     Duration `toml:"back"`  // killed forwarders restart after MinDowntime
+	MaxDowntime     Duration `toml:"until"` // to MaxDowntime
+	FolderLossShare float64  `toml:"lose"`  // probability that a killed forwarder loses its folder
+	ConnectTime     Duration `toml:"takes"` // time to set up a connection
 }
 
 // The kinds of faults.
 const (
-	Outage  = "outage"  // partners refuse connections; cold when they are back
-	Silence = "silence" // partners take calls and never answer; cold when they are back
-	Slow    = "slow"    // partners take By times as long
-	Limit   = "limit"   // partners take By times their limit
-	Load    = "load"    // By times the traffic
+	Outage  = "outage"  // destinations refuse connections and are cold on recovery
+	Silence = "silence" // destinations accept calls without answering and are cold on recovery
+	Slow    = "slow"    // service times are multiplied by Factor
+	Limit   = "limit"   // rate limits are multiplied by Factor
+	Load    = "load"    // traffic is multiplied by Factor
 	Kill    = "kill"    // forwarders are killed
-	Connect = "connect" // connections to partners need Takes to come up
-	Drain   = "drain"   // an endpoint of each leaves the list and is replaced by one of another name
+	Connect = "connect" // setting up a connection to a destination takes ConnectTime
+	Drain   = "drain"   // one endpoint of each destination is drained, deleted and replaced by one with another name
 )
 
-// Rules are the users' figures of outages and of partners that come back cold.
+// Rules describes how destinations recover from an outage and when a cold destination is overloaded.
 type Rules struct {
-	ColdFrom         float64  `toml:"cold-from"`   // share of the capacity that a partner has as it comes back
-	WarmWithin       Duration `toml:"warm-within"` // until it has all of it
-	OverloadFactor   float64  `toml:"overload"`    // calls over the present share, in TipAfter, at which it falls over
+	ColdFrom         float64  `toml:"cold-from"`   // share of the capacity that a destination has on recovery
+	WarmWithin       Duration `toml:"warm-within"` // time from recovery to full capacity
+	OverloadFactor   float64  `toml:"overload"`    // arriving calls over the current capacity, within OverloadWindow, above which it goes down
 	OverloadWindow   Duration `toml:"tip-after"`
-	OverloadDowntime Duration `toml:"tip-for"` // how long it is down then
-	// ChanceFactor is how many calls beyond these are put down to chance: so many times the root of what it bears, and as many again.
-	// 0 is one call.
+	OverloadDowntime Duration `toml:"tip-for"` // how long an overloaded destination is down
+	// ChanceFactor allows for random bursts: ChanceFactor * (sqrt(n) + 1) calls above the tolerated number n do not count as an
+	// overload. 0 allows one call.
 	ChanceFactor float64 `toml:"chance"`
 }
 
-// Learned says whether what was learned outlasts a kill.
+// Learned configures whether learned state survives a kill.
 type Learned struct {
 	Enabled      bool     `toml:"keep"`
-	SaveInterval Duration `toml:"interval"` // between two saves
+	SaveInterval Duration `toml:"interval"` // time between two saves
 }
 
-// Copies says whether others hold copies of what a forwarder owes, and take it over.
+// Copies configures whether other forwarders hold copies of a forwarder's messages and take them over.
 type Copies struct {
 	Enabled          bool     `toml:"keep"`
-	TakeoverDelay    Duration `toml:"takeover"` // from a kill until another goes on with it, where it is not back with its folder by then
-	ReplicationDelay Duration `toml:"ahead"`    // by which each message is taken later, until its copy is there
+	TakeoverDelay    Duration `toml:"takeover"` // time from a kill to the takeover, unless the forwarder has restarted with its folder by then
+	ReplicationDelay Duration `toml:"ahead"`    // delay until a message is replicated; it is accepted only then
 }
 
-// defaults stand where a file says nothing.
+// defaults returns the values of keys that a file omits.
 func defaults() Scenario {
 	return Scenario{
 		Length: Duration(time.Minute), Fleet: Fleet{Forwarders: 4, Slots: 24, MostHeld: 400},
@@ -174,7 +175,7 @@
 	}
 }
 
-// Read reads a file.
+// Read parses the scenario file at path.
 func Read(path string) (Scenario, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -183,7 +184,7 @@
 	return Parse(path, raw)
 }
 
-// Parse reads a file's content; path is for its errors, which name the line.
+// Parse parses the content of a scenario file; path appears in errors, with the line.
 func Parse(path string, raw []byte) (Scenario, error) {
 	s := defaults()
 	if err := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields().Decode(&s); err != nil {
@@ -205,27 +206,27 @@
 	return s, nil
 }
 
-// Check says what can't be played.
+// Check returns an error if the scenario is incomplete or a value is out of range.
 func (s Scenario) Check() error {
 	bad := func(format string, args ...any) error { return fmt.Errorf(format, args...) }
 	if s.Length <= 0 || s.Length.D() > 24*time.Hour {
-		return bad("length: %v", s.Length.D())
+		return bad("length: %v is not between 0 and 24h", s.Length.D())
 	}
 	if s.Fleet.Forwarders < 1 || s.Fleet.Slots < 1 || s.Fleet.MostHeld < 1 || s.Fleet.ConfiguredForwarders < 0 {
-		return bad("fleet: forwarders, slots and most-held are 1 at least, told is not below 0")
+		return bad("fleet: forwarders, slots and most-held must be at least 1, told must not be negative")
 	}
 	if len(s.Destinations) == 0 || len(s.Classes) == 0 {
-		return bad("partners and classes are needed")
+		return bad("partners and classes are required")
 	}
 	for i, p := range s.Destinations {
 		if p.Count < 1 || p.Endpoints < 1 || p.Capacity <= 0 {
-			return bad("partners %d: count, endpoints and capacity are needed", i+1)
+			return bad("partners %d: count, endpoints and capacity are required", i+1)
 		}
 		if _, err := p.ServiceTime.Sampler(nil); err != nil {
 			return bad("partners %d: service: %w", i+1, err)
 		}
 		if p.ResetShare < 0 || p.ResetShare >= 1 || p.Limit < 0 || p.CapacityHint < 0 {
-			return bad("partners %d: resets is a share, limit and hint are not below 0", i+1)
+			return bad("partners %d: resets must be from 0 to below 1, limit and hint must not be negative", i+1)
 		}
 	}
 	total := 0.0
@@ -234,12 +235,12 @@
 			return bad("class %s: effect %q is not safe, keyed or unsafe", c.Name, c.Effect)
 		}
 		if c.Target <= 0 || c.DeliveryTimeout < c.Target || c.Share < 0 || c.Effect == "keyed" && c.KeyTTL <= 0 {
-			return bad("class %s: target, give-up from target on, share and, if keyed, key-ttl are needed", c.Name)
+			return bad("class %s: target, a give-up not below target, a share and, if keyed, key-ttl are required", c.Name)
 		}
 		total += c.Share
 	}
 	if total <= 0 || s.Traffic.Rate <= 0 || s.Traffic.ForwarderSkew < 0 {
-		return bad("traffic: no class has a share, or no rate is said")
+		return bad("traffic: no class has a share, rate is not positive, or uneven is negative")
 	}
 	for i, f := range s.Faults {
 		switch f.Kind {
@@ -256,7 +257,7 @@
 			return bad("fault %d: no kind %q", i+1, f.Kind)
 		}
 		if f.Share < 0 || f.Share > 1 || f.FolderLossShare < 0 || f.FolderLossShare > 1 || f.At < 0 || f.Duration < 0 || f.MinDowntime < 0 || f.MaxDowntime < f.MinDowntime {
-			return bad("fault %d: share and lose are from 0 to 1, times are not below 0, until is not before back", i+1)
+			return bad("fault %d: share and lose must be from 0 to 1, times must not be negative, until must not be below back", i+1)
 		}
 	}
 	for _, m := range s.DisabledSafeguards {
@@ -265,13 +266,13 @@
 		}
 	}
 	if r := s.Rules; r.ColdFrom <= 0 || r.ColdFrom > 1 || r.OverloadFactor <= 0 || r.OverloadWindow <= 0 || r.WarmWithin < 0 || r.ChanceFactor < 0 {
-		return bad("rules: cold-from is a share, overload and tip-after are needed")
+		return bad("rules: cold-from must be above 0 and at most 1, overload and tip-after are required, others must not be negative")
 	}
 	if s.Copies.TakeoverDelay < 0 || s.Copies.ReplicationDelay < 0 {
-		return bad("copies: times are not below 0")
+		return bad("copies: times must not be negative")
 	}
 	if s.Learned.Enabled && s.Learned.SaveInterval <= 0 {
-		return bad("learned: interval is needed")
+		return bad("learned: interval is required")
 	}
 	return nil
 }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-const least = `
+const minimal = `
 [[partners]]
 count = 1
 endpoints = 1
@@ -24,40 +24,40 @@
 rate = 5.0
 `
 
-// What can't be played is said with its file and its place.
+// Errors of invalid scenarios name the file and the key.
 func TestErrors(t *testing.T) {
-	if _, err := Parse("s.toml", []byte(least)); err != nil {
+	if _, err := Parse("s.toml", []byte(minimal)); err != nil {
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct{ old, new, want string }{
-		"unknown key":     {"count = 1", "cuont = 1", "s.toml:3: partners.cuont: no such key"},
-		"no time":         {`target = "1s"`, `target = "soon"`, "s.toml:11"},
-		"no partners":     {"count = 1", "count = 0", "partners 1: count"},
-		"no distribution": {`"constant"`, `"weird"`, `no distribution "weird"`},
-		"effect":          {`"safe"`, `"harmless"`, `effect "harmless"`},
-		"no rate":         {"rate = 5.0", "rate = 0.0", "traffic"},
-		"keyed, no time":  {`"safe"`, `"keyed"`, "key-ttl"},
-		"fault":           {"[traffic]", "[[faults]]\nkind = \"quake\"\n[traffic]", `no kind "quake"`},
-		"slow by nothing": {"[traffic]", "[[faults]]\nkind = \"slow\"\n[traffic]", "needs by"},
-		"share":           {"[traffic]", "[[faults]]\nkind = \"kill\"\nshare = 1.5\n[traffic]", "share and lose are from 0 to 1"},
+		"unknown key":         {"count = 1", "cuont = 1", "s.toml:3: partners.cuont: no such key"},
+		"no time":             {`target = "1s"`, `target = "soon"`, "s.toml:11"},
+		"no partners":         {"count = 1", "count = 0", "partners 1: count"},
+		"no distribution":     {`"constant"`, `"weird"`, `no distribution "weird"`},
+		"effect":              {`"safe"`, `"harmless"`, `effect "harmless"`},
+		"no rate":             {"rate = 5.0", "rate = 0.0", "traffic"},
+		"keyed, no time":      {`"safe"`, `"keyed"`, "key-ttl"},
+		"fault":               {"[traffic]", "[[faults]]\nkind = \"quake\"\n[traffic]", `no kind "quake"`},
+		"slow without factor": {"[traffic]", "[[faults]]\nkind = \"slow\"\n[traffic]", "needs by"},
+		"share":               {"[traffic]", "[[faults]]\nkind = \"kill\"\nshare = 1.5\n[traffic]", "share and lose must be from 0 to 1"},
 	} {
-		if _, err := Parse("s.toml", []byte(strings.Replace(least, c.old, c.new, 1))); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := Parse("s.toml", []byte(strings.Replace(minimal, c.old, c.new, 1))); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-// The examples can be played.
+// The example scenarios are valid.
 func TestExamples(t *testing.T) {
 	if s, err := Read("../../../deploy/scenarios/mass-restart.toml"); err != nil || len(s.Faults) != 2 {
 		t.Errorf("%d faults, %v", len(s.Faults), err)
 	}
 }
 
-// A grid has each combination, and says what can't be set.
+// Grid returns each combination of values and rejects keys and values that cannot be set.
 func TestGrid(t *testing.T) {
 	path := t.TempDir() + "/s.toml"
-	if err := os.WriteFile(path, []byte(least), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(minimal), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	parse := func(texts ...string) (list []Setting) {
@@ -84,17 +84,17 @@
 	}
 	for _, bad := range []string{"partners.7.limit=1.0", "fleet.solts=8", "fleet.slots=many", "name.x=1"} {
 		if _, err := Grid(path, parse(bad)); err == nil {
-			t.Errorf("%s was taken", bad)
+			t.Errorf("%s was accepted", bad)
 		}
 	}
 	for _, bad := range []string{"", "a", "=1", "a="} {
 		if _, err := ParseSetting(bad); err == nil {
-			t.Errorf("%q was taken", bad)
+			t.Errorf("%q was accepted", bad)
 		}
 	}
 }
 
-// Each distribution has the mean and the spread that were asked for, and the same draws from the same seed.
+// Each distribution has the requested mean and spread, and equal seeds give equal draws.
 func TestDistributions(t *testing.T) {
 	for _, d := range []Distribution{
 		{"constant", 20, 0}, {"exponential", 20, 1}, {"lognormal", 20, 0.5}, {"gamma", 20, 0.7}, {"uniform", 20, 0.4}, {"gamma", 20, 0},
@@ -121,6 +121,6 @@
 		}
 	}
 	if _, err := (Distribution{"uniform", 1, 0.9}).Sampler(nil); err == nil {
-		t.Error("a uniform one that reaches below zero was taken")
+		t.Error("a uniform distribution with values below zero was accepted")
 	}
 }
--- a/internal/lab/simulation/check.go
+++ b/internal/lab/simulation/check.go
@@ -8,57 +8,57 @@
 	"mulleinbeam/internal/lab/scenario"
 )
 
-// MessageOutcome is how a message ended.
+// MessageOutcome is the final outcome of a message.
 type MessageOutcome int
 
-// The endings.
+// The outcomes.
 const (
 	Delivered MessageOutcome = iota
 	Refused
 	Failed
 )
 
-// Result is what a run showed.
+// Result is the result of a run.
 type Result struct {
 	Scenario              string                  `json:"scenario"`
 	Seed                  uint64                  `json:"seed"`
 	Events                int64                   `json:"events"`
-	Offered               int                     `json:"offered"` // wishes of clients
+	Offered               int                     `json:"offered"` // messages of clients, without their repeated submissions
 	Worth                 Worth                   `json:"worth"`
 	Classes               map[string]*ClassResult `json:"classes"`
 	Calls                 int                     `json:"calls"`
-	ColdCalls             int                     `json:"cold_calls"`       // that reached a partner which was still cold
-	EarlyColdCalls        int                     `json:"cold_calls_early"` // of these, in the first 14 s
-	OverLimit             int                     `json:"over_limit"`       // calls that were refused
-	NotSent               int                     `json:"held_back"`        // calls that did not begin when their connection was up
-	CallsInRetryAfter     int                     `json:"in_told_waits"`    // calls of a forwarder to a partner that had told it to wait, before its life began
-	Overloads             int                     `json:"tips"`             // partners that fell over again
-	InformedOverloads     int                     `json:"pushed"`           // of these, those pushed by forwarders that had seen the outage: over two thirds of the calls
-	PeakColdLoad          float64                 `json:"crowd"`            // calls that reached a cold partner, over what it bears, in the fullest span
+	ColdCalls             int                     `json:"cold_calls"`       // calls that reached a cold destination
+	EarlyColdCalls        int                     `json:"cold_calls_early"` // of these, within 14 s of its recovery
+	OverLimit             int                     `json:"over_limit"`       // calls refused above the rate limit
+	NotSent               int                     `json:"held_back"`        // calls cancelled before their first byte, when their connection was up
+	CallsInRetryAfter     int                     `json:"in_told_waits"`    // calls within a retry-after that an earlier incarnation of the forwarder received
+	Overloads             int                     `json:"tips"`             // destinations that went down again by overload while cold
+	InformedOverloads     int                     `json:"pushed"`           // of these, those with over two thirds of the calls from forwarders that knew of the outage
+	PeakColdLoad          float64                 `json:"crowd"`            // maximum of calls at a cold destination within OverloadWindow, over the tolerated number
 	Kills                 int                     `json:"kills"`
 	FoldersLost           int                     `json:"folders_lost"`
-	TakenOver             int                     `json:"taken_over"` // messages that another forwarder went on with
-	LostWithFolder        int                     `json:"gone"`       // messages that were taken, and lost with a folder of which there was no copy
+	TakenOver             int                     `json:"taken_over"` // messages taken over by another forwarder
+	LostWithFolder        int                     `json:"gone"`       // accepted messages lost with a folder of which there was no copy
 	KillTimes             []time.Duration         `json:"-"`
 	RecoveryTimes         []time.Duration         `json:"-"`
 	Seconds               []SecondStats           `json:"seconds"`
-	Violations            []string                `json:"broken"`  // rules, with the moment
-	FirstViolationMessage mb.MessageID            `json:"message"` // at which the first of them broke; 0 is none
+	Violations            []string                `json:"broken"`  // violated rules, with time and event
+	FirstViolationMessage mb.MessageID            `json:"message"` // the message of the first violation; 0 is none
 }
 
-// Worth is of messages, by their class and their age.
+// Worth is the total worth of messages, by their class and their age at delivery.
 type Worth struct {
 	Offered   float64 `json:"offered"`
 	Delivered float64 `json:"delivered"`
-	AfterKill float64 `json:"after_kill"` // delivered within 20 s of the first kill
+	AfterKill float64 `json:"after_kill"` // delivered within AfterKillWindow of the first kill
 }
 
-// ClassResult is one class's.
+// ClassResult counts the messages of one class by outcome.
 type ClassResult struct {
 	Offered, Delivered, InTime, Refused, Failed, Lost int
 }
 
-// RecordDelivery books a delivery at an age, and gives its worth; after says that it came soon after the first kill.
+// RecordDelivery counts a delivery at an age and returns its worth; after says that it is within AfterKillWindow.
 func (r *Result) RecordDelivery(class *scenario.Class, age time.Duration, after bool) float64 {
 	c := r.Classes[class.Name]
 	c.Delivered++
@@ -73,10 +73,10 @@
 	return worth
 }
 
-// AfterKillWindow is how long after the first kill what is delivered counts as after it.
+// AfterKillWindow is the time from the first kill in which deliveries count for Worth.AfterKill.
 const AfterKillWindow = 20 * time.Second
 
-// SecondStats is one of the run.
+// SecondStats holds the figures of one second of the run.
 type SecondStats struct {
 	Offered   int     `json:"offered"`
 	Delivered int     `json:"delivered"`
@@ -85,11 +85,11 @@
 	Held      int     `json:"held"`
 }
 
-func (w *Simulation) second() *SecondStats {
+func (w *Simulation) currentSecond() *SecondStats {
 	n := int(w.now / time.Second)
 	for len(w.result.Seconds) <= n {
 		held := 0
-		for _, h := range w.hosts {
+		for _, h := range w.forwarders {
 			held += len(h.held)
 		}
 		w.result.Seconds = append(w.result.Seconds, SecondStats{Held: held})
@@ -97,110 +97,111 @@
 	return &w.result.Seconds[n]
 }
 
-// deliver books a delivery.
-func (w *Simulation) deliver(m *message) {
-	x := m.wish
-	if x.delivered { // by an earlier handing in whose answer was lost: worth nothing more
+// recordDelivery counts a delivery.
+func (w *Simulation) recordDelivery(m *message) {
+	x := m.request
+	if x.delivered { // by an earlier submission whose answer was lost; worth nothing more
 		return
 	}
 	x.delivered = true
 	after := len(w.result.KillTimes) > 0 && w.now < w.result.KillTimes[0]+AfterKillWindow
-	worth := w.result.RecordDelivery(x.class, w.now-x.at, after)
-	s := w.second()
+	worth := w.result.RecordDelivery(x.class, w.now-x.createdAt, after)
+	s := w.currentSecond()
 	s.Delivered++
 	s.Worth += worth
 }
 
-// checker holds a run against the rules, as it goes.
+// checker checks the rules during a run.
 type checker struct {
-	w     *Simulation
-	open  int // messages taken and not ended
+	sim   *Simulation
+	open  int // accepted messages that have not ended
 	total int
 }
 
-const mostBroken = 20
+const maxViolations = 20
 
-// broken books a rule that broke, at a message or at none.
-func (c *checker) broken(m *message, format string, args ...any) {
-	if m != nil && len(c.w.result.Violations) == 0 {
-		c.w.result.FirstViolationMessage = m.id
+// violation records a violated rule; m is the message concerned, or nil.
+func (c *checker) violation(m *message, format string, args ...any) {
+	if m != nil && len(c.sim.result.Violations) == 0 {
+		c.sim.result.FirstViolationMessage = m.id
 	}
-	if len(c.w.result.Violations) < mostBroken {
-		c.w.result.Violations = append(c.w.result.Violations, fmt.Sprintf("%v, event %d: ", c.w.now, c.w.events)+fmt.Sprintf(format, args...))
+	if len(c.sim.result.Violations) < maxViolations {
+		c.sim.result.Violations = append(c.sim.result.Violations, fmt.Sprintf("%v, event %d: ", c.sim.now, c.sim.events)+fmt.Sprintf(format, args...))
 	}
 }
 
-func (c *checker) taken(m *message) {
+func (c *checker) accepted(m *message) {
 	c.open++
 	c.total++
-	c.w.trace(m, "taken by forwarder %d, class %s, for partner %d", m.wish.host.name, m.wish.class.Name, m.wish.partner.id)
-	c.w.second().Offered++
+	c.sim.trace(m, "accepted by forwarder %d, class %s, for destination %d", m.request.forwarder.name, m.request.class.Name, m.request.destination.id)
+	c.sim.currentSecond().Offered++
 }
 
-// ended: one end, before the deadline.
+// ended checks that a message ends only once and not after its deadline.
 func (c *checker) ended(m *message, how MessageOutcome) {
-	c.w.trace(m, "ends: %s", [...]string{"delivered", "refused", "failed"}[how])
+	c.sim.trace(m, "ends: %s", [...]string{"delivered", "refused", "failed"}[how])
 	if m.ended {
-		c.broken(m, "message %d has a second end", m.id)
+		c.violation(m, "message %d ended twice", m.id)
 	}
-	due := max(m.deadline, m.wish.host.startAt, m.since) // nobody can end it while its forwarder is dead
-	if c.open--; how != Delivered && c.w.now > due+50*time.Millisecond {
-		c.broken(m, "message %d ends %v behind its deadline", m.id, c.w.now-due)
+	due := max(m.deadline, m.request.forwarder.startedAt, m.takenOverAt) // a message cannot end while its forwarder is down
+	if c.open--; how != Delivered && c.sim.now > due+50*time.Millisecond {
+		c.violation(m, "message %d ended %v after its deadline", m.id, c.sim.now-due)
 	}
 }
 
-// gone: with a folder that was the only copy. It breaks the users' rule, and is counted apart: without copies nothing helps.
-func (c *checker) gone(m *message) {
-	c.w.trace(m, "is lost with its forwarder's folder")
+// lost counts a message that was lost with the only folder that held it. This violates the rule that accepted messages are kept;
+// it is counted separately because it cannot be prevented without copies.
+func (c *checker) lost(m *message) {
+	c.sim.trace(m, "lost with its forwarder's folder")
 	c.open--
 	m.ended = true
-	c.w.result.LostWithFolder++
-	c.w.result.Classes[m.wish.class.Name].Lost++
+	c.sim.result.LostWithFolder++
+	c.sim.result.Classes[m.request.class.Name].Lost++
 }
 
-// sent: slots and drains.
-func (c *checker) sent(h *host, k *call) {
-	w := c.w
-	w.trace(k.m, "attempt %d goes to %s", k.number, k.endpoint.name)
+// sent checks, when a call is sent, the slots and that the endpoint is serving.
+func (c *checker) sent(h *forwarder, k *call) {
+	w := c.sim
+	w.trace(k.message, "attempt %d goes to %s", k.number, k.endpoint.name)
 	w.result.Calls++
-	w.second().Calls++
+	w.currentSecond().Calls++
 	switch {
-	case h.out > w.s.Fleet.Slots:
-		c.broken(k.m, "forwarder %d has %d calls out with %d slots", h.name, h.out, w.s.Fleet.Slots)
-	case h.known[k.endpoint.name] != mb.Serving:
-		c.broken(k.m, "forwarder %d calls %s, which is not serving", h.name, k.endpoint.name)
+	case h.callsOut > w.scenario.Fleet.Slots:
+		c.violation(k.message, "forwarder %d has %d calls out with %d slots", h.name, h.callsOut, w.scenario.Fleet.Slots)
+	case h.readiness[k.endpoint.name] != mb.Serving:
+		c.violation(k.message, "forwarder %d calls endpoint %s, which is not serving", h.name, k.endpoint.name)
 	}
 }
 
-// begun, at a call's first byte: waits, and what may have run.
-func (c *checker) begun(h *host, k *call) {
-	w, class := c.w, k.m.wish.class
+// started checks, at a call's first byte, that it violates no retry-after and does not repeat a call that may have run.
+func (c *checker) started(h *forwarder, k *call) {
+	w, class := c.sim, k.message.request.class
 	switch {
-	case k.m.mayRun && class.Effect == "unsafe":
-		c.broken(k.m, "message %d may have run and is sent again", k.m.id)
-	case k.m.mayRun && class.Effect == "keyed" && w.now > k.m.ranAt+class.KeyTTL.D():
-		c.broken(k.m, "message %d is repeated behind its key's time", k.m.id)
+	case k.message.mayHaveRun && class.Effect == "unsafe":
+		c.violation(k.message, "message %d may have run and is sent again", k.message.id)
+	case k.message.mayHaveRun && class.Effect == "keyed" && w.now > k.message.ranAt+class.KeyTTL.D():
+		c.violation(k.message, "message %d is repeated after its key expired", k.message.id)
 	}
-	if told := h.waits[k.partner.id]; w.now < told.until {
-		if told.life == h.life {
-			c.broken(k.m, "forwarder %d calls partner %d within a told wait", h.name, k.partner.id)
+	if told := h.retryAfters[k.destination.id]; w.now < told.until {
+		if told.incarnation == h.incarnation {
+			c.violation(k.message, "forwarder %d calls destination %d within a retry-after", h.name, k.destination.id)
 		} else {
 			w.result.CallsInRetryAfter++
 		}
 	}
 }
 
-// ran: no second effect.
-func (c *checker) ran(m *message) {
-	c.w.trace(m, "takes effect")
-	if m.effects++; m.effects > 1 && m.wish.class.Effect == "unsafe" {
-		c.broken(m, "message %d takes effect a second time", m.id)
+// executed checks that an unsafe message takes effect only once.
+func (c *checker) executed(m *message) {
+	c.sim.trace(m, "takes effect")
+	if m.effects++; m.effects > 1 && m.request.class.Effect == "unsafe" {
+		c.violation(m, "message %d took effect twice", m.id)
 	}
 }
 
-// end: nothing is left.
+// end checks that all accepted messages have ended.
 func (c *checker) end() {
 	if c.open > 0 {
-		c.broken(nil, "%d messages have no end", c.open)
+		c.violation(nil, "%d messages have not ended", c.open)
 	}
 }
--- a/internal/lab/simulation/cold_test.go
+++ b/internal/lab/simulation/cold_test.go
@@ -8,8 +8,8 @@
 	"mulleinbeam/internal/lab/scenario"
 )
 
-// cold is a fleet before partners that are all down for a while and come back cold. What they bear then is the users' budget, and
-// twice its root and two calls more for chance.
+// coldRecovery is a fleet whose destinations all have an outage and are cold on recovery. They tolerate the number of calls n that
+// their capacity and the overload factor give, plus 2 * (sqrt(n) + 1) for chance.
 func cold(forwarders, partners int, capacity, rate float64) scenario.Scenario {
 	s := small(scenario.Fault{Kind: scenario.Outage, At: d(8 * time.Second), Duration: d(6 * time.Second), Share: 1})
 	s.Name, s.Length = "cold", d(32*time.Second)
@@ -24,43 +24,44 @@
 	return s
 }
 
-// All that saw an outage send together no more than what a cold partner bears, however many they are, however little each sees,
-// behind a restart that most of them have forgotten it with, and with uneven traffic. What they hold is delivered all the same.
+// Forwarders that know of an outage together send no more than a cold destination tolerates. This holds for any fleet size, with
+// little traffic at each forwarder, with uneven traffic, and after a restart in which most forwarders lose their knowledge of the
+// outage. The held messages must still be delivered.
 func TestAFleetPushesNoColdPartnerOver(t *testing.T) {
 	for name, c := range map[string]struct {
-		s    scenario.Scenario
-		odd  func(*scenario.Scenario)
-		goes float64 // share of the worth that is delivered, at the least
+		s        scenario.Scenario
+		change   func(*scenario.Scenario)
+		minShare float64 // minimum share of the worth that is delivered
 	}{
-		"two":                     {cold(2, 6, 40, 150), nil, 0.88},
-		"eight":                   {cold(8, 6, 40, 150), nil, 0.86},
-		"eight, small partners":   {cold(8, 20, 8, 110), nil, 0.8},
-		"twenty, small partners":  {cold(20, 20, 8, 110), nil, 0.75},
-		"thirty, small partners":  {cold(30, 20, 8, 110), nil, 0.75},
-		"twenty, uneven":          {cold(20, 6, 40, 150), func(s *scenario.Scenario) { s.Traffic.ForwarderSkew = 1 }, 0.77},
-		"thirty, silent partners": {cold(30, 6, 40, 150), func(s *scenario.Scenario) { s.Faults[0].Kind = scenario.Silence }, 0.77},
+		"two":                         {cold(2, 6, 40, 150), nil, 0.88},
+		"eight":                       {cold(8, 6, 40, 150), nil, 0.86},
+		"eight, small destinations":   {cold(8, 20, 8, 110), nil, 0.8},
+		"twenty, small destinations":  {cold(20, 20, 8, 110), nil, 0.75},
+		"thirty, small destinations":  {cold(30, 20, 8, 110), nil, 0.75},
+		"twenty, uneven":              {cold(20, 6, 40, 150), func(s *scenario.Scenario) { s.Traffic.ForwarderSkew = 1 }, 0.77},
+		"thirty, silent destinations": {cold(30, 6, 40, 150), func(s *scenario.Scenario) { s.Faults[0].Kind = scenario.Silence }, 0.77},
 		"thirty, restarted": {cold(30, 6, 40, 150), func(s *scenario.Scenario) {
 			s.Faults = append(s.Faults, scenario.Fault{
 				Kind: scenario.Kill, At: d(12 * time.Second), Share: 0.7, MinDowntime: d(600 * time.Millisecond), MaxDowntime: d(1500 * time.Millisecond),
 			})
 		}, 0.82},
-		"thirty, waits told": {cold(30, 6, 40, 150), func(s *scenario.Scenario) {
+		"thirty, retry-after": {cold(30, 6, 40, 150), func(s *scenario.Scenario) {
 			s.Destinations[0].Limit, s.Destinations[0].RefusalsCount, s.Destinations[0].RetryAfter = 44, true, d(900*time.Millisecond)
 		}, 0.75},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			if c.odd != nil {
-				c.odd(&c.s)
+			if c.change != nil {
+				c.change(&c.s)
 			}
 			for seed := range uint64(3) {
 				r := play(t, c.s, seed)
 				share := r.Worth.Delivered / r.Worth.Offered
-				if told := fmt.Sprintf("seed %d: %d fell, %.2f of what one bears at the most, %.3f of the worth delivered",
-					seed, r.Overloads, r.PeakColdLoad, share); r.InformedOverloads > 0 || share < c.goes {
-					t.Errorf("%s; %d were pushed by those that knew", told, r.InformedOverloads)
+				if summary := fmt.Sprintf("seed %d: %d overloads, peak load %.2f of the tolerated, %.3f of the worth delivered",
+					seed, r.Overloads, r.PeakColdLoad, share); r.InformedOverloads > 0 || share < c.minShare {
+					t.Errorf("%s; %d overloads were caused by forwarders that knew of the outage", summary, r.InformedOverloads)
 				} else {
-					t.Log(told)
+					t.Log(summary)
 				}
 				for _, b := range r.Violations {
 					t.Error(b)
--- a/internal/lab/simulation/fleet_test.go
+++ b/internal/lab/simulation/fleet_test.go
@@ -7,9 +7,9 @@
 	"mulleinbeam/internal/lab/scenario"
 )
 
-// fleet is eighty forwarders before a few partners that lower their limits for a while. Each forwarder sees a call or two a
-// second of each, partners tell no waits, and what they refuse counts for the limit.
-func fleet() scenario.Scenario {
+// limitedFleet is eighty forwarders with a few destinations that lower their rate limits for a while. Each forwarder makes one or
+// two calls per second to each destination; refusals have no retry-after and count towards the limit.
+func limitedFleet() scenario.Scenario {
 	s := small(scenario.Fault{Kind: scenario.Limit, At: d(8 * time.Second), Duration: d(9 * time.Second), Factor: 0.7, Share: 1})
 	s.Name, s.Fleet = "fleet", scenario.Fleet{Forwarders: 80, Slots: 4, MostHeld: 60}
 	s.Destinations[0].Capacity, s.Destinations[0].Limit, s.Destinations[0].RetryAfter = 140, 100, 0
@@ -17,22 +17,23 @@
 	return s
 }
 
-// A fleet keeps using a limit that it has reached: each forwarder paces itself by what it is asked for, so that the sum comes
-// down to the limit and no lower. Forwarders that take themselves for a few pace by the whole limit, which binds none of them.
-func TestAFleetSharesALimit(t *testing.T) {
+// A fleet that has reached a rate limit keeps using it: each forwarder limits its rate in proportion to its own demand, so that
+// the sum falls to the limit and no lower. Forwarders configured with a fleet size that is too small limit themselves to most of
+// the limit each, which restrains none of them.
+func TestFleetSharesRateLimit(t *testing.T) {
 	share := func(r Result) float64 { return r.Worth.Delivered / r.Worth.Offered }
 	for seed := range uint64(3) {
-		s := fleet()
-		told := play(t, s, seed)
+		s := limitedFleet()
+		configured := play(t, s, seed)
 		s.Fleet.ConfiguredForwarders = 4
-		few := play(t, s, seed)
-		t.Logf("seed %d: delivers %.2f, %d refused; as a few %.2f, %d refused", seed, share(told), told.OverLimit, share(few), few.OverLimit)
-		for _, b := range told.Violations {
+		understated := play(t, s, seed)
+		t.Logf("seed %d: delivered %.2f, %d refused; with the understated fleet size %.2f, %d refused", seed, share(configured), configured.OverLimit, share(understated), understated.OverLimit)
+		for _, b := range configured.Violations {
 			t.Errorf("seed %d: %s", seed, b)
 		}
-		if share(told) < 0.84 || share(few) > 0.7 || told.OverLimit > few.OverLimit/3 {
-			t.Errorf("seed %d: delivers %.2f of the worth with %d refusals, as a few forwarders %.2f with %d",
-				seed, share(told), told.OverLimit, share(few), few.OverLimit)
+		if share(configured) < 0.84 || share(understated) > 0.7 || configured.OverLimit > understated.OverLimit/3 {
+			t.Errorf("seed %d: delivered %.2f of the worth with %d refusals, with the understated fleet size %.2f with %d",
+				seed, share(configured), configured.OverLimit, share(understated), understated.OverLimit)
 		}
 	}
 }
--- a/internal/lab/simulation/random_test.go
+++ b/internal/lab/simulation/random_test.go
@@ -9,7 +9,7 @@
 	"mulleinbeam/internal/lab/scenario"
 )
 
-// Whatever goes wrong together, the rules are kept. More of it, out of the tests:
+// Random combinations of faults and settings violate no rule. A longer run:
 //
 //	go test ./internal/lab/simulation -run RandomScenarios -rapid.checks=2000
 func TestRandomScenarios(t *testing.T) {
--- a/internal/lab/simulation/shrink.go
+++ b/internal/lab/simulation/shrink.go
@@ -7,8 +7,8 @@
 	"mulleinbeam/internal/lab/scenario"
 )
 
-// Shrink looks for a smaller scenario that still fails: shorter, with fewer faults, forwarders, partners and endpoints, and less
-// traffic. It asks fails so many times at the most.
+// Shrink searches for a smaller scenario that still fails: shorter, with fewer faults, forwarders, destinations and endpoints,
+// and less traffic. It calls fails at most budget times.
 func Shrink(s scenario.Scenario, fails func(scenario.Scenario) bool, budget int) scenario.Scenario {
 	try := func(change func(*scenario.Scenario) bool) bool {
 		next := s
@@ -23,11 +23,11 @@
 		s = next
 		return true
 	}
-	for again := true; again; {
-		again = false
+	for changed := true; changed; {
+		changed = false
 		for i := 0; i < len(s.Faults); {
 			if try(func(n *scenario.Scenario) bool { n.Faults = slices.Delete(n.Faults, i, i+1); return true }) {
-				again = true
+				changed = true
 			} else {
 				i++
 			}
@@ -40,15 +40,15 @@
 			func(n *scenario.Scenario) bool { n.Traffic.Rate /= 2; return n.Traffic.Rate > 0.1 },
 		} {
 			for try(change) {
-				again = true
+				changed = true
 			}
 		}
 		for i := range s.Destinations {
 			for try(func(n *scenario.Scenario) bool { n.Destinations[i].Count /= 2; return n.Destinations[i].Count > 0 }) {
-				again = true
+				changed = true
 			}
 			for try(func(n *scenario.Scenario) bool { n.Destinations[i].Endpoints--; return n.Destinations[i].Endpoints > 0 }) {
-				again = true
+				changed = true
 			}
 		}
 	}
--- a/internal/lab/simulation/world_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -16,7 +16,7 @@
 
 func d(v time.Duration) scenario.Duration { return scenario.Duration(v) }
 
-// small is a scenario that the tests change.
+// small is a scenario that the tests modify.
 func small(faults ...scenario.Fault) scenario.Scenario {
 	return scenario.Scenario{
 		Name: "small", Length: d(25 * time.Second), Fleet: scenario.Fleet{Forwarders: 4, Slots: 16, MostHeld: 300},
@@ -46,7 +46,7 @@
 	return w.Run()
 }
 
-// Equal seeds give equal runs, whatever else; another seed another one.
+// Equal seeds give equal runs, different seeds different ones.
 func TestEqualSeeds(t *testing.T) {
 	s := small(
 		scenario.Fault{Kind: scenario.Outage, At: d(5 * time.Second), Duration: d(4 * time.Second), Share: 0.5},
@@ -58,11 +58,11 @@
 		t.Error(diff)
 	}
 	if cmp.Equal(a, c, cmpopts.IgnoreFields(Result{}, "Seed")) {
-		t.Error("two seeds gave the same run")
+		t.Error("two seeds gave equal runs")
 	}
 }
 
-// Under each fault the rules are kept, and the fault is seen to have been there.
+// No fault causes a rule violation, and each fault has a visible effect on the result.
 func TestRulesAreKept(t *testing.T) {
 	for name, c := range map[string]struct {
 		fault scenario.Fault
@@ -88,10 +88,10 @@
 						t.Errorf("seed %d, learned %v: %s", seed, keep, b)
 					}
 					if !c.seen(r, calm) {
-						t.Errorf("seed %d: nothing to be seen of it: %+v", seed, r.Worth)
+						t.Errorf("seed %d: the fault has no visible effect: %+v", seed, r.Worth)
 					}
 					if share := calm.Worth.Delivered / calm.Worth.Offered; share < 0.95 || len(calm.Violations) > 0 {
-						t.Errorf("seed %d: a calm run delivers %.2f, broken %v", seed, share, calm.Violations)
+						t.Errorf("seed %d: a run without faults delivers %.2f, violations %v", seed, share, calm.Violations)
 					}
 				}
 			}
@@ -99,43 +99,49 @@
 	}
 }
 
-// The checker finds each thing that it is there for.
+// The checker detects a violation of each rule.
 func TestCheckerFinds(t *testing.T) {
 	s := small()
-	for name, f := range map[string]func(w *Simulation, h *host, m *message, c *call){
-		"a second end":  func(w *Simulation, h *host, m *message, c *call) { h.end(m, Failed); h.end(m, Refused) },
-		"no end":        func(w *Simulation, h *host, m *message, c *call) { w.checks.end() },
-		"late":          func(w *Simulation, h *host, m *message, c *call) { w.now = m.deadline + time.Second; h.end(m, Failed) },
-		"second effect": func(w *Simulation, h *host, m *message, c *call) { w.checks.ran(m); w.checks.ran(m) },
-		"sent again":    func(w *Simulation, h *host, m *message, c *call) { m.mayRun = true; w.checks.begun(h, c) },
-		"behind its key": func(w *Simulation, h *host, m *message, c *call) {
-			m.wish.class = &s.Classes[1]
-			m.mayRun = true
+	for name, f := range map[string]func(w *Simulation, h *forwarder, m *message, c *call){
+		"ended twice": func(w *Simulation, h *forwarder, m *message, c *call) {
+			h.endMessage(m, Failed)
+			h.endMessage(m, Refused)
+		},
+		"not ended": func(w *Simulation, h *forwarder, m *message, c *call) { w.checker.end() },
+		"late": func(w *Simulation, h *forwarder, m *message, c *call) {
+			w.now = m.deadline + time.Second
+			h.endMessage(m, Failed)
+		},
+		"second effect": func(w *Simulation, h *forwarder, m *message, c *call) { w.checker.executed(m); w.checker.executed(m) },
+		"sent again":    func(w *Simulation, h *forwarder, m *message, c *call) { m.mayHaveRun = true; w.checker.started(h, c) },
+		"after its key expired": func(w *Simulation, h *forwarder, m *message, c *call) {
+			m.request.class = &s.Classes[1]
+			m.mayHaveRun = true
 			w.now = time.Minute
-			w.checks.begun(h, c)
+			w.checker.started(h, c)
 		},
-		"slots": func(w *Simulation, h *host, m *message, c *call) { h.out = 99; w.checks.sent(h, c) },
-		"drained": func(w *Simulation, h *host, m *message, c *call) {
-			h.known[c.endpoint.name] = mb.Draining
-			w.checks.sent(h, c)
+		"slots": func(w *Simulation, h *forwarder, m *message, c *call) { h.callsOut = 99; w.checker.sent(h, c) },
+		"drained": func(w *Simulation, h *forwarder, m *message, c *call) {
+			h.readiness[c.endpoint.name] = mb.Draining
+			w.checker.sent(h, c)
 		},
-		"within a told wait": func(w *Simulation, h *host, m *message, c *call) {
-			h.waits[c.partner.id] = told{time.Hour, h.life}
-			w.checks.begun(h, c)
+		"within a retry-after": func(w *Simulation, h *forwarder, m *message, c *call) {
+			h.retryAfters[c.destination.id] = retryAfter{time.Hour, h.incarnation}
+			w.checker.started(h, c)
 		},
 	} {
 		w, err := New(s, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		h := w.hosts[0]
+		h := w.forwarders[0]
 		h.start()
-		x := &wish{class: &s.Classes[2], partner: w.partners[0], host: h, until: 10 * time.Second}
+		x := &request{class: &s.Classes[2], destination: w.destinations[0], forwarder: h, deadline: 10 * time.Second}
 		h.submit(x)
 		m := h.held[1]
-		c := &call{m: m, endpoint: w.partners[0].endpoints[0], partner: w.partners[0]}
+		c := &call{message: m, endpoint: w.destinations[0].endpoints[0], destination: w.destinations[0]}
 		if len(w.result.Violations) > 0 {
-			t.Fatalf("%s: before anything: %v", name, w.result.Violations)
+			t.Fatalf("%s: violations before the test's own: %v", name, w.result.Violations)
 		}
 		if f(w, h, m, c); len(w.result.Violations) != 1 {
 			t.Errorf("%s: %v", name, w.result.Violations)
@@ -143,53 +149,53 @@
 	}
 }
 
-// A partner's limit counts in any second, what it tells is told, and pushed while it is cold it falls over again.
+// A destination's rate limit holds over any second, refusals carry its retry-after, and overload while it is cold takes it down again.
 func TestPartner(t *testing.T) {
 	s := small()
 	w, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, e := w.partners[0], w.partners[0].endpoints[0]
+	p, e := w.destinations[0], w.destinations[0].endpoints[0]
 	ok := 0
 	for i := range 100 {
-		f := p.take(time.Duration(i)*time.Millisecond, e, false)
+		f := p.handleCall(time.Duration(i)*time.Millisecond, e, false)
 		if f.outcome == mb.OK {
 			ok++
-		} else if f.outcome != mb.Refused || f.wait != 2*time.Second || f.runs {
+		} else if f.outcome != mb.Refused || f.retryAfter != 2*time.Second || f.takesEffect {
 			t.Fatalf("%+v", f)
 		}
 	}
 	if ok != 40 {
-		t.Errorf("%d calls taken of 100 with a limit of 40", ok)
+		t.Errorf("%d of 100 calls accepted with a limit of 40", ok)
 	}
-	if f := p.take(900*time.Millisecond, e, false); f.outcome != mb.Refused {
+	if f := p.handleCall(900*time.Millisecond, e, false); f.outcome != mb.Refused {
 		t.Errorf("within the second: %+v", f)
 	}
-	if f := p.take(2500*time.Millisecond, e, false); f.outcome != mb.OK {
-		t.Errorf("behind it: %+v", f)
+	if f := p.handleCall(2500*time.Millisecond, e, false); f.outcome != mb.OK {
+		t.Errorf("after the second: %+v", f)
 	}
-	p.fall(10*time.Second, 12*time.Second, false)
-	if f := p.take(11*time.Second, e, false); f.outcome != mb.ConnectFailed || f.runs {
+	p.startOutage(10*time.Second, 12*time.Second, false)
+	if f := p.handleCall(11*time.Second, e, false); f.outcome != mb.ConnectFailed || f.takesEffect {
 		t.Errorf("down: %+v", f)
 	}
 	taken := 0
-	for at := 12 * time.Second; p.tips == 0 && at < 13*time.Second; at += time.Millisecond {
-		if p.take(at, e, false).outcome != mb.Reset {
+	for at := 12 * time.Second; p.overloads == 0 && at < 13*time.Second; at += time.Millisecond {
+		if p.handleCall(at, e, false).outcome != mb.Reset {
 			taken++
 		}
 	}
-	if p.tips != 1 || taken < 8 || taken > 16 { // 1.3 x 0.2 x 40 a second, and it warms
-		t.Errorf("fell over %d times, after %d calls", p.tips, taken)
+	if p.overloads != 1 || taken < 8 || taken > 16 { // 1.3 x 0.2 x 40 per second, and the capacity grows
+		t.Errorf("%d overloads after %d calls", p.overloads, taken)
 	}
-	p.fall(30*time.Second, 40*time.Second, true)
-	if f := p.take(31*time.Second, e, false); f.after >= 0 {
+	p.startOutage(30*time.Second, 40*time.Second, true)
+	if f := p.handleCall(31*time.Second, e, false); f.latency >= 0 {
 		t.Errorf("silent: %+v", f)
 	}
 }
 
-// After a mass restart in an outage, forwarders that keep what they had learned call less within waits that were told to their
-// earlier lives, and deliver no less.
+// After a mass restart in an outage, forwarders that keep their learned state make fewer calls within retry-afters that earlier
+// incarnations received, and deliver no less.
 func TestLearnedStateAfterMassRestart(t *testing.T) {
 	s := small(
 		scenario.Fault{Kind: scenario.Load, At: d(4 * time.Second), Duration: d(8 * time.Second), Factor: 3},
@@ -222,7 +228,7 @@
 	}
 }
 
-// A scenario that fails is made smaller as long as it fails, within its budget of runs, and never into one that can't be played.
+// Shrink reduces a failing scenario while it still fails, within its budget of runs, and never produces an invalid one.
 func TestShrink(t *testing.T) {
 	s := small(
 		scenario.Fault{Kind: scenario.Slow, At: d(2 * time.Second), Duration: d(time.Second), Factor: 2, Share: 1},
@@ -244,7 +250,7 @@
 		t.Errorf("%+v", got)
 	}
 	if len(s.Faults) != 3 || s.Destinations[0].Count != 4 {
-		t.Error("what was given was changed")
+		t.Error("the input scenario was changed")
 	}
 	runs = 0
 	if Shrink(s, fails, 5); runs > 5 {
@@ -252,7 +258,7 @@
 	}
 }
 
-// A trace tells a message's life in its order.
+// The trace reports the events of a message in order.
 func TestTrace(t *testing.T) {
 	w, err := New(small(), 1)
 	if err != nil {
@@ -265,13 +271,13 @@
 		}
 	}
 	w.Run()
-	if len(lines) < 4 || !strings.HasPrefix(lines[0], "taken by forwarder") || !strings.HasPrefix(lines[1], "attempt 0 goes to p") ||
+	if len(lines) < 4 || !strings.HasPrefix(lines[0], "accepted by forwarder") || !strings.HasPrefix(lines[1], "attempt 0 goes to p") ||
 		lines[2] != "takes effect" || !strings.HasPrefix(lines[len(lines)-1], "attempt") && !strings.HasPrefix(lines[len(lines)-1], "ends") {
 		t.Errorf("%q", lines)
 	}
 }
 
-// An interval covers the true mean about as often as it says, and a difference that is none is called that.
+// The interval covers the true mean about as often as its confidence level says, and IncludesZero is true for differences of none.
 func TestBootstrap(t *testing.T) {
 	covered, noise := 0, 0
 	const runs = 200
@@ -296,14 +302,14 @@
 		t.Errorf("covered %d of %d, noise %d", covered, runs, noise)
 	}
 	if _, err := Compare(make([]Result, 2), make([]Result, 3)); err == nil {
-		t.Error("results without pairs were compared")
+		t.Error("results that cannot be paired were compared")
 	}
 	if _, err := Compare([]Result{{Seed: 1}}, []Result{{Seed: 2}}); err == nil {
-		t.Error("other seeds were compared")
+		t.Error("results of different seeds were compared")
 	}
 }
 
-// BenchmarkFleet gives the events a second of virtual time, by the number of forwarders.
+// BenchmarkFleet measures simulated events per second of real time, by the number of forwarders.
 func BenchmarkFleet(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -323,8 +329,9 @@
 	}
 }
 
-// Folders that are lost take along what nobody has a copy of; with copies another forwarder goes on with it, by the same rules.
-func TestFoldersAreLost(t *testing.T) {
+// Messages are lost with their forwarder's folder if there is no copy; with copies another forwarder takes them over under the
+// same rules.
+func TestLostFolders(t *testing.T) {
 	s := small(
 		scenario.Fault{Kind: scenario.Outage, At: d(5 * time.Second), Duration: d(5 * time.Second), Share: 0.5},
 		scenario.Fault{Kind: scenario.Kill, At: d(8 * time.Second), Share: 0.5, FolderLossShare: 1, MinDowntime: d(time.Second), MaxDowntime: d(5 * time.Second)},
@@ -333,7 +340,7 @@
 	s.Copies = scenario.Copies{Enabled: true, TakeoverDelay: d(2 * time.Second), ReplicationDelay: d(time.Millisecond)}
 	copied := play(t, s, 1)
 	if alone.LostWithFolder == 0 || alone.TakenOver != 0 || copied.LostWithFolder != 0 || copied.TakenOver == 0 {
-		t.Errorf("alone %d gone, %d taken over; with copies %d and %d", alone.LostWithFolder, alone.TakenOver, copied.LostWithFolder, copied.TakenOver)
+		t.Errorf("without copies %d lost, %d taken over; with copies %d and %d", alone.LostWithFolder, alone.TakenOver, copied.LostWithFolder, copied.TakenOver)
 	}
 	for _, r := range []Result{alone, copied} {
 		if len(r.Violations) > 0 {
--- a/internal/lab/simulation/sweep.go
+++ b/internal/lab/simulation/sweep.go
@@ -14,14 +14,14 @@
 	"mulleinbeam/internal/lab/scenario"
 )
 
-// Variant is a scenario under a name.
+// Variant is a named scenario.
 type Variant struct {
 	Name     string
 	Scenario scenario.Scenario
 }
 
-// Sweep plays each variant with each seed, so many at once, and gives the results by variant and seed. progress is told how
-// many are done, of how many, and how long the rest will take by what was seen; it may be nil.
+// Sweep runs each variant with each seed, atOnce runs at a time, and returns the results by variant and seed. It calls progress
+// with the number of finished runs, their total and the estimated time left; progress may be nil.
 func Sweep(ctx context.Context, variants []Variant, seeds []uint64, atOnce int, progress func(done, of int, left time.Duration)) ([][]Result, error) {
 	out := make([][]Result, len(variants))
 	group, ctx := errgroup.WithContext(ctx)
@@ -53,13 +53,13 @@
 	return out, group.Wait()
 }
 
-// Metric is one number of a result.
+// Metric is a number that is computed from a result.
 type Metric struct {
 	Name string
 	Of   func(Result) float64
 }
 
-// Values are the figure of each result.
+// Values returns the metric of each result.
 func (f Metric) Values(results []Result) []float64 {
 	values := make([]float64, len(results))
 	for i, r := range results {
@@ -68,7 +68,7 @@
 	return values
 }
 
-// Mean is the figure's over results.
+// Mean returns the metric's mean over results.
 func (f Metric) Mean(results []Result) float64 {
 	sum := 0.0
 	for _, v := range f.Values(results) {
@@ -77,7 +77,7 @@
 	return sum / float64(max(1, len(results)))
 }
 
-// Metrics are those that comparisons show.
+// Metrics lists the metrics that comparisons and reports show.
 var Metrics = []Metric{
 	{"messages lost with folders", func(r Result) float64 { return float64(r.LostWithFolder) }},
 	{"messages taken over", func(r Result) float64 { return float64(r.TakenOver) }},
@@ -91,15 +91,15 @@
 	{"rules broken", func(r Result) float64 { return float64(len(r.Violations)) }},
 }
 
-// Interval is a mean with the range in which 95 of 100 resamples lie.
+// Interval is a mean with its 95 % bootstrap confidence interval.
 type Interval struct{ Mean, Low, High float64 }
 
-// IncludesZero says that the range has zero in it: a difference of that size may be chance.
+// IncludesZero reports whether the interval includes zero: a difference of that size may be chance.
 func (i Interval) IncludesZero() bool { return i.Low <= 0 && i.High >= 0 }
 
 const resamples = 2000
 
-// Bootstrap gives the mean of values and its interval.
+// Bootstrap returns the mean of values and its confidence interval; equal seeds give equal intervals.
 func Bootstrap(values []float64, seed uint64) Interval {
 	if len(values) == 0 {
 		return Interval{math.NaN(), math.NaN(), math.NaN()}
@@ -121,21 +121,21 @@
 	return Interval{mean(func(i int) float64 { return values[i] }), at(0.025), at(0.975)}
 }
 
-// Difference is what a figure of B has more than A, paired by seed.
+// Difference is the difference B - A of a metric between two variants, paired by seed.
 type Difference struct {
 	Metric string
 	A, B   float64 // means
 	Diff   Interval
 }
 
-// Compare pairs two variants' results by their seeds.
+// Compare returns the differences of all metrics between two variants, whose results it pairs by seed.
 func Compare(a, b []Result) ([]Difference, error) {
 	if len(a) != len(b) {
-		return nil, fmt.Errorf("world: %d results and %d have no pairs", len(a), len(b))
+		return nil, fmt.Errorf("simulation: %d and %d results cannot be paired", len(a), len(b))
 	}
 	for i := range a {
 		if a[i].Seed != b[i].Seed {
-			return nil, fmt.Errorf("world: seeds %d and %d are no pair", a[i].Seed, b[i].Seed)
+			return nil, fmt.Errorf("simulation: results of seeds %d and %d cannot be paired", a[i].Seed, b[i].Seed)
 		}
 	}
 	var out []Difference
