--- a/internal/lab/eventqueue/eventqueue.go
+++ b/internal/lab/eventqueue/eventqueue.go
@@ -35,19 +35,19 @@
 }
 
 // Schedule adds an event: do is due at time t.
-func (a *Queue) Schedule(t time.Duration, do func()) {
-	a.seq++
-	heap.Push(&a.queue, event{t, a.seq, do})
+func (q *Queue) Schedule(t time.Duration, do func()) {
+	q.seq++
+	heap.Push(&q.queue, event{t, q.seq, do})
 }
 
 // Next removes the earliest event and returns its time and its function. It returns false if no event is due up to end.
-func (a *Queue) Next(end time.Duration) (at time.Duration, do func(), some bool) {
-	if len(a.queue) == 0 || a.queue[0].at > end {
+func (q *Queue) Next(end time.Duration) (at time.Duration, do func(), ok bool) {
+	if len(q.queue) == 0 || q.queue[0].at > end {
 		return 0, nil, false
 	}
-	e := heap.Pop(&a.queue).(event)
+	e := heap.Pop(&q.queue).(event)
 	return e.at, e.do, true
 }
 
 // Scheduled returns the number of events scheduled so far, including those that Next has removed.
-func (a *Queue) Scheduled() uint64 { return a.seq }
+func (q *Queue) Scheduled() uint64 { return q.seq }
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -120,107 +120,107 @@
 
 // open starts the destinations, the agent and the forwarders.
 func (s *run) open() error {
-	partners, err := simulation.Destinations(s.Scenario, s.Seed)
+	models, err := simulation.Destinations(s.Scenario, s.Seed)
 	if err != nil {
 		return err
 	}
 	var all []*lab.Endpoint
-	for _, p := range partners {
-		t := &destination{model: p}
-		for _, name := range p.Endpoints() {
-			e := &lab.Endpoint{Name: name, Group: p.ID(), Weight: p.CapacityHint(), Handle: func(c *lab.Call) bool { return s.handleCall(t, c) }}
+	for _, model := range models {
+		dest := &destination{model: model}
+		for _, name := range model.Endpoints() {
+			e := &lab.Endpoint{Name: name, Group: model.ID(), Weight: model.CapacityHint(), Handle: func(c *lab.Call) bool { return s.handleCall(dest, c) }}
 			if err := e.Listen(); err != nil {
 				return err
 			}
-			t.endpoints = append(t.endpoints, e)
+			dest.endpoints = append(dest.endpoints, e)
 			all = append(all, e)
 		}
-		s.destinations = append(s.destinations, t)
+		s.destinations = append(s.destinations, dest)
 	}
 	s.agent = &lab.Agent{Told: s.handleReport}
 	if err := s.agent.Listen(all...); err != nil {
 		return err
 	}
 	for i := range s.Scenario.Fleet.Forwarders {
-		f := &lab.Forwarder{
+		process := &lab.Forwarder{
 			Command: s.Program, Env: s.Env, Name: fmt.Sprint("f", i), Slots: s.Scenario.Fleet.Slots, DiskMB: 32, Amend: s.configure,
 		}
 		if s.Scenario.Learned.Enabled {
-			f.Settings = fmt.Sprintf("[learned]\ninterval = %q\nsize = \"1MiB\"\n", s.Scenario.Learned.SaveInterval.D())
+			process.Settings = fmt.Sprintf("[learned]\ninterval = %q\nsize = \"1MiB\"\n", s.Scenario.Learned.SaveInterval.D())
 		}
-		dir := filepath.Join(s.Dir, f.Name)
-		if err := f.Prepare(dir, s.agent); err != nil {
+		dir := filepath.Join(s.Dir, process.Name)
+		if err := process.Prepare(dir, s.agent); err != nil {
 			return err
 		}
-		h := &forwarder{process: f}
-		s.forwarders = append(s.forwarders, h)
-		if err := f.Start(); err != nil {
+		fwd := &forwarder{process: process}
+		s.forwarders = append(s.forwarders, fwd)
+		if err := process.Start(); err != nil {
 			return err
 		}
-		h.up = true
+		fwd.up = true
 	}
 	return nil
 }
 
 // configure writes the scenario's settings into the platform's configuration, whose times are in microseconds.
-func (s *run) configure(c map[string]any) {
+func (s *run) configure(config map[string]any) {
 	micro := func(d scenario.Duration) int64 { return d.D().Microseconds() }
 	services := []any{}
-	for _, k := range s.Scenario.Classes {
+	for _, class := range s.Scenario.Classes {
 		services = append(services, map[string]any{
-			"name": k.Name, "effect": k.Effect, "target": micro(k.Target), "give-up": micro(k.DeliveryTimeout), "key-ttl": micro(k.KeyTTL),
-			"group": "all", "credit": k.Worth, "late-worth": scenario.LateWorth,
+			"name": class.Name, "effect": class.Effect, "target": micro(class.Target), "give-up": micro(class.DeliveryTimeout), "key-ttl": micro(class.KeyTTL),
+			"group": "all", "credit": class.Worth, "late-worth": scenario.LateWorth,
 		})
 	}
-	set := c["settings"].(map[string]any)
-	set["balancers"], set["services"] = s.Scenario.Fleet.Forwarders, services
-	set["limits"].(map[string]any)["most-held"] = s.Scenario.Fleet.MostHeld
-	rules := set["rules"].(map[string]any)
+	settings := config["settings"].(map[string]any)
+	settings["balancers"], settings["services"] = s.Scenario.Fleet.Forwarders, services
+	settings["limits"].(map[string]any)["most-held"] = s.Scenario.Fleet.MostHeld
+	rules := settings["rules"].(map[string]any)
 	rules["cold-from"], rules["warm-within"] = s.Scenario.Rules.ColdFrom, micro(s.Scenario.Rules.WarmWithin)
 	rules["overload-factor"], rules["tip-after"] = s.Scenario.Rules.OverloadFactor, micro(s.Scenario.Rules.OverloadWindow)
 }
 
 // handleCall answers a call to a destination according to the destination's state.
-func (s *run) handleCall(t *destination, c *lab.Call) bool {
+func (s *run) handleCall(dest *destination, c *lab.Call) bool {
 	if c.ReadAll(0) != nil {
 		return false
 	}
-	t.mu.Lock()
-	f := t.model.HandleCall(s.now())
-	t.mu.Unlock()
+	dest.mu.Lock()
+	result := dest.model.HandleCall(s.now())
+	dest.mu.Unlock()
 	s.mu.Lock()
 	s.result.Calls++
-	if f.Cold {
+	if result.Cold {
 		s.result.ColdCalls++
 	}
-	if f.Early {
+	if result.Early {
 		s.result.EarlyColdCalls++
 	}
-	if f.Outcome == mb.Refused {
+	if result.Outcome == mb.Refused {
 		s.result.OverLimit++
 	}
-	if f.Overloaded {
+	if result.Overloaded {
 		s.result.Overloads++
 	}
 	s.mu.Unlock()
 	switch {
-	case f.Latency < 0: // silent: waits until the forwarder closes the connection
+	case result.Latency < 0: // silent: waits until the forwarder closes the connection
 		_, _ = c.Conn.Read(make([]byte, 1))
 		return false
-	case f.Overloaded:
-		s.disconnect(t, s.Scenario.Rules.OverloadDowntime.D())
+	case result.Overloaded:
+		s.disconnect(dest, s.Scenario.Rules.OverloadDowntime.D())
 		return false
-	case f.Outcome == mb.ConnectFailed:
+	case result.Outcome == mb.ConnectFailed:
 		return false
-	case f.Outcome == mb.Refused:
+	case result.Outcome == mb.Refused:
 		fields := ""
-		if f.RetryAfter > 0 {
-			fields = fmt.Sprintf("X-RateLimit-Wait-Ms: %d\r\n", f.RetryAfter.Milliseconds())
+		if result.RetryAfter > 0 {
+			fields = fmt.Sprintf("X-RateLimit-Wait-Ms: %d\r\n", result.RetryAfter.Milliseconds())
 		}
 		return c.Answer(429, fields) == nil
 	}
-	time.Sleep(f.Latency) // the service time
-	if f.Outcome == mb.Reset {
+	time.Sleep(result.Latency) // the service time
+	if result.Outcome == mb.Reset {
 		return false
 	}
 	if c.Answer(200, "") != nil {
@@ -231,12 +231,12 @@
 }
 
 // disconnect closes a destination's connections and refuses new ones for a time.
-func (s *run) disconnect(t *destination, d time.Duration) {
-	for _, e := range t.endpoints {
+func (s *run) disconnect(dest *destination, duration time.Duration) {
+	for _, e := range dest.endpoints {
 		e.Down()
 	}
-	s.schedule(s.ctx, s.now()+d, func() {
-		for _, e := range t.endpoints {
+	s.schedule(s.ctx, s.now()+duration, func() {
+		for _, e := range dest.endpoints {
 			_ = e.Up() // fails if the endpoint is up already, after two overlapping outages
 		}
 	})
@@ -246,24 +246,24 @@
 func (s *run) recordDelivery(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w := s.waiting[id]
-	if w == nil || w.done {
+	req := s.waiting[id]
+	if req == nil || req.done {
 		return
 	}
-	w.done = true
+	req.done = true
 	delete(s.waiting, id)
-	close(w.ended)
+	close(req.ended)
 	now := s.now()
-	s.result.RecordDelivery(w.class, now-w.createdAt, s.killedAt >= 0 && now < s.killedAt+simulation.AfterKillWindow)
+	s.result.RecordDelivery(req.class, now-req.createdAt, s.killedAt >= 0 && now < s.killedAt+simulation.AfterKillWindow)
 }
 
 // handleReport passes a delivery report to the client that waits for it.
-func (s *run) handleReport(n lab.Notice) {
+func (s *run) handleReport(report lab.Notice) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if w := s.waiting[n.Message]; w != nil {
-		delete(s.waiting, n.Message)
-		w.ended <- n
+	if req := s.waiting[report.Message]; req != nil {
+		delete(s.waiting, report.Message)
+		req.ended <- report
 	}
 }
 
@@ -288,7 +288,7 @@
 				break
 			}
 		}
-		w := &request{
+		req := &request{
 			number: n, class: class, destination: s.destinations[rng.IntN(len(s.destinations))], forwarder: s.forwarders[rng.IntN(len(s.forwarders))], createdAt: s.now(),
 			deadline: s.now() + class.DeliveryTimeout.D(), retriesLeft: s.Scenario.Traffic.MaxRetries,
 		}
@@ -300,40 +300,40 @@
 		s.tasks.Add(1)
 		go func() {
 			defer s.tasks.Done()
-			s.submitUntilDone(ctx, w)
+			s.submitUntilDone(ctx, req)
 		}()
 	}
 }
 
 // submitUntilDone submits a request until it is delivered or abandoned, its retries are used up, or its deadline passes.
-func (s *run) submitUntilDone(ctx context.Context, w *request) {
-	class := s.result.Classes[w.class.Name]
-	book := func(which *int) { s.mu.Lock(); *which++; s.mu.Unlock() }
-	for try := 0; ; try++ {
-		left := w.deadline - s.now()
+func (s *run) submitUntilDone(ctx context.Context, req *request) {
+	class := s.result.Classes[req.class.Name]
+	count := func(counter *int) { s.mu.Lock(); *counter++; s.mu.Unlock() }
+	for attempt := 0; ; attempt++ {
+		left := req.deadline - s.now()
 		if left <= 0 {
-			book(&class.Lost)
+			count(&class.Lost)
 			return
 		}
-		id := fmt.Sprintf("%d-%d", w.number, try)
+		id := fmt.Sprintf("%d-%d", req.number, attempt)
 		s.mu.Lock()
-		w.ended = make(chan lab.Notice, 2)
-		s.waiting[id] = w
+		req.ended = make(chan lab.Notice, 2)
+		s.waiting[id] = req
 		s.mu.Unlock()
-		retryAfter, accepted := s.submit(w, id, left)
+		retryAfter, accepted := s.submit(req, id, left)
 		if accepted {
 			select {
-			case n, open := <-w.ended:
+			case report, open := <-req.ended:
 				switch {
 				case !open: // closed: delivered
 					return
-				case n.Outcome != "handed_back":
-					book(&class.Failed)
+				case report.Outcome != "handed_back":
+					count(&class.Failed)
 					return
 				}
-				retryAfter = time.Duration(n.Retry) * time.Millisecond
+				retryAfter = time.Duration(report.Retry) * time.Millisecond
 			case <-ctx.Done():
-				book(&class.Lost)
+				count(&class.Lost)
 				return
 			}
 		}
@@ -341,13 +341,13 @@
 		delete(s.waiting, id)
 		s.mu.Unlock()
 		if retryAfter >= 0 {
-			if w.retriesLeft--; w.retriesLeft < 0 {
-				book(&class.Refused)
+			if req.retriesLeft--; req.retriesLeft < 0 {
+				count(&class.Refused)
 				return
 			}
 		}
 		if !lab.Sleep(ctx, max(clientRetryDelay/10, retryAfter)) {
-			book(&class.Lost)
+			count(&class.Lost)
 			return
 		}
 	}
@@ -355,28 +355,28 @@
 
 // submit submits a message. If it is accepted, accepted is true; otherwise the client tries again after retryAfter. A negative
 // retryAfter means that there was no answer, and that the attempt does not count as a retry.
-func (s *run) submit(w *request, id string, left time.Duration) (retryAfter time.Duration, accepted bool) {
-	c, err := lab.Dial(w.forwarder.process.Address())
+func (s *run) submit(req *request, id string, left time.Duration) (retryAfter time.Duration, accepted bool) {
+	c, err := lab.Dial(req.forwarder.process.Address())
 	if err != nil { // the forwarder is down
 		time.Sleep(clientRetryDelay)
 		return -1, false
 	}
 	defer c.Close()
-	h := lab.Handover{
-		ID: id, Class: w.class.Name, Destination: w.destination.model.ID(), Left: left, Body: lab.Content{Seed: uint64(w.number), Size: 200},
+	handover := lab.Handover{
+		ID: id, Class: req.class.Name, Destination: req.destination.model.ID(), Left: left, Body: lab.Content{Seed: uint64(req.number), Size: 200},
 	}
-	if w.class.Effect == "keyed" {
-		h.Key = strconv.Itoa(w.number)
+	if req.class.Effect == "keyed" {
+		handover.Key = strconv.Itoa(req.number)
 	}
-	a := c.Hand(h, nil)
-	s.check.Handed(h, a)
+	answer := c.Hand(handover, nil)
+	s.check.Handed(handover, answer)
 	switch {
-	case a.Status == 202:
+	case answer.Status == 202:
 		return 0, true
-	case a.Status == 503:
-		sec, _ := strconv.ParseFloat(a.Header.Get("Retry-After"), 64)
+	case answer.Status == 503:
+		sec, _ := strconv.ParseFloat(answer.Header.Get("Retry-After"), 64)
 		return time.Duration(sec * float64(time.Second)), false
-	case a.Status == 0:
+	case answer.Status == 0:
 		return -1, false
 	}
 	return 0, false
@@ -384,7 +384,7 @@
 
 // injectFault starts a fault now and schedules its end.
 func (s *run) injectFault(ctx context.Context, f scenario.Fault, rng *rand.Rand) {
-	chosen := func(n int) []int {
+	pickShare := func(n int) []int {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return rng.Perm(n)[:min(n, max(1, int(f.Share*float64(n)+0.5)))]
@@ -392,48 +392,48 @@
 	s.Log("%v: %s", s.now().Round(time.Millisecond), f.Kind)
 	switch f.Kind {
 	case scenario.Outage, scenario.Silence:
-		for _, i := range chosen(len(s.destinations)) {
-			t := s.destinations[i]
-			t.mu.Lock()
-			t.model.StartOutage(s.now(), s.now()+f.Duration.D(), f.Kind == scenario.Silence)
-			t.mu.Unlock()
+		for _, i := range pickShare(len(s.destinations)) {
+			dest := s.destinations[i]
+			dest.mu.Lock()
+			dest.model.StartOutage(s.now(), s.now()+f.Duration.D(), f.Kind == scenario.Silence)
+			dest.mu.Unlock()
 			if f.Kind == scenario.Silence {
 				continue
 			}
-			s.disconnect(t, f.Duration.D())
+			s.disconnect(dest, f.Duration.D())
 		}
 	case scenario.Slow:
-		for _, i := range chosen(len(s.destinations)) {
-			t := s.destinations[i]
-			slow := func(by float64) {
-				t.mu.Lock()
-				t.model.ScaleServiceTime(by)
-				t.mu.Unlock()
+		for _, i := range pickShare(len(s.destinations)) {
+			dest := s.destinations[i]
+			scale := func(factor float64) {
+				dest.mu.Lock()
+				dest.model.ScaleServiceTime(factor)
+				dest.mu.Unlock()
 			}
-			slow(f.Factor)
-			s.schedule(ctx, s.now()+f.Duration.D(), func() { slow(1 / f.Factor) })
+			scale(f.Factor)
+			s.schedule(ctx, s.now()+f.Duration.D(), func() { scale(1 / f.Factor) })
 		}
 	case scenario.Kill:
-		for _, i := range chosen(len(s.forwarders)) {
-			h := s.forwarders[i]
-			h.mu.Lock()
-			_ = h.process.End(syscall.SIGKILL)
-			h.up = false
-			h.mu.Unlock()
+		for _, i := range pickShare(len(s.forwarders)) {
+			fwd := s.forwarders[i]
+			fwd.mu.Lock()
+			_ = fwd.process.End(syscall.SIGKILL)
+			fwd.up = false
+			fwd.mu.Unlock()
 			s.mu.Lock()
 			if s.result.Kills++; s.killedAt < 0 {
 				s.killedAt = s.now()
 			}
-			back := f.MinDowntime.D() + time.Duration(rng.Float64()*float64(f.MaxDowntime-f.MinDowntime))
+			downtime := f.MinDowntime.D() + time.Duration(rng.Float64()*float64(f.MaxDowntime-f.MinDowntime))
 			s.mu.Unlock()
-			s.schedule(ctx, s.now()+back, func() {
-				h.mu.Lock()
-				defer h.mu.Unlock()
-				if err := h.process.Start(); err != nil {
+			s.schedule(ctx, s.now()+downtime, func() {
+				fwd.mu.Lock()
+				defer fwd.mu.Unlock()
+				if err := fwd.process.Start(); err != nil {
 					s.Log("start: %v", err)
 					return
 				}
-				h.up = true
+				fwd.up = true
 			})
 		}
 	}
@@ -442,17 +442,17 @@
 // finish stops the forwarders gracefully and checks the rules against what clients, agent and endpoints recorded.
 func (s *run) finish() error {
 	var errs []error
-	for _, h := range s.forwarders {
-		if h.up {
-			errs = append(errs, h.process.End(syscall.SIGTERM))
-			h.up = false
+	for _, fwd := range s.forwarders {
+		if fwd.up {
+			errs = append(errs, fwd.process.End(syscall.SIGTERM))
+			fwd.up = false
 		} else {
 			errs = append(errs, errors.New("live: a forwarder did not restart"))
 		}
 	}
 	var arrivals [][]lab.Arrival
-	for _, t := range s.destinations {
-		for _, e := range t.endpoints {
+	for _, dest := range s.destinations {
+		for _, e := range dest.endpoints {
 			e.Close()
 			arrivals = append(arrivals, e.Arrivals())
 		}
@@ -463,13 +463,13 @@
 }
 
 func (s *run) close() {
-	for _, h := range s.forwarders {
-		if h.up {
-			h.process.Kill()
+	for _, fwd := range s.forwarders {
+		if fwd.up {
+			fwd.process.Kill()
 		}
 	}
-	for _, t := range s.destinations {
-		for _, e := range t.endpoints {
+	for _, dest := range s.destinations {
+		for _, e := range dest.endpoints {
 			e.Close()
 		}
 	}
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -78,7 +78,7 @@
 // Distribution selects a probability distribution by its kind, mean and spread.
 type Distribution struct {
 	Kind   string  `toml:"kind"`   // constant, exponential, lognormal, gamma, uniform
-	Mean   float64 `toml:"mean"`   //
+	Mean   float64 `toml:"mean"`   // must be positive
 	Spread float64 `toml:"spread"` // standard deviation divided by the mean; ignored for constant and exponential
 }
 
--- a/internal/lab/simulation/check.go
+++ b/internal/lab/simulation/check.go
@@ -85,28 +85,28 @@
 	Held      int     `json:"held"`
 }
 
-func (w *Simulation) currentSecond() *SecondStats {
-	n := int(w.now / time.Second)
-	for len(w.result.Seconds) <= n {
+func (sim *Simulation) currentSecond() *SecondStats {
+	n := int(sim.now / time.Second)
+	for len(sim.result.Seconds) <= n {
 		held := 0
-		for _, h := range w.forwarders {
-			held += len(h.held)
+		for _, fwd := range sim.forwarders {
+			held += len(fwd.held)
 		}
-		w.result.Seconds = append(w.result.Seconds, SecondStats{Held: held})
+		sim.result.Seconds = append(sim.result.Seconds, SecondStats{Held: held})
 	}
-	return &w.result.Seconds[n]
+	return &sim.result.Seconds[n]
 }
 
 // recordDelivery counts a delivery.
-func (w *Simulation) recordDelivery(m *message) {
-	x := m.request
-	if x.delivered { // by an earlier submission whose answer was lost; worth nothing more
+func (sim *Simulation) recordDelivery(m *message) {
+	r := m.request
+	if r.delivered { // by an earlier submission whose answer was lost; worth nothing more
 		return
 	}
-	x.delivered = true
-	after := len(w.result.KillTimes) > 0 && w.now < w.result.KillTimes[0]+AfterKillWindow
-	worth := w.result.RecordDelivery(x.class, w.now-x.createdAt, after)
-	s := w.currentSecond()
+	r.delivered = true
+	after := len(sim.result.KillTimes) > 0 && sim.now < sim.result.KillTimes[0]+AfterKillWindow
+	worth := sim.result.RecordDelivery(r.class, sim.now-r.createdAt, after)
+	s := sim.currentSecond()
 	s.Delivered++
 	s.Worth += worth
 }
@@ -137,14 +137,14 @@
 	c.sim.currentSecond().Offered++
 }
 
-// ended checks that a message ends only once and not after its deadline.
-func (c *checker) ended(m *message, how MessageOutcome) {
-	c.sim.trace(m, "ends: %s", [...]string{"delivered", "refused", "failed"}[how])
+// ended checks that a message ends only once and, unless it is delivered, at most 50 ms after its deadline.
+func (c *checker) ended(m *message, outcome MessageOutcome) {
+	c.sim.trace(m, "ends: %s", [...]string{"delivered", "refused", "failed"}[outcome])
 	if m.ended {
 		c.violation(m, "message %d ended twice", m.id)
 	}
 	due := max(m.deadline, m.request.forwarder.startedAt, m.takenOverAt) // a message cannot end while its forwarder is down
-	if c.open--; how != Delivered && c.sim.now > due+50*time.Millisecond {
+	if c.open--; outcome != Delivered && c.sim.now > due+50*time.Millisecond {
 		c.violation(m, "message %d ended %v after its deadline", m.id, c.sim.now-due)
 	}
 }
@@ -160,33 +160,33 @@
 }
 
 // sent checks, when a call is sent, the slots and that the endpoint is serving.
-func (c *checker) sent(h *forwarder, k *call) {
-	w := c.sim
-	w.trace(k.message, "attempt %d goes to %s", k.number, k.endpoint.name)
-	w.result.Calls++
-	w.currentSecond().Calls++
+func (c *checker) sent(fwd *forwarder, k *call) {
+	sim := c.sim
+	sim.trace(k.message, "attempt %d goes to %s", k.number, k.endpoint.name)
+	sim.result.Calls++
+	sim.currentSecond().Calls++
 	switch {
-	case h.callsOut > w.scenario.Fleet.Slots:
-		c.violation(k.message, "forwarder %d has %d calls out with %d slots", h.name, h.callsOut, w.scenario.Fleet.Slots)
-	case h.readiness[k.endpoint.name] != mb.Serving:
-		c.violation(k.message, "forwarder %d calls endpoint %s, which is not serving", h.name, k.endpoint.name)
+	case fwd.callsOut > sim.scenario.Fleet.Slots:
+		c.violation(k.message, "forwarder %d has %d calls out with %d slots", fwd.name, fwd.callsOut, sim.scenario.Fleet.Slots)
+	case fwd.readiness[k.endpoint.name] != mb.Serving:
+		c.violation(k.message, "forwarder %d calls endpoint %s, which is not serving", fwd.name, k.endpoint.name)
 	}
 }
 
 // started checks, at a call's first byte, that it violates no retry-after and does not repeat a call that may have run.
-func (c *checker) started(h *forwarder, k *call) {
-	w, class := c.sim, k.message.request.class
+func (c *checker) started(fwd *forwarder, k *call) {
+	sim, class := c.sim, k.message.request.class
 	switch {
 	case k.message.mayHaveRun && class.Effect == "unsafe":
 		c.violation(k.message, "message %d may have run and is sent again", k.message.id)
-	case k.message.mayHaveRun && class.Effect == "keyed" && w.now > k.message.ranAt+class.KeyTTL.D():
+	case k.message.mayHaveRun && class.Effect == "keyed" && sim.now > k.message.ranAt+class.KeyTTL.D():
 		c.violation(k.message, "message %d is repeated after its key expired", k.message.id)
 	}
-	if told := h.retryAfters[k.destination.id]; w.now < told.until {
-		if told.incarnation == h.incarnation {
-			c.violation(k.message, "forwarder %d calls destination %d within a retry-after", h.name, k.destination.id)
+	if received := fwd.retryAfters[k.destination.id]; sim.now < received.until {
+		if received.incarnation == fwd.incarnation {
+			c.violation(k.message, "forwarder %d calls destination %d within a retry-after", fwd.name, k.destination.id)
 		} else {
-			w.result.CallsInRetryAfter++
+			sim.result.CallsInRetryAfter++
 		}
 	}
 }
--- a/internal/lab/simulation/cold_test.go
+++ b/internal/lab/simulation/cold_test.go
@@ -10,7 +10,7 @@
 
 // coldRecovery is a fleet whose destinations all have an outage and are cold on recovery. They tolerate the number of calls n that
 // their capacity and the overload factor give, plus 2 * (sqrt(n) + 1) for chance.
-func cold(forwarders, partners int, capacity, rate float64) scenario.Scenario {
+func coldRecovery(forwarders, partners int, capacity, rate float64) scenario.Scenario {
 	s := small(scenario.Fault{Kind: scenario.Outage, At: d(8 * time.Second), Duration: d(6 * time.Second), Share: 1})
 	s.Name, s.Length = "cold", d(32*time.Second)
 	s.Fleet = scenario.Fleet{Forwarders: forwarders, Slots: max(4, 60/forwarders), MostHeld: max(40, 1200/forwarders)}
@@ -27,25 +27,25 @@
 // Forwarders that know of an outage together send no more than a cold destination tolerates. This holds for any fleet size, with
 // little traffic at each forwarder, with uneven traffic, and after a restart in which most forwarders lose their knowledge of the
 // outage. The held messages must still be delivered.
-func TestAFleetPushesNoColdPartnerOver(t *testing.T) {
+func TestFleetDoesNotOverloadColdDestinations(t *testing.T) {
 	for name, c := range map[string]struct {
 		s        scenario.Scenario
 		change   func(*scenario.Scenario)
 		minShare float64 // minimum share of the worth that is delivered
 	}{
-		"two":                         {cold(2, 6, 40, 150), nil, 0.88},
-		"eight":                       {cold(8, 6, 40, 150), nil, 0.86},
-		"eight, small destinations":   {cold(8, 20, 8, 110), nil, 0.8},
-		"twenty, small destinations":  {cold(20, 20, 8, 110), nil, 0.75},
-		"thirty, small destinations":  {cold(30, 20, 8, 110), nil, 0.75},
-		"twenty, uneven":              {cold(20, 6, 40, 150), func(s *scenario.Scenario) { s.Traffic.ForwarderSkew = 1 }, 0.77},
-		"thirty, silent destinations": {cold(30, 6, 40, 150), func(s *scenario.Scenario) { s.Faults[0].Kind = scenario.Silence }, 0.77},
-		"thirty, restarted": {cold(30, 6, 40, 150), func(s *scenario.Scenario) {
+		"two":                         {coldRecovery(2, 6, 40, 150), nil, 0.88},
+		"eight":                       {coldRecovery(8, 6, 40, 150), nil, 0.86},
+		"eight, small destinations":   {coldRecovery(8, 20, 8, 110), nil, 0.8},
+		"twenty, small destinations":  {coldRecovery(20, 20, 8, 110), nil, 0.75},
+		"thirty, small destinations":  {coldRecovery(30, 20, 8, 110), nil, 0.75},
+		"twenty, uneven":              {coldRecovery(20, 6, 40, 150), func(s *scenario.Scenario) { s.Traffic.ForwarderSkew = 1 }, 0.77},
+		"thirty, silent destinations": {coldRecovery(30, 6, 40, 150), func(s *scenario.Scenario) { s.Faults[0].Kind = scenario.Silence }, 0.77},
+		"thirty, restarted": {coldRecovery(30, 6, 40, 150), func(s *scenario.Scenario) {
 			s.Faults = append(s.Faults, scenario.Fault{
 				Kind: scenario.Kill, At: d(12 * time.Second), Share: 0.7, MinDowntime: d(600 * time.Millisecond), MaxDowntime: d(1500 * time.Millisecond),
 			})
 		}, 0.82},
-		"thirty, retry-after": {cold(30, 6, 40, 150), func(s *scenario.Scenario) {
+		"thirty, retry-after": {coldRecovery(30, 6, 40, 150), func(s *scenario.Scenario) {
 			s.Destinations[0].Limit, s.Destinations[0].RefusalsCount, s.Destinations[0].RetryAfter = 44, true, d(900*time.Millisecond)
 		}, 0.75},
 	} {
--- a/internal/lab/simulation/destination.go
+++ b/internal/lab/simulation/destination.go
@@ -28,14 +28,14 @@
 	limitCalls        []time.Duration // calls that count towards the limit, of the last limitWindow
 	coldCalls         []arrival       // calls of the last OverloadWindow, while cold
 	overloads         int
-	informedOverloads int     // of these, those caused by forwarders that knew of the outage
+	informedOverloads int     // of these, those caused by forwarders that informedCalls of the outage
 	peakColdLoad      float64 // maximum of calls within OverloadWindow while cold, over the tolerated number
 }
 
 // arrival is a call that reached a cold destination.
 type arrival struct {
 	at       time.Duration
-	informed bool // from a forwarder that knew of the outage
+	informed bool // from a forwarder that informedCalls of the outage
 }
 
 // endpoint is an endpoint of a destination.
@@ -49,21 +49,21 @@
 
 // Destination is a simulated destination for use with real forwarders. Times are those of the caller's clock, which starts at 0.
 // Its methods are not safe for concurrent use.
-type Destination struct{ p *destination }
+type Destination struct{ dest *destination }
 
 // Endpoints returns the names of the endpoints.
-func (p Destination) Endpoints() (names []string) {
-	for _, e := range p.p.endpoints {
+func (d Destination) Endpoints() (names []string) {
+	for _, e := range d.dest.endpoints {
 		names = append(names, string(e.name))
 	}
 	return names
 }
 
 // ID returns the destination's ID.
-func (p Destination) ID() int { return int(p.p.id) }
+func (d Destination) ID() int { return int(d.dest.id) }
 
 // CapacityHint returns the capacity hint in discovery, in calls per second; 0 means no hint.
-func (p Destination) CapacityHint() float64 { return p.p.group.CapacityHint * p.p.group.Capacity }
+func (d Destination) CapacityHint() float64 { return d.dest.group.CapacityHint * d.dest.group.Capacity }
 
 // CallResult is the result of a call.
 type CallResult struct {
@@ -76,29 +76,29 @@
 }
 
 // HandleCall returns the result of a call that arrives now.
-func (p Destination) HandleCall(now time.Duration) CallResult {
-	tips := p.p.overloads
-	f := p.p.handleCall(now, p.p.endpoints[0], false)
-	return CallResult{f.outcome, f.latency, f.retryAfter, f.cold, f.cold && now-p.p.recoveredAt < earlyWindow, p.p.overloads > tips}
+func (d Destination) HandleCall(now time.Duration) CallResult {
+	overloads := d.dest.overloads
+	f := d.dest.handleCall(now, d.dest.endpoints[0], false)
+	return CallResult{f.outcome, f.latency, f.retryAfter, f.cold, f.cold && now-d.dest.recoveredAt < earlyWindow, d.dest.overloads > overloads}
 }
 
 // StartOutage takes the destination down until a time; a silent one accepts calls without answering.
-func (p Destination) StartOutage(now, until time.Duration, silent bool) {
-	p.p.startOutage(now, until, silent)
+func (d Destination) StartOutage(now, until time.Duration, silent bool) {
+	d.dest.startOutage(now, until, silent)
 }
 
 // ScaleServiceTime multiplies the service times by a factor.
-func (p Destination) ScaleServiceTime(by float64) { p.p.slowdown *= by }
+func (d Destination) ScaleServiceTime(factor float64) { d.dest.slowdown *= factor }
 
 // Destinations returns the destinations of a scenario, as a simulation with the same seed has them.
 func Destinations(s scenario.Scenario, seed uint64) ([]Destination, error) {
-	w, err := New(s, seed)
+	sim, err := New(s, seed)
 	if err != nil {
 		return nil, err
 	}
 	var list []Destination
-	for _, p := range w.destinations {
-		list = append(list, Destination{p})
+	for _, dest := range sim.destinations {
+		list = append(list, Destination{dest})
 	}
 	return list, nil
 }
@@ -115,12 +115,12 @@
 }
 
 // capacityShare returns the share of its capacity that the destination has now.
-func (p *destination) capacityShare(now time.Duration) float64 {
-	if p.recoveredAt < 0 || p.rules.WarmWithin <= 0 {
+func (dest *destination) capacityShare(now time.Duration) float64 {
+	if dest.recoveredAt < 0 || dest.rules.WarmWithin <= 0 {
 		return 1
 	}
-	warm := float64(now-p.recoveredAt) / float64(p.rules.WarmWithin)
-	return min(1, p.rules.ColdFrom+(1-p.rules.ColdFrom)*warm)
+	warm := float64(now-dest.recoveredAt) / float64(dest.rules.WarmWithin)
+	return min(1, dest.rules.ColdFrom+(1-dest.rules.ColdFrom)*warm)
 }
 
 // dropBefore returns the times of a sorted list that are after since.
@@ -132,86 +132,86 @@
 }
 
 // tolerated returns how many calls within OverloadWindow a cold destination tolerates, including the allowance for chance.
-func (p *destination) tolerated(share float64) float64 {
-	n := p.rules.OverloadFactor * share * p.group.Capacity * p.rules.OverloadWindow.D().Seconds()
-	if p.rules.ChanceFactor == 0 {
+func (dest *destination) tolerated(share float64) float64 {
+	n := dest.rules.OverloadFactor * share * dest.group.Capacity * dest.rules.OverloadWindow.D().Seconds()
+	if dest.rules.ChanceFactor == 0 {
 		return n + 1
 	}
-	return n + p.rules.ChanceFactor*(math.Sqrt(n)+1)
+	return n + dest.rules.ChanceFactor*(math.Sqrt(n)+1)
 }
 
-// handleCall returns the result of a call that arrives now; informed says that its forwarder knew of the outage.
-func (p *destination) handleCall(now time.Duration, e *endpoint, seen bool) callResult {
+// handleCall returns the result of a call that arrives now; informed says that its forwarder informedCalls of the outage.
+func (dest *destination) handleCall(now time.Duration, e *endpoint, informed bool) callResult {
 	switch {
 	case e.gone:
 		return callResult{outcome: mb.ConnectFailed, latency: time.Millisecond}
-	case now < p.downUntil && p.silent:
+	case now < dest.downUntil && dest.silent:
 		return callResult{outcome: mb.TimedOut, latency: -1}
-	case now < p.downUntil:
+	case now < dest.downUntil:
 		return callResult{outcome: mb.ConnectFailed, latency: time.Millisecond}
 	}
-	share := p.capacityShare(now)
+	share := dest.capacityShare(now)
 	f := callResult{cold: share < 1}
 	if f.cold {
-		for len(p.coldCalls) > 0 && p.coldCalls[0].at <= now-p.rules.OverloadWindow.D() {
-			p.coldCalls = p.coldCalls[1:]
+		for len(dest.coldCalls) > 0 && dest.coldCalls[0].at <= now-dest.rules.OverloadWindow.D() {
+			dest.coldCalls = dest.coldCalls[1:]
 		}
-		p.coldCalls = append(p.coldCalls, arrival{now, seen})
-		n, bears := float64(len(p.coldCalls)), p.tolerated(share)
-		if p.peakColdLoad = max(p.peakColdLoad, n/bears); n > bears {
-			knew := 0
-			for _, a := range p.coldCalls {
+		dest.coldCalls = append(dest.coldCalls, arrival{now, informed})
+		n, tolerated := float64(len(dest.coldCalls)), dest.tolerated(share)
+		if dest.peakColdLoad = max(dest.peakColdLoad, n/tolerated); n > tolerated {
+			informedCalls := 0
+			for _, a := range dest.coldCalls {
 				if a.informed {
-					knew++
+					informedCalls++
 				}
 			}
-			if 3*knew > 2*len(p.coldCalls) {
-				p.informedOverloads++
+			if 3*informedCalls > 2*len(dest.coldCalls) {
+				dest.informedOverloads++
 			}
-			p.startOutage(now, now+p.rules.OverloadDowntime.D(), false)
-			p.overloads++
+			dest.startOutage(now, now+dest.rules.OverloadDowntime.D(), false)
+			dest.overloads++
 			f.outcome, f.latency, f.takesEffect = mb.Reset, time.Millisecond, true // a call in progress may have run
 			return f
 		}
 	}
-	if p.group.Limit > 0 {
-		p.limitCalls = dropBefore(p.limitCalls, now-limitWindow)
-		if float64(len(p.limitCalls)) >= p.limitFactor*p.group.Limit*limitWindow.Seconds() {
-			if p.group.RefusalsCount {
-				p.limitCalls = append(p.limitCalls, now)
+	if dest.group.Limit > 0 {
+		dest.limitCalls = dropBefore(dest.limitCalls, now-limitWindow)
+		if float64(len(dest.limitCalls)) >= dest.limitFactor*dest.group.Limit*limitWindow.Seconds() {
+			if dest.group.RefusalsCount {
+				dest.limitCalls = append(dest.limitCalls, now)
 			}
-			f.outcome, f.latency, f.retryAfter = mb.Refused, time.Millisecond, p.group.RetryAfter.D()
+			f.outcome, f.latency, f.retryAfter = mb.Refused, time.Millisecond, dest.group.RetryAfter.D()
 			return f
 		}
-		p.limitCalls = append(p.limitCalls, now)
+		dest.limitCalls = append(dest.limitCalls, now)
 	}
-	took := time.Duration(p.serviceTime() * p.slowdown / share * float64(time.Millisecond))
+	duration := time.Duration(dest.serviceTime() * dest.slowdown / share * float64(time.Millisecond))
 	free := 0
-	for i, at := range p.servers {
-		if at < p.servers[free] {
+	for i, at := range dest.servers {
+		if at < dest.servers[free] {
 			free = i
 		}
 	}
-	begin := max(now, p.servers[free])
-	p.servers[free] = begin + took
-	f.latency, f.takesEffect = begin+took-now, true
-	if p.group.ResetShare > 0 && p.rng.Float64() < p.group.ResetShare {
+	begin := max(now, dest.servers[free])
+	dest.servers[free] = begin + duration
+	f.latency, f.takesEffect = begin+duration-now, true
+	if dest.group.ResetShare > 0 && dest.rng.Float64() < dest.group.ResetShare {
 		f.outcome = mb.Reset
 	}
 	return f
 }
 
 // startOutage takes the destination down until a time; on recovery it is cold.
-func (p *destination) startOutage(now, until time.Duration, silent bool) {
-	if until > p.downUntil {
-		p.downUntil, p.recoveredAt = until, until
+func (dest *destination) startOutage(now, until time.Duration, silent bool) {
+	if until > dest.downUntil {
+		dest.downUntil, dest.recoveredAt = until, until
 	}
-	p.silent = silent
-	p.coldCalls = nil
-	for i := range p.servers {
-		p.servers[i] = min(p.servers[i], now)
+	dest.silent = silent
+	dest.coldCalls = nil
+	for i := range dest.servers {
+		dest.servers[i] = min(dest.servers[i], now)
 	}
 }
 
 // isUp reports whether calls in progress get an answer.
-func (p *destination) isUp(now time.Duration) bool { return now >= p.downUntil }
+func (dest *destination) isUp(now time.Duration) bool { return now >= dest.downUntil }
--- a/internal/lab/simulation/forwarder.go
+++ b/internal/lab/simulation/forwarder.go
@@ -10,7 +10,7 @@
 
 const (
 	clockStart     = 24 * time.Hour // initial time of an incarnation's clock; leaves room for times before its start
-	fullRetryAfter = time.Second
+	fullRetryAfter = time.Second    // for clients whose message is refused because too many are held
 )
 
 // message is one submission of a client's request.
@@ -36,12 +36,12 @@
 }
 
 // recordMayHaveRun records a call that may have run, in the journal too.
-func (m *message) recordMayHaveRun(at time.Duration, kill bool) {
+func (m *message) recordMayHaveRun(at time.Duration, atKill bool) {
 	if !m.mayHaveRun {
 		m.mayHaveRun, m.ranAt = true, at
 	}
 	if !m.journaled.mayHaveRun {
-		m.journaled = callRecord{true, at, kill}
+		m.journaled = callRecord{true, at, atKill}
 	}
 }
 
@@ -84,203 +84,203 @@
 	savedAt      time.Duration
 }
 
-func (h *forwarder) clock() time.Duration { return clockStart + h.sim.now - h.startedAt }
+func (fwd *forwarder) clock() time.Duration { return clockStart + fwd.sim.now - fwd.startedAt }
 
-func (h *forwarder) settings() mb.Settings {
-	s := h.sim.scenario
-	out := mb.Settings{
+func (fwd *forwarder) settings() mb.Settings {
+	s := fwd.sim.scenario
+	settings := mb.Settings{
 		Forwarders: cmp.Or(s.Fleet.ConfiguredForwarders, s.Fleet.Forwarders), Slots: s.Fleet.Slots, MostHeld: s.Fleet.MostHeld, MaxAttempts: 6, MayCancel: true,
 		SendRetryAfter: true, MaxRetryAfter: 3 * time.Second, ConnectTimeout: time.Second, KeepAlive: 10 * time.Second,
 		AnswerSlack: 20 * time.Millisecond, OverloadFactor: s.Rules.OverloadFactor, TipAfter: s.Rules.OverloadWindow.D(),
 		ColdFrom: s.Rules.ColdFrom, WarmWithin: s.Rules.WarmWithin.D(),
 	}
-	for _, p := range s.Destinations {
-		out.UseCapacityHints = out.UseCapacityHints || p.CapacityHint > 0
+	for _, dest := range s.Destinations {
+		settings.UseCapacityHints = settings.UseCapacityHints || dest.CapacityHint > 0
 	}
 	effects := map[string]mb.Effect{"safe": mb.Safe, "keyed": mb.Keyed, "unsafe": mb.Unsafe}
 	for _, c := range s.Classes {
-		out.Classes = append(out.Classes, mb.Class{
+		settings.Classes = append(settings.Classes, mb.Class{
 			Name: c.Name, Target: c.Target.D(), DeliveryTimeout: c.DeliveryTimeout.D(), Worth: c.Worth, LateWorth: scenario.LateWorth, Effect: effects[c.Effect],
 			KeyTTL: c.KeyTTL.D(),
 		})
 	}
-	return out
+	return settings
 }
 
 // start starts an incarnation: it restores the learned state if enabled, applies the discovery list and resumes the held messages.
-func (h *forwarder) start() {
-	h.incarnation++
-	h.up, h.startedAt, h.callsOut = true, h.sim.now, 0
-	d, err := mb.New(h.settings(), h.seed+h.incarnation)
+func (fwd *forwarder) start() {
+	fwd.incarnation++
+	fwd.up, fwd.startedAt, fwd.callsOut = true, fwd.sim.now, 0
+	d, err := mb.New(fwd.settings(), fwd.seed+fwd.incarnation)
 	if err != nil {
 		panic(err) // cannot happen: the scenario was checked
 	}
-	h.decider, h.readiness, h.knownOutages = d, map[mb.EndpointID]mb.Readiness{}, map[mb.DestinationID]time.Duration{}
-	if h.retryAfters == nil {
-		h.retryAfters = map[mb.DestinationID]retryAfter{}
+	fwd.decider, fwd.readiness, fwd.knownOutages = d, map[mb.EndpointID]mb.Readiness{}, map[mb.DestinationID]time.Duration{}
+	if fwd.retryAfters == nil {
+		fwd.retryAfters = map[mb.DestinationID]retryAfter{}
 	}
-	if h.sim.scenario.Learned.Enabled {
-		if h.incarnation > 1 {
-			h.decider.Restore(h.clock(), h.sim.figures.Weigh(h.saved, h.sim.now-h.savedAt, false))
+	if fwd.sim.scenario.Learned.Enabled {
+		if fwd.incarnation > 1 {
+			fwd.decider.Restore(fwd.clock(), fwd.sim.figures.Weigh(fwd.saved, fwd.sim.now-fwd.savedAt, false))
 		}
-		h.save(h.incarnation)
+		fwd.save(fwd.incarnation)
 	}
-	h.updateEndpoints(mb.EndpointUpdate{Scope: mb.ListWhole, Entries: append([]mb.Entry(nil), h.sim.discoveryList...)})
-	rest := h.heldOrder[:0]
-	for _, id := range h.heldOrder {
-		m := h.held[id]
+	fwd.updateEndpoints(mb.EndpointUpdate{Scope: mb.ListWhole, Entries: append([]mb.Entry(nil), fwd.sim.discoveryList...)})
+	remaining := fwd.heldOrder[:0]
+	for _, id := range fwd.heldOrder {
+		m := fwd.held[id]
 		if m == nil {
 			continue
 		}
-		rest = append(rest, id)
+		remaining = append(remaining, id)
 		m.call = nil
-		h.resume(m)
+		fwd.resume(m)
 	}
-	h.heldOrder = rest
+	fwd.heldOrder = remaining
 }
 
 // resume submits a message that was accepted earlier to the decision module, with its record of earlier calls.
-func (h *forwarder) resume(m *message) {
-	e := mb.Submit{ID: m.id, Class: m.request.class.Name, TimeLeft: m.deadline - h.sim.now, Destination: m.request.destination.id, Attempts: m.attempts, Resumed: true}
+func (fwd *forwarder) resume(m *message) {
+	e := mb.Submit{ID: m.id, Class: m.request.class.Name, TimeLeft: m.deadline - fwd.sim.now, Destination: m.request.destination.id, Attempts: m.attempts, Resumed: true}
 	if m.journaled.mayHaveRun {
-		e.MayHaveRun = &mb.PriorAttempt{SentAgo: h.sim.now - m.journaled.at, Zone: "z"}
+		e.MayHaveRun = &mb.PriorAttempt{SentAgo: fwd.sim.now - m.journaled.at, Zone: "z"}
 	}
-	h.handle(e)
+	fwd.handle(e)
 }
 
 // save saves the learned state at intervals while this incarnation lasts.
-func (h *forwarder) save(incarnation uint64) {
-	if !h.up || h.incarnation != incarnation {
+func (fwd *forwarder) save(incarnation uint64) {
+	if !fwd.up || fwd.incarnation != incarnation {
 		return
 	}
-	if h.sim.now > h.startedAt {
-		h.saved, h.savedAt = h.decider.Snapshot(h.clock()), h.sim.now
+	if fwd.sim.now > fwd.startedAt {
+		fwd.saved, fwd.savedAt = fwd.decider.Snapshot(fwd.clock()), fwd.sim.now
 	}
-	h.sim.at(h.sim.now+h.sim.scenario.Learned.SaveInterval.D(), func() { h.save(incarnation) })
+	fwd.sim.schedule(fwd.sim.now+fwd.sim.scenario.Learned.SaveInterval.D(), func() { fwd.save(incarnation) })
 }
 
 // kill ends an incarnation at once. Its calls in progress continue at their endpoints and may run, so the next incarnation or the
 // forwarder that takes over from copies treats them as such. If the folder is lost, messages without copies are lost too.
-func (h *forwarder) kill(lost bool) {
-	w := h.sim
-	h.up = false
-	var owed []*message
-	for _, id := range h.heldOrder {
-		m := h.held[id]
+func (fwd *forwarder) kill(lost bool) {
+	sim := fwd.sim
+	fwd.up = false
+	var messages []*message
+	for _, id := range fwd.heldOrder {
+		m := fwd.held[id]
 		if m == nil {
 			continue
 		}
-		owed = append(owed, m)
+		messages = append(messages, m)
 		if c := m.call; c != nil && !c.ended {
 			if c.ended = true; c.started {
 				m.recordMayHaveRun(c.startedAt, true)
 			}
 		}
 	}
-	w.result.Kills++
-	w.result.KillTimes = append(w.result.KillTimes, w.now)
+	sim.result.Kills++
+	sim.result.KillTimes = append(sim.result.KillTimes, sim.now)
 	if lost {
-		w.result.FoldersLost++
-		clear(h.held)
-		h.heldOrder, h.saved = nil, mb.LearnedState{}
+		sim.result.FoldersLost++
+		clear(fwd.held)
+		fwd.heldOrder, fwd.saved = nil, mb.LearnedState{}
 	}
-	incarnation := h.incarnation
+	incarnation := fwd.incarnation
 	switch {
-	case w.scenario.Copies.Enabled:
-		w.at(w.now+w.scenario.Copies.TakeoverDelay.D(), func() {
-			if !lost && !h.up && h.incarnation == incarnation { // after a later restart the messages belong to another forwarder
-				clear(h.held)
-				h.heldOrder = nil
-				h.reassign(owed)
+	case sim.scenario.Copies.Enabled:
+		sim.schedule(sim.now+sim.scenario.Copies.TakeoverDelay.D(), func() {
+			if !lost && !fwd.up && fwd.incarnation == incarnation { // after a later restart the messages belong to another forwarder
+				clear(fwd.held)
+				fwd.heldOrder = nil
+				fwd.reassign(messages)
 			} else if lost {
-				h.reassign(owed)
+				fwd.reassign(messages)
 			}
 		})
 	case lost:
-		for _, m := range owed {
-			w.checker.lost(m)
+		for _, m := range messages {
+			sim.checker.lost(m)
 		}
 	}
 }
 
 // reassign gives the messages of an ended incarnation to another forwarder.
-func (h *forwarder) reassign(owed []*message) {
-	w := h.sim
+func (fwd *forwarder) reassign(messages []*message) {
+	sim := fwd.sim
 	var up []*forwarder
-	for _, o := range w.forwarders {
-		if o.up && o != h {
+	for _, o := range sim.forwarders {
+		if o.up && o != fwd {
 			up = append(up, o)
 		}
 	}
 	if len(up) == 0 { // tries again later, until a forwarder is up
-		w.at(w.now+w.scenario.Copies.TakeoverDelay.D(), func() { h.reassign(owed) })
+		sim.schedule(sim.now+sim.scenario.Copies.TakeoverDelay.D(), func() { fwd.reassign(messages) })
 		return
 	}
-	taker := up[w.rng.IntN(len(up))]
-	for _, m := range owed {
-		m.call, m.takenOverAt = nil, w.now
-		taker.held[m.id] = m
-		taker.heldOrder = append(taker.heldOrder, m.id)
-		w.result.TakenOver++
+	successor := up[sim.rng.IntN(len(up))]
+	for _, m := range messages {
+		m.call, m.takenOverAt = nil, sim.now
+		successor.held[m.id] = m
+		successor.heldOrder = append(successor.heldOrder, m.id)
+		sim.result.TakenOver++
 	}
-	for _, m := range owed {
-		taker.resume(m)
+	for _, m := range messages {
+		successor.resume(m)
 	}
 }
 
-func (h *forwarder) updateEndpoints(e mb.EndpointUpdate) {
-	for _, en := range e.Entries {
-		h.readiness[en.Endpoint] = en.Readiness
+func (fwd *forwarder) updateEndpoints(e mb.EndpointUpdate) {
+	for _, entry := range e.Entries {
+		fwd.readiness[entry.Endpoint] = entry.Readiness
 	}
-	h.handle(e)
+	fwd.handle(e)
 }
 
 // submit accepts a request as a new message, or refuses it if too many are held.
-func (h *forwarder) submit(x *request) {
-	w := h.sim
-	if len(h.held) >= w.scenario.Fleet.MostHeld {
-		x.retryLater(fullRetryAfter)
+func (fwd *forwarder) submit(r *request) {
+	sim := fwd.sim
+	if len(fwd.held) >= sim.scenario.Fleet.MostHeld {
+		r.retryLater(fullRetryAfter)
 		return
 	}
-	w.nextID++
-	m := &message{id: w.nextID, request: x, deadline: x.deadline}
-	h.held[m.id] = m
-	h.heldOrder = append(h.heldOrder, m.id)
-	w.checker.accepted(m)
-	h.handle(mb.Submit{ID: m.id, Class: x.class.Name, TimeLeft: x.deadline - w.now, Destination: x.destination.id})
+	sim.nextID++
+	m := &message{id: sim.nextID, request: r, deadline: r.deadline}
+	fwd.held[m.id] = m
+	fwd.heldOrder = append(fwd.heldOrder, m.id)
+	sim.checker.accepted(m)
+	fwd.handle(mb.Submit{ID: m.id, Class: r.class.Name, TimeLeft: r.deadline - sim.now, Destination: r.destination.id})
 }
 
 // handle passes an event to the decision module and carries out its actions.
-func (h *forwarder) handle(e mb.Event) {
-	for _, a := range h.decider.Handle(h.clock(), []mb.Event{e}) {
+func (fwd *forwarder) handle(e mb.Event) {
+	for _, a := range fwd.decider.Handle(fwd.clock(), []mb.Event{e}) {
 		switch a := a.(type) {
 		case mb.Send:
-			h.send(a)
+			fwd.send(a)
 		case mb.Refuse:
-			if m := h.held[a.ID]; m != nil {
-				h.endMessage(m, Refused)
+			if m := fwd.held[a.ID]; m != nil {
+				fwd.endMessage(m, Refused)
 				m.request.retryLater(max(a.RetryAfter, time.Millisecond))
 			}
 		case mb.Fail:
-			if m := h.held[a.ID]; m != nil {
-				h.endMessage(m, Failed)
-				h.sim.result.Classes[m.request.class.Name].Failed++
+			if m := fwd.held[a.ID]; m != nil {
+				fwd.endMessage(m, Failed)
+				fwd.sim.result.Classes[m.request.class.Name].Failed++
 			}
 		case mb.Cancel:
-			if m := h.held[a.ID]; m != nil && m.call != nil && m.call.number == a.Attempt {
-				c, incarnation := m.call, h.incarnation
+			if m := fwd.held[a.ID]; m != nil && m.call != nil && m.call.number == a.Attempt {
+				c, incarnation := m.call, fwd.incarnation
 				c.cancelled = true
-				h.sim.at(h.sim.now, func() {
-					if h.incarnation == incarnation {
-						h.endCall(c, mb.Cancelled, 0)
+				fwd.sim.schedule(fwd.sim.now, func() {
+					if fwd.incarnation == incarnation {
+						fwd.endCall(c, mb.Cancelled, 0)
 					}
 				})
 			}
 		case mb.SetTimer:
-			incarnation := h.incarnation
-			h.sim.at(h.sim.now+a.After, func() {
-				if h.up && h.incarnation == incarnation {
-					h.handle(mb.Timer{Cookie: a.Cookie})
+			incarnation := fwd.incarnation
+			fwd.sim.schedule(fwd.sim.now+a.After, func() {
+				if fwd.up && fwd.incarnation == incarnation {
+					fwd.handle(mb.Timer{Cookie: a.Cookie})
 				}
 			})
 		}
@@ -288,22 +288,22 @@
 }
 
 // endMessage ends a message; a call of it in progress still has to end.
-func (h *forwarder) endMessage(m *message, how MessageOutcome) {
-	h.sim.checker.ended(m, how)
+func (fwd *forwarder) endMessage(m *message, outcome MessageOutcome) {
+	fwd.sim.checker.ended(m, outcome)
 	m.ended = true
-	delete(h.held, m.id)
+	delete(fwd.held, m.id)
 }
 
-// send makes a call: it reaches its endpoint a little later, and what comes back does so a little after that.
-func (h *forwarder) send(a mb.Send) {
-	m := h.held[a.ID]
-	w := h.sim
+// send starts a call and schedules its timeout and, once its connection is up, its first byte.
+func (fwd *forwarder) send(a mb.Send) {
+	m := fwd.held[a.ID]
+	sim := fwd.sim
 	if m == nil {
 		return
 	}
-	p := w.byEndpoint[a.Endpoint]
+	dest := sim.byEndpoint[a.Endpoint]
 	var e *endpoint
-	for _, x := range p.endpoints {
+	for _, x := range dest.endpoints {
 		if x.name == a.Endpoint {
 			e = x
 		}
@@ -311,82 +311,82 @@
 	if e == nil {
 		e = &endpoint{name: a.Endpoint, gone: true}
 	}
-	c := &call{message: m, endpoint: e, destination: p, number: m.attempts, sentAt: w.now}
+	c := &call{message: m, endpoint: e, destination: dest, number: m.attempts, sentAt: sim.now}
 	m.call = c
 	m.attempts++
-	h.callsOut++
-	w.checker.sent(h, c)
-	incarnation := h.incarnation
-	cut := m.deadline
+	fwd.callsOut++
+	sim.checker.sent(fwd, c)
+	incarnation := fwd.incarnation
+	cutAt := m.deadline
 	if a.CutAt > 0 {
-		cut = min(cut, w.now+a.CutAt-h.clock())
+		cutAt = min(cutAt, sim.now+a.CutAt-fwd.clock())
 	}
-	w.at(cut, func() {
-		if h.incarnation == incarnation {
-			h.endCall(c, mb.TimedOut, 0)
+	sim.schedule(cutAt, func() {
+		if fwd.incarnation == incarnation {
+			fwd.endCall(c, mb.TimedOut, 0)
 		}
 	})
-	if p.connectTime == 0 {
-		h.startCall(c)
+	if dest.connectTime == 0 {
+		fwd.startCall(c)
 		return
 	}
-	w.at(w.now+p.connectTime, func() {
-		if h.up && h.incarnation == incarnation && !c.ended {
-			h.startCall(c)
+	sim.schedule(sim.now+dest.connectTime, func() {
+		if fwd.up && fwd.incarnation == incarnation && !c.ended {
+			fwd.startCall(c)
 		}
 	})
 }
 
 // startCall writes a call's first byte once its connection is up, if the call is still permitted.
-func (h *forwarder) startCall(c *call) {
-	w, m, p, incarnation := h.sim, c.message, c.destination, h.incarnation
-	if c.sentAt < w.now && (h.readiness[c.endpoint.name] != mb.Serving || !h.decider.MayBegin(h.clock(), m.id) && !w.disabled[w.safeguardAgainst(c)]) {
-		w.result.NotSent++
-		h.endCall(c, mb.NotSent, 0)
+func (fwd *forwarder) startCall(c *call) {
+	sim, m, dest, incarnation := fwd.sim, c.message, c.destination, fwd.incarnation
+	if c.sentAt < sim.now && (fwd.readiness[c.endpoint.name] != mb.Serving || !fwd.decider.MayBegin(fwd.clock(), m.id) && !sim.disabled[sim.safeguardAgainst(c)]) {
+		sim.result.NotSent++
+		fwd.endCall(c, mb.NotSent, 0)
 		return
 	}
-	if c.started, c.startedAt = true, w.now; w.disabled[scenario.SafeguardOutAtKill] && m.journaled.atKill {
+	if c.started, c.startedAt = true, sim.now; sim.disabled[scenario.SafeguardOutAtKill] && m.journaled.atKill {
 		m.journaled = callRecord{} // the record of this call replaces that one
 	}
-	w.checker.started(h, c)
-	w.at(w.now+networkDelay, func() {
-		f := p.handleCall(w.now, c.endpoint, h.incarnation == incarnation && h.knownOutages[p.id] == p.recoveredAt && p.recoveredAt >= 0)
+	sim.checker.started(fwd, c)
+	sim.schedule(sim.now+networkDelay, func() {
+		f := dest.handleCall(sim.now, c.endpoint, fwd.incarnation == incarnation && fwd.knownOutages[dest.id] == dest.recoveredAt && dest.recoveredAt >= 0)
 		if f.cold {
-			w.result.ColdCalls++
-			if at := w.now - p.recoveredAt; at < earlyWindow {
-				w.result.EarlyColdCalls++
+			sim.result.ColdCalls++
+			if at := sim.now - dest.recoveredAt; at < earlyWindow {
+				sim.result.EarlyColdCalls++
 			}
 		}
 		if f.outcome == mb.Refused {
-			w.result.OverLimit++
+			sim.result.OverLimit++
 		}
 		if f.latency < 0 {
 			return
 		}
-		done := w.now + f.latency
+		done := sim.now + f.latency
 		if f.takesEffect {
-			w.at(done, func() {
-				if f.outcome == mb.Reset || p.isUp(w.now) || p.silent { // an outage during the call prevents the effect
-					w.checker.executed(m)
+			sim.schedule(done, func() {
+				if f.outcome == mb.Reset || dest.isUp(sim.now) || dest.silent { // an outage during the call prevents the effect
+					sim.checker.executed(m)
 				}
 			})
 		}
-		w.at(done+networkDelay, func() {
-			if !h.up || h.incarnation != incarnation {
+		sim.schedule(done+networkDelay, func() {
+			if !fwd.up || fwd.incarnation != incarnation {
 				return
 			}
-			out := f.outcome
-			if out == mb.OK && !p.isUp(done) {
-				out = mb.Reset
+			outcome := f.outcome
+			if outcome == mb.OK && !dest.isUp(done) {
+				outcome = mb.Reset
 			}
-			h.endCall(c, out, f.retryAfter)
+			fwd.endCall(c, outcome, f.retryAfter)
 		})
 	})
 }
 
 // safeguardAgainst returns the safeguard that forbids starting a call now.
-func (w *Simulation) safeguardAgainst(c *call) scenario.Safeguard {
-	if c.message.mayHaveRun && w.now >= c.message.ranAt+c.message.request.class.KeyTTL.D() {
+func (sim *Simulation) safeguardAgainst(c *call) scenario.Safeguard {
+	if c.message.mayHaveRun && sim.now >= c.message.ranAt+c.message.request.class.KeyTTL.D() {
 		return scenario.SafeguardKeyTTL
 	}
 	return scenario.SafeguardRetryAfter
@@ -398,38 +398,38 @@
 }
 
 // endCall records the end of a call and reports it to the decision module.
-func (h *forwarder) endCall(c *call, out mb.Outcome, wait time.Duration) {
+func (fwd *forwarder) endCall(c *call, outcome mb.Outcome, delay time.Duration) {
 	m := c.message
-	if c.ended || !h.up {
+	if c.ended || !fwd.up {
 		return
 	}
 	c.ended = true
 	m.call = nil
-	h.callsOut--
-	if out == mb.TimedOut && c.cancelled {
-		out = mb.Cancelled
+	fwd.callsOut--
+	if outcome == mb.TimedOut && c.cancelled {
+		outcome = mb.Cancelled
 	}
-	if !c.started && (out == mb.TimedOut || out == mb.Cancelled) {
-		out = mb.ConnectFailed
+	if !c.started && (outcome == mb.TimedOut || outcome == mb.Cancelled) {
+		outcome = mb.ConnectFailed
 	}
-	switch out {
+	switch outcome {
 	case mb.Failed, mb.TimedOut, mb.Reset, mb.Cancelled:
 		m.recordMayHaveRun(c.startedAt, false)
 	case mb.Refused:
-		if until := h.sim.now + wait; until > h.retryAfters[c.destination.id].until {
-			h.retryAfters[c.destination.id] = retryAfter{until, h.incarnation}
+		if until := fwd.sim.now + delay; until > fwd.retryAfters[c.destination.id].until {
+			fwd.retryAfters[c.destination.id] = retryAfter{until, fwd.incarnation}
 		}
 	case mb.OK:
 		if !m.ended {
-			h.endMessage(m, Delivered)
-			h.sim.recordDelivery(m)
+			fwd.endMessage(m, Delivered)
+			fwd.sim.recordDelivery(m)
 		}
 	}
-	if p := c.destination; out != mb.OK && out != mb.NotSent && h.sim.now < p.downUntil+networkDelay {
-		h.knownOutages[p.id] = p.recoveredAt
+	if dest := c.destination; outcome != mb.OK && outcome != mb.NotSent && fwd.sim.now < dest.downUntil+networkDelay {
+		fwd.knownOutages[dest.id] = dest.recoveredAt
 	}
-	h.sim.trace(m, "attempt %d: %s", c.number, outcomes[out])
-	h.handle(mb.Answer{
-		ID: m.id, Attempt: c.number, Endpoint: c.endpoint.name, Outcome: out, Latency: h.sim.now - c.sentAt, Settled: m.ended, RetryAfter: wait,
+	fwd.sim.trace(m, "attempt %d: %s", c.number, outcomes[outcome])
+	fwd.handle(mb.Answer{
+		ID: m.id, Attempt: c.number, Endpoint: c.endpoint.name, Outcome: outcome, Latency: fwd.sim.now - c.sentAt, Settled: m.ended, RetryAfter: delay,
 	})
 }
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -43,12 +43,12 @@
 	result             Result
 	checker            checker
 	// Trace is called for each event of a message's processing, unless it is nil.
-	Trace func(schedule time.Duration, event int64, message mb.MessageID, what string)
+	Trace func(at time.Duration, event int64, message mb.MessageID, what string)
 }
 
-func (w *Simulation) trace(m *message, format string, args ...any) {
-	if w.Trace != nil {
-		w.Trace(w.now, w.events, m.id, fmt.Sprintf(format, args...))
+func (sim *Simulation) trace(m *message, format string, args ...any) {
+	if sim.Trace != nil {
+		sim.Trace(sim.now, sim.events, m.id, fmt.Sprintf(format, args...))
 	}
 }
 
@@ -57,98 +57,98 @@
 	if err := s.Check(); err != nil {
 		return nil, fmt.Errorf("simulation: %w", err)
 	}
-	w := &Simulation{
+	sim := &Simulation{
 		scenario: s, rng: rand.New(rand.NewPCG(seed, 1)), byEndpoint: map[mb.EndpointID]*destination{}, loadFactor: 1, figures: memory.DefaultFigures,
 		result: Result{Scenario: s.Name, Seed: seed, Classes: map[string]*ClassResult{}},
 	}
-	w.checker.sim = w
-	w.disabled = make(map[scenario.Safeguard]bool, len(s.DisabledSafeguards))
-	for _, m := range s.DisabledSafeguards {
-		w.disabled[m] = true
+	sim.checker.sim = sim
+	sim.disabled = make(map[scenario.Safeguard]bool, len(s.DisabledSafeguards))
+	for _, safeguard := range s.DisabledSafeguards {
+		sim.disabled[safeguard] = true
 	}
 	for g, group := range s.Destinations {
 		for range group.Count {
-			id := mb.DestinationID(len(w.destinations) + 1)
+			id := mb.DestinationID(len(sim.destinations) + 1)
 			src := rand.NewPCG(seed, 1000+uint64(id))
-			sample, err := group.ServiceTime.Sampler(src)
+			serviceTime, err := group.ServiceTime.Sampler(src)
 			if err != nil {
 				return nil, fmt.Errorf("simulation: partners %d: %w", g+1, err)
 			}
 			servers := max(1, int(math.Ceil(group.Capacity*group.ServiceTime.Mean/1000)))
-			p := &destination{
-				id: id, group: group, rules: s.Rules, serviceTime: sample, rng: rand.New(src), slowdown: 1, limitFactor: 1, recoveredAt: -1,
+			dest := &destination{
+				id: id, group: group, rules: s.Rules, serviceTime: serviceTime, rng: rand.New(src), slowdown: 1, limitFactor: 1, recoveredAt: -1,
 				servers: make([]time.Duration, servers),
 			}
 			for e := range group.Endpoints {
-				w.addEndpoint(p, mb.EndpointID(fmt.Sprintf("p%d-%d", id, e)))
+				sim.addEndpoint(dest, mb.EndpointID(fmt.Sprintf("p%d-%d", id, e)))
 			}
-			w.destinations = append(w.destinations, p)
+			sim.destinations = append(sim.destinations, dest)
 		}
 	}
 	total := 0.0
-	for i := range w.destinations {
+	for i := range sim.destinations {
 		total += math.Pow(float64(i+1), -s.Traffic.DestinationSkew)
-		w.destinationWeights = append(w.destinationWeights, total)
+		sim.destinationWeights = append(sim.destinationWeights, total)
 	}
 	total = 0
 	for _, c := range s.Classes {
 		total += c.Share
-		w.classWeights = append(w.classWeights, total)
-		w.result.Classes[c.Name] = &ClassResult{}
+		sim.classWeights = append(sim.classWeights, total)
+		sim.result.Classes[c.Name] = &ClassResult{}
 	}
 	for i := range s.Fleet.Forwarders {
-		h := &forwarder{sim: w, name: i, seed: seed*1_000_003 + uint64(i), held: map[mb.MessageID]*message{}}
-		w.forwarders = append(w.forwarders, h)
-		part := math.Pow(float64(i+1), -s.Traffic.ForwarderSkew)
+		fwd := &forwarder{sim: sim, name: i, seed: seed*1_000_003 + uint64(i), held: map[mb.MessageID]*message{}}
+		sim.forwarders = append(sim.forwarders, fwd)
+		weight := math.Pow(float64(i+1), -s.Traffic.ForwarderSkew)
 		if i > 0 {
-			part += w.forwarderWeights[i-1]
+			weight += sim.forwarderWeights[i-1]
 		}
-		w.forwarderWeights = append(w.forwarderWeights, part)
-		w.at(0, h.start)
+		sim.forwarderWeights = append(sim.forwarderWeights, weight)
+		sim.schedule(0, fwd.start)
 	}
 	for _, f := range s.Faults {
-		w.at(f.At.D(), func() { w.injectFault(f) })
+		sim.schedule(f.At.D(), func() { sim.injectFault(f) })
 	}
-	w.at(0, w.nextArrival)
-	return w, nil
+	sim.schedule(0, sim.nextArrival)
+	return sim, nil
 }
 
 // addEndpoint adds an endpoint to a destination and to discovery.
-func (w *Simulation) addEndpoint(p *destination, name mb.EndpointID) {
-	p.endpoints = append(p.endpoints, &endpoint{name: name})
-	w.byEndpoint[name] = p
-	w.discoveryList = append(w.discoveryList, w.entry(p, name, mb.Serving))
+func (sim *Simulation) addEndpoint(dest *destination, name mb.EndpointID) {
+	dest.endpoints = append(dest.endpoints, &endpoint{name: name})
+	sim.byEndpoint[name] = dest
+	sim.discoveryList = append(sim.discoveryList, sim.entry(dest, name, mb.Serving))
 }
 
-func (w *Simulation) entry(p *destination, name mb.EndpointID, r mb.Readiness) mb.Entry {
-	return mb.Entry{Endpoint: name, Zone: "z", Kind: "k", Destination: p.id, Readiness: r, CapacityHint: p.group.CapacityHint * p.group.Capacity}
+func (sim *Simulation) entry(dest *destination, name mb.EndpointID, r mb.Readiness) mb.Entry {
+	return mb.Entry{Endpoint: name, Zone: "z", Kind: "k", Destination: dest.id, Readiness: r, CapacityHint: dest.group.CapacityHint * dest.group.Capacity}
 }
 
 // schedule schedules do at time t, or now if t has passed.
-func (w *Simulation) at(t time.Duration, do func()) {
-	w.queue.Schedule(max(t, w.now), do)
+func (sim *Simulation) schedule(t time.Duration, do func()) {
+	sim.queue.Schedule(max(t, sim.now), do)
 }
 
 // Run runs the simulation to its end and returns its result.
-func (w *Simulation) Run() Result {
-	end := w.scenario.Length.D() + drainTime
+func (sim *Simulation) Run() Result {
+	end := sim.scenario.Length.D() + drainTime
 	for {
-		at, do, some := w.queue.Next(end)
-		if !some {
+		at, do, ok := sim.queue.Next(end)
+		if !ok {
 			break
 		}
-		w.now = at
-		w.events++
+		sim.now = at
+		sim.events++
 		do()
 	}
-	w.checker.end()
-	w.result.Events = w.events
-	for _, p := range w.destinations {
-		w.result.Overloads += p.overloads
-		w.result.InformedOverloads += p.informedOverloads
-		w.result.PeakColdLoad = max(w.result.PeakColdLoad, p.peakColdLoad)
+	sim.checker.end()
+	sim.result.Events = sim.events
+	for _, dest := range sim.destinations {
+		sim.result.Overloads += dest.overloads
+		sim.result.InformedOverloads += dest.informedOverloads
+		sim.result.PeakColdLoad = max(sim.result.PeakColdLoad, dest.peakColdLoad)
 	}
-	return w.result
+	return sim.result
 }
 
 func pick(sums []float64, rng *rand.Rand) int {
@@ -162,28 +162,28 @@
 }
 
 // nextArrival submits a client's message and schedules the next one.
-func (w *Simulation) nextArrival() {
-	if w.now >= w.scenario.Length.D() {
+func (sim *Simulation) nextArrival() {
+	if sim.now >= sim.scenario.Length.D() {
 		return
 	}
-	w.at(w.now+time.Duration(w.rng.ExpFloat64()/(w.scenario.Traffic.Rate*w.loadFactor)*float64(time.Second)), w.nextArrival)
-	class := &w.scenario.Classes[pick(w.classWeights, w.rng)]
-	m := &request{
-		class: class, destination: w.destinations[pick(w.destinationWeights, w.rng)], createdAt: w.now, deadline: w.now + class.DeliveryTimeout.D(),
-		forwarder: w.pickForwarder(), retriesLeft: w.scenario.Traffic.MaxRetries,
+	sim.schedule(sim.now+time.Duration(sim.rng.ExpFloat64()/(sim.scenario.Traffic.Rate*sim.loadFactor)*float64(time.Second)), sim.nextArrival)
+	class := &sim.scenario.Classes[pick(sim.classWeights, sim.rng)]
+	r := &request{
+		class: class, destination: sim.destinations[pick(sim.destinationWeights, sim.rng)], createdAt: sim.now, deadline: sim.now + class.DeliveryTimeout.D(),
+		forwarder: sim.pickForwarder(), retriesLeft: sim.scenario.Traffic.MaxRetries,
 	}
-	w.result.Offered++
-	w.result.Classes[class.Name].Offered++
-	w.result.Worth.Offered += class.Worth
-	m.submit()
+	sim.result.Offered++
+	sim.result.Classes[class.Name].Offered++
+	sim.result.Worth.Offered += class.Worth
+	r.submit()
 }
 
 // pickForwarder draws the forwarder that a client submits to.
-func (w *Simulation) pickForwarder() *forwarder {
-	if w.scenario.Traffic.ForwarderSkew == 0 {
-		return w.forwarders[w.rng.IntN(len(w.forwarders))]
+func (sim *Simulation) pickForwarder() *forwarder {
+	if sim.scenario.Traffic.ForwarderSkew == 0 {
+		return sim.forwarders[sim.rng.IntN(len(sim.forwarders))]
 	}
-	return w.forwarders[pick(w.forwarderWeights, w.rng)]
+	return sim.forwarders[pick(sim.forwarderWeights, sim.rng)]
 }
 
 // request is a message that a client wants delivered; each submission of it is a message of its own.
@@ -197,122 +197,122 @@
 }
 
 // submit submits a request to its forwarder, and tries again later while the forwarder is down.
-func (m *request) submit() {
-	w := m.forwarder.sim
+func (r *request) submit() {
+	sim := r.forwarder.sim
 	switch {
-	case w.now >= m.deadline:
-		w.result.Classes[m.class.Name].Lost++
-	case !m.forwarder.up:
-		w.at(w.now+clientRetryDelay, m.submit)
+	case sim.now >= r.deadline:
+		sim.result.Classes[r.class.Name].Lost++
+	case !r.forwarder.up:
+		sim.schedule(sim.now+clientRetryDelay, r.submit)
 	default:
-		h := m.forwarder
-		if !w.scenario.Copies.Enabled {
-			h.submit(m)
+		fwd := r.forwarder
+		if !sim.scenario.Copies.Enabled {
+			fwd.submit(r)
 			return
 		}
-		incarnation := h.incarnation
-		w.at(w.now+w.scenario.Copies.ReplicationDelay.D(), func() {
-			if h.up && h.incarnation == incarnation {
-				h.submit(m)
+		incarnation := fwd.incarnation
+		sim.schedule(sim.now+sim.scenario.Copies.ReplicationDelay.D(), func() {
+			if fwd.up && fwd.incarnation == incarnation {
+				fwd.submit(r)
 			} else {
-				m.submit() // the client was not told that the message was accepted
+				r.submit() // the client was not told that the message was accepted
 			}
 		})
 	}
 }
 
 // retryLater handles a refusal: the client submits again after a delay, or drops the request if no retries or time are left.
-func (m *request) retryLater(after time.Duration) {
-	w := m.forwarder.sim
-	if m.retriesLeft--; m.retriesLeft < 0 || w.now+after >= m.deadline {
-		w.result.Classes[m.class.Name].Refused++
+func (r *request) retryLater(after time.Duration) {
+	sim := r.forwarder.sim
+	if r.retriesLeft--; r.retriesLeft < 0 || sim.now+after >= r.deadline {
+		sim.result.Classes[r.class.Name].Refused++
 		return
 	}
-	w.at(w.now+after, m.submit)
+	sim.schedule(sim.now+after, r.submit)
 }
 
 // pickShare draws the indexes of a share of n items, at least one.
-func (w *Simulation) pickShare(n int, share float64) []int {
-	return w.rng.Perm(n)[:min(n, max(1, int(math.Round(share*float64(n)))))]
+func (sim *Simulation) pickShare(n int, share float64) []int {
+	return sim.rng.Perm(n)[:min(n, max(1, int(math.Round(share*float64(n)))))]
 }
 
 // injectFault starts a fault now and schedules its end.
-func (w *Simulation) injectFault(f scenario.Fault) {
-	until := w.now + f.Duration.D()
+func (sim *Simulation) injectFault(f scenario.Fault) {
+	until := sim.now + f.Duration.D()
 	switch f.Kind {
 	case scenario.Outage, scenario.Silence:
-		for _, i := range w.pickShare(len(w.destinations), f.Share) {
-			p := w.destinations[i]
-			p.startOutage(w.now, until, f.Kind == scenario.Silence)
-			w.at(until, func() { p.silent = false })
+		for _, i := range sim.pickShare(len(sim.destinations), f.Share) {
+			dest := sim.destinations[i]
+			dest.startOutage(sim.now, until, f.Kind == scenario.Silence)
+			sim.schedule(until, func() { dest.silent = false })
 		}
-		w.result.RecoveryTimes = append(w.result.RecoveryTimes, until)
+		sim.result.RecoveryTimes = append(sim.result.RecoveryTimes, until)
 	case scenario.Slow, scenario.Limit:
-		for _, i := range w.pickShare(len(w.destinations), f.Share) {
-			factor := &w.destinations[i].slowdown
+		for _, i := range sim.pickShare(len(sim.destinations), f.Share) {
+			factor := &sim.destinations[i].slowdown
 			if f.Kind == scenario.Limit {
-				factor = &w.destinations[i].limitFactor
+				factor = &sim.destinations[i].limitFactor
 			}
 			*factor *= f.Factor
-			w.at(until, func() { *factor /= f.Factor })
+			sim.schedule(until, func() { *factor /= f.Factor })
 		}
 	case scenario.Connect:
-		for _, i := range w.pickShare(len(w.destinations), f.Share) {
-			p := w.destinations[i]
-			p.connectTime = f.ConnectTime.D()
-			w.at(until, func() { p.connectTime = 0 })
+		for _, i := range sim.pickShare(len(sim.destinations), f.Share) {
+			dest := sim.destinations[i]
+			dest.connectTime = f.ConnectTime.D()
+			sim.schedule(until, func() { dest.connectTime = 0 })
 		}
 	case scenario.Load:
-		w.loadFactor *= f.Factor
-		w.at(until, func() { w.loadFactor /= f.Factor })
+		sim.loadFactor *= f.Factor
+		sim.schedule(until, func() { sim.loadFactor /= f.Factor })
 	case scenario.Kill:
-		for _, i := range w.pickShare(len(w.forwarders), f.Share) {
-			h := w.forwarders[i]
-			if !h.up {
+		for _, i := range sim.pickShare(len(sim.forwarders), f.Share) {
+			fwd := sim.forwarders[i]
+			if !fwd.up {
 				continue
 			}
-			h.kill(f.FolderLossShare > 0 && w.rng.Float64() < f.FolderLossShare)
-			back := f.MinDowntime.D() + time.Duration(w.rng.Float64()*float64(f.MaxDowntime-f.MinDowntime))
-			w.at(w.now+back, h.start)
+			fwd.kill(f.FolderLossShare > 0 && sim.rng.Float64() < f.FolderLossShare)
+			downtime := f.MinDowntime.D() + time.Duration(sim.rng.Float64()*float64(f.MaxDowntime-f.MinDowntime))
+			sim.schedule(sim.now+downtime, fwd.start)
 		}
 	case scenario.Drain:
-		for _, i := range w.pickShare(len(w.destinations), f.Share) {
-			w.replaceEndpoint(w.destinations[i], f)
+		for _, i := range sim.pickShare(len(sim.destinations), f.Share) {
+			sim.replaceEndpoint(sim.destinations[i], f)
 		}
 	}
 }
 
 // replaceEndpoint replaces a destination's oldest endpoint in order: it is drained first and deleted later, when an endpoint with
 // another name is added.
-func (w *Simulation) replaceEndpoint(p *destination, f scenario.Fault) {
-	old := p.endpoints[0]
-	w.updateDiscovery(p, old, mb.Draining)
-	w.at(w.now+max(f.Duration.D(), 2*discoveryDelay), func() {
-		w.updateDiscovery(p, old, mb.Deleted)
+func (sim *Simulation) replaceEndpoint(dest *destination, f scenario.Fault) {
+	old := dest.endpoints[0]
+	sim.updateDiscovery(dest, old, mb.Draining)
+	sim.schedule(sim.now+max(f.Duration.D(), 2*discoveryDelay), func() {
+		sim.updateDiscovery(dest, old, mb.Deleted)
 		old.gone = true
-		p.endpoints = p.endpoints[1:]
-		name := mb.EndpointID(fmt.Sprintf("%s'%d", old.name, w.queue.Scheduled()))
-		w.addEndpoint(p, name)
-		w.updateDiscovery(p, p.endpoints[len(p.endpoints)-1], mb.Serving)
+		dest.endpoints = dest.endpoints[1:]
+		name := mb.EndpointID(fmt.Sprintf("%s'%d", old.name, sim.queue.Scheduled()))
+		sim.addEndpoint(dest, name)
+		sim.updateDiscovery(dest, dest.endpoints[len(dest.endpoints)-1], mb.Serving)
 	})
 }
 
 // updateDiscovery changes an endpoint's readiness in discovery; forwarders learn of it after discoveryDelay.
-func (w *Simulation) updateDiscovery(p *destination, e *endpoint, r mb.Readiness) {
+func (sim *Simulation) updateDiscovery(dest *destination, e *endpoint, r mb.Readiness) {
 	e.state = r
-	for i := range w.discoveryList {
-		if w.discoveryList[i].Endpoint == e.name {
-			if w.discoveryList[i].Readiness = r; r == mb.Deleted {
-				w.discoveryList = append(w.discoveryList[:i:i], w.discoveryList[i+1:]...)
+	for i := range sim.discoveryList {
+		if sim.discoveryList[i].Endpoint == e.name {
+			if sim.discoveryList[i].Readiness = r; r == mb.Deleted {
+				sim.discoveryList = append(sim.discoveryList[:i:i], sim.discoveryList[i+1:]...)
 			}
 			break
 		}
 	}
-	entry := w.entry(p, e.name, r)
-	for _, h := range w.forwarders {
-		w.at(w.now+discoveryDelay, func() {
-			if h.up {
-				h.updateEndpoints(mb.EndpointUpdate{Scope: mb.ListChanges, Entries: []mb.Entry{entry}})
+	entry := sim.entry(dest, e.name, r)
+	for _, fwd := range sim.forwarders {
+		sim.schedule(sim.now+discoveryDelay, func() {
+			if fwd.up {
+				fwd.updateEndpoints(mb.EndpointUpdate{Scope: mb.ListChanges, Entries: []mb.Entry{entry}})
 			}
 		})
 	}
