--- a/internal/lab/eventqueue/eventqueue.go
+++ b/internal/lab/eventqueue/eventqueue.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Queue holds the events that are still due. Events that are due at the same time run in the order in which they were scheduled.
+// Queue holds the events that are still due. Events that are due at the same time run in the order in which they were
+// scheduled.
 type Queue struct {
 	seq   uint64
 	queue eventHeap
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -1,6 +1,6 @@
-// Package live runs a scenario in real time: several processes of the real program on loopback, which are killed and restarted on
-// the scenario's schedule, with simulated destinations and clients. Runs of one seed differ with the timing of the machine; their
-// metrics are shown beside those of virtual time.
+// Package live runs a scenario in real time: several processes of the real program on loopback, which are killed and
+// restarted on the scenario's schedule, with simulated destinations and clients. Runs of one seed differ with the
+// timing of the machine; their metrics are shown beside those of virtual time.
 package live
 
 import (
@@ -305,7 +305,8 @@
 	}
 }
 
-// submitUntilDone submits a request until it is delivered or abandoned, its retries are used up, or its deadline passes.
+// submitUntilDone submits a request until it is delivered or abandoned, its retries are used up, or its deadline
+// passes.
 func (s *run) submitUntilDone(ctx context.Context, req *request) {
 	class := s.result.Classes[req.class.Name]
 	count := func(counter *int) { s.mu.Lock(); *counter++; s.mu.Unlock() }
@@ -353,8 +354,8 @@
 	}
 }
 
-// submit submits a message. If it is accepted, accepted is true; otherwise the client tries again after retryAfter. A negative
-// retryAfter means that there was no answer, and that the attempt does not count as a retry.
+// submit submits a message. If it is accepted, accepted is true; otherwise the client tries again after retryAfter. A
+// negative retryAfter means that there was no answer, and that the attempt does not count as a retry.
 func (s *run) submit(req *request, id string, left time.Duration) (retryAfter time.Duration, accepted bool) {
 	c, err := lab.Dial(req.forwarder.process.Address())
 	if err != nil { // the forwarder is down
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,4 +1,5 @@
-// Package report renders runs of the laboratory as one self-contained HTML page: metrics, plots as inline SVG, and rule violations.
+// Package report renders runs of the laboratory as one self-contained HTML page: metrics, plots as inline SVG, and rule
+// violations.
 package report
 
 import (
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -11,8 +11,8 @@
 	"mulleinbeam/internal/lab/simulation"
 )
 
-// The page has each metric, each class, the plots as complete SVG and the violations. It loads nothing from elsewhere and
-// escapes names.
+// The page has each metric, each class, the plots as complete SVG and the violations. It loads nothing from elsewhere
+// and escapes names.
 func TestPage(t *testing.T) {
 	result := func(seed uint64, worth float64) simulation.Result {
 		return simulation.Result{
--- a/internal/lab/scenario/grid.go
+++ b/internal/lab/scenario/grid.go
@@ -10,8 +10,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Setting is a key of a scenario file and the values to try for it. Keys are dotted paths; an element of an array of tables is
-// addressed by its index: fleet.slots, partners.0.limit, learned.keep.
+// Setting is a key of a scenario file and the values to try for it. Keys are dotted paths; an element of an array of
+// tables is addressed by its index: fleet.slots, partners.0.limit, learned.keep.
 type Setting struct {
 	Key    string
 	Values []string // in TOML syntax
--- a/internal/lab/scenario/sample.go
+++ b/internal/lab/scenario/sample.go
@@ -8,7 +8,8 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Sampler returns a function that draws values of the distribution, in the unit of its mean, with src as the source of randomness.
+// Sampler returns a function that draws values of the distribution, in the unit of its mean, with src as the source of
+// randomness.
 func (d Distribution) Sampler(src rand.Source) (func() float64, error) {
 	if d.Mean <= 0 || d.Spread < 0 || math.IsNaN(d.Mean) || math.IsInf(d.Mean, 0) {
 		return nil, fmt.Errorf("mean %v or spread %v is out of range", d.Mean, d.Spread)
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario parses and checks the laboratory's scenario files. A scenario describes a fleet of forwarders, destinations,
-// traffic, scheduled faults and the settings under test in one TOML file.
+// Package scenario parses and checks the laboratory's scenario files. A scenario describes a fleet of forwarders,
+// destinations, traffic, scheduled faults and the settings under test in one TOML file.
 package scenario
 
 import (
@@ -32,7 +32,7 @@
 // Scenario is the content of a scenario file.
 type Scenario struct {
 	Name               string             `toml:"name"`
-	Length             Duration           `toml:"length"` // duration of the traffic; messages held at its end are still processed
+	Length             Duration           `toml:"length"` // of the traffic; messages held at its end still end
 	Fleet              Fleet              `toml:"fleet"`
 	Destinations       []DestinationGroup `toml:"partners"`
 	Classes            []Class            `toml:"classes"`
@@ -41,17 +41,17 @@
 	Rules              Rules              `toml:"rules"`
 	Learned            Learned            `toml:"learned"`
 	Copies             Copies             `toml:"copies"`
-	DisabledSafeguards []Safeguard        `toml:"without"` // safeguards to switch off, to show that their rule is violated without them
+	DisabledSafeguards []Safeguard        `toml:"without"` // safeguards that are switched off
 }
 
-// Safeguard names a check of the forwarder that a run can switch off.
+// Safeguard names a check of the forwarder that a run can switch off, to show that its rule is violated without it.
 type Safeguard string
 
 // The safeguards. The first two are checked once a call's connection is up, before its first byte is written.
 const (
 	SafeguardKeyTTL     Safeguard = "window"      // a repeated call starts only before its idempotency key expires
-	SafeguardRetryAfter Safeguard = "wait"        // no call starts within a retry-after that arrived while its connection was being set up
-	SafeguardOutAtKill  Safeguard = "out-at-kill" // a call in progress at a kill counts as one that may have run, for all later incarnations
+	SafeguardRetryAfter Safeguard = "wait"        // no call starts within a retry-after received while it connects
+	SafeguardOutAtKill  Safeguard = "out-at-kill" // a call in progress at a kill may have run, for all later incarnations
 )
 
 // Fleet describes the forwarders.
@@ -67,7 +67,7 @@
 	Count         int          `toml:"count"`
 	Endpoints     int          `toml:"endpoints"` // per destination
 	Capacity      float64      `toml:"capacity"`  // calls per second of one destination
-	CapacityHint  float64      `toml:"hint"`      // capacity hint in discovery, as a share of Capacity; 0 means no hint
+	CapacityHint  float64      `toml:"hint"`      // hint in discovery, as a share of Capacity; 0 means no hint
 	ServiceTime   Distribution `toml:"service"`   // service time of a call, in milliseconds
 	Limit         float64      `toml:"limit"`     // rate limit in calls per second; 0 means no limit
 	RefusalsCount bool         `toml:"counts"`    // whether refused calls count towards the limit
@@ -96,8 +96,8 @@
 // LateWorth is the share of its worth that a message keeps at its deadline.
 const LateWorth = 0.4
 
-// WorthAt returns the worth of a delivery at an age, and whether it is within the target latency. After the target the worth
-// decreases linearly and reaches the share LateWorth at the deadline.
+// WorthAt returns the worth of a delivery at an age, and whether it is within the target latency. After the target the
+// worth decreases linearly and reaches the share LateWorth at the deadline.
 func (c Class) WorthAt(age time.Duration) (worth float64, inTime bool) {
 	if age <= c.Target.D() {
 		return c.Worth, true
@@ -136,18 +136,18 @@
 	Load    = "load"    // traffic is multiplied by Factor
 	Kill    = "kill"    // forwarders are killed
 	Connect = "connect" // setting up a connection to a destination takes ConnectTime
-	Drain   = "drain"   // one endpoint of each destination is drained, deleted and replaced by one with another name
+	Drain   = "drain"   // one endpoint of each destination is drained and replaced by another
 )
 
 // Rules describes how destinations recover from an outage and when a cold destination is overloaded.
 type Rules struct {
 	ColdFrom         float64  `toml:"cold-from"`   // share of the capacity that a destination has on recovery
 	WarmWithin       Duration `toml:"warm-within"` // time from recovery to full capacity
-	OverloadFactor   float64  `toml:"overload"`    // arriving calls over the current capacity, within OverloadWindow, above which it goes down
+	OverloadFactor   float64  `toml:"overload"`    // calls in OverloadWindow over the capacity at which it goes down
 	OverloadWindow   Duration `toml:"tip-after"`
 	OverloadDowntime Duration `toml:"tip-for"` // how long an overloaded destination is down
-	// ChanceFactor allows for random bursts: ChanceFactor * (sqrt(n) + 1) calls above the tolerated number n do not count as an
-	// overload. 0 allows one call.
+	// ChanceFactor allows for random bursts: ChanceFactor * (sqrt(n) + 1) calls above the tolerated number n do not
+	// count as an overload. 0 allows one call.
 	ChanceFactor float64 `toml:"chance"`
 }
 
@@ -160,8 +160,8 @@
 // Copies configures whether other forwarders hold copies of a forwarder's messages and take them over.
 type Copies struct {
 	Enabled          bool     `toml:"keep"`
-	TakeoverDelay    Duration `toml:"takeover"` // time from a kill to the takeover, unless the forwarder has restarted with its folder by then
-	ReplicationDelay Duration `toml:"ahead"`    // delay until a message is replicated; it is accepted only then
+	TakeoverDelay    Duration `toml:"takeover"` // from a kill, unless the forwarder is back with its folder
+	ReplicationDelay Duration `toml:"ahead"`    // delay until a message is replicated and accepted
 }
 
 // defaults returns the values of keys that a file omits.
--- a/internal/lab/simulation/check.go
+++ b/internal/lab/simulation/check.go
@@ -20,30 +20,37 @@
 
 // Result is the result of a run.
 type Result struct {
-	Scenario              string                  `json:"scenario"`
-	Seed                  uint64                  `json:"seed"`
-	Events                int64                   `json:"events"`
-	Offered               int                     `json:"offered"` // messages of clients, without their repeated submissions
-	Worth                 Worth                   `json:"worth"`
-	Classes               map[string]*ClassResult `json:"classes"`
-	Calls                 int                     `json:"calls"`
-	ColdCalls             int                     `json:"cold_calls"`       // calls that reached a cold destination
-	EarlyColdCalls        int                     `json:"cold_calls_early"` // of these, within 14 s of its recovery
-	OverLimit             int                     `json:"over_limit"`       // calls refused above the rate limit
-	NotSent               int                     `json:"held_back"`        // calls cancelled before their first byte, when their connection was up
-	CallsInRetryAfter     int                     `json:"in_told_waits"`    // calls within a retry-after that an earlier incarnation of the forwarder received
-	Overloads             int                     `json:"tips"`             // destinations that went down again by overload while cold
-	InformedOverloads     int                     `json:"pushed"`           // of these, those with over two thirds of the calls from forwarders that knew of the outage
-	PeakColdLoad          float64                 `json:"crowd"`            // maximum of calls at a cold destination within OverloadWindow, over the tolerated number
-	Kills                 int                     `json:"kills"`
-	FoldersLost           int                     `json:"folders_lost"`
-	TakenOver             int                     `json:"taken_over"` // messages taken over by another forwarder
-	LostWithFolder        int                     `json:"gone"`       // accepted messages lost with a folder of which there was no copy
-	KillTimes             []time.Duration         `json:"-"`
-	RecoveryTimes         []time.Duration         `json:"-"`
-	Seconds               []SecondStats           `json:"seconds"`
-	Violations            []string                `json:"broken"`  // violated rules, with time and event
-	FirstViolationMessage mb.MessageID            `json:"message"` // the message of the first violation; 0 is none
+	Scenario       string                  `json:"scenario"`
+	Seed           uint64                  `json:"seed"`
+	Events         int64                   `json:"events"`
+	Offered        int                     `json:"offered"` // messages of clients, without repeated submissions
+	Worth          Worth                   `json:"worth"`
+	Classes        map[string]*ClassResult `json:"classes"`
+	Calls          int                     `json:"calls"`
+	ColdCalls      int                     `json:"cold_calls"`       // calls that reached a cold destination
+	EarlyColdCalls int                     `json:"cold_calls_early"` // of these, within 14 s of its recovery
+	OverLimit      int                     `json:"over_limit"`       // calls refused above the rate limit
+	// NotSent counts calls that were cancelled when their connection was up, before their first byte.
+	NotSent int `json:"held_back"`
+	// CallsInRetryAfter counts calls within a retry-after that an earlier incarnation of the forwarder received.
+	CallsInRetryAfter int `json:"in_told_waits"`
+	// Overloads counts how often destinations went down again by overload while cold.
+	Overloads int `json:"tips"`
+	// InformedOverloads counts those with over two thirds of the calls from forwarders that knew of the outage.
+	InformedOverloads int `json:"pushed"`
+	// PeakColdLoad is the maximum number of calls at a cold destination within OverloadWindow, over the tolerated
+	// number.
+	PeakColdLoad float64 `json:"crowd"`
+	Kills        int     `json:"kills"`
+	FoldersLost  int     `json:"folders_lost"`
+	TakenOver    int     `json:"taken_over"` // messages taken over by another forwarder
+	// LostWithFolder counts accepted messages that were lost with a folder and had no copy.
+	LostWithFolder        int             `json:"gone"`
+	KillTimes             []time.Duration `json:"-"`
+	RecoveryTimes         []time.Duration `json:"-"`
+	Seconds               []SecondStats   `json:"seconds"`
+	Violations            []string        `json:"broken"`  // violated rules, with time and event
+	FirstViolationMessage mb.MessageID    `json:"message"` // the message of the first violation; 0 is none
 }
 
 // Worth is the total worth of messages, by their class and their age at delivery.
@@ -149,8 +156,8 @@
 	}
 }
 
-// lost counts a message that was lost with the only folder that held it. This violates the rule that accepted messages are kept;
-// it is counted separately because it cannot be prevented without copies.
+// lost counts a message that was lost with the only folder that held it. This violates the rule that accepted messages
+// are kept; it is counted separately because it cannot be prevented without copies.
 func (c *checker) lost(m *message) {
 	c.sim.trace(m, "lost with its forwarder's folder")
 	c.open--
--- a/internal/lab/simulation/cold_test.go
+++ b/internal/lab/simulation/cold_test.go
@@ -8,8 +8,8 @@
 	"mulleinbeam/internal/lab/scenario"
 )
 
-// coldRecovery is a fleet whose destinations all have an outage and are cold on recovery. They tolerate the number of calls n that
-// their capacity and the overload factor give, plus 2 * (sqrt(n) + 1) for chance.
+// coldRecovery is a fleet whose destinations all have an outage and are cold on recovery. They tolerate the number of
+// calls n that their capacity and the overload factor give, plus 2 * (sqrt(n) + 1) for chance.
 func coldRecovery(forwarders, partners int, capacity, rate float64) scenario.Scenario {
 	s := small(scenario.Fault{Kind: scenario.Outage, At: d(8 * time.Second), Duration: d(6 * time.Second), Share: 1})
 	s.Name, s.Length = "cold", d(32*time.Second)
@@ -24,9 +24,9 @@
 	return s
 }
 
-// Forwarders that know of an outage together send no more than a cold destination tolerates. This holds for any fleet size, with
-// little traffic at each forwarder, with uneven traffic, and after a restart in which most forwarders lose their knowledge of the
-// outage. The held messages must still be delivered.
+// Forwarders that know of an outage together send no more than a cold destination tolerates. This holds for any fleet
+// size, with little traffic at each forwarder, with uneven traffic, and after a restart in which most forwarders lose
+// their knowledge of the outage. The held messages must still be delivered.
 func TestFleetDoesNotOverloadColdDestinations(t *testing.T) {
 	for name, c := range map[string]struct {
 		s        scenario.Scenario
--- a/internal/lab/simulation/destination.go
+++ b/internal/lab/simulation/destination.go
@@ -9,8 +9,8 @@
 	"mulleinbeam/internal/lab/scenario"
 )
 
-// destination simulates a destination with its endpoints: its capacity, rate limit, outages and recovery. It is a state machine in
-// virtual time; the result of a call is decided when the call arrives.
+// destination simulates a destination with its endpoints: its capacity, rate limit, outages and recovery. It is a state
+// machine in virtual time; the result of a call is decided when the call arrives.
 type destination struct {
 	id                mb.DestinationID
 	group             scenario.DestinationGroup
@@ -47,8 +47,8 @@
 
 const limitWindow = time.Second // window over which a rate limit applies
 
-// Destination is a simulated destination for use with real forwarders. Times are those of the caller's clock, which starts at 0.
-// Its methods are not safe for concurrent use.
+// Destination is a simulated destination for use with real forwarders. Times are those of the caller's clock, which
+// starts at 0. Its methods are not safe for concurrent use.
 type Destination struct{ dest *destination }
 
 // Endpoints returns the names of the endpoints.
@@ -131,7 +131,8 @@
 	return list
 }
 
-// tolerated returns how many calls within OverloadWindow a cold destination tolerates, including the allowance for chance.
+// tolerated returns how many calls within OverloadWindow a cold destination tolerates, including the allowance for
+// chance.
 func (dest *destination) tolerated(share float64) float64 {
 	n := dest.rules.OverloadFactor * share * dest.group.Capacity * dest.rules.OverloadWindow.D().Seconds()
 	if dest.rules.ChanceFactor == 0 {
@@ -140,7 +141,8 @@
 	return n + dest.rules.ChanceFactor*(math.Sqrt(n)+1)
 }
 
-// handleCall returns the result of a call that arrives now; informed says that its forwarder informedCalls of the outage.
+// handleCall returns the result of a call that arrives now; informed says that its forwarder informedCalls of the
+// outage.
 func (dest *destination) handleCall(now time.Duration, e *endpoint, informed bool) callResult {
 	switch {
 	case e.gone:
--- a/internal/lab/simulation/fleet_test.go
+++ b/internal/lab/simulation/fleet_test.go
@@ -7,8 +7,8 @@
 	"mulleinbeam/internal/lab/scenario"
 )
 
-// limitedFleet is eighty forwarders with a few destinations that lower their rate limits for a while. Each forwarder makes one or
-// two calls per second to each destination; refusals have no retry-after and count towards the limit.
+// limitedFleet is eighty forwarders with a few destinations that lower their rate limits for a while. Each forwarder
+// makes one or two calls per second to each destination; refusals have no retry-after and count towards the limit.
 func limitedFleet() scenario.Scenario {
 	s := small(scenario.Fault{Kind: scenario.Limit, At: d(8 * time.Second), Duration: d(9 * time.Second), Factor: 0.7, Share: 1})
 	s.Name, s.Fleet = "fleet", scenario.Fleet{Forwarders: 80, Slots: 4, MostHeld: 60}
@@ -17,9 +17,9 @@
 	return s
 }
 
-// A fleet that has reached a rate limit keeps using it: each forwarder limits its rate in proportion to its own demand, so that
-// the sum falls to the limit and no lower. Forwarders configured with a fleet size that is too small limit themselves to most of
-// the limit each, which restrains none of them.
+// A fleet that has reached a rate limit keeps using it: each forwarder limits its rate in proportion to its own demand,
+// so that the sum falls to the limit and no lower. Forwarders configured with a fleet size that is too small limit
+// themselves to most of the limit each, which restrains none of them.
 func TestFleetSharesRateLimit(t *testing.T) {
 	share := func(r Result) float64 { return r.Worth.Delivered / r.Worth.Offered }
 	for seed := range uint64(3) {
--- a/internal/lab/simulation/forwarder.go
+++ b/internal/lab/simulation/forwarder.go
@@ -64,8 +64,8 @@
 	incarnation uint64
 }
 
-// forwarder is a simulated forwarder: the decision module, its environment, and the state that survives a kill. held is the
-// content of its journal.
+// forwarder is a simulated forwarder: the decision module, its environment, and the state that survives a kill. held is
+// the content of its journal.
 type forwarder struct {
 	sim          *Simulation
 	name         int
@@ -107,7 +107,8 @@
 	return settings
 }
 
-// start starts an incarnation: it restores the learned state if enabled, applies the discovery list and resumes the held messages.
+// start starts an incarnation: it restores the learned state if enabled, applies the discovery list and resumes the
+// held messages.
 func (fwd *forwarder) start() {
 	fwd.incarnation++
 	fwd.up, fwd.startedAt, fwd.callsOut = true, fwd.sim.now, 0
@@ -159,8 +160,9 @@
 	fwd.sim.schedule(fwd.sim.now+fwd.sim.scenario.Learned.SaveInterval.D(), func() { fwd.save(incarnation) })
 }
 
-// kill ends an incarnation at once. Its calls in progress continue at their endpoints and may run, so the next incarnation or the
-// forwarder that takes over from copies treats them as such. If the folder is lost, messages without copies are lost too.
+// kill ends an incarnation at once. Its calls in progress continue at their endpoints and may run, so the next
+// incarnation or the forwarder that takes over from copies treats them as such. If the folder is lost, messages without
+// copies are lost too.
 func (fwd *forwarder) kill(lost bool) {
 	sim := fwd.sim
 	fwd.up = false
@@ -188,7 +190,7 @@
 	switch {
 	case sim.scenario.Copies.Enabled:
 		sim.schedule(sim.now+sim.scenario.Copies.TakeoverDelay.D(), func() {
-			if !lost && !fwd.up && fwd.incarnation == incarnation { // after a later restart the messages belong to another forwarder
+			if !lost && !fwd.up && fwd.incarnation == incarnation { // after a later restart its messages are gone
 				clear(fwd.held)
 				fwd.heldOrder = nil
 				fwd.reassign(messages)
--- a/internal/lab/simulation/shrink.go
+++ b/internal/lab/simulation/shrink.go
@@ -7,8 +7,8 @@
 	"mulleinbeam/internal/lab/scenario"
 )
 
-// Shrink searches for a smaller scenario that still fails: shorter, with fewer faults, forwarders, destinations and endpoints,
-// and less traffic. It calls fails at most budget times.
+// Shrink searches for a smaller scenario that still fails: shorter, with fewer faults, forwarders, destinations and
+// endpoints, and less traffic. It calls fails at most budget times.
 func Shrink(s scenario.Scenario, fails func(scenario.Scenario) bool, budget int) scenario.Scenario {
 	try := func(change func(*scenario.Scenario) bool) bool {
 		next := s
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -1,6 +1,6 @@
-// Package simulation runs a scenario as a discrete-event simulation: a fleet of forwarders, each with its own decision module,
-// destinations, clients and faults, on one event queue in virtual time. It uses no sockets and no real clock, and equal seeds give
-// equal runs. The rules are checked during the run.
+// Package simulation runs a scenario as a discrete-event simulation: a fleet of forwarders, each with its own decision
+// module, destinations, clients and faults, on one event queue in virtual time. It uses no sockets and no real clock,
+// and equal seeds give equal runs. The rules are checked during the run.
 package simulation
 
 import (
@@ -221,7 +221,8 @@
 	}
 }
 
-// retryLater handles a refusal: the client submits again after a delay, or drops the request if no retries or time are left.
+// retryLater handles a refusal: the client submits again after a delay, or drops the request if no retries or time are
+// left.
 func (r *request) retryLater(after time.Duration) {
 	sim := r.forwarder.sim
 	if r.retriesLeft--; r.retriesLeft < 0 || sim.now+after >= r.deadline {
@@ -282,8 +283,8 @@
 	}
 }
 
-// replaceEndpoint replaces a destination's oldest endpoint in order: it is drained first and deleted later, when an endpoint with
-// another name is added.
+// replaceEndpoint replaces a destination's oldest endpoint in order: it is drained first and deleted later, when an
+// endpoint with another name is added.
 func (sim *Simulation) replaceEndpoint(dest *destination, f scenario.Fault) {
 	old := dest.endpoints[0]
 	sim.updateDiscovery(dest, old, mb.Draining)
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -149,7 +149,8 @@
 	}
 }
 
-// A destination's rate limit holds over any second, refusals carry its retry-after, and overload while it is cold takes it down again.
+// A destination's rate limit holds over any second, refusals carry its retry-after, and overload while it is cold takes
+// it down again.
 func TestPartner(t *testing.T) {
 	s := small()
 	w, err := New(s, 1)
@@ -194,8 +195,8 @@
 	}
 }
 
-// After a mass restart in an outage, forwarders that keep their learned state make fewer calls within retry-afters that earlier
-// incarnations received, and deliver no less.
+// After a mass restart in an outage, forwarders that keep their learned state make fewer calls within retry-afters that
+// earlier incarnations received, and deliver no less.
 func TestLearnedStateAfterMassRestart(t *testing.T) {
 	s := small(
 		scenario.Fault{Kind: scenario.Load, At: d(4 * time.Second), Duration: d(8 * time.Second), Factor: 3},
@@ -277,7 +278,8 @@
 	}
 }
 
-// The interval covers the true mean about as often as its confidence level says, and IncludesZero is true for differences of none.
+// The interval covers the true mean about as often as its confidence level says, and IncludesZero is true for
+// differences of none.
 func TestBootstrap(t *testing.T) {
 	covered, noise := 0, 0
 	const runs = 200
@@ -329,8 +331,8 @@
 	}
 }
 
-// Messages are lost with their forwarder's folder if there is no copy; with copies another forwarder takes them over under the
-// same rules.
+// Messages are lost with their forwarder's folder if there is no copy; with copies another forwarder takes them over
+// under the same rules.
 func TestLostFolders(t *testing.T) {
 	s := small(
 		scenario.Fault{Kind: scenario.Outage, At: d(5 * time.Second), Duration: d(5 * time.Second), Share: 0.5},
--- a/internal/lab/simulation/sweep.go
+++ b/internal/lab/simulation/sweep.go
@@ -20,8 +20,8 @@
 	Scenario scenario.Scenario
 }
 
-// Sweep runs each variant with each seed, atOnce runs at a time, and returns the results by variant and seed. It calls progress
-// with the number of finished runs, their total and the estimated time left; progress may be nil.
+// Sweep runs each variant with each seed, atOnce runs at a time, and returns the results by variant and seed. It calls
+// progress with the number of finished runs, their total and the estimated time left; progress may be nil.
 func Sweep(ctx context.Context, variants []Variant, seeds []uint64, atOnce int, progress func(done, of int, left time.Duration)) ([][]Result, error) {
 	out := make([][]Result, len(variants))
 	group, ctx := errgroup.WithContext(ctx)
