--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -141,9 +141,11 @@
 
 // Rules describes how destinations recover from an outage and when a cold destination is overloaded.
 type Rules struct {
-	ColdFrom         float64  `toml:"cold-from"`   // share of the capacity that a destination has on recovery
-	WarmWithin       Duration `toml:"warm-within"` // time from recovery to full capacity
-	OverloadFactor   float64  `toml:"overload"`    // calls in OverloadWindow over the capacity at which it goes down
+	ColdFrom   float64  `toml:"cold-from"`   // share of the capacity that a destination has on recovery
+	WarmWithin Duration `toml:"warm-within"` // time from recovery to full capacity
+	// OverloadFactor is the number of calls within OverloadWindow, over the current capacity in that time, above which a
+	// cold destination is overloaded and goes down.
+	OverloadFactor   float64  `toml:"overload"`
 	OverloadWindow   Duration `toml:"tip-after"`
 	OverloadDowntime Duration `toml:"tip-for"` // how long an overloaded destination is down
 	// ChanceFactor allows for random bursts: ChanceFactor * (sqrt(n) + 1) calls above the tolerated number n do not
@@ -159,9 +161,11 @@
 
 // Copies configures whether other forwarders hold copies of a forwarder's messages and take them over.
 type Copies struct {
-	Enabled          bool     `toml:"keep"`
-	TakeoverDelay    Duration `toml:"takeover"` // from a kill, unless the forwarder is back with its folder
-	ReplicationDelay Duration `toml:"ahead"`    // delay until a message is replicated and accepted
+	Enabled bool `toml:"keep"`
+	// TakeoverDelay is the time from a kill until another forwarder takes over, unless the forwarder has restarted with
+	// its folder by then.
+	TakeoverDelay    Duration `toml:"takeover"`
+	ReplicationDelay Duration `toml:"ahead"` // delay until a message is replicated and accepted
 }
 
 // defaults returns the values of keys that a file omits.
--- a/internal/lab/simulation/fleet_test.go
+++ b/internal/lab/simulation/fleet_test.go
@@ -18,8 +18,8 @@
 }
 
 // A fleet that has reached a rate limit keeps using it: each forwarder limits its rate in proportion to its own demand,
-// so that the sum falls to the limit and no lower. Forwarders configured with a fleet size that is too small limit
-// themselves to most of the limit each, which restrains none of them.
+// so that the sum falls to the limit and no lower. Forwarders configured with too small a fleet size each apply nearly
+// the whole limit, which restrains none of them.
 func TestFleetSharesRateLimit(t *testing.T) {
 	share := func(r Result) float64 { return r.Worth.Delivered / r.Worth.Offered }
 	for seed := range uint64(3) {
--- a/internal/lab/simulation/forwarder.go
+++ b/internal/lab/simulation/forwarder.go
@@ -190,7 +190,8 @@
 	switch {
 	case sim.scenario.Copies.Enabled:
 		sim.schedule(sim.now+sim.scenario.Copies.TakeoverDelay.D(), func() {
-			if !lost && !fwd.up && fwd.incarnation == incarnation { // after a later restart its messages are gone
+			// A forwarder that restarts after the takeover no longer has these messages.
+			if !lost && !fwd.up && fwd.incarnation == incarnation {
 				clear(fwd.held)
 				fwd.heldOrder = nil
 				fwd.reassign(messages)
--- a/internal/lab/simulation/random_test.go
+++ b/internal/lab/simulation/random_test.go
@@ -39,11 +39,11 @@
 				MinDowntime: d(100 * time.Millisecond), MaxDowntime: d(time.Duration(rapid.IntRange(100, 5000).Draw(t, "until")) * time.Millisecond),
 			})
 		}
-		w, err := New(s, rapid.Uint64().Draw(t, "seed"))
+		sim, err := New(s, rapid.Uint64().Draw(t, "seed"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r := w.Run(); len(r.Violations) > 0 {
+		if r := sim.Run(); len(r.Violations) > 0 {
 			t.Fatalf("%q", r.Violations)
 		}
 	})
--- a/internal/lab/simulation/safeguards_test.go
+++ b/internal/lab/simulation/safeguards_test.go
@@ -8,8 +8,8 @@
 	"mulleinbeam/internal/lab/scenario"
 )
 
-// safeguards is three hundred forwarders with thirty busy destinations. For a while connections to all of them take 0.9
-// s to set up, and most forwarders are killed twice in short succession with calls in progress.
+// safeguards is three hundred forwarders with thirty busy destinations. For a while connections to all of them take
+// 0.9 s to set up, and most forwarders are killed twice in short succession with calls in progress.
 func safeguards() scenario.Scenario {
 	s := small(
 		scenario.Fault{Kind: scenario.Connect, At: d(2 * time.Second), Duration: d(9 * time.Second), Share: 1, ConnectTime: d(900 * time.Millisecond)},
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -39,11 +39,11 @@
 
 func play(t *testing.T, s scenario.Scenario, seed uint64) Result {
 	t.Helper()
-	w, err := New(s, seed)
+	sim, err := New(s, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return w.Run()
+	return sim.Run()
 }
 
 // Equal seeds give equal runs, different seeds different ones.
@@ -102,62 +102,71 @@
 // The checker detects a violation of each rule.
 func TestCheckerFinds(t *testing.T) {
 	s := small()
-	for name, f := range map[string]func(w *Simulation, h *forwarder, m *message, c *call){
-		"ended twice": func(w *Simulation, h *forwarder, m *message, c *call) {
-			h.endMessage(m, Failed)
-			h.endMessage(m, Refused)
+	for name, f := range map[string]func(sim *Simulation, fwd *forwarder, m *message, c *call){
+		"ended twice": func(sim *Simulation, fwd *forwarder, m *message, c *call) {
+			fwd.endMessage(m, Failed)
+			fwd.endMessage(m, Refused)
 		},
-		"not ended": func(w *Simulation, h *forwarder, m *message, c *call) { w.checker.end() },
-		"late": func(w *Simulation, h *forwarder, m *message, c *call) {
-			w.now = m.deadline + time.Second
-			h.endMessage(m, Failed)
+		"not ended": func(sim *Simulation, fwd *forwarder, m *message, c *call) { sim.checker.end() },
+		"late": func(sim *Simulation, fwd *forwarder, m *message, c *call) {
+			sim.now = m.deadline + time.Second
+			fwd.endMessage(m, Failed)
 		},
-		"second effect": func(w *Simulation, h *forwarder, m *message, c *call) { w.checker.executed(m); w.checker.executed(m) },
-		"sent again":    func(w *Simulation, h *forwarder, m *message, c *call) { m.mayHaveRun = true; w.checker.started(h, c) },
-		"after its key expired": func(w *Simulation, h *forwarder, m *message, c *call) {
+		"second effect": func(sim *Simulation, fwd *forwarder, m *message, c *call) {
+			sim.checker.executed(m)
+			sim.checker.executed(m)
+		},
+		"sent again": func(sim *Simulation, fwd *forwarder, m *message, c *call) {
+			m.mayHaveRun = true
+			sim.checker.started(fwd, c)
+		},
+		"after its key expired": func(sim *Simulation, fwd *forwarder, m *message, c *call) {
 			m.request.class = &s.Classes[1]
 			m.mayHaveRun = true
-			w.now = time.Minute
-			w.checker.started(h, c)
+			sim.now = time.Minute
+			sim.checker.started(fwd, c)
+		},
+		"slots": func(sim *Simulation, fwd *forwarder, m *message, c *call) {
+			fwd.callsOut = 99
+			sim.checker.sent(fwd, c)
 		},
-		"slots": func(w *Simulation, h *forwarder, m *message, c *call) { h.callsOut = 99; w.checker.sent(h, c) },
-		"drained": func(w *Simulation, h *forwarder, m *message, c *call) {
-			h.readiness[c.endpoint.name] = mb.Draining
-			w.checker.sent(h, c)
+		"drained": func(sim *Simulation, fwd *forwarder, m *message, c *call) {
+			fwd.readiness[c.endpoint.name] = mb.Draining
+			sim.checker.sent(fwd, c)
 		},
-		"within a retry-after": func(w *Simulation, h *forwarder, m *message, c *call) {
-			h.retryAfters[c.destination.id] = retryAfter{time.Hour, h.incarnation}
-			w.checker.started(h, c)
+		"within a retry-after": func(sim *Simulation, fwd *forwarder, m *message, c *call) {
+			fwd.retryAfters[c.destination.id] = retryAfter{time.Hour, fwd.incarnation}
+			sim.checker.started(fwd, c)
 		},
 	} {
-		w, err := New(s, 1)
+		sim, err := New(s, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		h := w.forwarders[0]
-		h.start()
-		x := &request{class: &s.Classes[2], destination: w.destinations[0], forwarder: h, deadline: 10 * time.Second}
-		h.submit(x)
-		m := h.held[1]
-		c := &call{message: m, endpoint: w.destinations[0].endpoints[0], destination: w.destinations[0]}
-		if len(w.result.Violations) > 0 {
-			t.Fatalf("%s: violations before the test's own: %v", name, w.result.Violations)
+		fwd := sim.forwarders[0]
+		fwd.start()
+		x := &request{class: &s.Classes[2], destination: sim.destinations[0], forwarder: fwd, deadline: 10 * time.Second}
+		fwd.submit(x)
+		m := fwd.held[1]
+		c := &call{message: m, endpoint: sim.destinations[0].endpoints[0], destination: sim.destinations[0]}
+		if len(sim.result.Violations) > 0 {
+			t.Fatalf("%s: violations before the test's own: %v", name, sim.result.Violations)
 		}
-		if f(w, h, m, c); len(w.result.Violations) != 1 {
-			t.Errorf("%s: %v", name, w.result.Violations)
+		if f(sim, fwd, m, c); len(sim.result.Violations) != 1 {
+			t.Errorf("%s: %v", name, sim.result.Violations)
 		}
 	}
 }
 
 // A destination's rate limit holds over any second, refusals carry its retry-after, and overload while it is cold takes
 // it down again.
-func TestPartner(t *testing.T) {
+func TestDestination(t *testing.T) {
 	s := small()
-	w, err := New(s, 1)
+	sim, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, e := w.destinations[0], w.destinations[0].endpoints[0]
+	p, e := sim.destinations[0], sim.destinations[0].endpoints[0]
 	ok := 0
 	for i := range 100 {
 		f := p.handleCall(time.Duration(i)*time.Millisecond, e, false)
@@ -261,25 +270,25 @@
 
 // The trace reports the events of a message in order.
 func TestTrace(t *testing.T) {
-	w, err := New(small(), 1)
+	sim, err := New(small(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var lines []string
-	w.Trace = func(_ time.Duration, _ int64, id mb.MessageID, what string) {
+	sim.Trace = func(_ time.Duration, _ int64, id mb.MessageID, what string) {
 		if id == 1 {
 			lines = append(lines, what)
 		}
 	}
-	w.Run()
+	sim.Run()
 	if len(lines) < 4 || !strings.HasPrefix(lines[0], "accepted by forwarder") || !strings.HasPrefix(lines[1], "attempt 0 goes to p") ||
 		lines[2] != "takes effect" || !strings.HasPrefix(lines[len(lines)-1], "attempt") && !strings.HasPrefix(lines[len(lines)-1], "ends") {
 		t.Errorf("%q", lines)
 	}
 }
 
-// The interval covers the true mean about as often as its confidence level says, and IncludesZero is true for
-// differences of none.
+// The interval covers the true mean about as often as its confidence level says, and IncludesZero holds for
+// differences around zero.
 func TestBootstrap(t *testing.T) {
 	covered, noise := 0, 0
 	const runs = 200
@@ -320,11 +329,11 @@
 			s.Traffic.Rate = 10 * float64(n)
 			events := int64(0)
 			for b.Loop() {
-				w, err := New(s, 1)
+				sim, err := New(s, 1)
 				if err != nil {
 					b.Fatal(err)
 				}
-				events += w.Run().Events
+				events += sim.Run().Events
 			}
 			b.ReportMetric(float64(events)/b.Elapsed().Seconds(), "events/s")
 		})
