--- a/cmd/larklab/main.go
+++ b/cmd/larklab/main.go
@@ -24,7 +24,7 @@
 	"mulleinbeam/internal/lab/live"
 	"mulleinbeam/internal/lab/report"
 	"mulleinbeam/internal/lab/scenario"
-	"mulleinbeam/internal/lab/world"
+	"mulleinbeam/internal/lab/simulation"
 	"mulleinbeam/internal/settings"
 )
 
@@ -115,7 +115,7 @@
 		return err
 	}
 	start := time.Now()
-	variants := []world.Variant{{Name: s.Name, Scenario: s}}
+	variants := []simulation.Variant{{Name: s.Name, Scenario: s}}
 	results, err := simulate(variants, c.Seed, c.Seeds)
 	if err != nil {
 		return err
@@ -131,10 +131,10 @@
 				return err
 			}
 		}
-		for _, violation := range r.Broken {
+		for _, violation := range r.Violations {
 			fmt.Printf("seed %d: rule broken at %s\n", r.Seed, violation)
 		}
-		if len(r.Broken) > 0 && !broken {
+		if len(r.Violations) > 0 && !broken {
 			broken = true
 			if err := printCounterexample(s, r.Seed); err != nil {
 				return err
@@ -152,9 +152,9 @@
 }
 
 // printFigures prints the mean of each figure over the seeds, with its confidence interval.
-func printFigures(indent string, results []world.Result) {
-	for _, f := range world.Figures {
-		interval := world.Bootstrap(f.Values(results), 1)
+func printFigures(indent string, results []simulation.Result) {
+	for _, f := range simulation.Metrics {
+		interval := simulation.Bootstrap(f.Values(results), 1)
 		fmt.Printf("%s%-45s %12.3f  (%.3f to %.3f)\n", indent, f.Name, interval.Mean, interval.Low, interval.High)
 	}
 }
@@ -165,11 +165,11 @@
 // printCounterexample prints the smallest scenario found that breaks a rule with the seed, and the events of the message
 // for which the rule was broken.
 func printCounterexample(s scenario.Scenario, seed uint64) error {
-	s = world.Shrink(s, func(s scenario.Scenario) bool {
-		w, err := world.New(s, seed)
-		return err == nil && len(w.Run().Broken) > 0
+	s = simulation.Shrink(s, func(s scenario.Scenario) bool {
+		w, err := simulation.New(s, seed)
+		return err == nil && len(w.Run().Violations) > 0
 	}, maxShrinkRuns)
-	w, err := world.New(s, seed)
+	w, err := simulation.New(s, seed)
 	if err != nil {
 		return err
 	}
@@ -188,9 +188,9 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("\nsmallest scenario found that breaks a rule with seed %d:\n\n%s\n%s\n", seed, text, strings.Join(r.Broken, "\n"))
+	fmt.Printf("\nsmallest scenario found that breaks a rule with seed %d:\n\n%s\n%s\n", seed, text, strings.Join(r.Violations, "\n"))
 	for _, l := range lines {
-		if l.id == r.Message {
+		if l.id == r.FirstViolationMessage {
 			fmt.Printf("  %v, event %d: %s\n", l.at, l.event, l.description)
 		}
 	}
@@ -210,14 +210,14 @@
 }
 
 // simulate simulates each variant with count seeds from seed on and prints its progress to stderr.
-func simulate(variants []world.Variant, seed uint64, count int) ([][]world.Result, error) {
+func simulate(variants []simulation.Variant, seed uint64, count int) ([][]simulation.Result, error) {
 	ctx, stop := signalContext()
 	defer stop()
 	var seeds []uint64
 	for i := range count {
 		seeds = append(seeds, seed+uint64(i))
 	}
-	return world.Sweep(ctx, variants, seeds, runtime.GOMAXPROCS(0), func(done, total int, remaining time.Duration) {
+	return simulation.Sweep(ctx, variants, seeds, runtime.GOMAXPROCS(0), func(done, total int, remaining time.Duration) {
 		if total > 1 {
 			fmt.Fprintf(os.Stderr, "\r%d of %d, %v remaining   ", done, total, remaining.Round(time.Second))
 			if done == total {
@@ -249,9 +249,9 @@
 	if err != nil {
 		return err
 	}
-	var variants []world.Variant
+	var variants []simulation.Variant
 	for _, p := range points {
-		variants = append(variants, world.Variant{Name: p.Name, Scenario: p.Scenario})
+		variants = append(variants, simulation.Variant{Name: p.Name, Scenario: p.Scenario})
 	}
 	results, err := simulate(variants, c.Seed, c.Seeds)
 	if err != nil {
@@ -284,11 +284,11 @@
 	without, with := s, s
 	switch c.With {
 	case "copies":
-		without.Copies.Keep, with.Copies.Keep = false, true
+		without.Copies.Enabled, with.Copies.Enabled = false, true
 	default:
-		without.Learned.Keep, with.Learned.Keep = false, true
+		without.Learned.Enabled, with.Learned.Enabled = false, true
 	}
-	variants := []world.Variant{{Name: "without", Scenario: without}, {Name: "with " + c.With, Scenario: with}}
+	variants := []simulation.Variant{{Name: "without", Scenario: without}, {Name: "with " + c.With, Scenario: with}}
 	results, err := simulate(variants, c.Seed, c.Seeds)
 	if err != nil {
 		return err
@@ -297,17 +297,17 @@
 	if err := writeReport(c.HTML, report.Page{Title: title, Variants: variants, Results: results}); err != nil {
 		return err
 	}
-	differences, err := world.Compare(results[0], results[1])
+	differences, err := simulation.Compare(results[0], results[1])
 	if err != nil {
 		return err
 	}
 	fmt.Printf("%-45s %12s %12s   difference\n", fmt.Sprintf("%s, %d seeds", s.Name, c.Seeds), "without", "with "+c.With)
 	for _, d := range differences {
 		note := ""
-		if d.Diff.Noise() {
+		if d.Diff.IncludesZero() {
 			note = "  may be chance"
 		}
-		fmt.Printf("%-45s %12.3f %12.3f   %+.3f (%+.3f to %+.3f)%s\n", d.Figure, d.A, d.B, d.Diff.Mean, d.Diff.Low, d.Diff.High, note)
+		fmt.Printf("%-45s %12.3f %12.3f   %+.3f (%+.3f to %+.3f)%s\n", d.Metric, d.A, d.B, d.Diff.Mean, d.Diff.Low, d.Diff.High, note)
 	}
 	return nil
 }
@@ -332,16 +332,16 @@
 	}
 	ctx, stop := signalContext()
 	defer stop()
-	variants := []world.Variant{{Name: "without", Scenario: s}, {Name: "with", Scenario: s}}
-	variants[0].Scenario.Learned.Keep, variants[1].Scenario.Learned.Keep = false, true
+	variants := []simulation.Variant{{Name: "without", Scenario: s}, {Name: "with", Scenario: s}}
+	variants[0].Scenario.Learned.Enabled, variants[1].Scenario.Learned.Enabled = false, true
 	virtual, err := simulate(variants, c.Seed, c.Seeds)
 	if err != nil {
 		return err
 	}
-	realTime := make([][]world.Result, len(variants))
+	realTime := make([][]simulation.Result, len(variants))
 	broken := false
 	for i := range c.Seeds {
-		results, errs := make([]world.Result, len(variants)), make([]error, len(variants))
+		results, errs := make([]simulation.Result, len(variants)), make([]error, len(variants))
 		var runs sync.WaitGroup
 		for v := range variants {
 			runs.Go(func() { results[v], errs[v] = c.runOnce(ctx, program, variants[v].Scenario, c.Seed+uint64(i)) })
@@ -352,16 +352,16 @@
 		}
 		for v, r := range results {
 			realTime[v] = append(realTime[v], r)
-			for _, violation := range r.Broken {
+			for _, violation := range r.Violations {
 				broken = true
 				fmt.Printf("%s, seed %d: rule broken: %s\n", variants[v].Name, r.Seed, violation)
 			}
 		}
 	}
 	fmt.Printf("%-45s %14s %14s %14s %14s\n", fmt.Sprintf("%s, %d seeds, means", s.Name, c.Seeds), "real, without", "real, with", "virtual, w/o", "virtual, with")
-	for _, f := range world.Figures {
+	for _, f := range simulation.Metrics {
 		fmt.Printf("%-45s", f.Name)
-		for _, results := range [][]world.Result{realTime[0], realTime[1], virtual[0], virtual[1]} {
+		for _, results := range [][]simulation.Result{realTime[0], realTime[1], virtual[0], virtual[1]} {
 			fmt.Printf(" %14.3f", f.Mean(results))
 		}
 		fmt.Println()
@@ -373,10 +373,10 @@
 }
 
 // runOnce runs the scenario once in real time, in a temporary directory.
-func (c liveCmd) runOnce(ctx context.Context, program string, s scenario.Scenario, seed uint64) (world.Result, error) {
+func (c liveCmd) runOnce(ctx context.Context, program string, s scenario.Scenario, seed uint64) (simulation.Result, error) {
 	dir, err := os.MkdirTemp("", "larklab-live-")
 	if err != nil {
-		return world.Result{}, err
+		return simulation.Result{}, err
 	}
 	defer os.RemoveAll(dir)
 	return live.Run{Scenario: s, Seed: seed, Program: []string{program, "serve"}, Dir: dir, Log: func(format string, args ...any) {
--- a/cmd/larkreach/live_test.go
+++ b/cmd/larkreach/live_test.go
@@ -67,7 +67,7 @@
 		Scenario: s, Seed: 1, Program: []string{os.Args[0]}, Env: []string{childProcessEnv + "=1"}, Dir: t.TempDir(), Log: t.Logf,
 	}.Play(t.Context())
 	must(t, err)
-	for _, violation := range r.Broken {
+	for _, violation := range r.Violations {
 		t.Error("rule broken: " + violation)
 	}
 	ended := 0
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -1,6 +1,6 @@
-// Package live plays a scenario in real time: the real program as several processes on loopback, killed and restarted on the
-// scenario's schedule, between partners that are the world's and clients that hand in what the world's would. Runs of one seed
-// differ by what the machine does; their figures stand beside those of virtual time.
+// Package live runs a scenario in real time: several processes of the real program on loopback, which are killed and
+// restarted on the scenario's schedule, with simulated destinations and clients. Runs of one seed differ with the
+// timing of the machine; their metrics are shown beside those of virtual time.
 package live
 
 import (
@@ -17,98 +17,98 @@
 	mb "mulleinbeam"
 	"mulleinbeam/internal/lab"
 	"mulleinbeam/internal/lab/scenario"
-	"mulleinbeam/internal/lab/world"
+	"mulleinbeam/internal/lab/simulation"
 )
 
 const (
-	settleFor = 30 * time.Second // after the traffic's end
-	comeAgain = 500 * time.Millisecond
+	drainTime        = 30 * time.Second // after the end of the traffic, for the messages still held
+	clientRetryDelay = 500 * time.Millisecond
 )
 
-// Run is one scenario with one seed.
+// Run configures a run of one scenario with one seed.
 type Run struct {
 	Scenario scenario.Scenario
 	Seed     uint64
-	Program  []string // the forwarder and its arguments
+	Program  []string // command line of the forwarder
 	Env      []string
-	Dir      string // for the forwarders' folders; has to exist
+	Dir      string // existing folder for the forwarders' folders
 	Log      func(format string, args ...any)
 }
 
-// stage is a run under way.
-type stage struct {
+// run is a run in progress.
+type run struct {
 	Run
-	ctx      context.Context // of the whole run
-	began    time.Time
-	agent    *lab.Agent
-	partners []*site
-	hosts    []*host
-	check    *lab.Checker
-	tasks    sync.WaitGroup
+	ctx          context.Context // ends with the run
+	startedAt    time.Time
+	agent        *lab.Agent
+	destinations []*destination
+	forwarders   []*forwarder
+	check        *lab.Checker
+	tasks        sync.WaitGroup
 
 	mu       sync.Mutex
-	result   world.Result
-	waiting  map[string]*wish // by the id that was taken on
-	killedAt time.Duration    // the first kill; negative is none
+	result   simulation.Result
+	waiting  map[string]*request // by the message ID of the latest submission
+	killedAt time.Duration       // time of the first kill; negative if none
 }
 
-// site is a partner with its endpoints on sockets.
-type site struct {
+// destination is a simulated destination whose endpoints listen on sockets.
+type destination struct {
 	mu        sync.Mutex
-	partner   world.Partner
+	model     simulation.Destination
 	endpoints []*lab.Endpoint
 }
 
-// host is one forwarder.
-type host struct {
-	mu sync.Mutex // round its starts and ends
-	f  *lab.Forwarder
-	up bool
+// forwarder is a process of the forwarder.
+type forwarder struct {
+	mu      sync.Mutex // serializes starts and stops
+	process *lab.Forwarder
+	up      bool
 }
 
-// wish is what a client wants delivered.
-type wish struct {
-	n       int
-	class   *scenario.Class
-	partner *site
-	host    *host
-	at      time.Duration
-	until   time.Duration
-	returns int
-	done    bool
-	ended   chan lab.Notice // how a message that was taken on ended, if not by a delivery
+// request is a message that a client wants delivered.
+type request struct {
+	number      int
+	class       *scenario.Class
+	destination *destination
+	forwarder   *forwarder
+	createdAt   time.Duration
+	deadline    time.Duration
+	retriesLeft int
+	done        bool
+	ended       chan lab.Notice // delivery report of a message that was accepted; closed on delivery
 }
 
-func (s *stage) now() time.Duration { return time.Since(s.began) }
+func (s *run) now() time.Duration { return time.Since(s.startedAt) }
 
-// Play plays it to its end.
-func (r Run) Play(ctx context.Context) (world.Result, error) {
+// Play carries out the run and returns its result.
+func (r Run) Play(ctx context.Context) (simulation.Result, error) {
 	if r.Log == nil {
 		r.Log = func(string, ...any) {}
 	}
-	s := &stage{Run: r, check: lab.NewChecker(), waiting: map[string]*wish{}, killedAt: -1}
-	s.result = world.Result{Scenario: r.Scenario.Name, Seed: r.Seed, Classes: map[string]*world.ClassResult{}}
+	s := &run{Run: r, check: lab.NewChecker(), waiting: map[string]*request{}, killedAt: -1}
+	s.result = simulation.Result{Scenario: r.Scenario.Name, Seed: r.Seed, Classes: map[string]*simulation.ClassResult{}}
 	for _, c := range r.Scenario.Classes {
-		s.result.Classes[c.Name] = &world.ClassResult{}
+		s.result.Classes[c.Name] = &simulation.ClassResult{}
 	}
 	defer s.close()
 	if err := s.open(); err != nil {
 		return s.result, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, r.Scenario.Length.D()+settleFor)
+	ctx, cancel := context.WithTimeout(ctx, r.Scenario.Length.D()+drainTime)
 	defer cancel()
-	s.ctx, s.began = ctx, time.Now()
+	s.ctx, s.startedAt = ctx, time.Now()
 	rng := rand.New(rand.NewPCG(r.Seed, 2))
 	for _, f := range r.Scenario.Faults {
-		s.later(ctx, f.At.D(), func() { s.fault(ctx, f, rng) })
+		s.schedule(ctx, f.At.D(), func() { s.injectFault(ctx, f, rng) })
 	}
-	s.clients(ctx)
+	s.generateTraffic(ctx)
 	s.tasks.Wait()
 	return s.result, s.finish()
 }
 
-// later does something at a moment, unless ctx ends first.
-func (s *stage) later(ctx context.Context, at time.Duration, do func()) {
+// schedule calls do at a time of the run, unless ctx ends first.
+func (s *run) schedule(ctx context.Context, at time.Duration, do func()) {
 	s.tasks.Add(1)
 	go func() {
 		defer s.tasks.Done()
@@ -118,163 +118,163 @@
 	}()
 }
 
-// open starts partners, agent and forwarders.
-func (s *stage) open() error {
-	partners, err := world.Partners(s.Scenario, s.Seed)
+// open starts the destinations, the agent and the forwarders.
+func (s *run) open() error {
+	models, err := simulation.Destinations(s.Scenario, s.Seed)
 	if err != nil {
 		return err
 	}
 	var all []*lab.Endpoint
-	for _, p := range partners {
-		t := &site{partner: p}
-		for _, name := range p.Endpoints() {
-			e := &lab.Endpoint{Name: name, Group: p.Number(), Weight: p.Hint(), Handle: func(c *lab.Call) bool { return s.call(t, c) }}
+	for _, model := range models {
+		dest := &destination{model: model}
+		for _, name := range model.Endpoints() {
+			e := &lab.Endpoint{Name: name, Group: model.ID(), Weight: model.CapacityHint(), Handle: func(c *lab.Call) bool { return s.handleCall(dest, c) }}
 			if err := e.Listen(); err != nil {
 				return err
 			}
-			t.endpoints = append(t.endpoints, e)
+			dest.endpoints = append(dest.endpoints, e)
 			all = append(all, e)
 		}
-		s.partners = append(s.partners, t)
+		s.destinations = append(s.destinations, dest)
 	}
-	s.agent = &lab.Agent{Told: s.told}
+	s.agent = &lab.Agent{Told: s.handleReport}
 	if err := s.agent.Listen(all...); err != nil {
 		return err
 	}
 	for i := range s.Scenario.Fleet.Forwarders {
-		f := &lab.Forwarder{
-			Command: s.Program, Env: s.Env, Name: fmt.Sprint("f", i), Slots: s.Scenario.Fleet.Slots, DiskMB: 32, Amend: s.amend,
+		process := &lab.Forwarder{
+			Command: s.Program, Env: s.Env, Name: fmt.Sprint("f", i), Slots: s.Scenario.Fleet.Slots, DiskMB: 32, Amend: s.configure,
 		}
-		if s.Scenario.Learned.Keep {
-			f.Settings = fmt.Sprintf("[learned]\ninterval = %q\nsize = \"1MiB\"\n", s.Scenario.Learned.Interval.D())
+		if s.Scenario.Learned.Enabled {
+			process.Settings = fmt.Sprintf("[learned]\ninterval = %q\nsize = \"1MiB\"\n", s.Scenario.Learned.SaveInterval.D())
 		}
-		dir := filepath.Join(s.Dir, f.Name)
-		if err := f.Prepare(dir, s.agent); err != nil {
+		dir := filepath.Join(s.Dir, process.Name)
+		if err := process.Prepare(dir, s.agent); err != nil {
 			return err
 		}
-		h := &host{f: f}
-		s.hosts = append(s.hosts, h)
-		if err := f.Start(); err != nil {
+		fwd := &forwarder{process: process}
+		s.forwarders = append(s.forwarders, fwd)
+		if err := process.Start(); err != nil {
 			return err
 		}
-		h.up = true
+		fwd.up = true
 	}
 	return nil
 }
 
-// amend puts the scenario in the platform's configuration; its times are in microseconds.
-func (s *stage) amend(c map[string]any) {
+// configure writes the scenario's settings into the platform's configuration, whose times are in microseconds.
+func (s *run) configure(config map[string]any) {
 	micro := func(d scenario.Duration) int64 { return d.D().Microseconds() }
 	services := []any{}
-	for _, k := range s.Scenario.Classes {
+	for _, class := range s.Scenario.Classes {
 		services = append(services, map[string]any{
-			"name": k.Name, "effect": k.Effect, "target": micro(k.Target), "give-up": micro(k.GiveUp), "key-ttl": micro(k.KeyTTL),
-			"group": "all", "credit": k.Worth, "late-worth": scenario.LateWorth,
+			"name": class.Name, "effect": class.Effect, "target": micro(class.Target), "give-up": micro(class.DeliveryTimeout), "key-ttl": micro(class.KeyTTL),
+			"group": "all", "credit": class.Worth, "late-worth": scenario.LateWorth,
 		})
 	}
-	set := c["settings"].(map[string]any)
-	set["balancers"], set["services"] = s.Scenario.Fleet.Forwarders, services
-	set["limits"].(map[string]any)["most-held"] = s.Scenario.Fleet.MostHeld
-	rules := set["rules"].(map[string]any)
+	settings := config["settings"].(map[string]any)
+	settings["balancers"], settings["services"] = s.Scenario.Fleet.Forwarders, services
+	settings["limits"].(map[string]any)["most-held"] = s.Scenario.Fleet.MostHeld
+	rules := settings["rules"].(map[string]any)
 	rules["cold-from"], rules["warm-within"] = s.Scenario.Rules.ColdFrom, micro(s.Scenario.Rules.WarmWithin)
-	rules["overload-factor"], rules["tip-after"] = s.Scenario.Rules.Overload, micro(s.Scenario.Rules.TipAfter)
+	rules["overload-factor"], rules["tip-after"] = s.Scenario.Rules.OverloadFactor, micro(s.Scenario.Rules.OverloadWindow)
 }
 
-// call answers one call to a partner, as the partner's state says.
-func (s *stage) call(t *site, c *lab.Call) bool {
+// handleCall answers a call to a destination according to the destination's state.
+func (s *run) handleCall(dest *destination, c *lab.Call) bool {
 	if c.ReadAll(0) != nil {
 		return false
 	}
-	t.mu.Lock()
-	f := t.partner.Take(s.now())
-	t.mu.Unlock()
+	dest.mu.Lock()
+	result := dest.model.HandleCall(s.now())
+	dest.mu.Unlock()
 	s.mu.Lock()
 	s.result.Calls++
-	if f.Cold {
-		s.result.Cold++
+	if result.Cold {
+		s.result.ColdCalls++
 	}
-	if f.Early {
-		s.result.ColdEarly++
+	if result.Early {
+		s.result.EarlyColdCalls++
 	}
-	if f.Outcome == mb.Refused {
+	if result.Outcome == mb.Refused {
 		s.result.OverLimit++
 	}
-	if f.Tipped {
-		s.result.Tips++
+	if result.Overloaded {
+		s.result.Overloads++
 	}
 	s.mu.Unlock()
 	switch {
-	case f.After < 0: // silent: until the forwarder gives up
+	case result.Latency < 0: // silent: waits until the forwarder closes the connection
 		_, _ = c.Conn.Read(make([]byte, 1))
 		return false
-	case f.Tipped:
-		s.shut(t, s.Scenario.Rules.TipFor.D())
+	case result.Overloaded:
+		s.disconnect(dest, s.Scenario.Rules.OverloadDowntime.D())
 		return false
-	case f.Outcome == mb.ConnectFailed:
+	case result.Outcome == mb.ConnectFailed:
 		return false
-	case f.Outcome == mb.Refused:
+	case result.Outcome == mb.Refused:
 		fields := ""
-		if f.Wait > 0 {
-			fields = fmt.Sprintf("X-RateLimit-Wait-Ms: %d\r\n", f.Wait.Milliseconds())
+		if result.RetryAfter > 0 {
+			fields = fmt.Sprintf("X-RateLimit-Wait-Ms: %d\r\n", result.RetryAfter.Milliseconds())
 		}
 		return c.Answer(429, fields) == nil
 	}
-	time.Sleep(f.After) // the service itself
-	if f.Outcome == mb.Reset {
+	time.Sleep(result.Latency) // the service time
+	if result.Outcome == mb.Reset {
 		return false
 	}
 	if c.Answer(200, "") != nil {
 		return false
 	}
-	s.delivered(c.ID)
+	s.recordDelivery(c.ID)
 	return true
 }
 
-// shut ends a partner's connections and has new ones refused for a time.
-func (s *stage) shut(t *site, d time.Duration) {
-	for _, e := range t.endpoints {
+// disconnect closes a destination's connections and refuses new ones for a time.
+func (s *run) disconnect(dest *destination, duration time.Duration) {
+	for _, e := range dest.endpoints {
 		e.Down()
 	}
-	s.later(s.ctx, s.now()+d, func() {
-		for _, e := range t.endpoints {
-			_ = e.Up() // it is, if it fell over twice
+	s.schedule(s.ctx, s.now()+duration, func() {
+		for _, e := range dest.endpoints {
+			_ = e.Up() // fails if the endpoint is up already, after two overlapping outages
 		}
 	})
 }
 
-// delivered books a delivery by the id that its client had given.
-func (s *stage) delivered(id string) {
+// recordDelivery counts a delivery by the message ID that the client gave.
+func (s *run) recordDelivery(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w := s.waiting[id]
-	if w == nil || w.done {
+	req := s.waiting[id]
+	if req == nil || req.done {
 		return
 	}
-	w.done = true
+	req.done = true
 	delete(s.waiting, id)
-	close(w.ended)
+	close(req.ended)
 	now := s.now()
-	s.result.Deliver(w.class, now-w.at, s.killedAt >= 0 && now < s.killedAt+world.AfterKill)
+	s.result.RecordDelivery(req.class, now-req.createdAt, s.killedAt >= 0 && now < s.killedAt+simulation.AfterKillWindow)
 }
 
-// told passes a notice on to its client.
-func (s *stage) told(n lab.Notice) {
+// handleReport passes a delivery report to the client that waits for it.
+func (s *run) handleReport(report lab.Notice) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if w := s.waiting[n.Message]; w != nil {
-		delete(s.waiting, n.Message)
-		w.ended <- n
+	if req := s.waiting[report.Message]; req != nil {
+		delete(s.waiting, report.Message)
+		req.ended <- report
 	}
 }
 
-// clients hand in what the scenario says until its traffic ends.
-func (s *stage) clients(ctx context.Context) {
+// generateTraffic submits messages at the scenario's rate until its traffic ends.
+func (s *run) generateTraffic(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(s.Seed, 1))
 	share := 0.0
 	for _, c := range s.Scenario.Classes {
 		share += c.Share
 	}
-	next := time.Duration(0) // on the run's clock: what a sleep is late does not thin the traffic
+	next := time.Duration(0) // on the run's clock, so that late wake-ups do not lower the rate
 	for n := 0; ; n++ {
 		next += time.Duration(rng.ExpFloat64() / s.Scenario.Traffic.Rate * float64(time.Second))
 		if next >= s.Scenario.Length.D() || !lab.Sleep(ctx, next-s.now()) {
@@ -288,9 +288,9 @@
 				break
 			}
 		}
-		w := &wish{
-			n: n, class: class, partner: s.partners[rng.IntN(len(s.partners))], host: s.hosts[rng.IntN(len(s.hosts))], at: s.now(),
-			until: s.now() + class.GiveUp.D(), returns: s.Scenario.Traffic.Returns,
+		req := &request{
+			number: n, class: class, destination: s.destinations[rng.IntN(len(s.destinations))], forwarder: s.forwarders[rng.IntN(len(s.forwarders))], createdAt: s.now(),
+			deadline: s.now() + class.DeliveryTimeout.D(), retriesLeft: s.Scenario.Traffic.MaxRetries,
 		}
 		s.mu.Lock()
 		s.result.Offered++
@@ -300,91 +300,92 @@
 		s.tasks.Add(1)
 		go func() {
 			defer s.tasks.Done()
-			s.want(ctx, w)
+			s.submitUntilDone(ctx, req)
 		}()
 	}
 }
 
-// want hands a wish in until it is delivered, given up, or nobody waits for it any more.
-func (s *stage) want(ctx context.Context, w *wish) {
-	class := s.result.Classes[w.class.Name]
-	book := func(which *int) { s.mu.Lock(); *which++; s.mu.Unlock() }
-	for try := 0; ; try++ {
-		left := w.until - s.now()
+// submitUntilDone submits a request until it is delivered or abandoned, its retries are used up, or its deadline
+// passes.
+func (s *run) submitUntilDone(ctx context.Context, req *request) {
+	class := s.result.Classes[req.class.Name]
+	count := func(counter *int) { s.mu.Lock(); *counter++; s.mu.Unlock() }
+	for attempt := 0; ; attempt++ {
+		left := req.deadline - s.now()
 		if left <= 0 {
-			book(&class.Lost)
+			count(&class.Lost)
 			return
 		}
-		id := fmt.Sprintf("%d-%d", w.n, try)
+		id := fmt.Sprintf("%d-%d", req.number, attempt)
 		s.mu.Lock()
-		w.ended = make(chan lab.Notice, 2)
-		s.waiting[id] = w
+		req.ended = make(chan lab.Notice, 2)
+		s.waiting[id] = req
 		s.mu.Unlock()
-		again, waits := s.hand(w, id, left)
-		if waits {
+		retryAfter, accepted := s.submit(req, id, left)
+		if accepted {
 			select {
-			case n, told := <-w.ended:
+			case report, open := <-req.ended:
 				switch {
-				case !told: // delivered
+				case !open: // closed: delivered
 					return
-				case n.Outcome != "handed_back":
-					book(&class.Failed)
+				case report.Outcome != "handed_back":
+					count(&class.Failed)
 					return
 				}
-				again = time.Duration(n.Retry) * time.Millisecond
+				retryAfter = time.Duration(report.Retry) * time.Millisecond
 			case <-ctx.Done():
-				book(&class.Lost)
+				count(&class.Lost)
 				return
 			}
 		}
 		s.mu.Lock()
 		delete(s.waiting, id)
 		s.mu.Unlock()
-		if again >= 0 {
-			if w.returns--; w.returns < 0 {
-				book(&class.Refused)
+		if retryAfter >= 0 {
+			if req.retriesLeft--; req.retriesLeft < 0 {
+				count(&class.Refused)
 				return
 			}
 		}
-		if !lab.Sleep(ctx, max(comeAgain/10, again)) {
-			book(&class.Lost)
+		if !lab.Sleep(ctx, max(clientRetryDelay/10, retryAfter)) {
+			count(&class.Lost)
 			return
 		}
 	}
 }
 
-// hand hands a message in: it was taken on and its end is waited for, or it is to come again. Below zero nobody answered, and
-// coming again counts for nothing.
-func (s *stage) hand(w *wish, id string, left time.Duration) (again time.Duration, waits bool) {
-	c, err := lab.Dial(w.host.f.Address())
-	if err != nil { // it is dead
-		time.Sleep(comeAgain)
+// submit submits a message. If it is accepted, accepted is true; otherwise the client tries again after retryAfter. A
+// negative retryAfter means that there was no answer, and that the attempt does not count as a retry.
+func (s *run) submit(req *request, id string, left time.Duration) (retryAfter time.Duration, accepted bool) {
+	c, err := lab.Dial(req.forwarder.process.Address())
+	if err != nil { // the forwarder is down
+		time.Sleep(clientRetryDelay)
 		return -1, false
 	}
 	defer c.Close()
-	h := lab.Handover{
-		ID: id, Class: w.class.Name, Destination: w.partner.partner.Number(), Left: left, Body: lab.Content{Seed: uint64(w.n), Size: 200},
+	handover := lab.Handover{
+		ID: id, Class: req.class.Name, Destination: req.destination.model.ID(), Left: left, Body: lab.Content{Seed: uint64(req.number), Size: 200},
 	}
-	if w.class.Effect == "keyed" {
-		h.Key = strconv.Itoa(w.n)
+	if req.class.Effect == "keyed" {
+		handover.Key = strconv.Itoa(req.number)
 	}
-	a := c.Hand(h, nil)
-	s.check.Handed(h, a)
+	answer := c.Hand(handover, nil)
+	s.check.Handed(handover, answer)
 	switch {
-	case a.Status == 202:
+	case answer.Status == 202:
 		return 0, true
-	case a.Status == 503:
-		sec, _ := strconv.ParseFloat(a.Header.Get("Retry-After"), 64)
+	case answer.Status == 503:
+		sec, _ := strconv.ParseFloat(answer.Header.Get("Retry-After"), 64)
 		return time.Duration(sec * float64(time.Second)), false
-	case a.Status == 0:
+	case answer.Status == 0:
 		return -1, false
 	}
 	return 0, false
 }
 
-// fault has something go wrong now.
-func (s *stage) fault(ctx context.Context, f scenario.Fault, rng *rand.Rand) {
-	chosen := func(n int) []int {
+// injectFault starts a fault now and schedules its end.
+func (s *run) injectFault(ctx context.Context, f scenario.Fault, rng *rand.Rand) {
+	pickShare := func(n int) []int {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return rng.Perm(n)[:min(n, max(1, int(f.Share*float64(n)+0.5)))]
@@ -392,84 +393,84 @@
 	s.Log("%v: %s", s.now().Round(time.Millisecond), f.Kind)
 	switch f.Kind {
 	case scenario.Outage, scenario.Silence:
-		for _, i := range chosen(len(s.partners)) {
-			t := s.partners[i]
-			t.mu.Lock()
-			t.partner.Fall(s.now(), s.now()+f.For.D(), f.Kind == scenario.Silence)
-			t.mu.Unlock()
+		for _, i := range pickShare(len(s.destinations)) {
+			dest := s.destinations[i]
+			dest.mu.Lock()
+			dest.model.StartOutage(s.now(), s.now()+f.Duration.D(), f.Kind == scenario.Silence)
+			dest.mu.Unlock()
 			if f.Kind == scenario.Silence {
 				continue
 			}
-			s.shut(t, f.For.D())
+			s.disconnect(dest, f.Duration.D())
 		}
 	case scenario.Slow:
-		for _, i := range chosen(len(s.partners)) {
-			t := s.partners[i]
-			slow := func(by float64) {
-				t.mu.Lock()
-				t.partner.Slow(by)
-				t.mu.Unlock()
+		for _, i := range pickShare(len(s.destinations)) {
+			dest := s.destinations[i]
+			scale := func(factor float64) {
+				dest.mu.Lock()
+				dest.model.ScaleServiceTime(factor)
+				dest.mu.Unlock()
 			}
-			slow(f.By)
-			s.later(ctx, s.now()+f.For.D(), func() { slow(1 / f.By) })
+			scale(f.Factor)
+			s.schedule(ctx, s.now()+f.Duration.D(), func() { scale(1 / f.Factor) })
 		}
 	case scenario.Kill:
-		for _, i := range chosen(len(s.hosts)) {
-			h := s.hosts[i]
-			h.mu.Lock()
-			_ = h.f.End(syscall.SIGKILL)
-			h.up = false
-			h.mu.Unlock()
+		for _, i := range pickShare(len(s.forwarders)) {
+			fwd := s.forwarders[i]
+			fwd.mu.Lock()
+			_ = fwd.process.End(syscall.SIGKILL)
+			fwd.up = false
+			fwd.mu.Unlock()
 			s.mu.Lock()
 			if s.result.Kills++; s.killedAt < 0 {
 				s.killedAt = s.now()
 			}
-			back := f.Back.D() + time.Duration(rng.Float64()*float64(f.Until-f.Back))
+			downtime := f.MinDowntime.D() + time.Duration(rng.Float64()*float64(f.MaxDowntime-f.MinDowntime))
 			s.mu.Unlock()
-			s.later(ctx, s.now()+back, func() {
-				h.mu.Lock()
-				defer h.mu.Unlock()
-				if err := h.f.Start(); err != nil {
+			s.schedule(ctx, s.now()+downtime, func() {
+				fwd.mu.Lock()
+				defer fwd.mu.Unlock()
+				if err := fwd.process.Start(); err != nil {
 					s.Log("start: %v", err)
 					return
 				}
-				h.up = true
+				fwd.up = true
 			})
 		}
 	}
 }
 
-// finish ends the forwarders in order and holds what all sides have seen against the rules.
-func (s *stage) finish() error {
+// finish stops the forwarders gracefully and checks the rules against what clients, agent and endpoints recorded.
+func (s *run) finish() error {
 	var errs []error
-	for _, h := range s.hosts {
-		if h.up {
-			errs = append(errs, h.f.End(syscall.SIGTERM))
-			h.up = false
+	for _, fwd := range s.forwarders {
+		if fwd.up {
+			errs = append(errs, fwd.process.End(syscall.SIGTERM))
+			fwd.up = false
 		} else {
-			errs = append(errs, errors.New("live: a forwarder did not come back"))
+			errs = append(errs, errors.New("live: a forwarder did not restart"))
 		}
 	}
 	var arrivals [][]lab.Arrival
-	for _, t := range s.partners {
-		for _, e := range t.endpoints {
+	for _, dest := range s.destinations {
+		for _, e := range dest.endpoints {
 			e.Close()
 			arrivals = append(arrivals, e.Arrivals())
 		}
 	}
 	s.check.Saw(s.agent.Notices(), arrivals...)
-	s.result.Broken = append(s.result.Broken, s.check.Broken()...)
+	s.result.Violations = append(s.result.Violations, s.check.Broken()...)
 	return errors.Join(errs...)
 }
 
-func (s *stage) close() {
-	for _, h := range s.hosts {
-		if h.up {
-			h.f.Kill()
+func (s *run) close() {
+	for _, fwd := range s.forwarders {
+		if fwd.up {
+			fwd.process.Kill()
 		}
 	}
-	for _, t := range s.partners {
-		for _, e := range t.endpoints {
+	for _, dest := range s.destinations {
+		for _, e := range dest.endpoints {
 			e.Close()
 		}
 	}
--- a/internal/lab/places/report.go
+++ b/internal/lab/places/report.go
@@ -7,7 +7,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"mulleinbeam/internal/lab/world"
+	"mulleinbeam/internal/lab/simulation"
 )
 
 // Net returns the delivered share of the offered worth, less the price of cross-zone calls.
@@ -52,7 +52,7 @@
 				for k, r := range list {
 					diffs[k] = results[i][0][k].Net() - r.Net()
 				}
-				ahead := world.Bootstrap(diffs, 1)
+				ahead := simulation.Bootstrap(diffs, 1)
 				line += fmt.Sprintf("  %s is ahead by %+.4f (%+.4f to %+.4f)", policies[0], ahead.Mean, ahead.Low, ahead.High)
 			}
 			fmt.Fprintln(out, line)
