--- a/internal/lab/capacity/roles.go
+++ b/internal/lab/capacity/roles.go
@@ -109,9 +109,9 @@
 		Mechanism: "`wal.Open`, `routing.Router.resume`"}, "held.start")
 	const replica = "replica of another's journal"
 	e.add(Row{Role: replica, What: "memory", Unit: "B", Value: e.at("replica.memory", a.Backlog), Budget: a.ControlMemory, BudgetOf: "control-memory",
-		Mechanism: "`copies.Shelf`"}, "replica.memory")
+		Mechanism: "`replication.Replica`"}, "replica.memory")
 	e.add(Row{Role: replica, What: "a snapshot on a whole link", Unit: "s", Value: e.at("replica.bytes", a.Backlog).Times(1 / a.LinkBytes), Budget: a.ForceWithin,
-		BudgetOf: "a takeover within 4 s", Mechanism: "`copies.Owner`"}, "replica.bytes")
+		BudgetOf: "a takeover within 4 s", Mechanism: "`replication.Owner`"}, "replica.bytes")
 }
 
 // member is a forwarder's control client: it has all that is decided, and gets what changes.
@@ -119,7 +119,7 @@
 	const role = "forwarder: control client"
 	mean, busiest := a.decisions()
 	e.add(Row{Role: role, What: "memory of the decided state", Unit: "B", Value: e.at("state.memory", a.Forwarders), Budget: a.ControlMemory,
-		BudgetOf: "control-memory", Mechanism: "`council.View`"}, "state.memory")
+		BudgetOf: "control-memory", Mechanism: "`controlplane.View`"}, "state.memory")
 	change := e.at("change.bytes", a.Forwarders)
 	e.add(Row{Role: role, What: "decided changes received, on an ordinary day", Unit: "B/s", Value: change.Times(mean), Budget: a.ControlBytes,
 		BudgetOf: "control-bytes", Mechanism: "`changelog.Log`, `changelog.Replica`"}, "change.bytes")
@@ -127,27 +127,27 @@
 		BudgetOf: "control-bytes", Mechanism: "`changelog.Log`, `changelog.Replica`"}, "change.bytes")
 	work := e.at("change.learn", a.Forwarders).Plus(e.at("state.ranking", a.Forwarders))
 	e.add(Row{Role: role, What: "taking them in and ranking replicas, on an ordinary day", Unit: "cores", Value: work.Times(mean), Budget: a.ControlCores,
-		BudgetOf: "control-cores", Mechanism: "`council.State.With`, `council.State.Ranking`"}, "change.learn", "state.ranking")
+		BudgetOf: "control-cores", Mechanism: "`controlplane.State.With`, `controlplane.State.RankReplicas`"}, "change.learn", "state.ranking")
 	e.add(Row{Role: role, What: "taking them in and ranking replicas, in the busiest hour", Unit: "cores", Value: work.Times(busiest), Budget: a.ControlCores,
-		BudgetOf: "control-cores", Mechanism: "`council.State.With`, `council.State.Ranking`"}, "change.learn", "state.ranking")
+		BudgetOf: "control-cores", Mechanism: "`controlplane.State.With`, `controlplane.State.RankReplicas`"}, "change.learn", "state.ranking")
 	e.add(Row{Role: role, What: "a snapshot at its start, on its average day", Unit: "B/s", Budget: a.ControlBytes, BudgetOf: "control-bytes",
 		Value:     e.at("snapshot.bytes", a.Forwarders).Times(a.RestartsPerDay / a.Forwarders / (24 * 3600)),
 		Mechanism: "`changelog.Log`, in pieces"}, "snapshot.bytes")
 	e.add(Row{Role: role, What: "lease renewals", Unit: "B/s", Value: e.at("link.renewal.bytes", 1000).Times(a.RenewalsPerSecond), Budget: a.ControlBytes,
-		BudgetOf: "control-bytes", Mechanism: "`council.Client`"}, "link.renewal.bytes")
+		BudgetOf: "control-bytes", Mechanism: "`controlplane.Client`"}, "link.renewal.bytes")
 	const configuration = "distribution of configuration"
 	e.add(Row{Role: configuration, What: "entries of an ordinary day", Unit: "B/s", Budget: a.ControlBytes, BudgetOf: "control-bytes",
-		Value: exactly(a.ChangesPerDay * a.EntryBytes / (24 * 3600)), Mechanism: "`council.State`, `changelog.Log`"})
+		Value: exactly(a.ChangesPerDay * a.EntryBytes / (24 * 3600)), Mechanism: "`controlplane.State`, `changelog.Log`"})
 	e.add(Row{Role: configuration, What: "a changed entry put into force, on an ordinary day, every destination being an entry", Unit: "cores",
 		Value: e.at("config.learn", a.Destinations).Times(a.ChangesPerDay / (24 * 3600)), Budget: a.ControlCores, BudgetOf: "control-cores",
-		Mechanism: "`council.State.With`, `entry.Active`"}, "config.learn")
+		Mechanism: "`controlplane.State.With`, `entry.Active`"}, "config.learn")
 	inBusiest := math.Min(a.BusiestSecondChanges, a.RenewalsPerSecond) // several between two renewals come together
 	e.add(Row{Role: configuration, What: "the same in the busiest second", Unit: "cores", Value: e.at("config.learn", a.Destinations).Times(inBusiest), Budget: 1,
-		BudgetOf: "one core", Mechanism: "`council.State.With`, `entry.Active`"}, "config.learn")
+		BudgetOf: "one core", Mechanism: "`controlplane.State.With`, `entry.Active`"}, "config.learn")
 	e.add(Row{Role: configuration, What: "memory at a member, every destination being an entry", Unit: "B", Value: e.at("config.memory", a.Destinations),
-		Budget: a.ControlMemory, BudgetOf: "control-memory", Mechanism: "`council.State`, `entry.Active`"}, "config.memory")
+		Budget: a.ControlMemory, BudgetOf: "control-memory", Mechanism: "`controlplane.State`, `entry.Active`"}, "config.memory")
 	e.add(Row{Role: configuration, What: "changes of the busiest second, applied by each voter", Unit: "cores",
-		Value: e.at("config.apply", a.Destinations).Times(a.BusiestSecondChanges), Budget: 1, BudgetOf: "one goroutine", Mechanism: "`council.State.Apply`"}, "config.apply")
+		Value: e.at("config.apply", a.Destinations).Times(a.BusiestSecondChanges), Budget: 1, BudgetOf: "one goroutine", Mechanism: "`controlplane.State.Apply`"}, "config.apply")
 }
 
 // exactly is an estimate that was not measured but follows from assumptions.
@@ -159,15 +159,15 @@
 	mean, busiest := a.decisions()
 	change := e.at("change.bytes", a.Forwarders)
 	e.add(Row{Role: role, What: "decided changes sent, in the busiest hour", Unit: "B/s", Value: change.Times(busiest * a.Forwarders), Budget: a.LinkBytes,
-		BudgetOf: "link-bytes", Mechanism: "`council.Server`, `changelog.Log`"}, "change.bytes")
+		BudgetOf: "link-bytes", Mechanism: "`controlplane.Server`, `changelog.Log`"}, "change.bytes")
 	reading := e.at("change.encode", a.Forwarders)
 	e.add(Row{Role: role, What: "reading and encoding them, on an ordinary day", Unit: "cores", Value: reading.Times(mean * a.Forwarders), Budget: 1,
-		BudgetOf: "one goroutine", Mechanism: "`council.Server`, `changelog.Log`"}, "change.encode")
+		BudgetOf: "one goroutine", Mechanism: "`controlplane.Server`, `changelog.Log`"}, "change.encode")
 	e.add(Row{Role: role, What: "reading and encoding them, in the busiest hour", Unit: "cores", Value: reading.Times(busiest * a.Forwarders), Budget: 1,
-		BudgetOf: "one goroutine", Mechanism: "`council.Server`, `changelog.Log`"}, "change.encode")
+		BudgetOf: "one goroutine", Mechanism: "`controlplane.Server`, `changelog.Log`"}, "change.encode")
 	e.add(Row{Role: role, What: "one change until every member has asked and has it", Unit: "s", Budget: a.ForceWithin, BudgetOf: "force-within",
 		Value:     reading.Times(a.Forwarders).Plus(exactly(1 / a.RenewalsPerSecond)),
-		Mechanism: "`council.Server`, with each renewal"}, "change.encode")
+		Mechanism: "`controlplane.Server`, with each renewal"}, "change.encode")
 	snapshots := a.Forwarders / a.Voters
 	e.add(Row{Role: "voters of the control plane, without relays", What: "a snapshot for every forwarder at once, on their links", Unit: "s",
 		Value: e.at("snapshot.bytes", a.Forwarders).Times(snapshots / a.LinkBytes), Budget: a.ReconnectWithin, BudgetOf: "reconnect-within",
@@ -177,15 +177,15 @@
 		Mechanism: "`changelog.Log`, in pieces"}, "snapshot.encode")
 	renewals := a.Forwarders * a.RenewalsPerSecond
 	e.add(Row{Role: role, What: "lease renewals in its goroutine", Unit: "cores", Value: e.at("leader.renewal", a.Forwarders).Times(renewals), Budget: 1,
-		BudgetOf: "one goroutine", Mechanism: "`council.Leases`"}, "leader.renewal")
+		BudgetOf: "one goroutine", Mechanism: "`controlplane.Leases`"}, "leader.renewal")
 	e.add(Row{Role: role, What: "lease renewals over its links", Unit: "cores", Value: e.at("link.renewal", 1000).Times(renewals), Budget: a.ServerCores,
 		BudgetOf: "server-cores", Mechanism: "`links.Serve`"}, "link.renewal")
 	e.add(Row{Role: role, What: "its own clock", Unit: "cores", Value: e.at("leader.idle", a.Forwarders), Budget: 1, BudgetOf: "one goroutine",
-		Mechanism: "`council.Server`"}, "leader.idle")
+		Mechanism: "`controlplane.Server`"}, "leader.idle")
 	e.add(Row{Role: role, What: "decided changes in the busiest hour", Unit: "cores", Value: e.at("leader.change", a.Forwarders).Times(busiest), Budget: 1,
-		BudgetOf: "one goroutine", Mechanism: "`council.Server`"}, "leader.change")
+		BudgetOf: "one goroutine", Mechanism: "`controlplane.Server`"}, "leader.change")
 	e.add(Row{Role: role, What: "all forwarders join", Unit: "s", Value: e.at("joins", a.Forwarders), Budget: a.ReconnectWithin, BudgetOf: "reconnect-within",
-		Mechanism: "`council.Server`"}, "joins")
+		Mechanism: "`controlplane.Server`"}, "joins")
 }
 
 // relay is the tier between members and voters, and the leader behind it.
@@ -195,10 +195,10 @@
 	renewals := a.Forwarders * a.RenewalsPerSecond
 	_, busiest := a.decisions()
 	e.add(Row{Role: leader, What: "lease renewals in batches", Unit: "cores", Value: e.at("batch.renewal", lives).Times(renewals), Budget: 1,
-		BudgetOf: "one goroutine", Mechanism: "`relay.Core`, `council.Leases`"}, "batch.renewal")
+		BudgetOf: "one goroutine", Mechanism: "`relay.Core`, `controlplane.Leases`"}, "batch.renewal")
 	change := e.at("change.encode", a.Forwarders)
 	e.add(Row{Role: leader, What: "decided changes of the busiest hour, read and encoded for the relays", Unit: "cores", Value: change.Times(busiest * a.Relays),
-		Budget: 1, BudgetOf: "one goroutine", Mechanism: "`council.Server`, `changelog.Log`"}, "change.encode")
+		Budget: 1, BudgetOf: "one goroutine", Mechanism: "`controlplane.Server`, `changelog.Log`"}, "change.encode")
 	e.add(Row{Role: role, What: "its members' renewals", Unit: "cores", Value: e.at("relay.renewal", lives).Times(members * a.RenewalsPerSecond),
 		Budget: a.ServerCores, BudgetOf: "server-cores", Mechanism: "`relay.Server`"}, "relay.renewal")
 	e.add(Row{Role: role, What: "decided changes of the busiest hour, read and encoded for its members", Unit: "cores", Value: change.Times(busiest * members),
@@ -226,9 +226,9 @@
 		Budget: a.ControlBytes, BudgetOf: "control-bytes", Mechanism: "`plan.Report`"}, "plan.report.bytes")
 	down := a.Destinations * a.DownShare
 	e.add(Row{Role: "observations of destinations", What: "that a member sends", Unit: "B/s", Value: e.at("observations.bytes", down), Budget: a.ControlBytes,
-		BudgetOf: "control-bytes", Mechanism: "`facts.Spread`"}, "observations.bytes")
+		BudgetOf: "control-bytes", Mechanism: "`observation.Gossip`"}, "observations.bytes")
 	e.add(Row{Role: "observations of destinations", What: "a member's books", Unit: "cores", Value: e.at("observations.cpu", down), Budget: a.ControlCores,
-		BudgetOf: "control-cores", Mechanism: "`facts.Book`"}, "observations.cpu")
+		BudgetOf: "control-cores", Mechanism: "`observation.Store`"}, "observations.cpu")
 	e.add(Row{Role: "operators' commands", What: "answer to `cluster members`", Unit: "s", Value: e.at("state.encode", a.Forwarders).Plus(e.at("state.decode", a.Forwarders)),
 		Budget: a.ForceWithin, BudgetOf: "force-within", Mechanism: "`node.Status`"}, "state.encode", "state.decode")
 }
