--- a/internal/lab/capacity/assumptions.go
+++ b/internal/lab/capacity/assumptions.go
@@ -9,8 +9,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Assumptions are the size to plan for and its budgets. The users give those that are marked so; the others are this project's, and each
-// can be changed by a file or a flag. Every field is a positive number.
+// Assumptions are the size to plan for and its budgets. Fields tagged `given` are requirements of the users; the others are
+// assumed. A file or a flag can override each. Every field is a positive number.
 type Assumptions struct {
 	Forwarders            float64 `toml:"forwarders" given:"yes" what:"forwarders"`
 	EventsPerForwarder    float64 `toml:"events-per-forwarder" given:"yes" what:"events a second at one forwarder"`
@@ -25,13 +25,13 @@
 	ControlMemory         float64 `toml:"control-memory" given:"yes" what:"memory a forwarder may spend on control, in bytes"`
 	ControlBytes          float64 `toml:"control-bytes" given:"yes" what:"bytes a second a forwarder may move for control"`
 	ForceWithin           float64 `toml:"force-within" given:"yes" what:"seconds within which a change is in force"`
-	DecisionsPerRestart   float64 `toml:"decisions-per-restart" what:"decided changes for one restart: its life, its end, its replicas, its takeover"`
+	DecisionsPerRestart   float64 `toml:"decisions-per-restart" what:"committed changes for one restart: new incarnation, fencing, replicas, takeover"`
 	BusiestHourRestarts   float64 `toml:"busiest-hour-restarts" what:"restarts in the busiest hour"`
 	BusiestSecondChanges  float64 `toml:"busiest-second-changes" what:"changes of configuration in the busiest second"`
 	EntryBytes            float64 `toml:"entry-bytes" what:"bytes of one configuration entry"`
 	EndpointsPerTarget    float64 `toml:"endpoints-per-destination" what:"endpoints of a destination"`
 	RenewalsPerSecond     float64 `toml:"renewals-per-second" what:"lease renewals a second of one forwarder"`
-	Voters                float64 `toml:"voters" what:"voters of the control plane, each of which gives snapshots"`
+	Voters                float64 `toml:"voters" what:"voters of the control plane, each of which serves snapshots"`
 	Relays                float64 `toml:"relays" what:"relays between forwarders and voters, a control machine each"`
 	BatchesPerSecond      float64 `toml:"batches-per-second" what:"batches of renewals that a relay sends a second"`
 	ServerCores           float64 `toml:"server-cores" what:"cores of a control machine"`
@@ -42,10 +42,10 @@
 	RouterStall           float64 `toml:"router-stall" what:"seconds for which the router's goroutine may be held"`
 	PlanWindow            float64 `toml:"plan-window" what:"seconds of the planner's window"`
 	PlanBytes             float64 `toml:"plan-bytes" what:"bytes that one plan may have"`
-	MembersPerAggregation float64 `toml:"members-per-aggregation" what:"reports that the merge probe adds up"`
+	MembersPerAggregation float64 `toml:"members-per-aggregation" what:"reports that the merge probe combines"`
 }
 
-// Defaults are the assumptions that docs/CAPACITY.md goes by.
+// Defaults returns the assumptions on which docs/CAPACITY.md is based.
 func Defaults() Assumptions {
 	return Assumptions{
 		Forwarders: 19_000, EventsPerForwarder: 842, Destinations: 1e6, DownShare: 0.017, Backlog: 15.8e6, Zones: 22, ChangesPerDay: 20_000,
@@ -56,20 +56,20 @@
 	}
 }
 
-// With changes assumptions by lines of TOML; an unknown key, or a value that is no positive number, is an error.
+// With overrides assumptions from TOML text. It fails on an unknown key or a value that is not a positive number.
 func (a Assumptions) With(text string) (Assumptions, error) {
 	if err := toml.NewDecoder(strings.NewReader(text)).DisallowUnknownFields().Decode(&a); err != nil {
 		return a, fmt.Errorf("capacity: assumptions: %w", err)
 	}
 	for _, f := range a.fields() {
 		if !(f.value > 0) {
-			return a, fmt.Errorf("capacity: assumptions: %s is %v; a number above 0 is needed", f.key, f.value)
+			return a, fmt.Errorf("capacity: assumptions: %s is %v; must be a number above 0", f.key, f.value)
 		}
 	}
 	return a, nil
 }
 
-// WithFile changes them by a TOML file.
+// WithFile overrides assumptions from a TOML file.
 func (a Assumptions) WithFile(path string) (Assumptions, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -78,7 +78,7 @@
 	return a.With(string(raw))
 }
 
-// field is one assumption as a page shows it.
+// field is one assumption as the page shows it.
 type field struct {
 	key, what string
 	given     bool
@@ -94,21 +94,21 @@
 	return out
 }
 
-// doubled is these with one of them, by its place among fields, twice as large.
+// doubled returns the assumptions with the one at index i of fields doubled.
 func (a Assumptions) doubled(i int) Assumptions {
 	v := reflect.ValueOf(&a).Elem().Field(i)
 	v.SetFloat(2 * v.Float())
 	return a
 }
 
-// perRelay are the members of one relay, and livesInBatch those whose renewals share a batch of it.
-func (a Assumptions) perRelay() (members, livesInBatch float64) {
+// perRelay returns the number of members of one relay and of incarnations whose renewals share one of its batches.
+func (a Assumptions) perRelay() (members, incarnationsInBatch float64) {
 	members = a.Forwarders / a.Relays
 	return members, members * a.RenewalsPerSecond / a.BatchesPerSecond
 }
 
-// decisions are the decided changes a second on an ordinary day, and in the busiest hour.
-func (a Assumptions) decisions() (mean, busiest float64) {
+// changeRates returns the committed changes per second on an ordinary day and in the busiest hour.
+func (a Assumptions) changeRates() (mean, busiest float64) {
 	const day, hour = 24 * 3600, 3600
 	return a.RestartsPerDay * a.DecisionsPerRestart / day, a.BusiestHourRestarts * a.DecisionsPerRestart / hour
 }
--- a/internal/lab/capacity/capacity.go
+++ b/internal/lab/capacity/capacity.go
@@ -1,8 +1,8 @@
-// Package capacity measures how the program's own state, messages, bytes and processor time grow with the size of a deployment, fits the
-// growth, and works out from the fits what the planned size takes. It measures the program's code; nothing of it is modelled here.
+// Package capacity measures how the program's state, messages, bytes and processor time grow with the size of a deployment, fits the
+// growth, and extrapolates to the planned size. It measures the program's own code rather than a model of it.
 //
-// A Probe gives Series, each a quantity at several sizes. Measurement.Rows evaluates the roles of a deployment at the size that
-// Assumptions name, each against its budget.
+// A Probe returns Series, each a quantity at several sizes. Measurement.Rows evaluates the roles of a deployment at the size given by
+// Assumptions, each against its budget.
 package capacity
 
 import (
@@ -11,7 +11,7 @@
 	"os"
 )
 
-// Point is a quantity at a size.
+// Point is the value of a quantity at one size.
 type Point struct {
 	Size  float64 `json:"size"`
 	Value float64 `json:"value"`
@@ -26,7 +26,7 @@
 	Points   []Point `json:"points"`
 }
 
-// Measurement is what one run has measured.
+// Measurement holds the results of one run of the probes.
 type Measurement struct {
 	Date    string   `json:"date"`
 	Command string   `json:"command"`
@@ -36,7 +36,7 @@
 	Series  []Series `json:"series"`
 }
 
-// Load reads a measurement from a file that Save has written.
+// Load reads a measurement from a file written by Save.
 func Load(path string) (m Measurement, err error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return m, nil
 }
 
-// Save writes it as JSON.
+// Save writes the measurement to a file as JSON.
 func (m Measurement) Save(path string) error {
 	raw, err := json.MarshalIndent(m, "", " ")
 	if err != nil {
--- a/internal/lab/capacity/fit.go
+++ b/internal/lab/capacity/fit.go
@@ -11,16 +11,16 @@
 // Estimate is a value with the bounds of its 95 % interval.
 type Estimate struct{ Value, Low, High float64 }
 
-// Times scales an estimate.
+// Times returns the estimate scaled by k.
 func (e Estimate) Times(k float64) Estimate { return Estimate{e.Value * k, e.Low * k, e.High * k} }
 
-// Plus adds two estimates; their bounds add up, as if they erred together.
+// Plus returns the sum of two estimates. Their bounds are added as if the errors were fully correlated.
 func (e Estimate) Plus(o Estimate) Estimate {
 	return Estimate{e.Value + o.Value, e.Low + o.Low, e.High + o.High}
 }
 
-// Fit is the growth of a series by two laws: a power of the size (a line through the logarithms), and a line through the values in which
-// each residual counts relative to its value. Of the two, Law names the one with the smaller residual, by which Estimate goes.
+// Fit describes the growth of a series by two laws: a power law (linear regression of the logarithms) and a line through the values,
+// whose residuals are weighted relative to each value. Law names the one with the smaller residual, which Estimate uses.
 type Fit struct {
 	Exponent      float64 // of the power law
 	ExponentError float64 // half of its 95 % interval
@@ -34,21 +34,21 @@
 	ys    []float64
 }
 
-// Residual is the root of the mean of squared relative residuals, with the degrees of freedom that are left.
+// Residual is the square root of the sum of squared relative residuals over the remaining degrees of freedom.
 type Residual float64
 
-// leastPoints is how many sizes a fit needs: fewer say nothing of how well it fits.
-const leastPoints = 4
+// minFitPoints is the number of sizes that a fit needs; with fewer, its residual is not meaningful.
+const minFitPoints = 4
 
-// Fit fits the series. Fewer than four points, or values that are not above 0, are an error.
+// Fit fits the series. It fails with fewer than four points or if a size or value is not above 0.
 func (s Series) Fit() (f Fit, err error) {
-	if len(s.Points) < leastPoints {
-		return f, fmt.Errorf("capacity: %s: %d sizes, at least %d are needed", s.Name, len(s.Points), leastPoints)
+	if len(s.Points) < minFitPoints {
+		return f, fmt.Errorf("capacity: %s: %d sizes, need at least %d", s.Name, len(s.Points), minFitPoints)
 	}
 	logX, logY, weights := make([]float64, len(s.Points)), make([]float64, len(s.Points)), make([]float64, len(s.Points))
 	for i, p := range s.Points {
 		if !(p.Size > 0) || !(p.Value > 0) || math.IsInf(p.Value, 1) {
-			return f, fmt.Errorf("capacity: %s: %v at size %v can't be fitted", s.Name, p.Value, p.Size)
+			return f, fmt.Errorf("capacity: %s: %v at size %v cannot be fitted", s.Name, p.Value, p.Size)
 		}
 		f.xs, f.ys = append(f.xs, p.Size), append(f.ys, p.Value)
 		logX[i], logY[i], weights[i] = math.Log(p.Size), math.Log(p.Value), 1/(p.Value*p.Value)
@@ -63,7 +63,7 @@
 		line += square((f.ys[i] - f.Base - f.Slope*f.xs[i]) / f.ys[i])
 	}
 	f.Power, f.Line = Residual(math.Sqrt(power/free)), Residual(math.Sqrt(line/free))
-	f.ExponentError = f.quantile() * float64(f.Power) / math.Sqrt(spread(logX, nil))
+	f.ExponentError = f.quantile() * float64(f.Power) / math.Sqrt(sumOfSquares(logX, nil))
 	if f.Law = "power"; f.Line < f.Power && f.Slope > 0 {
 		f.Law = "line"
 	}
@@ -72,8 +72,8 @@
 
 func square(x float64) float64 { return x * x }
 
-// spread is the weighted sum of squares about the mean.
-func spread(xs, weights []float64) (sum float64) {
+// sumOfSquares returns the weighted sum of squared deviations from the mean.
+func sumOfSquares(xs, weights []float64) (sum float64) {
 	mean := stat.Mean(xs, weights)
 	for i, x := range xs {
 		w := 1.0
@@ -85,12 +85,12 @@
 	return sum
 }
 
-// quantile is Student's, for a two-sided 95 % interval.
+// quantile returns the quantile of Student's t distribution for a two-sided 95 % interval.
 func (f Fit) quantile() float64 {
 	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(f.xs) - 2)}.Quantile(0.975)
 }
 
-// Residual is that of the law the fit goes by.
+// Residual returns the residual of the law that the fit uses.
 func (f Fit) Residual() Residual {
 	if f.Law == "line" {
 		return f.Line
@@ -98,28 +98,28 @@
 	return f.Power
 }
 
-// Estimate is the value at a size with the interval in which one more measurement there would lie.
+// Estimate returns the value at a size with its 95 % prediction interval.
 func (f Fit) Estimate(size float64) Estimate {
 	if f.Law == "line" {
-		return f.onLine(size)
+		return f.estimateOnLine(size)
 	}
 	logs := make([]float64, len(f.xs))
 	for i, x := range f.xs {
 		logs[i] = math.Log(x)
 	}
 	value := f.scale * math.Pow(size, f.Exponent)
-	wide := f.quantile() * float64(f.Power) * math.Sqrt(1+1/float64(len(logs))+square(math.Log(size)-stat.Mean(logs, nil))/spread(logs, nil))
+	wide := f.quantile() * float64(f.Power) * math.Sqrt(1+1/float64(len(logs))+square(math.Log(size)-stat.Mean(logs, nil))/sumOfSquares(logs, nil))
 	return Estimate{value, value * math.Exp(-wide), value * math.Exp(wide)}
 }
 
-func (f Fit) onLine(size float64) Estimate {
+func (f Fit) estimateOnLine(size float64) Estimate {
 	weights, sum := make([]float64, len(f.ys)), 0.0
 	for i, y := range f.ys {
 		weights[i] = 1 / (y * y)
 		sum += weights[i]
 	}
 	value := f.Base + f.Slope*size
-	variance := value*value + 1/sum + square(size-stat.Mean(f.xs, weights))/spread(f.xs, weights)
+	variance := value*value + 1/sum + square(size-stat.Mean(f.xs, weights))/sumOfSquares(f.xs, weights)
 	wide := f.quantile() * float64(f.Line) * math.Sqrt(variance)
 	return Estimate{value, math.Max(0, value-wide), value + wide}
 }
--- a/internal/lab/capacity/fit_test.go
+++ b/internal/lab/capacity/fit_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// series makes one of values that a law gives, each off by so much at the most.
+// seriesOf returns a series with values of a law, each with a relative error of at most off.
 func seriesOf(law func(float64) float64, off float64) Series {
 	rng := rand.New(rand.NewPCG(1, 1))
 	s := Series{Name: "s"}
@@ -16,7 +16,7 @@
 	return s
 }
 
-// A law is found again, and what it gives far outside the sizes lies within the interval.
+// A fit finds the law of the series, and the true value far outside the sizes lies within the interval.
 func TestFitsFindTheLaw(t *testing.T) {
 	for name, c := range map[string]struct {
 		law      func(float64) float64
@@ -44,8 +44,8 @@
 	}
 }
 
-// Noise widens the interval; what can't be fitted is an error and never a number.
-func TestFitsSayHowFarTheyCanBeTrusted(t *testing.T) {
+// Noise widens the interval; a series that cannot be fitted returns an error rather than a number.
+func TestNoiseWidensIntervals(t *testing.T) {
 	wide := func(off float64) float64 {
 		f, err := seriesOf(func(n float64) float64 { return n }, off).Fit()
 		if err != nil {
--- a/internal/lab/capacity/page_test.go
+++ b/internal/lab/capacity/page_test.go
@@ -13,8 +13,8 @@
 
 const docs = "../../../docs"
 
-// The page says what the committed measurement gives: neither can change without the other.
-func TestPageFollowsTheMeasurement(t *testing.T) {
+// The generated part of docs/CAPACITY.md matches the stored measurement: neither can change without the other.
+func TestPageMatchesMeasurement(t *testing.T) {
 	m, err := Load(filepath.Join(docs, "capacity.json"))
 	if err != nil {
 		t.Fatal(err)
@@ -36,11 +36,11 @@
 	}
 }
 
-// Every probe gives its series at every size, and these suffice for every row.
-func TestProbesSufficeForTheRoles(t *testing.T) {
+// Every probe returns its series at every size, and together they cover every row.
+func TestProbesCoverEveryRow(t *testing.T) {
 	probes := Probes()
 	for i := range probes {
-		for k := range probes[i].Quick { // small: what is held here is that they run, not what they measure
+		for k := range probes[i].Quick { // small sizes: the test checks that probes run, not their values
 			probes[i].Quick[k] = 4 * (k + 2)
 		}
 	}
@@ -69,7 +69,7 @@
 	}
 }
 
-// Verdicts tell what is met, what may not be, what is not, and what nothing carries.
+// Verdicts distinguish budgets that are met, that may be exceeded, that are exceeded, and needs without a mechanism.
 func TestVerdicts(t *testing.T) {
 	for want, r := range map[string]Row{
 		"holds":             {Value: Estimate{1, 0.5, 1.5}, Budget: 2, Mechanism: "m"},
@@ -83,7 +83,7 @@
 	}
 }
 
-// Assumptions are changed by their keys alone, and to numbers that can be meant.
+// Assumptions reject unknown keys and values that are not positive numbers.
 func TestAssumptions(t *testing.T) {
 	a, err := Defaults().With("forwarders = 38000.0\nentry-bytes = 100.0")
 	if err != nil || a.Forwarders != 38_000 || a.EntryBytes != 100 || a.Zones != 22 {
@@ -91,7 +91,7 @@
 	}
 	for _, bad := range []string{"forwarder = 3.0", "forwarders = 0.0", "forwarders = -1.0", "forwarders = nan", "forwarders = \"many\""} {
 		if _, err := Defaults().With(bad); err == nil {
-			t.Errorf("%q was taken", bad)
+			t.Errorf("%q was accepted", bad)
 		}
 	}
 	for i, f := range a.fields() {
--- a/internal/lab/capacity/probe.go
+++ b/internal/lab/capacity/probe.go
@@ -12,12 +12,12 @@
 // Probe measures one part of the program at several sizes.
 type Probe struct {
 	Name  string
-	Quick []int // sizes of a run that is to end soon
+	Quick []int // sizes of a short run
 	Full  []int
 	Run   func(ctx context.Context, sizes []int, effort time.Duration) ([]Series, error)
 }
 
-// Probes are all that there are, in the order in which they run.
+// Probes returns all probes in the order in which they run.
 func Probes() []Probe {
 	return []Probe{
 		{"state", []int{300, 600, 1500, 3000}, []int{300, 1000, 3000, 10_000, 19_000}, probeState},
@@ -35,13 +35,13 @@
 	}
 }
 
-// The effort that one size of one quantity is given.
+// Time spent on measuring one quantity at one size.
 const (
 	quickEffort = 20 * time.Millisecond
 	fullEffort  = 200 * time.Millisecond
 )
 
-// Measure runs probes one behind the other and tells of each as it ends.
+// Measure runs the probes in sequence and calls progress after each.
 func Measure(ctx context.Context, probes []Probe, quick bool, progress func(name string, took time.Duration)) (m Measurement, err error) {
 	m = Measurement{Date: time.Now().Format(time.DateOnly), Quick: quick, Cores: runtime.NumCPU(), Go: runtime.Version()}
 	for _, p := range probes {
@@ -60,10 +60,10 @@
 	return m, nil
 }
 
-// table gathers the points of several series that are measured together.
+// table collects the points of several series that are measured together.
 type table struct{ series []Series }
 
-// column begins a series.
+// column adds a series without points.
 func (t *table) column(name, variable, unit, what string) {
 	t.series = append(t.series, Series{Name: name, Variable: variable, Unit: unit, What: what})
 }
@@ -75,10 +75,10 @@
 	}
 }
 
-// timed is the middle of several times that do takes, in seconds, each of as many calls as fill a share of the effort.
-func timed(effort time.Duration, do func()) float64 {
+// medianSeconds returns the median time of one call of do. Each sample averages the calls that fit into an equal share of the effort.
+func medianSeconds(effort time.Duration, do func()) float64 {
 	const rounds = 5
-	do() // what is done once for all is not part of it
+	do() // exclude one-time initialization
 	var each []float64
 	for range rounds {
 		began, n := time.Now(), 0
@@ -92,16 +92,16 @@
 	return each[rounds/2]
 }
 
-// heap is the bytes of live objects.
-func heap() float64 {
+// liveHeapBytes returns the number of bytes of live heap objects.
+func liveHeapBytes() float64 {
 	runtime.GC()
-	runtime.GC() // what finalizers held on to
+	runtime.GC() // frees the objects that finalizers kept alive
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc)
 }
 
-// processorTime is what this process has used, user and system, in seconds.
+// processorTime returns the user and system time of this process in seconds.
 func processorTime() float64 {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/internal/lab/capacity/probe_configuration.go
+++ b/internal/lab/capacity/probe_configuration.go
@@ -12,11 +12,11 @@
 	"mulleinbeam/internal/cluster/entry"
 )
 
-// The configuration: entries as voters apply them, and as a member takes them into its view and puts them into force.
+// Probe of the configuration: voters apply entries, and a member applies them to its view and activates them.
 
-const entriesAtOnce = 1000 // in one command, when a configuration is built
+const entriesPerCommand = 1000 // entries in one command when a configuration is built
 
-// configEntry is a destination with two endpoints.
+// configEntry returns the entry of a destination with two endpoints.
 func configEntry(i int, capacity float64) entry.Entry {
 	d := entry.Destination{Number: int64(i + 1)}
 	for k := range 2 {
@@ -28,19 +28,19 @@
 	return entry.Entry{Destination: &d}
 }
 
-// entryChange is the change that sets it.
+// entryChange returns the change that sets such an entry.
 func entryChange(i int, capacity float64) (controlplane.EntryChange, error) {
 	e := configEntry(i, capacity)
 	content, err := e.Encode()
 	return controlplane.EntryChange{Key: e.Key(), Content: content}, err
 }
 
-// configuredState is a state with so many entries.
+// configuredState returns a state with the given number of entries.
 func configuredState(entries int) (*controlplane.State, error) {
 	s := controlplane.NewState()
-	for begin := 0; begin < entries; begin += entriesAtOnce {
+	for begin := 0; begin < entries; begin += entriesPerCommand {
 		cmd := controlplane.Command{Kind: controlplane.Configure, From: s.Configured}
-		for i := begin; i < min(entries, begin+entriesAtOnce); i++ {
+		for i := begin; i < min(entries, begin+entriesPerCommand); i++ {
 			change, err := entryChange(i, 100)
 			if err != nil {
 				return nil, err
@@ -54,7 +54,7 @@
 	return s, nil
 }
 
-// configRecords are all entries of a state as a watcher gets them.
+// configRecords returns all entries of a state as change records for a watcher.
 func configRecords(s *controlplane.State) (records []controlplane.Change) {
 	for key, e := range s.Entries {
 		records = append(records, controlplane.Change{Key: "config/" + key, Revision: e.Revision, Value: controlplane.Item{Entry: e}})
@@ -63,14 +63,14 @@
 	return append(records, controlplane.Change{Key: "configuration", Revision: s.Configured, Value: revision})
 }
 
-// probeConfiguration measures a configuration of so many entries.
+// probeConfiguration measures how applying entries and their memory grow with the number of entries.
 func probeConfiguration(_ context.Context, sizes []int, effort time.Duration) ([]Series, error) {
 	var t table
-	t.column("config.apply", "entries", "s", "of a voter to apply a change of one configuration entry")
-	t.column("config.learn", "entries", "s", "of a member to take one changed entry into its view and to put it into force")
-	t.column("config.memory", "entries", "B", "memory of the configuration at a member, in its view and in force")
+	t.column("config.apply", "entries", "s", "for a voter to apply a change of one configuration entry")
+	t.column("config.learn", "entries", "s", "for a member to apply one changed entry to its view and activate it")
+	t.column("config.memory", "entries", "B", "memory of the configuration at a member, in its view and active")
 	for _, n := range sizes {
-		values, err := configurationOf(n, effort)
+		values, err := measureConfiguration(n, effort)
 		if err != nil {
 			return nil, err
 		}
@@ -79,21 +79,21 @@
 	return t.series, nil
 }
 
-func configurationOf(entries int, effort time.Duration) ([]float64, error) {
+func measureConfiguration(entries int, effort time.Duration) ([]float64, error) {
 	voter, err := configuredState(entries)
 	if err != nil {
 		return nil, err
 	}
 	records := configRecords(voter)
-	before := heap()
+	before := liveHeapBytes()
 	view := controlplane.NewState().With(voter.Version, &changelog.Change[controlplane.Item]{Whole: true, Records: records})
 	allowed := func(entry.Entry) error { return nil }
 	var active entry.Active
 	if _, refused := active.Update(view.EntryContents(), allowed); len(refused) > 0 {
 		return nil, fmt.Errorf("%d entries refused, %s", len(refused), refused[0].Why)
 	}
-	memory := heap() - before
-	for _, e := range view.Entries { // contents that the view shares with the voter's state
+	memory := liveHeapBytes() - before
+	for _, e := range view.Entries { // contents are shared with the voter's state, so the heap difference lacks them
 		memory += float64(len(e.Content))
 	}
 	var failed error
@@ -104,17 +104,17 @@
 		failed = errors.Join(failed, err)
 		return c
 	}
-	apply := timed(effort, func() {
+	apply := medianSeconds(effort, func() {
 		cmd := controlplane.Command{Kind: controlplane.Configure, From: voter.Configured, Entries: []controlplane.EntryChange{change()}}
 		failed = errors.Join(failed, voter.Apply(voter.Version+1, cmd))
 	})
-	learn := timed(effort, func() {
+	learn := medianSeconds(effort, func() {
 		c := change()
 		e := &controlplane.ConfigEntry{Content: c.Content, Revision: view.Version + 1}
 		record := controlplane.Change{Key: "config/" + c.Key, Revision: e.Revision, Value: controlplane.Item{Entry: e}}
 		view = view.With(e.Revision, &changelog.Change[controlplane.Item]{Records: []controlplane.Change{record}})
 		if changes, _ := active.Update(view.EntryContents(), allowed); len(changes.Set) != 1 {
-			failed = errors.Join(failed, errors.New("a changed entry changes nothing"))
+			failed = errors.Join(failed, errors.New("a changed entry produced no change"))
 		}
 	})
 	runtime.KeepAlive(records)
--- a/internal/lab/capacity/probe_control.go
+++ b/internal/lab/capacity/probe_control.go
@@ -18,15 +18,15 @@
 	"mulleinbeam/internal/routing/wal/fsys"
 )
 
-// The control plane: the decided state, its leader, and what goes to every member.
+// Probes of the control plane: the committed state, the leader, and the changes sent to every member.
 
 func memberName(i int) string { return fmt.Sprintf("forwarder-%05d", i) }
 
-// fleetState is what is decided of a fleet of so many members in 22 zones of 6 regions, with one replica each.
+// fleetState returns the committed state of a fleet of members in 22 zones of 6 regions, with one replica each.
 func fleetState(members int) (*controlplane.State, error) {
 	s := controlplane.NewState()
 	version := uint64(1)
-	decide := func(c controlplane.Command) error {
+	apply := func(c controlplane.Command) error {
 		version++
 		return s.Apply(version, c)
 	}
@@ -35,7 +35,7 @@
 			Kind: controlplane.Join, Life: controlplane.Incarnation{Name: memberName(i)}, Token: fmt.Sprintf("%016x", i), Address: fmt.Sprintf("10.%d.%d.%d:7100", i>>16, i>>8&255, i&255),
 			Zone: fmt.Sprintf("zone-%02d", i%22), Region: fmt.Sprintf("region-%d", i%6), Version: 1, Space: 64 << 20,
 		}
-		if err := decide(join); err != nil {
+		if err := apply(join); err != nil {
 			return nil, err
 		}
 	}
@@ -44,7 +44,7 @@
 			Kind: controlplane.SetReplicas, Life: controlplane.Incarnation{Name: memberName(i), Number: 1}, From: s.Members[memberName(i)].Changed,
 			Set: []string{memberName((i + 1) % members)},
 		}
-		if err := decide(replica); err != nil {
+		if err := apply(replica); err != nil {
 			return nil, err
 		}
 	}
@@ -57,33 +57,33 @@
 	return b.Bytes(), err
 }
 
-// probeState measures the decided state as it goes to every member.
+// probeState measures the committed state that every member receives.
 func probeState(_ context.Context, sizes []int, effort time.Duration) ([]Series, error) {
 	var t table
-	t.column("state.bytes", "members", "B", "decided state, encoded for a link")
+	t.column("state.bytes", "members", "B", "committed state, encoded for a link")
 	t.column("state.encode", "members", "s", "to encode it")
 	t.column("state.decode", "members", "s", "to decode it")
-	t.column("state.clone", "members", "s", "to copy it for an answer")
-	t.column("state.ranking", "members", "s", "to rank the members that may keep a replica")
-	t.column("state.memory", "members", "B", "memory of the decided state")
+	t.column("state.clone", "members", "s", "to copy it for a response")
+	t.column("state.ranking", "members", "s", "to rank the members that may hold a replica")
+	t.column("state.memory", "members", "B", "memory of the committed state")
 	for _, n := range sizes {
-		before := heap()
+		before := liveHeapBytes()
 		s, err := fleetState(n)
 		if err != nil {
 			return nil, err
 		}
-		memory := heap() - before
+		memory := liveHeapBytes() - before
 		raw, err := encodeGob(s)
 		if err != nil {
 			return nil, err
 		}
 		var failed error
-		encode := timed(effort, func() { _, err := encodeGob(s); failed = errors.Join(failed, err) })
-		decode := timed(effort, func() {
+		encode := medianSeconds(effort, func() { _, err := encodeGob(s); failed = errors.Join(failed, err) })
+		decode := medianSeconds(effort, func() {
 			failed = errors.Join(failed, gob.NewDecoder(bytes.NewReader(raw)).Decode(controlplane.NewState()))
 		})
-		clone := timed(effort, func() { s.Clone() })
-		ranking := timed(effort, func() { s.RankReplicas(memberName(0), nil) })
+		clone := medianSeconds(effort, func() { s.Clone() })
+		ranking := medianSeconds(effort, func() { s.RankReplicas(memberName(0), nil) })
 		if failed != nil {
 			return nil, failed
 		}
@@ -92,22 +92,22 @@
 	return t.series, nil
 }
 
-// probeChanges measures what a member gets of decided changes: one change, and a snapshot in pieces.
+// probeChanges measures what a member receives of committed changes: one change, and a snapshot in pieces.
 func probeChanges(ctx context.Context, sizes []int, effort time.Duration) ([]Series, error) {
 	var t table
-	t.column("change.bytes", "members", "B", "one decided change, encoded for a link that has carried others")
+	t.column("change.bytes", "members", "B", "one committed change, encoded for a link that has carried others")
 	t.column("change.encode", "members", "s", "to read and encode it for one member")
-	t.column("change.learn", "members", "s", "of a member to take it into its view")
-	t.column("snapshot.bytes", "members", "B", "of a snapshot for a member that knows nothing, all pieces")
+	t.column("change.learn", "members", "s", "for a member to apply it to its view")
+	t.column("snapshot.bytes", "members", "B", "of a snapshot for a member without state, all pieces")
 	t.column("snapshot.encode", "members", "s", "to read and encode it")
-	t.column("snapshot.learn", "members", "s", "of a member to take it, decoding not counted")
+	t.column("snapshot.learn", "members", "s", "for a member to apply it, decoding not counted")
 	for _, n := range sizes {
 		l, _, err := startFleet(ctx, n, shortTick)
 		if err != nil {
 			return nil, err
 		}
-		values, err := changesOf(l, effort)
-		l.end()
+		values, err := measureChanges(l, effort)
+		l.stop()
 		if err != nil {
 			return nil, err
 		}
@@ -116,15 +116,15 @@
 	return t.series, nil
 }
 
-// changesOf has a leader decide one change and gives it, and a snapshot, to a view.
-func changesOf(l leader, effort time.Duration) (values []float64, err error) {
+// measureChanges applies a snapshot to a view and has the leader commit one change, and measures both.
+func measureChanges(l leader, effort time.Duration) (values []float64, err error) {
 	var size bytes.Buffer
 	link := gob.NewEncoder(&size)
 	view := controlplane.NewView()
 	read := func(w *controlplane.Watch) (controlplane.Response, error) {
 		r := l.server.Handle(controlplane.Request{Watch: w})
 		if r.Changes == nil {
-			return r, errors.New("the leader gives no changes")
+			return r, errors.New("the leader returned no changes")
 		}
 		return r, link.Encode(r)
 	}
@@ -155,28 +155,28 @@
 	}
 	bytesOfOne := float64(size.Len())
 	var failed error
-	encodeOne := timed(effort, func() { _, err := read(before); failed = errors.Join(failed, err) })
-	learnOne := timed(effort, func() {
+	encodeOne := medianSeconds(effort, func() { _, err := read(before); failed = errors.Join(failed, err) })
+	learnOne := medianSeconds(effort, func() {
 		view.State().With(change.Version, &changelog.Change[controlplane.Item]{Records: change.Changes.Records})
 	})
 	return []float64{bytesOfOne, encodeOne, learnOne, snapshot, encode, learn}, failed
 }
 
-// leader is a control plane of one voter that begins with a state.
+// leader is a control plane of one voter that starts from a given state.
 type leader struct {
 	server *controlplane.Server
-	end    func()
+	stop   func()
 }
 
 const voterName = "voter"
 
-// The ticks of a leader's clock: as a deployment has it, and short where only the time until it leads depends on it.
+// Tick intervals of the leader: defaultTick as in a deployment, shortTick where only the election time depends on it.
 const (
-	usualTick = 100 * time.Millisecond
-	shortTick = 10 * time.Millisecond
+	defaultTick = 100 * time.Millisecond
+	shortTick   = 10 * time.Millisecond
 )
 
-// startLeader starts it and waits until it leads. Leases are so long that none ends meanwhile.
+// startLeader starts a voter and waits until it leads. Its leases are long enough that none expires during a probe.
 func startLeader(ctx context.Context, s *controlplane.State, tick time.Duration) (l leader, err error) {
 	store, kept, err := controlplane.OpenRaftStore(fsys.NewMem(), func(string) {})
 	if err != nil {
@@ -197,44 +197,44 @@
 	running, cancel := context.WithCancel(ctx)
 	ended := make(chan struct{})
 	go func() { defer close(ended); _ = l.server.Run(running) }()
-	l.end = func() { cancel(); <-ended; _ = store.Close() }
+	l.stop = func() { cancel(); <-ended; _ = store.Close() }
 	for l.server.Handle(controlplane.Request{}).Leader == "" {
 		select {
 		case <-time.After(10 * time.Millisecond):
 		case <-ctx.Done():
-			l.end()
+			l.stop()
 			return l, ctx.Err()
 		}
 	}
 	return l, nil
 }
 
-// probeControlPlane measures what the leader spends on members that renew their leases, on one decided change, and on nobody at all.
+// probeControlPlane measures the processor time of the leader for a lease renewal, for one committed change, and when idle.
 func probeControlPlane(ctx context.Context, sizes []int, effort time.Duration) ([]Series, error) {
 	var t table
-	t.column("leader.idle", "members", "cores", "processor time of a leader whom nobody asks")
+	t.column("leader.idle", "members", "cores", "processor time of an idle leader")
 	t.column("leader.renewal", "members", "s", "processor time of one lease renewal at the leader, links not counted")
-	t.column("leader.change", "members", "s", "processor time of one decided change, with its answer to who asked, links not counted")
+	t.column("leader.change", "members", "s", "processor time of one committed change, with its response, links not counted")
 	for _, n := range sizes {
-		l, s, err := startFleet(ctx, n, usualTick)
+		l, s, err := startFleet(ctx, n, defaultTick)
 		if err != nil {
 			return nil, err
 		}
 		idle := idleLoad(effort)
-		watch := watchBehind(s)
-		renewal := perCall(effort, func(i int) {
+		watch := caughtUpWatch(s)
+		renewal := processorTimePerCall(effort, func(i int) {
 			l.server.Handle(controlplane.Request{Renew: &controlplane.Incarnation{Name: memberName(i % n), Number: 1}, Watch: watch})
 		})
-		change := perCall(effort, func(i int) {
+		change := processorTimePerCall(effort, func(i int) {
 			l.server.Handle(controlplane.Request{Command: &controlplane.Command{Kind: controlplane.Drain, Life: controlplane.Incarnation{Name: memberName(i % n)}, On: i%2 == 0}})
 		})
-		l.end()
+		l.stop()
 		t.row(n, idle, renewal, change)
 	}
 	return t.series, nil
 }
 
-// startFleet starts a leader of a fleet of so many members.
+// startFleet starts a leader whose state has the given number of members.
 func startFleet(ctx context.Context, members int, tick time.Duration) (leader, *controlplane.State, error) {
 	s, err := fleetState(members)
 	if err != nil {
@@ -244,22 +244,22 @@
 	return l, s, err
 }
 
-// watchBehind is that of a member which has all of a state.
-func watchBehind(s *controlplane.State) *controlplane.Watch {
+// caughtUpWatch returns the watch of a member that is caught up with the state.
+func caughtUpWatch(s *controlplane.State) *controlplane.Watch {
 	return &controlplane.Watch{Cursor: changelog.Cursor{ViewRevision: s.Version, Revision: s.Version}, Selector: controlplane.SelectAll}
 }
 
-// idleLoad is the processor time a second that this process takes by itself.
+// idleLoad returns the processor time per second of this process without requests, in cores.
 func idleLoad(effort time.Duration) float64 {
-	const least = 400 * time.Millisecond // some ticks of the leader's clock
+	const least = 400 * time.Millisecond // covers several ticks of the leader
 	length := max(least, 5*effort)
 	before, began := processorTime(), time.Now()
 	time.Sleep(length)
 	return max(1e-6, (processorTime()-before)/time.Since(began).Seconds())
 }
 
-// perCall is the processor time of one call of many, made by some goroutines at once for the effort.
-func perCall(effort time.Duration, call func(i int)) float64 {
+// processorTimePerCall returns the mean processor time of a call when concurrent goroutines repeat it for twice the effort.
+func processorTimePerCall(effort time.Duration, call func(i int)) float64 {
 	const callers = 64
 	var calls atomic.Int64
 	var all sync.WaitGroup
@@ -275,7 +275,7 @@
 	return (processorTime() - before) / float64(calls.Load())
 }
 
-// probeJoins measures how long it takes until all members of a fleet have joined, some at a time.
+// probeJoins measures the time until all members of a fleet have joined, with a limited number of joins at once.
 func probeJoins(ctx context.Context, sizes []int, _ time.Duration) ([]Series, error) {
 	const atOnce = 64
 	var t table
@@ -298,7 +298,7 @@
 		}
 		all.Wait()
 		took := time.Since(began).Seconds()
-		l.end()
+		l.stop()
 		t.row(n, took)
 	}
 	return t.series, nil
--- a/internal/lab/capacity/probe_fleet.go
+++ b/internal/lab/capacity/probe_fleet.go
@@ -9,11 +9,11 @@
 	"mulleinbeam/internal/lab/cluster"
 )
 
-// The fleet's view of its destinations: the planner, the zone's merge, and the observations that members share.
+// Probes of the fleet's destinations: the planner, the merge of a zone's reports, and the gossip of observations.
 
 const planPlaces = 6
 
-// planInput is a window in which every place has traffic for every destination and one destination in fifty has lost a place.
+// planInput returns a window in which every place has traffic for every destination and one destination in fifty is late from one place.
 func planInput(destinations int) plan.Input {
 	in := plan.Input{Elapsed: time.Second, Zones: map[string]plan.Summary{}, Capacity: map[int64]map[string]float64{}, Members: map[string]int{}}
 	for p := range planPlaces {
@@ -44,11 +44,11 @@
 	return r
 }
 
-// probePlanner measures a window of the planner, its plan, and the merge of a zone's reports.
+// probePlanner measures one window of the planner, the size of its plan, and the merge of a zone's reports.
 func probePlanner(_ context.Context, sizes []int, effort time.Duration) ([]Series, error) {
 	const reports = 50
 	var t table
-	t.column("plan.window", "destinations", "s", "of the planner for one window, in six places")
+	t.column("plan.window", "destinations", "s", "for the planner to process one window, in six places")
 	t.column("plan.bytes", "destinations", "B", "of a plan, encoded")
 	t.column("plan.report.bytes", "destinations", "B", "of one member's report, encoded")
 	t.column("plan.merge", "destinations", "s", "to merge the reports of 50 members of a zone")
@@ -60,10 +60,10 @@
 		in := planInput(n)
 		planner := plan.NewPlanner(plan.Defaults(), plan.Topology{Region: regions}, nil)
 		var latest *plan.Plan
-		for range 3 { // verdicts need some windows
+		for range 3 { // the planner needs several windows to judge a site
 			latest, _ = planner.Step(in)
 		}
-		window := timed(effort, func() { latest, _ = planner.Step(in) })
+		window := medianSeconds(effort, func() { latest, _ = planner.Step(in) })
 		raw, err := encodeGob(latest)
 		if err != nil {
 			return nil, err
@@ -76,18 +76,18 @@
 		if err != nil {
 			return nil, err
 		}
-		merge := timed(effort, func() { plan.Merge("z1", list) })
+		merge := medianSeconds(effort, func() { plan.Merge("z1", list) })
 		t.row(n, window, float64(len(raw)), float64(len(report)), merge)
 	}
 	return t.series, nil
 }
 
-// probeObservations plays a fleet of thirty in virtual time that tells itself of destinations that are down.
+// probeObservations simulates a fleet of thirty members in virtual time that gossip about destinations that are down.
 func probeObservations(_ context.Context, sizes []int, effort time.Duration) ([]Series, error) {
 	const members = 30
 	var t table
-	t.column("observations.bytes", "destinations down", "B/s", "that a member sends, while they are down")
-	t.column("observations.cpu", "destinations down", "cores", "processor time of a member's books and pushes")
+	t.column("observations.bytes", "destinations down", "B/s", "sent by a member while they are down")
+	t.column("observations.cpu", "destinations down", "cores", "processor time of a member's store and gossip")
 	length := 8 * time.Second
 	if effort == fullEffort {
 		length = 15 * time.Second
--- a/internal/lab/capacity/probe_links.go
+++ b/internal/lab/capacity/probe_links.go
@@ -16,7 +16,7 @@
 	"mulleinbeam/internal/cluster/relay"
 )
 
-// countedListener counts the bytes that its connections move, both ways.
+// countedListener counts the bytes that its connections transfer in both directions.
 type countedListener struct {
 	net.Listener
 	moved *atomic.Int64
@@ -47,8 +47,8 @@
 	return n, err
 }
 
-// askAll asks once for each member, all at once.
-func askAll(n int, ask func(i int) error) error {
+// callAll calls ask once for each member, all concurrently.
+func callAll(n int, ask func(i int) error) error {
 	var group errgroup.Group
 	for i := range n {
 		group.Go(func() error { return ask(i) })
@@ -56,11 +56,11 @@
 	return group.Wait()
 }
 
-// probeLinks measures lease renewals over loopback sockets, by the number of connections.
+// probeLinks measures lease renewals over loopback sockets for growing numbers of connections.
 func probeLinks(ctx context.Context, sizes []int, effort time.Duration) ([]Series, error) {
 	var t table
 	t.column("link.renewal", "connections", "s", "processor time of one lease renewal over a loopback socket, both ends and the leader")
-	t.column("link.renewal.bytes", "connections", "B", "of one lease renewal and its answer, without the network's own heads")
+	t.column("link.renewal.bytes", "connections", "B", "of one lease renewal and its answer, without network headers")
 	for _, n := range sizes {
 		l, s, err := startFleet(ctx, n, shortTick)
 		if err != nil {
@@ -71,9 +71,9 @@
 		if err != nil {
 			return nil, err
 		}
-		cpu, size, err := renewOverSockets(ctx, address, moved, n, watchBehind(s), effort)
+		cpu, size, err := renewOverSockets(ctx, address, moved, n, caughtUpWatch(s), effort)
 		stop()
-		l.end()
+		l.stop()
 		if err != nil {
 			return nil, err
 		}
@@ -82,23 +82,23 @@
 	return t.series, nil
 }
 
-// probeRelays measures what relays make of lease renewals: at the leader, which gets them in batches, and at a relay.
+// probeRelays measures lease renewals through relays: at the leader, which receives them in batches, and at a relay.
 func probeRelays(ctx context.Context, sizes []int, effort time.Duration) ([]Series, error) {
 	var t table
-	t.column("batch.renewal", "lives in a batch", "s", "processor time of one lease renewal in a batch at the leader, links not counted")
-	t.column("relay.renewal", "lives in a batch", "s", "processor time of one lease renewal through a relay: the member's and the relay's sockets, and the leader")
+	t.column("batch.renewal", "incarnations in a batch", "s", "processor time of one lease renewal in a batch at the leader, links not counted")
+	t.column("relay.renewal", "incarnations in a batch", "s", "processor time of one lease renewal through a relay: the member's and the relay's sockets, and the leader")
 	for _, n := range sizes {
 		l, s, err := startFleet(ctx, n, shortTick)
 		if err != nil {
 			return nil, err
 		}
-		batch := controlplane.Request{Watch: watchBehind(s)}
+		batch := controlplane.Request{Watch: caughtUpWatch(s)}
 		for i := range n {
 			batch.Batch = append(batch.Batch, controlplane.Incarnation{Name: memberName(i), Number: 1})
 		}
-		direct := perCall(effort, func(int) { l.server.Handle(batch) }) / float64(n)
-		relayed, err := renewThroughRelay(ctx, l, n, watchBehind(s), effort)
-		l.end()
+		direct := processorTimePerCall(effort, func(int) { l.server.Handle(batch) }) / float64(n)
+		relayed, err := renewThroughRelay(ctx, l, n, caughtUpWatch(s), effort)
+		l.stop()
 		if err != nil {
 			return nil, err
 		}
@@ -107,8 +107,8 @@
 	return t.series, nil
 }
 
-// renewThroughRelay is the processor time of one renewal of members behind a relay, which all ask again as soon as they have an answer: so
-// each batch has all of them.
+// renewThroughRelay returns the processor time of one renewal by members behind a relay. Each renews again as soon as it has a
+// response, so every batch contains all members.
 func renewThroughRelay(ctx context.Context, l leader, n int, watch *controlplane.Watch, effort time.Duration) (float64, error) {
 	address, stop, err := l.serve(&atomic.Int64{})
 	if err != nil {
@@ -127,7 +127,7 @@
 	return cpu, errors.Join(err, <-ended)
 }
 
-// serve serves the leader's calls on an address, whose bytes it counts, until stop.
+// serve serves the leader's RPCs on a loopback address until stop is called, and adds the bytes transferred to moved.
 func (l leader) serve(moved *atomic.Int64) (address string, stop func(), err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -141,14 +141,14 @@
 	return listener.Addr().String(), func() { _ = listener.Close(); <-served }, nil
 }
 
-// renewOverSockets has so many members renew their leases at an address, each over a connection of its own and again as soon as it has its
-// answer.
+// renewOverSockets has n members renew their leases at an address, each over its own connection and again as soon as it has a
+// response. It returns processor time and bytes per renewal.
 func renewOverSockets(ctx context.Context, address string, moved *atomic.Int64, n int, watch *controlplane.Watch, effort time.Duration) (cpu, size float64, err error) {
 	peers := make([]*links.Peer, n)
 	ask := func(i int) error {
 		var r controlplane.Response
 		req := controlplane.Request{Renew: &controlplane.Incarnation{Name: memberName(i), Number: 1}, Watch: watch}
-		for !r.Granted { // a relay that has just begun refuses
+		for !r.Granted { // a relay refuses renewals until it is ready
 			r = controlplane.Response{}
 			if err := peers[i].Call(ctx, "Council.Ask", req, &r); err != nil {
 				return err
@@ -160,7 +160,7 @@
 		peers[i] = links.NewPeer(address)
 		defer peers[i].Close()
 	}
-	if err := askAll(n, ask); err != nil { // connections come up, and types are told once
+	if err := callAll(n, ask); err != nil { // opens the connections and sends the gob type descriptions, which are sent once
 		return 0, 0, err
 	}
 	var calls atomic.Int64
--- a/internal/lab/capacity/roles.go
+++ b/internal/lab/capacity/roles.go
@@ -5,20 +5,20 @@
 	"math"
 )
 
-// Row is one need of one role at the planned size, against its budget.
+// Row compares one resource need of one role at the planned size with its budget.
 type Row struct {
 	Role, What, Unit string
 	Value            Estimate
 	Budget           float64
 	BudgetOf         string   // what sets the budget
-	Mechanism        string   // package and type that carry it; "" is none
-	Uses             []string // the series it is worked out from
+	Mechanism        string   // the package and type that implement it; empty if none does
+	Uses             []string // names of the series that the value is derived from
 }
 
-// Ratio is the value over the budget.
+// Ratio returns the value divided by the budget.
 func (r Row) Ratio() float64 { return r.Value.Value / r.Budget }
 
-// Verdict says whether the need is met at the planned size.
+// Verdict reports whether the budget is met at the planned size.
 func (r Row) Verdict() string {
 	switch {
 	case r.Mechanism == "":
@@ -31,19 +31,19 @@
 	return "holds"
 }
 
-// evaluation works rows out from fits.
+// evaluation collects the rows computed from the fits of a measurement.
 type evaluation struct {
-	m    Measurement
-	fits map[string]Fit
-	rows []Row
-	err  error
+	measurement Measurement
+	fits        map[string]Fit
+	rows        []Row
+	err         error
 }
 
-// at is the estimate of a series at a size.
+// at returns the estimate of a series at a size.
 func (e *evaluation) at(name string, size float64) Estimate {
 	f, known := e.fits[name]
 	if !known {
-		s, some := e.m.series(name)
+		s, some := e.measurement.series(name)
 		if !some {
 			e.fail(fmt.Errorf("capacity: series %s was not measured", name))
 			return Estimate{}
@@ -69,9 +69,9 @@
 	e.rows = append(e.rows, r)
 }
 
-// Rows evaluates every role. A series that is missing, or can't be fitted, is an error.
+// Rows evaluates every role. It fails if a series is missing or cannot be fitted.
 func (m Measurement) Rows(a Assumptions) ([]Row, error) {
-	e := &evaluation{m: m, fits: map[string]Fit{}}
+	e := &evaluation{measurement: m, fits: map[string]Fit{}}
 	e.forwarder(a)
 	e.backlog(a)
 	e.member(a)
@@ -81,7 +81,7 @@
 	return e.rows, e.err
 }
 
-// forwarder is the path of messages, without a backlog.
+// forwarder adds the rows of the message path without a backlog.
 func (e *evaluation) forwarder(a Assumptions) {
 	const role = "forwarder: accept and send"
 	endpoints := a.Destinations * a.EndpointsPerTarget
@@ -91,14 +91,14 @@
 	const list = "forwarder: list and module"
 	e.add(Row{Role: list, What: "memory with every destination listed", Unit: "B", Value: e.at("list.memory", endpoints), Budget: a.ControlMemory,
 		BudgetOf: "control-memory", Mechanism: "`mulleinbeam.Decider`"}, "list.memory")
-	e.add(Row{Role: list, What: "a whole list taken again, in the router's goroutine", Unit: "s", Value: e.at("list.learn", endpoints), Budget: a.RouterStall,
+	e.add(Row{Role: list, What: "applying a complete list again, in the router's goroutine", Unit: "s", Value: e.at("list.learn", endpoints), Budget: a.RouterStall,
 		BudgetOf: "router-stall", Mechanism: "`routing.Router.Learn`"}, "list.learn")
 }
 
-// backlog is what a forwarder holds, and the replica of it.
+// backlog adds the rows of the messages a forwarder holds and of the replica of its journal.
 func (e *evaluation) backlog(a Assumptions) {
 	const held = "forwarder: held backlog"
-	e.add(Row{Role: held, What: "memory", Unit: "B", Value: e.at("held.memory", a.Backlog), Budget: a.ControlMemory, BudgetOf: "control-memory, as issue 34 wants it",
+	e.add(Row{Role: held, What: "memory", Unit: "B", Value: e.at("held.memory", a.Backlog), Budget: a.ControlMemory, BudgetOf: "control-memory, the goal of issue 34",
 		Mechanism: "`routing.Router`, `wal.Log`"}, "held.memory")
 	e.add(Row{Role: held, What: "its events with that backlog", Unit: "cores", Value: e.at("held.accept", a.Backlog).Times(a.EventsPerForwarder), Budget: 1,
 		BudgetOf: "one core", Mechanism: "`mulleinbeam.Decider`"}, "held.accept")
@@ -110,25 +110,25 @@
 	const replica = "replica of another's journal"
 	e.add(Row{Role: replica, What: "memory", Unit: "B", Value: e.at("replica.memory", a.Backlog), Budget: a.ControlMemory, BudgetOf: "control-memory",
 		Mechanism: "`replication.Replica`"}, "replica.memory")
-	e.add(Row{Role: replica, What: "a snapshot on a whole link", Unit: "s", Value: e.at("replica.bytes", a.Backlog).Times(1 / a.LinkBytes), Budget: a.ForceWithin,
+	e.add(Row{Role: replica, What: "a snapshot using a whole link", Unit: "s", Value: e.at("replica.bytes", a.Backlog).Times(1 / a.LinkBytes), Budget: a.ForceWithin,
 		BudgetOf: "a takeover within 4 s", Mechanism: "`replication.Owner`"}, "replica.bytes")
 }
 
-// member is a forwarder's control client: it has all that is decided, and gets what changes.
+// member adds the rows of a forwarder's control client, which keeps the committed state and receives its changes.
 func (e *evaluation) member(a Assumptions) {
 	const role = "forwarder: control client"
-	mean, busiest := a.decisions()
-	e.add(Row{Role: role, What: "memory of the decided state", Unit: "B", Value: e.at("state.memory", a.Forwarders), Budget: a.ControlMemory,
+	mean, busiest := a.changeRates()
+	e.add(Row{Role: role, What: "memory of the committed state", Unit: "B", Value: e.at("state.memory", a.Forwarders), Budget: a.ControlMemory,
 		BudgetOf: "control-memory", Mechanism: "`controlplane.View`"}, "state.memory")
 	change := e.at("change.bytes", a.Forwarders)
-	e.add(Row{Role: role, What: "decided changes received, on an ordinary day", Unit: "B/s", Value: change.Times(mean), Budget: a.ControlBytes,
+	e.add(Row{Role: role, What: "committed changes received, on an ordinary day", Unit: "B/s", Value: change.Times(mean), Budget: a.ControlBytes,
 		BudgetOf: "control-bytes", Mechanism: "`changelog.Log`, `changelog.Replica`"}, "change.bytes")
-	e.add(Row{Role: role, What: "decided changes received, in the busiest hour", Unit: "B/s", Value: change.Times(busiest), Budget: a.ControlBytes,
+	e.add(Row{Role: role, What: "committed changes received, in the busiest hour", Unit: "B/s", Value: change.Times(busiest), Budget: a.ControlBytes,
 		BudgetOf: "control-bytes", Mechanism: "`changelog.Log`, `changelog.Replica`"}, "change.bytes")
 	work := e.at("change.learn", a.Forwarders).Plus(e.at("state.ranking", a.Forwarders))
-	e.add(Row{Role: role, What: "taking them in and ranking replicas, on an ordinary day", Unit: "cores", Value: work.Times(mean), Budget: a.ControlCores,
+	e.add(Row{Role: role, What: "applying them and ranking replicas, on an ordinary day", Unit: "cores", Value: work.Times(mean), Budget: a.ControlCores,
 		BudgetOf: "control-cores", Mechanism: "`controlplane.State.With`, `controlplane.State.RankReplicas`"}, "change.learn", "state.ranking")
-	e.add(Row{Role: role, What: "taking them in and ranking replicas, in the busiest hour", Unit: "cores", Value: work.Times(busiest), Budget: a.ControlCores,
+	e.add(Row{Role: role, What: "applying them and ranking replicas, in the busiest hour", Unit: "cores", Value: work.Times(busiest), Budget: a.ControlCores,
 		BudgetOf: "control-cores", Mechanism: "`controlplane.State.With`, `controlplane.State.RankReplicas`"}, "change.learn", "state.ranking")
 	e.add(Row{Role: role, What: "a snapshot at its start, on its average day", Unit: "B/s", Budget: a.ControlBytes, BudgetOf: "control-bytes",
 		Value:     e.at("snapshot.bytes", a.Forwarders).Times(a.RestartsPerDay / a.Forwarders / (24 * 3600)),
@@ -137,11 +137,11 @@
 		BudgetOf: "control-bytes", Mechanism: "`controlplane.Client`"}, "link.renewal.bytes")
 	const configuration = "distribution of configuration"
 	e.add(Row{Role: configuration, What: "entries of an ordinary day", Unit: "B/s", Budget: a.ControlBytes, BudgetOf: "control-bytes",
-		Value: exactly(a.ChangesPerDay * a.EntryBytes / (24 * 3600)), Mechanism: "`controlplane.State`, `changelog.Log`"})
-	e.add(Row{Role: configuration, What: "a changed entry put into force, on an ordinary day, every destination being an entry", Unit: "cores",
+		Value: exactEstimate(a.ChangesPerDay * a.EntryBytes / (24 * 3600)), Mechanism: "`controlplane.State`, `changelog.Log`"})
+	e.add(Row{Role: configuration, What: "a changed entry applied, on an ordinary day, every destination being an entry", Unit: "cores",
 		Value: e.at("config.learn", a.Destinations).Times(a.ChangesPerDay / (24 * 3600)), Budget: a.ControlCores, BudgetOf: "control-cores",
 		Mechanism: "`controlplane.State.With`, `entry.Active`"}, "config.learn")
-	inBusiest := math.Min(a.BusiestSecondChanges, a.RenewalsPerSecond) // several between two renewals come together
+	inBusiest := math.Min(a.BusiestSecondChanges, a.RenewalsPerSecond) // a renewal returns all changes since the previous one together
 	e.add(Row{Role: configuration, What: "the same in the busiest second", Unit: "cores", Value: e.at("config.learn", a.Destinations).Times(inBusiest), Budget: 1,
 		BudgetOf: "one core", Mechanism: "`controlplane.State.With`, `entry.Active`"}, "config.learn")
 	e.add(Row{Role: configuration, What: "memory at a member, every destination being an entry", Unit: "B", Value: e.at("config.memory", a.Destinations),
@@ -150,23 +150,23 @@
 		Value: e.at("config.apply", a.Destinations).Times(a.BusiestSecondChanges), Budget: 1, BudgetOf: "one goroutine", Mechanism: "`controlplane.State.Apply`"}, "config.apply")
 }
 
-// exactly is an estimate that was not measured but follows from assumptions.
-func exactly(v float64) Estimate { return Estimate{v, v, v} }
+// exactEstimate returns an estimate without an error interval, for a value that follows from assumptions alone.
+func exactEstimate(v float64) Estimate { return Estimate{v, v, v} }
 
-// leader is the voter that leads.
+// leader adds the rows of the leading voter without relays.
 func (e *evaluation) leader(a Assumptions) {
 	const role = "leader of the control plane, without relays"
-	mean, busiest := a.decisions()
+	mean, busiest := a.changeRates()
 	change := e.at("change.bytes", a.Forwarders)
-	e.add(Row{Role: role, What: "decided changes sent, in the busiest hour", Unit: "B/s", Value: change.Times(busiest * a.Forwarders), Budget: a.LinkBytes,
+	e.add(Row{Role: role, What: "committed changes sent, in the busiest hour", Unit: "B/s", Value: change.Times(busiest * a.Forwarders), Budget: a.LinkBytes,
 		BudgetOf: "link-bytes", Mechanism: "`controlplane.Server`, `changelog.Log`"}, "change.bytes")
 	reading := e.at("change.encode", a.Forwarders)
 	e.add(Row{Role: role, What: "reading and encoding them, on an ordinary day", Unit: "cores", Value: reading.Times(mean * a.Forwarders), Budget: 1,
 		BudgetOf: "one goroutine", Mechanism: "`controlplane.Server`, `changelog.Log`"}, "change.encode")
 	e.add(Row{Role: role, What: "reading and encoding them, in the busiest hour", Unit: "cores", Value: reading.Times(busiest * a.Forwarders), Budget: 1,
 		BudgetOf: "one goroutine", Mechanism: "`controlplane.Server`, `changelog.Log`"}, "change.encode")
-	e.add(Row{Role: role, What: "one change until every member has asked and has it", Unit: "s", Budget: a.ForceWithin, BudgetOf: "force-within",
-		Value:     reading.Times(a.Forwarders).Plus(exactly(1 / a.RenewalsPerSecond)),
+	e.add(Row{Role: role, What: "one change until every member has received it", Unit: "s", Budget: a.ForceWithin, BudgetOf: "force-within",
+		Value:     reading.Times(a.Forwarders).Plus(exactEstimate(1 / a.RenewalsPerSecond)),
 		Mechanism: "`controlplane.Server`, with each renewal"}, "change.encode")
 	snapshots := a.Forwarders / a.Voters
 	e.add(Row{Role: "voters of the control plane, without relays", What: "a snapshot for every forwarder at once, on their links", Unit: "s",
@@ -180,31 +180,31 @@
 		BudgetOf: "one goroutine", Mechanism: "`controlplane.Leases`"}, "leader.renewal")
 	e.add(Row{Role: role, What: "lease renewals over its links", Unit: "cores", Value: e.at("link.renewal", 1000).Times(renewals), Budget: a.ServerCores,
 		BudgetOf: "server-cores", Mechanism: "`links.Serve`"}, "link.renewal")
-	e.add(Row{Role: role, What: "its own clock", Unit: "cores", Value: e.at("leader.idle", a.Forwarders), Budget: 1, BudgetOf: "one goroutine",
+	e.add(Row{Role: role, What: "processor time when idle", Unit: "cores", Value: e.at("leader.idle", a.Forwarders), Budget: 1, BudgetOf: "one goroutine",
 		Mechanism: "`controlplane.Server`"}, "leader.idle")
-	e.add(Row{Role: role, What: "decided changes in the busiest hour", Unit: "cores", Value: e.at("leader.change", a.Forwarders).Times(busiest), Budget: 1,
+	e.add(Row{Role: role, What: "committed changes in the busiest hour", Unit: "cores", Value: e.at("leader.change", a.Forwarders).Times(busiest), Budget: 1,
 		BudgetOf: "one goroutine", Mechanism: "`controlplane.Server`"}, "leader.change")
 	e.add(Row{Role: role, What: "all forwarders join", Unit: "s", Value: e.at("joins", a.Forwarders), Budget: a.ReconnectWithin, BudgetOf: "reconnect-within",
 		Mechanism: "`controlplane.Server`"}, "joins")
 }
 
-// relay is the tier between members and voters, and the leader behind it.
+// relay adds the rows of the relays between members and voters, and of the leader behind them.
 func (e *evaluation) relay(a Assumptions) {
 	const leader, role = "leader of the control plane, behind relays", "relay"
-	members, lives := a.perRelay()
+	members, incarnations := a.perRelay()
 	renewals := a.Forwarders * a.RenewalsPerSecond
-	_, busiest := a.decisions()
-	e.add(Row{Role: leader, What: "lease renewals in batches", Unit: "cores", Value: e.at("batch.renewal", lives).Times(renewals), Budget: 1,
+	_, busiest := a.changeRates()
+	e.add(Row{Role: leader, What: "lease renewals in batches", Unit: "cores", Value: e.at("batch.renewal", incarnations).Times(renewals), Budget: 1,
 		BudgetOf: "one goroutine", Mechanism: "`relay.Core`, `controlplane.Leases`"}, "batch.renewal")
 	change := e.at("change.encode", a.Forwarders)
-	e.add(Row{Role: leader, What: "decided changes of the busiest hour, read and encoded for the relays", Unit: "cores", Value: change.Times(busiest * a.Relays),
+	e.add(Row{Role: leader, What: "committed changes of the busiest hour, read and encoded for the relays", Unit: "cores", Value: change.Times(busiest * a.Relays),
 		Budget: 1, BudgetOf: "one goroutine", Mechanism: "`controlplane.Server`, `changelog.Log`"}, "change.encode")
-	e.add(Row{Role: role, What: "its members' renewals", Unit: "cores", Value: e.at("relay.renewal", lives).Times(members * a.RenewalsPerSecond),
+	e.add(Row{Role: role, What: "its members' renewals", Unit: "cores", Value: e.at("relay.renewal", incarnations).Times(members * a.RenewalsPerSecond),
 		Budget: a.ServerCores, BudgetOf: "server-cores", Mechanism: "`relay.Server`"}, "relay.renewal")
-	e.add(Row{Role: role, What: "decided changes of the busiest hour, read and encoded for its members", Unit: "cores", Value: change.Times(busiest * members),
+	e.add(Row{Role: role, What: "committed changes of the busiest hour, read and encoded for its members", Unit: "cores", Value: change.Times(busiest * members),
 		Budget: a.ServerCores, BudgetOf: "server-cores", Mechanism: "`relay.Core`, `changelog.Mirror`"}, "change.encode")
-	e.add(Row{Role: role, What: "one change until every member has asked and has it", Unit: "s", Budget: a.ForceWithin, BudgetOf: "force-within",
-		Value:     change.Times(a.Relays + members).Plus(exactly(1/a.RenewalsPerSecond + 1/a.BatchesPerSecond)),
+	e.add(Row{Role: role, What: "one change until every member has received it", Unit: "s", Budget: a.ForceWithin, BudgetOf: "force-within",
+		Value:     change.Times(a.Relays + members).Plus(exactEstimate(1/a.RenewalsPerSecond + 1/a.BatchesPerSecond)),
 		Mechanism: "`relay.Server`, with each renewal"}, "change.encode")
 	e.add(Row{Role: role, What: "a snapshot for each of its members at once, on its link", Unit: "s", Value: e.at("snapshot.bytes", a.Forwarders).Times(members / a.LinkBytes),
 		Budget: a.ReconnectWithin, BudgetOf: "reconnect-within", Mechanism: "`changelog.Mirror`, in pieces"}, "snapshot.bytes")
@@ -213,7 +213,7 @@
 		Mechanism: "`changelog.Mirror`, in pieces"}, "snapshot.encode")
 }
 
-// fleet is what is seen of destinations, and planned.
+// fleet adds the rows of planning, aggregation, observations of destinations and operators' commands.
 func (e *evaluation) fleet(a Assumptions) {
 	e.add(Row{Role: "planner", What: "one window for all destinations", Unit: "s", Value: e.at("plan.window", a.Destinations), Budget: a.PlanWindow,
 		BudgetOf: "plan-window", Mechanism: "`plan.Planner`"}, "plan.window")
@@ -225,9 +225,9 @@
 	e.add(Row{Role: "zone aggregator", What: "one member's reports", Unit: "B/s", Value: e.at("plan.report.bytes", a.Destinations).Times(1 / a.PlanWindow),
 		Budget: a.ControlBytes, BudgetOf: "control-bytes", Mechanism: "`plan.Report`"}, "plan.report.bytes")
 	down := a.Destinations * a.DownShare
-	e.add(Row{Role: "observations of destinations", What: "that a member sends", Unit: "B/s", Value: e.at("observations.bytes", down), Budget: a.ControlBytes,
+	e.add(Row{Role: "observations of destinations", What: "bytes that a member sends", Unit: "B/s", Value: e.at("observations.bytes", down), Budget: a.ControlBytes,
 		BudgetOf: "control-bytes", Mechanism: "`observation.Gossip`"}, "observations.bytes")
-	e.add(Row{Role: "observations of destinations", What: "a member's books", Unit: "cores", Value: e.at("observations.cpu", down), Budget: a.ControlCores,
+	e.add(Row{Role: "observations of destinations", What: "a member's store and gossip", Unit: "cores", Value: e.at("observations.cpu", down), Budget: a.ControlCores,
 		BudgetOf: "control-cores", Mechanism: "`observation.Store`"}, "observations.cpu")
 	e.add(Row{Role: "operators' commands", What: "answer to `cluster members`", Unit: "s", Value: e.at("state.encode", a.Forwarders).Plus(e.at("state.decode", a.Forwarders)),
 		Budget: a.ForceWithin, BudgetOf: "force-within", Mechanism: "`node.Status`"}, "state.encode", "state.decode")
