--- a/internal/lab/capacity/assumptions.go
+++ b/internal/lab/capacity/assumptions.go
@@ -9,8 +9,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Assumptions are the size to plan for and its budgets. Fields tagged `given` are requirements of the users; the others are
-// assumed. A file or a flag can override each. Every field is a positive number.
+// Assumptions are the size to plan for and its budgets. Fields tagged `given` are requirements of the users; the others
+// are assumed. A file or a flag can override each. Every field is a positive number.
 type Assumptions struct {
 	Forwarders            float64 `toml:"forwarders" given:"yes" what:"forwarders"`
 	EventsPerForwarder    float64 `toml:"events-per-forwarder" given:"yes" what:"events a second at one forwarder"`
--- a/internal/lab/capacity/capacity.go
+++ b/internal/lab/capacity/capacity.go
@@ -1,8 +1,9 @@
-// Package capacity measures how the program's state, messages, bytes and processor time grow with the size of a deployment, fits the
-// growth, and extrapolates to the planned size. It measures the program's own code rather than a model of it.
+// Package capacity measures how the program's state, messages, bytes and processor time grow with the size of a
+// deployment, fits the growth, and extrapolates to the planned size. It measures the program's own code rather than a
+// model of it.
 //
-// A Probe returns Series, each a quantity at several sizes. Measurement.Rows evaluates the roles of a deployment at the size given by
-// Assumptions, each against its budget.
+// A Probe returns Series, each a quantity at several sizes. Measurement.Rows evaluates the roles of a deployment at the
+// size given by Assumptions, each against its budget.
 package capacity
 
 import (
--- a/internal/lab/capacity/fit.go
+++ b/internal/lab/capacity/fit.go
@@ -19,8 +19,9 @@
 	return Estimate{e.Value + o.Value, e.Low + o.Low, e.High + o.High}
 }
 
-// Fit describes the growth of a series by two laws: a power law (linear regression of the logarithms) and a line through the values,
-// whose residuals are weighted relative to each value. Law names the one with the smaller residual, which Estimate uses.
+// Fit describes the growth of a series by two laws: a power law (linear regression of the logarithms) and a line
+// through the values, whose residuals are weighted relative to each value. Law names the one with the smaller residual,
+// which Estimate uses.
 type Fit struct {
 	Exponent      float64 // of the power law
 	ExponentError float64 // half of its 95 % interval
--- a/internal/lab/capacity/page.go
+++ b/internal/lab/capacity/page.go
@@ -60,7 +60,8 @@
 	return significant(v) + " " + unit
 }
 
-// Page returns the generated part of docs/CAPACITY.md: assumptions, slopes, roles, and the effect of doubling each assumption.
+// Page returns the generated part of docs/CAPACITY.md: assumptions, slopes, roles, and the effect of doubling each
+// assumption.
 func Page(m Measurement, a Assumptions) (string, error) {
 	rows, err := m.Rows(a)
 	if err != nil {
--- a/internal/lab/capacity/probe.go
+++ b/internal/lab/capacity/probe.go
@@ -75,7 +75,8 @@
 	}
 }
 
-// medianSeconds returns the median time of one call of do. Each sample averages the calls that fit into an equal share of the effort.
+// medianSeconds returns the median time of one call of do. Each sample averages the calls that fit into an equal share
+// of the effort.
 func medianSeconds(effort time.Duration, do func()) float64 {
 	const rounds = 5
 	do() // exclude one-time initialization
--- a/internal/lab/capacity/probe_control.go
+++ b/internal/lab/capacity/probe_control.go
@@ -209,7 +209,8 @@
 	return l, nil
 }
 
-// probeControlPlane measures the processor time of the leader for a lease renewal, for one committed change, and when idle.
+// probeControlPlane measures the processor time of the leader for a lease renewal, for one committed change, and when
+// idle.
 func probeControlPlane(ctx context.Context, sizes []int, effort time.Duration) ([]Series, error) {
 	var t table
 	t.column("leader.idle", "members", "cores", "processor time of an idle leader")
@@ -258,7 +259,8 @@
 	return max(1e-6, (processorTime()-before)/time.Since(began).Seconds())
 }
 
-// processorTimePerCall returns the mean processor time of a call when concurrent goroutines repeat it for twice the effort.
+// processorTimePerCall returns the mean processor time of a call when concurrent goroutines repeat it for twice the
+// effort.
 func processorTimePerCall(effort time.Duration, call func(i int)) float64 {
 	const callers = 64
 	var calls atomic.Int64
--- a/internal/lab/capacity/probe_fleet.go
+++ b/internal/lab/capacity/probe_fleet.go
@@ -13,7 +13,8 @@
 
 const planPlaces = 6
 
-// planInput returns a window in which every place has traffic for every destination and one destination in fifty is late from one place.
+// planInput returns a window in which every place has traffic for every destination and one destination in fifty is
+// late from one place.
 func planInput(destinations int) plan.Input {
 	in := plan.Input{Elapsed: time.Second, Zones: map[string]plan.Summary{}, Capacity: map[int64]map[string]float64{}, Members: map[string]int{}}
 	for p := range planPlaces {
--- a/internal/lab/capacity/probe_forwarder.go
+++ b/internal/lab/capacity/probe_forwarder.go
@@ -18,7 +18,8 @@
 	"mulleinbeam/internal/routing/wal"
 )
 
-// Probes of one forwarder: the endpoint list, accepted and held messages, and the replica of another forwarder's journal.
+// Probes of one forwarder: the endpoint list, accepted and held messages, and the replica of another forwarder's
+// journal.
 
 const (
 	messageBytes    = 300
@@ -182,7 +183,8 @@
 	return math.Max(1, size)
 }
 
-// probeReplica measures the replica of a journal: bytes of a snapshot on the link, and memory and processor time at the replica.
+// probeReplica measures the replica of a journal: bytes of a snapshot on the link, and memory and processor time at the
+// replica.
 func probeReplica(_ context.Context, sizes []int, _ time.Duration) ([]Series, error) {
 	var t table
 	t.column("replica.memory", "held messages", "B", "memory of a replica of a journal")
--- a/internal/lab/capacity/probe_links.go
+++ b/internal/lab/capacity/probe_links.go
@@ -107,8 +107,8 @@
 	return t.series, nil
 }
 
-// renewThroughRelay returns the processor time of one renewal by members behind a relay. Each renews again as soon as it has a
-// response, so every batch contains all members.
+// renewThroughRelay returns the processor time of one renewal by members behind a relay. Each renews again as soon as
+// it has a response, so every batch contains all members.
 func renewThroughRelay(ctx context.Context, l leader, n int, watch *controlplane.Watch, effort time.Duration) (float64, error) {
 	address, stop, err := l.serve(&atomic.Int64{})
 	if err != nil {
@@ -141,8 +141,8 @@
 	return listener.Addr().String(), func() { _ = listener.Close(); <-served }, nil
 }
 
-// renewOverSockets has n members renew their leases at an address, each over its own connection and again as soon as it has a
-// response. It returns processor time and bytes per renewal.
+// renewOverSockets has n members renew their leases at an address, each over its own connection and again as soon as it
+// has a response. It returns processor time and bytes per renewal.
 func renewOverSockets(ctx context.Context, address string, moved *atomic.Int64, n int, watch *controlplane.Watch, effort time.Duration) (cpu, size float64, err error) {
 	peers := make([]*links.Peer, n)
 	ask := func(i int) error {
