--- a/internal/lab/cluster/faultproxy.go
+++ b/internal/lab/cluster/faultproxy.go
@@ -1,6 +1,6 @@
-// Package cluster is the laboratory's fleet: real processes of the program on loopback addresses of their own, every pair's links
-// through fault proxies that can be cut, stalled, slowed, reset or cut in the middle of a record, and faults of processes, folders and
-// clocks beside them. What all sides see goes into one log of events, and the rules are held against that.
+// Package cluster runs a fleet of real processes of the program, each on its own loopback address. The links between them go through
+// fault proxies, which can partition, stall, slow or reset a link or cut it in the middle of a record. Faults of processes, folders
+// and clocks are injected as well. The events that all parties observe go into one log, against which the rules are checked.
 package cluster
 
 import (
@@ -11,23 +11,23 @@
 	"time"
 )
 
-// Way is what a fault proxy does to the bytes that go one way through it.
+// Way is the set of faults that a fault proxy applies to the bytes of one direction.
 type Way struct {
-	Stall  bool          // they wait, without a word, until this is over
-	Delay  time.Duration // before each piece goes on,
-	Jitter time.Duration // and up to so much more, by chance
-	Rate   int64         // bytes a second; 0 is no bound
-	Cut    int64         // the connection is reset once so many more bytes have gone; 0 is never
+	Stall  bool          // bytes are held silently until Stall is cleared
+	Delay  time.Duration // added before each chunk is forwarded
+	Jitter time.Duration // upper bound of a random addition to Delay
+	Rate   int64         // bytes per second; 0 means unlimited
+	Cut    int64         // the connection is reset after this many more bytes; 0 means never
 }
 
-// FaultProxy carries the connections that one process makes to another.
+// FaultProxy is a TCP proxy that injects faults into the connections from one process to another.
 type FaultProxy struct {
 	listener net.Listener
 	target   string
 
 	mu      sync.Mutex
-	changed chan struct{} // closed with each change
-	ways    [2]Way        // there, and back
+	changed chan struct{} // closed and replaced on each change
+	ways    [2]Way        // indexed by There and Back
 	refuse  bool
 	conns   map[net.Conn]net.Conn
 	rng     *rand.Rand
@@ -36,13 +36,13 @@
 	wg      sync.WaitGroup
 }
 
-// There and Back are the two ways of a fault proxy.
+// There and Back are the two directions of a fault proxy: to the target, and from it.
 const (
 	There = 0
 	Back  = 1
 )
 
-// NewFaultProxy listens on an address, with port 0 for any, and carries what comes to a target.
+// NewFaultProxy listens on an address, where port 0 selects a free port, and forwards its connections to target.
 func NewFaultProxy(listen, target string, seed uint64) (*FaultProxy, error) {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return r, nil
 }
 
-// Address is where it listens.
+// Address returns the address that the proxy listens on.
 func (r *FaultProxy) Address() string { return r.listener.Addr().String() }
 
 func (r *FaultProxy) accept() {
@@ -85,7 +85,7 @@
 	defer out.Close()
 	r.mu.Lock()
 	r.conns[in] = out
-	refuse = r.refuse // it may have been closed, or cut, while this dialled
+	refuse = r.refuse // the proxy may have been closed, or its connections refused, during the dial
 	r.mu.Unlock()
 	if refuse {
 		reset(in)
@@ -100,7 +100,7 @@
 	r.mu.Unlock()
 }
 
-// reset has the other side see a reset rather than an end.
+// reset closes a connection so that the other side sees a TCP reset rather than an end of stream.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -108,7 +108,7 @@
 	_ = c.Close()
 }
 
-// pump moves bytes one way, as the way is at the moment, until either side ends.
+// pump forwards the bytes of one direction under its current faults until either side closes.
 func (r *FaultProxy) pump(way int, to, from net.Conn) {
 	buf := make([]byte, 32<<10)
 	for {
@@ -131,7 +131,7 @@
 	}
 }
 
-// pass moves one piece; false says that the connection is to be reset.
+// pass forwards one chunk; it returns false if the connection has to be reset.
 func (r *FaultProxy) pass(way int, to net.Conn, b []byte) bool {
 	for len(b) > 0 {
 		if !r.wait(way, to) {
@@ -159,7 +159,7 @@
 		r.carried[way] += int64(n)
 		r.mu.Unlock()
 		if pause > 0 {
-			time.Sleep(pause) // a fault's own time, not a test's
+			time.Sleep(pause) // the injected delay; no test waits on it
 		}
 		if _, err := to.Write(b[:n]); err != nil || last {
 			return false
@@ -169,7 +169,7 @@
 	return true
 }
 
-// wait holds a way's bytes while it stalls; false says that the connection was given up meanwhile.
+// wait blocks while a direction is stalled; it returns false if the connection was dropped meanwhile.
 func (r *FaultProxy) wait(way int, to net.Conn) bool {
 	for {
 		r.mu.Lock()
@@ -189,21 +189,21 @@
 	}
 }
 
-// Set changes what happens one way.
+// Set replaces the faults of one direction.
 func (r *FaultProxy) Set(way int, w Way) {
 	r.mu.Lock()
 	r.ways[way] = w
-	r.note()
+	r.notifyChanged()
 	r.mu.Unlock()
 }
 
-// note wakes those who wait; r.mu is held.
-func (r *FaultProxy) note() {
+// notifyChanged wakes the goroutines that wait for a change. The caller holds r.mu.
+func (r *FaultProxy) notifyChanged() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// Refuse resets new connections and, with drop, those there are.
+// Refuse sets whether new connections are reset and, with drop, resets the open ones.
 func (r *FaultProxy) Refuse(on, drop bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -214,24 +214,24 @@
 			delete(r.conns, in)
 		}
 	}
-	r.note()
+	r.notifyChanged()
 }
 
-// Carried is how many bytes went each way.
+// Carried returns the number of bytes forwarded in each direction.
 func (r *FaultProxy) Carried() (there, back int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.carried[There], r.carried[Back]
 }
 
-// Cuts is how many connections were reset in the middle of what they carried.
+// Cuts returns the number of connections reset by Way.Cut.
 func (r *FaultProxy) Cuts() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.cuts
 }
 
-// Close ends it with all its connections.
+// Close stops the proxy and resets all its connections.
 func (r *FaultProxy) Close() {
 	_ = r.listener.Close()
 	r.mu.Lock()
