--- a/internal/lab/cluster/random.go
+++ b/internal/lab/cluster/random.go
@@ -16,19 +16,19 @@
 	"mulleinbeam/internal/lab"
 )
 
-// Trial is a fleet under load and faults that are drawn from a seed.
+// Trial runs a fleet under load and injects faults that are drawn from a seed.
 type Trial struct {
 	Seed    uint64
 	Members int
-	Length  time.Duration // of load and faults; then all is healed, and what is owed still ends
-	Rate    float64       // messages a second, over all members
+	Length  time.Duration // of load and faults; then all faults are healed, and pending messages still have to complete
+	Rate    float64       // messages per second, over all members
 	Copies  int
 	Alone   []string
 	Program []string
 	Env     []string
 	Dir     string
-	Places  bool  // four zones with a site each, faults of these beside the others, and traffic planned in common
-	Only    []int // of the drawn faults, by their place: to find the few that matter; nil is all
+	Places  bool  // four zones with a site each, faults of sites in addition to the others, and a common traffic plan
+	Only    []int // indexes of the drawn faults to inject, used to shrink a failing trial; nil means all
 	Log     func(format string, args ...any)
 	// Disk makes members' system calls on their folders fail; nil leaves them alone.
 	Disk DiskFaults
@@ -42,30 +42,30 @@
 	Fail(m *Member, on bool)
 }
 
-// Outcome is what a trial has shown.
+// Outcome is the result of a trial.
 type Outcome struct {
 	Seed      uint64         `json:"seed"`
 	Handed    int64          `json:"handed"`
 	Taken     int64          `json:"taken"` // answered 202
 	Refused   int64          `json:"refused"`
 	NoAnswer  int64          `json:"no_answer"`
-	Delivered int            `json:"delivered"` // messages whose call the partner answered 200
+	Delivered int            `json:"delivered"` // messages whose call the endpoint answered 200
 	Notices   int            `json:"notices"`
 	Faults    []string       `json:"faults"`
 	Kinds     map[string]int `json:"kinds"`
 	TakenOver int64          `json:"taken_over"`
-	Asked     int            `json:"asked"` // operations on one of the council's decisions, all of which fit one order
+	Asked     int            `json:"asked"` // operations of the linearizability check of the control plane
 	Broken    []string       `json:"broken"`
 	Events    []string       `json:"-"`
 }
 
-// fault is one drawn: it is done, stands for a while, and is taken back before the next of its kind.
+// fault is one drawn fault: it is injected, lasts for a while, and is healed before the next one.
 type fault struct {
-	kind  string
-	who   int
-	other int
-	after time.Duration // since the one before was taken back
-	lasts time.Duration
+	kind     string
+	member   int
+	peer     int
+	after    time.Duration // since the previous fault was healed
+	duration time.Duration
 }
 
 var kinds = []string{"kill", "kill", "lose", "pause", "split", "one-way", "slow", "cut", "reset", "founders"}
@@ -73,11 +73,11 @@
 // diskKinds are the faults of a trial with Disk.
 var diskKinds = []string{"disk", "disk", "disk", "disk everywhere", "disk and kill", "disk and kill", "disk and kill"}
 
-// draw gives a trial's faults. Equal seeds give equal ones.
+// draw returns the faults of a trial. Equal seeds give equal faults.
 func (t Trial) draw() (out []fault) {
 	rng := rand.New(rand.NewPCG(t.Seed, 4))
 	kinds := kinds
-	if t.Places { // half and half
+	if t.Places { // about as many faults of sites as of processes and links
 		kinds = append(slices.Clone(kinds), append(append(slices.Clone(placeKinds), placeKinds...), placeKinds[:2]...)...)
 	}
 	if t.Disk != nil {
@@ -85,24 +85,24 @@
 	}
 	for at := time.Duration(0); at < t.Length; {
 		f := fault{
-			kind: kinds[rng.IntN(len(kinds))], who: rng.IntN(t.Members), after: time.Duration(200+rng.IntN(1300)) * time.Millisecond,
-			lasts: time.Duration(100+rng.IntN(3000)) * time.Millisecond,
+			kind: kinds[rng.IntN(len(kinds))], member: rng.IntN(t.Members), after: time.Duration(200+rng.IntN(1300)) * time.Millisecond,
+			duration: time.Duration(100+rng.IntN(3000)) * time.Millisecond,
 		}
-		f.other = (f.who + 1 + rng.IntN(t.Members-1)) % t.Members
-		at += f.after + f.lasts
+		f.peer = (f.member + 1 + rng.IntN(t.Members-1)) % t.Members
+		at += f.after + f.duration
 		out = append(out, f)
 	}
 	return out
 }
 
 func (f fault) String() string {
-	return fmt.Sprintf("%s n%d n%d after %v for %v", f.kind, f.who, f.other, f.after, f.lasts)
+	return fmt.Sprintf("%s n%d n%d after %v for %v", f.kind, f.member, f.peer, f.after, f.duration)
 }
 
-// longest is a message's time: what was taken on has ended by then.
-const longest = 8 * time.Second
+// messageTimeout is the deadline of a message: an accepted message has completed by then.
+const messageTimeout = 8 * time.Second
 
-// Run plays a trial.
+// Run runs the trial.
 func (t Trial) Run(ctx context.Context) (Outcome, error) {
 	out := Outcome{Seed: t.Seed, Kinds: map[string]int{}}
 	if t.Log == nil {
@@ -119,7 +119,7 @@
 		rmu.Lock()
 		took, bad := time.Duration(1+rng.IntN(40))*time.Millisecond, rng.IntN(40)
 		rmu.Unlock()
-		time.Sleep(took) // the partner's own time
+		time.Sleep(took) // the service time of the endpoint
 		switch bad {
 		case 0:
 			return c.Answer(500, "") == nil
@@ -156,13 +156,13 @@
 	for i := range t.Members {
 		clients.Go(func() { t.client(load, f, i, &out) })
 	}
-	reg := &register{f: f, who: f.Members[t.Members-1].Name, began: time.Now()}
-	var asking sync.WaitGroup
-	asking.Go(func() { reg.run(load, t.Seed) })
+	reg := &register{fleet: f, member: f.Members[t.Members-1].Name, began: time.Now()}
+	var checking sync.WaitGroup
+	checking.Go(func() { reg.run(load, t.Seed) })
 	err = t.faults(ctx, f, &out)
 	if !t.Places {
 		stop()
-		asking.Wait()
+		checking.Wait()
 	}
 	f.Heal()
 	for i, m := range f.Members {
@@ -173,17 +173,18 @@
 			err = f.Start(i)
 		}
 	}
-	if t.Places { // a place is back when calls to it have been answered
+	if t.Places { // a site has recovered only after calls to it have been answered, so the load goes on until then
 		if err == nil {
 			err = f.AwaitOnePlan(ctx)
 		}
 		stop()
-		asking.Wait()
+		checking.Wait()
 		out.Broken = append(out.Broken, places.fell()...)
 	}
 	clients.Wait()
 	if err == nil {
-		err = f.Order(ctx, controlplane.Command{Kind: controlplane.Drain, Life: controlplane.Incarnation{Name: reg.who}}) // whatever it was left at
+		// clears the drain that the register check may have left
+		err = f.Order(ctx, controlplane.Command{Kind: controlplane.Drain, Life: controlplane.Incarnation{Name: reg.member}})
 	}
 	if err == nil {
 		err = f.AwaitCopied(ctx, f.All()...)
@@ -209,9 +210,9 @@
 	return out, err
 }
 
-// AwaitJobs waits until a member knows that whatever ended lives owed belongs to somebody, and that those who may act do.
+// AwaitJobs waits until the state that a member knows is as new as any member's and all its takeovers are complete.
 func (f *Fleet) AwaitJobs(ctx context.Context, at int) error {
-	newest := uint64(0) // that any of them knows
+	newest := uint64(0) // newest state version that any member knows
 	for i, m := range f.Members {
 		if m.running && !m.stopped {
 			if s, err := f.Look(i); err == nil && s.State != nil {
@@ -224,14 +225,14 @@
 	})
 }
 
-// client hands messages in at one member until ctx ends.
+// client submits messages to one member until ctx ends.
 func (t Trial) client(ctx context.Context, f *Fleet, i int, out *Outcome) {
 	rng := rand.New(rand.NewPCG(t.Seed, uint64(100+i)))
 	for lab.Sleep(ctx, time.Duration(rng.ExpFloat64()*float64(t.Members)/t.Rate*float64(time.Second))) {
 		class := []string{"safe", "keyed", "unsafe"}[rng.IntN(3)]
 		atomic.AddInt64(&out.Handed, 1)
 		done := make(chan lab.Answer, 1)
-		go func() { _, a := f.Hand(i, class, longest); done <- a }()
+		go func() { _, a := f.Hand(i, class, messageTimeout); done <- a }()
 		select {
 		case a := <-done:
 			switch {
@@ -242,13 +243,13 @@
 			default:
 				atomic.AddInt64(&out.Refused, 1)
 			}
-		case <-time.After(longest): // a member that is paused: its client goes away
+		case <-time.After(messageTimeout): // the member is paused: the client disconnects
 			atomic.AddInt64(&out.NoAnswer, 1)
 		}
 	}
 }
 
-// faults plays what was drawn, one behind the other.
+// faults injects the drawn faults one after another.
 func (t Trial) faults(ctx context.Context, f *Fleet, out *Outcome) error {
 	for n, x := range t.draw() {
 		if t.Only != nil && !slices.Contains(t.Only, n) {
@@ -269,113 +270,113 @@
 func (t Trial) fault(ctx context.Context, f *Fleet, x fault) error {
 	switch x.kind {
 	case "kill":
-		if err := f.Kill(x.who); err != nil {
+		if err := f.Kill(x.member); err != nil {
 			return err
 		}
-		lab.Sleep(ctx, x.lasts)
-		return f.Start(x.who)
-	case "lose": // only while all that is owed is copied: with the last copy a message is gone by right
+		lab.Sleep(ctx, x.duration)
+		return f.Start(x.member)
+	case "lose": // only while all pending messages are replicated: a message whose last copy is lost is no violation
 		if err := f.AwaitCopied(ctx, f.All()...); err != nil {
 			return err
 		}
 		if err := f.AwaitJobs(ctx, 0); err != nil {
 			return err
 		}
-		life, err := f.Life(x.who)
+		incarnation, err := f.Life(x.member)
 		if err != nil {
 			return err
 		}
-		if err := f.Kill(x.who); err != nil {
+		if err := f.Kill(x.member); err != nil {
 			return err
 		}
-		if err := f.LoseFolder(x.who); err != nil {
+		if err := f.LoseFolder(x.member); err != nil {
 			return err
 		}
-		if err := f.AwaitDone(ctx, x.other, f.Members[x.who].Name, life); err != nil {
+		if err := f.AwaitDone(ctx, x.peer, f.Members[x.member].Name, incarnation); err != nil {
 			return err
 		}
-		if err := f.Start(x.who); err != nil {
+		if err := f.Start(x.member); err != nil {
 			return err
 		}
 		return f.AwaitCopied(ctx, f.All()...)
 	case "pause":
-		if err := f.Pause(x.who); err != nil {
+		if err := f.Pause(x.member); err != nil {
 			return err
 		}
-		lab.Sleep(ctx, x.lasts)
-		return f.Wake(x.who)
+		lab.Sleep(ctx, x.duration)
+		return f.Wake(x.member)
 	case "split":
-		f.Split(x.who, x.other)
+		f.Split(x.member, x.peer)
 	case "one-way":
-		f.Stall(x.who, x.other, true)
+		f.Stall(x.member, x.peer, true)
 	case "slow":
-		f.Event("link n%d to n%d: slow", x.who, x.other)
-		f.Proxy(x.who, x.other).Set(There, Way{Delay: 20 * time.Millisecond, Jitter: 60 * time.Millisecond, Rate: 200_000})
+		f.Event("link n%d to n%d: slow", x.member, x.peer)
+		f.Proxy(x.member, x.peer).Set(There, Way{Delay: 20 * time.Millisecond, Jitter: 60 * time.Millisecond, Rate: 200_000})
 	case "cut":
-		f.Event("link n%d to n%d: cut in a record", x.who, x.other)
-		f.Proxy(x.who, x.other).Set(There, Way{Cut: 1000})
-		f.Proxy(x.other, x.who).Set(Back, Way{Cut: 300})
+		f.Event("link n%d to n%d: cut in a record", x.member, x.peer)
+		f.Proxy(x.member, x.peer).Set(There, Way{Cut: 1000})
+		f.Proxy(x.peer, x.member).Set(Back, Way{Cut: 300})
 	case "reset":
-		f.Event("link n%d to n%d: reset", x.who, x.other)
-		f.Proxy(x.who, x.other).Refuse(true, true)
+		f.Event("link n%d to n%d: reset", x.member, x.peer)
+		f.Proxy(x.member, x.peer).Refuse(true, true)
 	case "founders":
-		f.changeFounders(ctx, x.who, x.other)
+		f.changeVoters(ctx, x.member, x.peer)
 	case "disk", "disk everywhere", "disk and kill":
 		return t.diskFault(ctx, f, x)
 	default:
-		back := f.placeFault(x.kind, x.who, rand.New(rand.NewPCG(t.Seed, uint64(x.after))))
-		lab.Sleep(ctx, x.lasts)
+		back := f.placeFault(x.kind, x.member, rand.New(rand.NewPCG(t.Seed, uint64(x.after))))
+		lab.Sleep(ctx, x.duration)
 		return back()
 	}
-	lab.Sleep(ctx, x.lasts)
+	lab.Sleep(ctx, x.duration)
 	f.Heal()
 	return nil
 }
 
-// diskLasts bounds how long the disk fails: a start gives up behind 20 s.
-const diskLasts = time.Second
+// maxDiskFault bounds how long the disk fails: a starting process gives up after 20 s.
+const maxDiskFault = time.Second
 
-// diskFault has the calls on a member's folder fail for a while, or on all members' folders; with a kill the member is started again
-// while they still fail.
+// diskFault makes the system calls on the folder of one member, or of all members, fail for a while. With a kill, the member is
+// restarted while they still fail.
 func (t Trial) diskFault(ctx context.Context, f *Fleet, x fault) error {
-	members := []*Member{f.Members[x.who]}
+	members := []*Member{f.Members[x.member]}
 	if x.kind == "disk everywhere" {
 		members = f.Members
 	}
 	fail := func(on bool) {
-		f.Event("disk of n%d, %s: failing %v", x.who, x.kind, on)
+		f.Event("disk of n%d, %s: failing %v", x.member, x.kind, on)
 		for _, m := range members {
 			t.Disk.Fail(m, on)
 		}
 	}
-	lasts := min(x.lasts, diskLasts)
+	lasts := min(x.duration, maxDiskFault)
 	fail(true)
 	lab.Sleep(ctx, lasts)
 	if x.kind == "disk and kill" {
-		if err := f.Kill(x.who); err != nil {
+		if err := f.Kill(x.member); err != nil {
 			return err
 		}
 		over := time.AfterFunc(lasts/2, func() { fail(false) })
 		defer over.Stop()
-		if err := f.Start(x.who); err != nil {
+		if err := f.Start(x.member); err != nil {
 			return err
 		}
 	}
 	fail(false)
-	lab.Sleep(ctx, endsWithin)
-	return f.startEnded()
+	lab.Sleep(ctx, exitDelay)
+	return f.restartExited()
 }
 
-// endsWithin is how soon a process whose sync has failed says so.
-const endsWithin = 200 * time.Millisecond
+// exitDelay is the time that a process takes to log a failed sync and exit.
+const exitDelay = 200 * time.Millisecond
 
-// startEnded does what a supervisor does: members that have ended because a sync failed are started again.
-func (f *Fleet) startEnded() error {
+// restartExited acts as a supervisor: it restarts the members that exited because a sync failed.
+func (f *Fleet) restartExited() error {
 	for i, m := range f.Members {
 		if !m.running || m.stopped || !strings.Contains(m.Log(), "this process ends, and the next goes on") {
 			continue
 		}
-		f.Event("n%d: ended by itself, %v", i, m.Wait())
+		f.Event("n%d: exited by itself, %v", i, m.Wait())
 		if err := f.Start(i); err != nil {
 			return err
 		}
@@ -383,24 +384,24 @@
 	return nil
 }
 
-// changeFounders has a member belong to the council's founders, or not any more; three of them stay. The council may refuse, and its
-// answer may get lost.
-func (f *Fleet) changeFounders(ctx context.Context, who, asking int) {
-	s, err := f.Look(asking)
+// changeVoters adds a member to the voters of the control plane or removes it; at least three voters stay. The control
+// plane may refuse the command, and its response may get lost.
+func (f *Fleet) changeVoters(ctx context.Context, member, via int) {
+	s, err := f.Look(via)
 	if err != nil {
 		return
 	}
-	is := slices.ContainsFunc(s.Founders, func(x controlplane.Voter) bool { return x.Name == f.Members[who].Name })
-	if is && len(s.Founders) <= 3 {
+	isVoter := slices.ContainsFunc(s.Founders, func(x controlplane.Voter) bool { return x.Name == f.Members[member].Name })
+	if isVoter && len(s.Founders) <= 3 {
 		return
 	}
 	call, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	r, err := node.SendCommand(call, f.Members[asking].Links, controlplane.Command{Kind: controlplane.ChangeVoters, Life: controlplane.Incarnation{Name: f.Members[who].Name}, On: !is})
-	f.Event("n%d: founder %v, %q %v", who, !is, r.Refused, err)
+	r, err := node.SendCommand(call, f.Members[via].Links, controlplane.Command{Kind: controlplane.ChangeVoters, Life: controlplane.Incarnation{Name: f.Members[member].Name}, On: !isVoter})
+	f.Event("n%d: voter %v, %q %v", member, !isVoter, r.Refused, err)
 }
 
-// Shrink finds a shorter list of faults that still breaks a rule, asking so many times at the most.
+// Shrink searches for a shorter list of faults that still breaks a rule, in at most budget runs.
 func (t Trial) Shrink(ctx context.Context, budget int) (only []int, out Outcome) {
 	for i := range t.draw() {
 		only = append(only, i)
@@ -422,7 +423,7 @@
 	return only, out
 }
 
-// Summary is an outcome on one line.
+// Summary returns the outcome as one line.
 func (o Outcome) Summary() string {
 	var parts []string
 	for _, k := range slices.Sorted(func(yield func(string) bool) {
@@ -434,6 +435,6 @@
 	}) {
 		parts = append(parts, fmt.Sprintf("%d %s", o.Kinds[k], k))
 	}
-	return fmt.Sprintf("seed %d: %d handed in, %d taken on, %d refused, %d without an answer, %d delivered, %d notices, %d taken over, %d askings of the council; %s; %d rules broken",
+	return fmt.Sprintf("seed %d: %d submitted, %d accepted, %d refused, %d without an answer, %d delivered, %d delivery reports, %d taken over, %d lease renewals; %s; %d rules broken",
 		o.Seed, o.Handed, o.Taken, o.Refused, o.NoAnswer, o.Delivered, o.Notices, o.TakenOver, o.Asked, strings.Join(parts, ", "), len(o.Broken))
 }
--- a/internal/lab/cluster/register.go
+++ b/internal/lab/cluster/register.go
@@ -15,31 +15,32 @@
 	"mulleinbeam/internal/lab"
 )
 
-// register is one thing that the council decides, whether a member is drained, asked and changed at all founders while faults last.
-// What each asker saw has to fit one order of all decisions in which each took hold between its asking and its answer.
+// register checks that the control plane is linearizable. The register is one value of its state, whether a member is being drained,
+// which clients read and write at all members while faults are injected. The observed results have to fit one order of operations in
+// which each takes effect between its call and its return.
 type register struct {
-	f     *Fleet
-	who   string
-	began time.Time
+	fleet  *Fleet
+	member string
+	began  time.Time
 
 	mu  sync.Mutex
 	ops []porcupine.Operation
 }
 
-// registerOp is an asking, or a change.
+// registerOp is a read, or a write of on.
 type registerOp struct {
 	write, on bool
 }
 
 const (
-	registerClients = 3
-	registerWrites  = 12 // one in so many operations is a change: a drain has copies moved
-	registerEvery   = 200 * time.Millisecond
-	registerFor     = time.Second
-	registerCheck   = 30 * time.Second
+	registerClients      = 3
+	registerOpsPerWrite  = 12 // one of this many operations is a write; writes are rare because a drain moves copies
+	registerInterval     = 200 * time.Millisecond
+	registerCallTimeout  = time.Second
+	registerCheckTimeout = 30 * time.Second
 )
 
-// registerModel is what holds of it.
+// registerModel is the sequential specification of the register.
 var registerModel = porcupine.Model{
 	Init: func() any { return false },
 	Step: func(state, input, output any) (bool, any) {
@@ -51,7 +52,7 @@
 	},
 }
 
-// run has clients ask and change until ctx ends.
+// run has clients read and write the register until ctx ends.
 func (r *register) run(ctx context.Context, seed uint64) {
 	var wg sync.WaitGroup
 	for c := range registerClients {
@@ -61,19 +62,19 @@
 }
 
 func (r *register) client(ctx context.Context, c int, rng *rand.Rand) {
-	peers := make([]*links.Peer, len(r.f.Members)) // whoever holds the council by then
+	peers := make([]*links.Peer, len(r.fleet.Members)) // all members, as the set of voters changes during the run
 	for i := range peers {
-		peers[i] = links.NewPeer(r.f.Members[i].Links)
+		peers[i] = links.NewPeer(r.fleet.Members[i].Links)
 		defer peers[i].Close()
 	}
-	for to := c; lab.Sleep(ctx, time.Duration(rng.Int64N(int64(2*registerEvery)))); {
-		op := registerOp{write: rng.IntN(registerWrites) == 0, on: rng.IntN(2) == 0}
-		// answered once a majority has confirmed who leads
-		req := controlplane.Request{Renew: &controlplane.Incarnation{Name: "who asks for nothing"}, Watch: &controlplane.Watch{Selector: changelog.Selector{Keys: []string{controlplane.MemberKey(r.who)}}}}
+	for to := c; lab.Sleep(ctx, time.Duration(rng.Int64N(int64(2*registerInterval)))); {
+		op := registerOp{write: rng.IntN(registerOpsPerWrite) == 0, on: rng.IntN(2) == 0}
+		// a renewal is answered only after a quorum has confirmed the leader
+		req := controlplane.Request{Renew: &controlplane.Incarnation{Name: "who asks for nothing"}, Watch: &controlplane.Watch{Selector: changelog.Selector{Keys: []string{controlplane.MemberKey(r.member)}}}}
 		if op.write {
-			req = controlplane.Request{Command: &controlplane.Command{Kind: controlplane.Drain, Life: controlplane.Incarnation{Name: r.who}, On: op.on}}
+			req = controlplane.Request{Command: &controlplane.Command{Kind: controlplane.Drain, Life: controlplane.Incarnation{Name: r.member}, On: op.on}}
 		}
-		call, cancel := context.WithTimeout(ctx, registerFor)
+		call, cancel := context.WithTimeout(ctx, registerCallTimeout)
 		var a controlplane.Response
 		from := time.Since(r.began)
 		err := peers[to%len(peers)].Call(call, "Council.Ask", req, &a)
@@ -84,11 +85,11 @@
 		known := err == nil && member != nil
 		switch {
 		case err == nil && refused, err != nil && !op.write, !op.write && !known:
-			to++ // nothing was asked, or nothing heard
+			to++ // the request had no effect, or its result is unknown
 			continue
 		case op.write && (err != nil || a.Refused != ""):
 			to++
-			until = math.MaxInt64 // whether it was decided, and when, nobody has said
+			until = math.MaxInt64 // whether and when the write was committed is unknown
 		}
 		out := known && member.Leaving
 		r.mu.Lock()
@@ -97,7 +98,7 @@
 	}
 }
 
-// memberIn is the member that an answer tells of; nil is none.
+// memberIn returns the member in the changes of a response, or nil if there is none.
 func memberIn(c *controlplane.Changes) *controlplane.Member {
 	if c == nil || len(c.Records) == 0 {
 		return nil
@@ -105,13 +106,13 @@
 	return c.Records[0].Value.Member
 }
 
-// check says whether all that was seen fits one order of decisions; bad is "" then.
+// check reports whether the observed operations are linearizable; bad is "" if they are.
 func (r *register) check() (ops int, bad string) {
-	switch porcupine.CheckOperationsTimeout(registerModel, r.ops, registerCheck) {
+	switch porcupine.CheckOperationsTimeout(registerModel, r.ops, registerCheckTimeout) {
 	case porcupine.Illegal:
-		return len(r.ops), "the council's answers fit no order of its decisions"
+		return len(r.ops), "the answers of the control plane are not linearizable"
 	case porcupine.Unknown:
-		return len(r.ops), "the council's answers could not be checked in time"
+		return len(r.ops), "the linearizability check of the control plane timed out"
 	}
 	return len(r.ops), ""
 }
