--- a/internal/lab/cluster/demo.go
+++ b/internal/lab/cluster/demo.go
@@ -12,22 +12,22 @@
 	"mulleinbeam/internal/lab"
 )
 
-// Demo shows three processes in two zones, one of which is killed for good, with its folder, under load.
+// Demo runs three processes in two zones and, under load, kills one of them permanently and deletes its folder.
 type Demo struct {
 	Program []string
 	Env     []string
 	Out     io.Writer
 }
 
-var errRules = errors.New("a rule was broken")
+var errRuleBroken = errors.New("a rule was broken")
 
 const (
 	demoLoad   = 4 * time.Second
 	demoKillAt = 1500 * time.Millisecond
-	demoRate   = 60 // messages a second
+	demoRate   = 60 // messages per second
 )
 
-// Run plays it to its end; no error means that no rule was broken.
+// Run runs the demonstration; it returns an error if a rule was broken or the fleet failed.
 func (d Demo) Run(ctx context.Context) error {
 	dir, err := os.MkdirTemp("", "larkreach-demo-")
 	if err != nil {
@@ -38,7 +38,7 @@
 		if c.ReadAll(0) != nil {
 			return false
 		}
-		time.Sleep(60 * time.Millisecond) // its own time
+		time.Sleep(60 * time.Millisecond) // the service time of the endpoint
 		return c.Answer(200, "") == nil
 	}}
 	f, err := Open(Setup{Members: 3, Program: d.Program, Env: d.Env, Dir: dir, Seed: 1}, partner)
@@ -70,7 +70,7 @@
 		})
 	}
 	lab.Sleep(ctx, demoKillAt)
-	life, err := f.Life(1)
+	incarnation, err := f.Life(1)
 	if err != nil {
 		return err
 	}
@@ -79,7 +79,7 @@
 		return err
 	}
 	say("n1 is killed under load, and its folder is gone")
-	if err := f.AwaitDone(ctx, 0, "n1", life); err != nil {
+	if err := f.AwaitDone(ctx, 0, "n1", incarnation); err != nil {
 		return err
 	}
 	took := time.Since(at)
@@ -96,18 +96,18 @@
 			return err
 		}
 		if s.Figures.Takeovers > 0 {
-			say("n%d has taken over what n1 owed, %d messages, %.1f s after the kill", i, s.Figures.Messages, took.Seconds())
+			say("n%d has taken over the %d pending messages of n1, %.1f s after the kill", i, s.Figures.Messages, took.Seconds())
 		}
 	}
-	say("clients: %d messages answered 202, %d refused, %d without an answer (they were at n1); partner: %d calls; %d notices",
+	say("clients: %d messages answered 202, %d refused, %d without an answer (they were at n1); partner: %d calls; %d delivery reports",
 		answered[202], answered[503], answered[0], len(f.Partner.Arrivals()), len(f.Agent.Notices()))
 	broken := f.Broken()
 	for _, b := range broken {
 		say("broken: %s", b)
 	}
 	if len(broken) > 0 {
-		return errRules
+		return errRuleBroken
 	}
-	say("rules: nothing that was answered 202 is lost, nothing unsafe went twice, no message has two ends")
+	say("rules: nothing that was answered 202 is lost, no unsafe message was sent twice, no message has two outcomes")
 	return nil
 }
--- a/internal/lab/cluster/describe.go
+++ b/internal/lab/cluster/describe.go
@@ -11,31 +11,31 @@
 	"mulleinbeam/internal/cluster/node"
 )
 
-// describeFor bounds how long one member is asked for what it knows.
-const describeFor = 2 * time.Second
+// describeTimeout bounds the request for one member's plan.
+const describeTimeout = 2 * time.Second
 
-// Describe tells, for people who look at a failure, what each running member knows of the plan, and has it print its counters to its log.
+// Describe returns the plan as each running member knows it, for the analysis of a failure, and has each member log its counters.
 func (f *Fleet) Describe() string {
 	var out strings.Builder
 	for i, member := range f.Members {
 		if !member.running || member.stopped {
 			continue
 		}
-		_ = member.Signal(syscall.SIGUSR1) // it may be gone by now
+		_ = member.Signal(syscall.SIGUSR1) // the process may have exited by now
 		fmt.Fprintf(&out, "n%d: %s\n", i, f.describePlan(i))
 	}
 	return out.String()
 }
 
-// describePlan is a member's plan as JSON, or why there is none.
+// describePlan returns a member's plan as JSON, or the error if it cannot be read.
 func (f *Fleet) describePlan(i int) string {
-	ctx, cancel := context.WithTimeout(context.Background(), describeFor)
+	ctx, cancel := context.WithTimeout(context.Background(), describeTimeout)
 	defer cancel()
 	status, err := node.GetPlan(ctx, f.Members[i].Links)
 	if err != nil {
 		return err.Error()
 	}
-	status.History = nil // the log has it
+	status.History = nil // the log holds it already
 	text, err := json.Marshal(status)
 	if err != nil {
 		return err.Error()
--- a/internal/lab/cluster/usage.go
+++ b/internal/lab/cluster/usage.go
@@ -8,14 +8,14 @@
 	"syscall"
 )
 
-// usage is what a process has used so far.
+// usage holds the resources that a process has used.
 type usage struct{ cpu, bytes, memory float64 }
 
-// usageOf reads it: processor time in seconds, bytes that went through its reads and writes, and its resident memory now.
+// usageOf reads the usage of a process: CPU time in seconds, bytes read and written, and the current resident memory in bytes.
 func usageOf(pid int) (u usage) {
 	dir := filepath.Join("/proc", strconv.Itoa(pid))
 	if raw, err := os.ReadFile(filepath.Join(dir, "stat")); err == nil {
-		const user, system, ticks = 11, 12, 100 // fields behind the name, and the kernel's ticks a second
+		const user, system, ticks = 11, 12, 100 // indexes of the fields after the process name, and clock ticks per second
 		_, rest, _ := strings.Cut(string(raw), ") ")
 		if fields := strings.Fields(rest); len(fields) > system {
 			a, _ := strconv.ParseFloat(fields[user], 64)
