--- a/internal/lab/cluster/model.go
+++ b/internal/lab/cluster/model.go
@@ -12,7 +12,7 @@
 	"mulleinbeam/internal/routing/wal"
 )
 
-// Fault is something the model breaks on purpose, to see that it is found.
+// Fault is a defect that the model contains on purpose, to test that the exploration finds it.
 type Fault string
 
 // The faults.
@@ -25,112 +25,112 @@
 	DropsEnded        Fault = "catch-up drops an ended id"
 )
 
-// ModelSetup bounds a model.
+// ModelSetup bounds the events of a model.
 type ModelSetup struct {
-	Messages []string // their classes: unsafe, safe
+	Messages []string // class of each message: unsafe or safe
 	Copies   int
-	Kills    int  // at the most, each of these
-	Lost     int  // folders, of dead processes
-	Rolled   int  // keepers' folders put back to their beginning
-	Expired  int  // leases that run out though their process lives
-	Drops    int  // batches or answers
-	Repeats  int  // clients that hand an id in again, elsewhere
-	Owned    bool // folders go one at a time: what was taken on is always somewhere
-	Whole    bool // a batch, its storing and its answer are one move; else each may come between others
+	Kills    int  // at most this many; so for the fields below
+	Lost     int  // folders lost by processes that are down
+	Rolled   int  // rollbacks of a replica store on disk by its last record
+	Expired  int  // leases that expire while their process is alive
+	Drops    int  // lost batches or acknowledgements
+	Repeats  int  // repeated submissions of an ID at another forwarder
+	Owned    bool // folders are lost one at a time, so that every accepted message has a copy
+	Whole    bool // sending, storing and acknowledging a batch is one move; otherwise other moves may come in between
 	Fault    Fault
 }
 
-// Model is three forwarders with the council as one thing that decides at once, and with what runs in the program: the council's
-// State, Owner, Shelf, Takeover, the merge, and the journal's records and copies. The router is left to what matters of it
-// here: accept, tell, begin, answer, each asking what the router asks.
+// Model models three forwarders and a control plane that decides at once. It runs the program's own code for the control plane's State,
+// for Owner, Store, Takeover and the merge of replicas, and for the records and replicas of the journal. The router is reduced to
+// accepting a message, answering its client, starting its call and completing it, under the same conditions as in the router.
 type Model struct {
 	Setup    ModelSetup
 	Council  *controlplane.State
-	Lease    map[string]bool // that its life holds, by name
-	Procs    []*proc
+	Lease    map[string]bool // whether the current incarnation holds its lease, by name
+	Procs    []*process
 	Net      []packet
-	Messages []*fact
-	Wrong    string // what a move has done against the rules
+	Messages []*messageState
+	Wrong    string // the rule that a move has broken; empty if none
 	version  uint64
 }
 
-// fact is what is true of a message, whoever knows it.
-type fact struct {
+// messageState is the true state of a message, independent of what the forwarders know.
+type messageState struct {
 	Class   string
 	Told    bool // its client was answered 202
 	Handed  bool
-	Where   controlplane.Incarnation // it was handed in at first
+	Where   controlplane.Incarnation // incarnation that it was first submitted to
 	Effects int
 	Ends    map[string]bool
 }
 
-// packet is on its way.
+// packet is a batch or an acknowledgement in transit.
 type packet struct {
 	From, To int
 	Batch    *replication.Batch
 	Ack      *replication.Ack
-	Life     controlplane.Incarnation // of the batch that an answer is to
+	Life     controlplane.Incarnation // incarnation whose batch this is or acknowledges
 }
 
-// proc is one forwarder.
-type proc struct {
+// process is one forwarder.
+type process struct {
 	Name    string
 	Up      bool
-	Paused  bool // it stands still, and does not know
-	Begun   bool // its life has begun
+	Paused  bool // the process is suspended and does not notice
+	Begun   bool // its incarnation has joined
 	Life    uint64
-	Folder  folder
+	Folder  stateFolder
 	Owner   *replication.Owner
 	Shelf   *replication.Store
 	Shelves uint64
 	Thawed  bool
 	View    *controlplane.State
-	Held    map[string]*holding // by id
+	Held    map[string]*heldMessage // by id
 	Past    map[string]bool
 	Take    *replication.Takeover
 	Content replication.Content
 	Mark    uint64
-	Unkept  []replication.DiskRecord // answered for, and not on the disk: the first fault
+	Unkept  []replication.DiskRecord // acknowledged but not on disk, under AckBeforeStored
 }
 
-// folder outlasts its process.
-type folder struct {
+// stateFolder is the stored state of a process, which survives a crash.
+type stateFolder struct {
 	Life uint64
-	Log  *wal.ReplicaState // the journal: what its records say
+	Log  *wal.ReplicaState // state that the records of the journal add up to
 	Kept []replication.DiskRecord
 	Next uint64
 }
 
-// holding is a message as the router's part has it.
-type holding struct {
+// heldMessage is a message as the router holds it.
+type heldMessage struct {
 	Seq               uint64
-	Accept, Started   uint64 // marks
+	Accept, Started   uint64 // log indexes of the accept and start records
 	Begun, Out, Ended bool
 	Told              bool
-	Adopting          string // of this life; not to be acted for yet
+	Adopting          string // incarnation whose takeover is not complete yet; the message must not be sent
 	Away              bool
 	MayRun            bool
 }
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// NewModel begins with three lives and nobody's copies.
+// NewModel returns a model of three joined forwarders in which the replicas of n0 are in sync.
 func NewModel(s ModelSetup) *Model {
 	m := &Model{Setup: s, Council: controlplane.NewState(), Lease: map[string]bool{}}
 	for i := range 3 {
-		p := &proc{Name: fmt.Sprint("n", i), Up: true}
-		p.Folder = folder{Log: wal.NewReplicaState(), Next: 1}
+		p := &process{Name: fmt.Sprint("n", i), Up: true}
+		p.Folder = stateFolder{Log: wal.NewReplicaState(), Next: 1}
 		m.Procs = append(m.Procs, p)
 		m.boot(p)
 		m.join(p)
 	}
 	for _, class := range s.Messages {
-		m.Messages = append(m.Messages, &fact{Class: class, Ends: map[string]bool{}})
+		m.Messages = append(m.Messages, &messageState{Class: class, Ends: map[string]bool{}})
 	}
 	for _, p := range m.Procs {
 		p.View = m.Council.Clone()
 	}
-	// the owner's keepers are decided, so that the walk begins where it matters
+	// assign the replicas of n0 first, so that the exploration does not spend moves on it
 	rank := m.Council.RankReplicas("n0", nil)[:s.Copies-1]
 	m.decide(controlplane.Command{Kind: controlplane.SetReplicas, Life: controlplane.Incarnation{Name: "n0", Number: 1}, From: m.Council.Members["n0"].Changed, Set: rank})
 	for _, p := range m.Procs {
@@ -154,7 +154,7 @@
 	return m
 }
 
-func (m *Model) proc(name string) *proc {
+func (m *Model) proc(name string) *process {
 	for _, p := range m.Procs {
 		if p.Name == name {
 			return p
@@ -168,8 +168,8 @@
 	return m.Council.Apply(m.version, c)
 }
 
-// keep puts what a shelf wants kept on the disk.
-func (f *folder) keep(list []replication.DiskRecord) {
+// keep stores the records that a replica store writes to disk.
+func (f *stateFolder) keep(list []replication.DiskRecord) {
 	for _, k := range list {
 		if k.Reset {
 			f.Kept = slices.DeleteFunc(f.Kept, func(x replication.DiskRecord) bool { return x.Life == k.Life })
@@ -187,21 +187,21 @@
 	}
 }
 
-// boot starts a process in its folder.
-func (m *Model) boot(p *proc) {
+// boot starts a process from its folder.
+func (m *Model) boot(p *process) {
 	p.Up, p.Begun, p.Thawed, p.Take, p.Owner, p.Paused = true, false, false, nil, nil, false
 	p.Shelves++
 	p.Shelf = replication.NewStore(p.Shelves*10 + 1)
 	for _, k := range p.Folder.Kept {
 		p.Shelf.Restore(k)
 	}
-	p.Held, p.Past, p.Unkept, p.Content = map[string]*holding{}, map[string]bool{}, nil, replication.Content{}
+	p.Held, p.Past, p.Unkept, p.Content = map[string]*heldMessage{}, map[string]bool{}, nil, replication.Content{}
 	if p.View == nil {
 		p.View = controlplane.NewState()
 	}
 	for _, x := range p.Folder.Log.Messages() {
 		x.SettleInFlight()
-		h := &holding{Seq: x.Seq, Away: true, MayRun: x.MayHaveRun, Begun: x.Attempts > 0}
+		h := &heldMessage{Seq: x.Seq, Away: true, MayRun: x.MayHaveRun, Begun: x.Attempts > 0}
 		if x.Owner != "" {
 			h.Adopting = controlplane.Incarnation{Name: x.Owner, Number: x.Incarnation}.String()
 		}
@@ -209,26 +209,27 @@
 	}
 }
 
-// join begins a life.
-func (m *Model) join(p *proc) {
+// join joins a process to the cluster as a new incarnation.
+func (m *Model) join(p *process) {
 	c := controlplane.Command{Kind: controlplane.Join, Life: controlplane.Incarnation{Name: p.Name, Number: p.Folder.Life}, Whole: p.Folder.Life > 0, Fenced: true,
 		Token: fmt.Sprint(p.Name, p.Shelves), Zone: "z" + p.Name}
 	if m.decide(c) != nil {
 		return
 	}
 	p.Life, p.Begun = m.Council.Members[p.Name].Life, true
-	p.Owner = replication.NewOwner(m.life(p))
+	p.Owner = replication.NewOwner(m.incarnation(p))
 	p.View = m.Council.Clone()
 	m.Lease[p.Name] = true
 	had := p.Folder.Life
 	before := controlplane.Incarnation{Name: p.Name, Number: had}
 	mine := had == 0
-	if job := m.Council.TakeoverTask(before); had > 0 && job != nil && !job.Done && job.Taker == m.life(p) { // what takeBack does, at once
+	// does in one step what Node.reclaim does
+	if job := m.Council.TakeoverTask(before); had > 0 && job != nil && !job.Done && job.Taker == m.incarnation(p) {
 		content := m.gather(p, job.Life, job.Keepers)
 		m.adopt(p, job.Life, content, true)
-		mine = m.decide(controlplane.Command{Kind: controlplane.CompleteTakeover, Life: before, Taker: m.life(p)}) == nil
+		mine = m.decide(controlplane.Command{Kind: controlplane.CompleteTakeover, Life: before, Taker: m.incarnation(p)}) == nil
 	} else if job != nil {
-		mine = m.Council.CurrentOwner(before) == m.life(p)
+		mine = m.Council.CurrentOwner(before) == m.incarnation(p)
 	}
 	p.View = m.Council.Clone()
 	for _, id := range slices.Sorted(maps.Keys(p.Held)) {
@@ -236,25 +237,25 @@
 		x := p.Folder.Log.Message(h.Seq)
 		keep := mine
 		if x.Owner != "" {
-			keep = keep && m.Council.CurrentOwner(controlplane.Incarnation{Name: x.Owner, Number: x.Incarnation}) == m.life(p)
+			keep = keep && m.Council.CurrentOwner(controlplane.Incarnation{Name: x.Owner, Number: x.Incarnation}) == m.incarnation(p)
 		}
 		if h.Adopting, h.Away = "", false; !keep {
-			m.over(p, id, true)
+			m.complete(p, id, true)
 			p.Past[id] = true
 		}
 	}
 	p.Folder.Life, p.Thawed = p.Life, true
 }
 
-func (m *Model) life(p *proc) controlplane.Incarnation {
+func (m *Model) incarnation(p *process) controlplane.Incarnation {
 	return controlplane.Incarnation{Name: p.Name, Number: p.Life}
 }
 
-// acts is what a node's MayAct says.
-func (m *Model) acts(p *proc) bool { return p.Up && p.Begun && p.Thawed && m.Lease[p.Name] }
+// mayAct reports what a node reports as MayAct.
+func (m *Model) mayAct(p *process) bool { return p.Up && p.Begun && p.Thawed && m.Lease[p.Name] }
 
-// write journals a record and hands it to the owner's log.
-func (p *proc) write(payload []byte) uint64 {
+// write journals a record, appends it to the owner's log and returns its index there.
+func (p *process) write(payload []byte) uint64 {
 	_ = p.Folder.Log.Apply(payload)
 	if p.Owner == nil {
 		return 0
@@ -262,8 +263,8 @@
 	return p.Owner.Append(payload)
 }
 
-// over ends a message in the journal.
-func (m *Model) over(p *proc, id string, known bool) {
+// complete completes a message in the journal.
+func (m *Model) complete(p *process, id string, known bool) {
 	h := p.Held[id]
 	p.write(wal.CompletedRecord(h.Seq, known, true, epoch))
 	delete(p.Held, id)
@@ -272,16 +273,16 @@
 	}
 }
 
-// gather merges the copies of a life that can be reached.
-func (m *Model) gather(p *proc, life controlplane.Incarnation, keepers []string) replication.Content {
+// gather fences an incarnation and merges its reachable replicas.
+func (m *Model) gather(p *process, incarnation controlplane.Incarnation, replicas []string) replication.Content {
 	var out replication.Content
-	for _, name := range keepers {
+	for _, name := range replicas {
 		k := m.proc(name)
 		if !k.Up {
 			continue
 		}
-		k.Shelf.Fence(life)
-		if h := k.Shelf.Replica(life); h != nil && h.LastIndex > 0 {
+		k.Shelf.Fence(incarnation)
+		if h := k.Shelf.Replica(incarnation); h != nil && h.LastIndex > 0 {
 			c := replication.ContentOf(h.Content, 0)
 			if m.Setup.Fault == MergeNever && out.Messages != nil {
 				for seq, x := range c.Messages {
@@ -302,11 +303,11 @@
 	return out
 }
 
-// adopt takes on what an ended life owed; what is held here already learns what the copies know.
-func (m *Model) adopt(p *proc, life controlplane.Incarnation, c replication.Content, own bool) {
+// adopt adds the messages of a fenced incarnation; those already held here are updated from the replicas.
+func (m *Model) adopt(p *process, incarnation controlplane.Incarnation, c replication.Content, own bool) {
 	for _, id := range slices.Sorted(maps.Keys(c.Past)) {
 		if h := p.Held[id]; h != nil && own {
-			m.over(p, id, true)
+			m.complete(p, id, true)
 		}
 		p.Past[id] = true
 		if p.Owner != nil {
@@ -322,20 +323,20 @@
 			continue
 		}
 		y := *x
-		y.Seq, y.Owner, y.Incarnation = p.Folder.Next, life.Name, life.Number
+		y.Seq, y.Owner, y.Incarnation = p.Folder.Next, incarnation.Name, incarnation.Number
 		p.Folder.Next++
 		y.SettleInFlight()
 		for _, r := range wal.MessageRecords(&y) {
 			p.write(r)
 		}
-		p.Held[y.ID] = &holding{Seq: y.Seq, Away: true, Adopting: life.String(), MayRun: y.MayHaveRun, Begun: y.Attempts > 0}
+		p.Held[y.ID] = &heldMessage{Seq: y.Seq, Away: true, Adopting: incarnation.String(), MayRun: y.MayHaveRun, Begun: y.Attempts > 0}
 	}
 	if p.Owner != nil {
 		p.Mark = p.Owner.LastIndex()
 	}
 }
 
-// Moves are all that can happen now.
+// Moves returns all moves that are possible in the current state.
 func (m *Model) Moves() []explore.Move[*Model] {
 	var out []explore.Move[*Model]
 	add := func(name string, do func(*Model)) { out = append(out, explore.Move[*Model]{Name: name, Do: do}) }
@@ -345,7 +346,7 @@
 			if m.Setup.Lost > 0 {
 				add(p.Name+" loses its folder", func(m *Model) {
 					m.Setup.Lost--
-					m.Procs[i].Folder = folder{Log: wal.NewReplicaState(), Next: 1}
+					m.Procs[i].Folder = stateFolder{Log: wal.NewReplicaState(), Next: 1}
 				})
 			}
 			if m.Setup.Rolled > 0 && len(p.Folder.Kept) > 0 {
@@ -363,7 +364,7 @@
 		if m.Procs[k.To].Paused {
 			continue
 		}
-		add(fmt.Sprintf("n%d hears n%d", k.To, k.From), func(m *Model) { m.deliver(n) })
+		add(fmt.Sprintf("n%d receives from n%d", k.To, k.From), func(m *Model) { m.deliver(n) })
 		if m.Setup.Drops > 0 {
 			add(fmt.Sprintf("lost, from n%d to n%d", k.From, k.To), func(m *Model) {
 				m.Setup.Drops--
@@ -377,17 +378,17 @@
 			})
 		}
 	}
-	m.councilMoves(add)
+	m.controlPlaneMoves(add)
 	return out
 }
 
-func (m *Model) unanswered(owner, keeper int, life controlplane.Incarnation) {
-	if p := m.Procs[owner]; p.Up && p.Owner != nil && p.Owner.Incarnation() == life {
-		p.Owner.HandleNoAck(m.Procs[keeper].Name)
+func (m *Model) unanswered(owner, replica int, incarnation controlplane.Incarnation) {
+	if p := m.Procs[owner]; p.Up && p.Owner != nil && p.Owner.Incarnation() == incarnation {
+		p.Owner.HandleNoAck(m.Procs[replica].Name)
 	}
 }
 
-func (m *Model) movesOf(i int, p *proc, add func(string, func(*Model))) {
+func (m *Model) movesOf(i int, p *process, add func(string, func(*Model))) {
 	if m.Setup.Kills > 0 {
 		add("kill "+p.Name, func(m *Model) {
 			m.Setup.Kills--
@@ -407,17 +408,17 @@
 		})
 	}
 	if m.Setup.Expired > 0 && m.Lease[p.Name] && i == 0 {
-		add(p.Name+" stands still until its lease has run out", func(m *Model) {
+		add(p.Name+" is suspended until its lease has expired", func(m *Model) {
 			m.Setup.Expired--
 			m.Lease[p.Name], m.Procs[i].Paused = false, true
 		})
 	}
 	if p.Paused {
-		add(p.Name+" wakes", func(m *Model) { m.Procs[i].Paused = false })
+		add(p.Name+" resumes", func(m *Model) { m.Procs[i].Paused = false })
 		return
 	}
-	if p.Begun && !m.Council.Alive(m.life(p)) && !m.Lease[p.Name] {
-		add(p.Name+" learns that its life has ended", func(m *Model) {
+	if p.Begun && !m.Council.Alive(m.incarnation(p)) && !m.Lease[p.Name] {
+		add(p.Name+" learns that its incarnation is fenced", func(m *Model) {
 			p := m.Procs[i]
 			for _, h := range p.Held {
 				h.Away, h.Out = true, false
@@ -432,23 +433,23 @@
 	for n, f := range m.Messages {
 		m.messageMoves(i, p, n, f, add)
 	}
-	if m.acts(p) && (i == 0 || p.Owner.LastIndex() > 1) { // who has nothing to copy is left out
+	if m.mayAct(p) && (i == 0 || p.Owner.LastIndex() > 1) { // forwarders with nothing to replicate are left out
 		member := m.Council.Members[p.Name]
-		for _, name := range append(slices.Clone(member.Keepers), m.wanted(p)...) {
+		for _, name := range append(slices.Clone(member.Keepers), m.wantedReplicas(p)...) {
 			if (p.Owner.CaughtUp(name) || m.Setup.Fault == BehindCounts) && !slices.Contains(member.Keepers, name) && len(member.Keepers) < m.Setup.Copies {
-				add(p.Name+" counts "+name, func(m *Model) { m.count(m.Procs[i], name) })
+				add(p.Name+" counts "+name, func(m *Model) { m.countReplica(m.Procs[i], name) })
 			}
 		}
 		if len(m.Net) < 2 {
 			m.sendMoves(i, p, add)
 		}
 	}
-	if m.acts(p) {
-		m.takeMoves(i, p, add)
+	if m.mayAct(p) {
+		m.takeoverMoves(i, p, add)
 	}
 }
 
-func (m *Model) wanted(p *proc) (out []string) {
+func (m *Model) wantedReplicas(p *process) (out []string) {
 	for _, name := range m.Council.RankReplicas(p.Name, func(name string) bool { return m.proc(name).Up }) {
 		if !slices.Contains(m.Council.Members[p.Name].Keepers, name) && len(out) < m.Setup.Copies-1 {
 			out = append(out, name)
@@ -457,8 +458,8 @@
 	return out
 }
 
-// count has the council decide who counts: one that is dead, or nobody, gives way.
-func (m *Model) count(p *proc, name string) {
+// countReplica has the control plane add a replica to the counted ones; replicas that are down are removed.
+func (m *Model) countReplica(p *process, name string) {
 	member := m.Council.Members[p.Name]
 	var set []string
 	for _, k := range member.Keepers {
@@ -467,27 +468,27 @@
 		}
 	}
 	set = append(set, name)
-	if m.decide(controlplane.Command{Kind: controlplane.SetReplicas, Life: m.life(p), From: member.Changed, Set: set}) == nil {
+	if m.decide(controlplane.Command{Kind: controlplane.SetReplicas, Life: m.incarnation(p), From: member.Changed, Set: set}) == nil {
 		p.Owner.SetReplicas(set, nil)
 		p.View = m.Council.Clone()
 	}
 }
 
-// sendMoves are batches to keepers.
-func (m *Model) sendMoves(i int, p *proc, add func(string, func(*Model))) {
+// sendMoves adds the moves that send batches to replicas.
+func (m *Model) sendMoves(i int, p *process, add func(string, func(*Model))) {
 	member := m.Council.Members[p.Name]
-	for _, name := range append(slices.Clone(member.Keepers), m.wanted(p)...) {
+	for _, name := range append(slices.Clone(member.Keepers), m.wantedReplicas(p)...) {
 		if known := slices.Contains(p.Owner.Replicas(), name); known && !p.Owner.Due(name) {
 			continue
 		}
 		add(p.Name+" sends to "+name, func(m *Model) {
 			p := m.Procs[i]
 			member := m.Council.Members[p.Name]
-			p.Owner.SetReplicas(member.Keepers, m.wanted(p))
+			p.Owner.SetReplicas(member.Keepers, m.wantedReplicas(p))
 			if p.Owner.NeedsSnapshot(name) {
 				p.Owner.Snapshot(name, m.snapshot(p))
 			}
-			for range 8 { // what it asks first, a snapshot's pieces, records
+			for range 8 { // the position probe, the pieces of a snapshot, records
 				b, some := p.Owner.Next(name, 0)
 				if !some {
 					return
@@ -509,10 +510,10 @@
 }
 
 func (m *Model) index(name string) int {
-	return slices.IndexFunc(m.Procs, func(p *proc) bool { return p.Name == name })
+	return slices.IndexFunc(m.Procs, func(p *process) bool { return p.Name == name })
 }
 
-func (m *Model) snapshot(p *proc) (records [][]byte) {
+func (m *Model) snapshot(p *process) (records [][]byte) {
 	for _, x := range p.Folder.Log.Messages() {
 		records = append(records, wal.MessageRecords(x)...)
 	}
@@ -524,7 +525,7 @@
 	return records
 }
 
-// deliver brings a packet to where it goes.
+// deliver delivers a packet to its receiver.
 func (m *Model) deliver(n int) {
 	k := m.Net[n]
 	m.Net = slices.Delete(m.Net, n, n+1)
@@ -541,33 +542,34 @@
 	}
 	keep, ack := p.Shelf.Append(*k.Batch, 0)
 	if m.Setup.Fault == AckBeforeStored {
-		p.Unkept = append(p.Unkept, keep...) // never reaches the disk before its process ends
+		p.Unkept = append(p.Unkept, keep...) // never written to disk
 	} else {
 		p.Folder.keep(keep)
 	}
 	m.Net = append(m.Net, packet{From: k.To, To: k.From, Ack: &ack, Life: k.Batch.Life})
 }
 
-// messageMoves are a message's own, at one forwarder.
-func (m *Model) messageMoves(i int, p *proc, n int, f *fact, add func(string, func(*Model))) {
+// messageMoves adds the moves of one message at one forwarder.
+func (m *Model) messageMoves(i int, p *process, n int, f *messageState, add func(string, func(*Model))) {
 	id := fmt.Sprint("m", n)
 	h := p.Held[id]
 	strict := f.Class != "safe"
 	if h == nil {
 		first := i == 0 && !f.Handed
-		again := f.Handed && m.Setup.Repeats > 0 && m.tookOver(p) && f.Where.Number == 1 && len(f.Ends) > 0 // elsewhere it would be its client's doing
-		if (first || again) && m.acts(p) && !p.Past[id] {
-			add("client hands "+id+" in at "+p.Name, func(m *Model) {
+		// at any other forwarder the client itself would cause the duplicate
+		again := f.Handed && m.Setup.Repeats > 0 && m.tookOver(p) && f.Where.Number == 1 && len(f.Ends) > 0
+		if (first || again) && m.mayAct(p) && !p.Past[id] {
+			add("client submits "+id+" to "+p.Name, func(m *Model) {
 				p, f := m.Procs[i], m.Messages[n]
 				if f.Handed {
 					m.Setup.Repeats--
 				}
 				if !f.Handed {
-					f.Handed, f.Where = true, m.life(p)
+					f.Handed, f.Where = true, m.incarnation(p)
 				}
 				x := &wal.Message{Seq: p.Folder.Next, ID: id, Class: f.Class, Deadline: epoch}
 				p.Folder.Next++
-				h := &holding{Seq: x.Seq, Accept: p.write(wal.MessageRecords(x)[0])}
+				h := &heldMessage{Seq: x.Seq, Accept: p.write(wal.MessageRecords(x)[0])}
 				p.Held[id] = h
 			})
 		}
@@ -579,11 +581,11 @@
 	if h.Away || h.Adopting != "" {
 		return
 	}
-	acts := m.acts(p)
+	acts := m.mayAct(p)
 	canSend := !h.Out && !(f.Class == "unsafe" && h.MayRun)
 	switch {
 	case canSend && h.Started == 0 && acts:
-		add(p.Name+" begins "+id, func(m *Model) {
+		add(p.Name+" starts "+id, func(m *Model) {
 			p := m.Procs[i]
 			h := p.Held[id]
 			h.Started = p.write(wal.StartedRecord(h.Seq, epoch, "z"))
@@ -594,57 +596,57 @@
 			h.Out, h.Begun = true, true
 			m.Messages[n].Effects++
 			for j, other := range m.Procs {
-				if x := other.Held[id]; j != i && x != nil && !x.Away && x.Adopting == "" && m.acts(other) {
-					m.Wrong = fmt.Sprintf("%s sends %s, which is %s's", m.Procs[i].Name, id, other.Name)
+				if x := other.Held[id]; j != i && x != nil && !x.Away && x.Adopting == "" && m.mayAct(other) {
+					m.Wrong = fmt.Sprintf("%s sends %s, which %s owns", m.Procs[i].Name, id, other.Name)
 				}
 			}
 		})
 	case h.Out && acts:
-		add(p.Name+" hears 200 for "+id, func(m *Model) {
+		add(p.Name+" receives 200 for "+id, func(m *Model) {
 			m.Messages[n].Ends["delivered"] = true
-			m.over(m.Procs[i], id, true)
+			m.complete(m.Procs[i], id, true)
 		})
 	case f.Class == "unsafe" && h.MayRun && !h.Out && acts:
-		add(p.Name+" gives "+id+" up", func(m *Model) {
-			m.Messages[n].Ends["given up"] = true
-			m.over(m.Procs[i], id, true)
+		add(p.Name+" abandons "+id+", which may have run", func(m *Model) {
+			m.Messages[n].Ends["abandoned"] = true
+			m.complete(m.Procs[i], id, true)
 		})
 	}
 }
 
-// tookOver says whether a forwarder goes on with what the first one's first life owed.
-func (m *Model) tookOver(p *proc) bool {
+// tookOver reports whether a forwarder has completed the takeover of n0's first incarnation.
+func (m *Model) tookOver(p *process) bool {
 	j := m.Council.TakeoverTask(controlplane.Incarnation{Name: "n0", Number: 1})
-	return p.Name != "n0" && j != nil && j.Done && j.Taker == m.life(p) && p.Take == nil
+	return p.Name != "n0" && j != nil && j.Done && j.Taker == m.incarnation(p) && p.Take == nil
 }
 
-// takeMoves are the steps of a takeover.
-func (m *Model) takeMoves(i int, p *proc, add func(string, func(*Model))) {
+// takeoverMoves adds the next step of a takeover.
+func (m *Model) takeoverMoves(i int, p *process, add func(string, func(*Model))) {
 	if p.Take == nil {
 		for _, j := range m.Council.Jobs {
-			if !j.Done && j.Taker == m.life(p) {
-				life := j.Life
-				add(p.Name+" begins to take "+life.String()+" over", func(m *Model) {
+			if !j.Done && j.Taker == m.incarnation(p) {
+				incarnation := j.Life
+				add(p.Name+" starts the takeover of "+incarnation.String()+" as its successor", func(m *Model) {
 					p := m.Procs[i]
-					p.Take, p.View = replication.NewTakeover(life, m.life(p)), m.Council.Clone()
+					p.Take, p.View = replication.NewTakeover(incarnation, m.incarnation(p)), m.Council.Clone()
 				})
 			}
 		}
 		return
 	}
 	name := map[replication.TakeoverStep]string{
-		replication.Gather: "gathers", replication.Stage: "adopts", replication.Replicate: "waits", replication.Commit: "asks the council", replication.Activate: "acts",
-		replication.Discard: "takes it back", replication.Done: "is done",
+		replication.Gather: "gathers", replication.Stage: "stages", replication.Replicate: "waits for replication", replication.Commit: "asks the control plane", replication.Activate: "activates",
+		replication.Discard: "discards", replication.Done: "is done",
 	}[p.Take.Step()]
 	if p.Take.Step() == replication.Replicate && len(p.Owner.InSync()) > 0 && p.Owner.HighWatermark() < p.Mark {
-		return // until it is, or this life is over
+		return // blocked until the mark is replicated, or until this incarnation is fenced
 	}
-	add(p.Name+": taking over: "+name, func(m *Model) { m.takeStep(m.Procs[i]) })
+	add(p.Name+": takeover: "+name, func(m *Model) { m.takeoverStep(m.Procs[i]) })
 }
 
-func (m *Model) takeStep(p *proc) {
+func (m *Model) takeoverStep(p *process) {
 	t := p.Take
-	of := func(do func(id string, h *holding)) {
+	of := func(do func(id string, h *heldMessage)) {
 		for _, id := range slices.Sorted(maps.Keys(p.Held)) {
 			if h := p.Held[id]; h.Adopting == t.Ended.String() {
 				do(id, h)
@@ -669,18 +671,18 @@
 		t.Committed(true, m.decide(controlplane.Command{Kind: controlplane.CompleteTakeover, Life: t.Ended, Taker: t.Successor}) == nil)
 		p.View = m.Council.Clone()
 	case replication.Activate:
-		of(func(_ string, h *holding) { h.Adopting, h.Away = "", false })
+		of(func(_ string, h *heldMessage) { h.Adopting, h.Away = "", false })
 		t.Activated(true)
 	case replication.Discard:
-		of(func(id string, _ *holding) { m.over(p, id, false) })
+		of(func(id string, _ *heldMessage) { m.complete(p, id, false) })
 		t.Discarded()
 	case replication.Done:
 		p.Take, p.Content = nil, replication.Content{}
 	}
 }
 
-// councilMoves are what its leader does.
-func (m *Model) councilMoves(add func(string, func(*Model))) {
+// controlPlaneMoves adds the moves of the control plane's leader.
+func (m *Model) controlPlaneMoves(add func(string, func(*Model))) {
 	for _, name := range m.Council.Names() {
 		member := m.Council.Members[name]
 		p := m.proc(name)
@@ -692,7 +694,7 @@
 			gone = true
 		}
 		if gone {
-			add("the council ends "+name, func(m *Model) {
+			add("the control plane fences "+name, func(m *Model) {
 				if m.Setup.Fault == TakenBeforeFenced {
 					m.Setup.Expired = 0
 				} else {
@@ -709,22 +711,22 @@
 		best, most := "", uint64(0)
 		for _, name := range j.Keepers {
 			k := m.proc(name)
-			if h := k.Shelf.Replica(j.Life); k.Up && k.Begun && m.Council.Alive(m.life(k)) && h != nil && h.LastIndex > most {
+			if h := k.Shelf.Replica(j.Life); k.Up && k.Begun && m.Council.Alive(m.incarnation(k)) && h != nil && h.LastIndex > most {
 				best, most = name, h.LastIndex
 			}
 		}
 		if best != "" {
-			life := j.Life
-			add("the council gives "+life.String()+" to "+best, func(m *Model) {
+			incarnation := j.Life
+			add("the control plane assigns the takeover of "+incarnation.String()+" to "+best, func(m *Model) {
 				k := m.proc(best)
-				k.Shelf.Fence(life)
-				_ = m.decide(controlplane.Command{Kind: controlplane.AssignTakeover, Life: life, Taker: m.life(k)})
+				k.Shelf.Fence(incarnation)
+				_ = m.decide(controlplane.Command{Kind: controlplane.AssignTakeover, Life: incarnation, Taker: m.incarnation(k)})
 			})
 		}
 	}
 }
 
-// Broken holds what is against the rules.
+// Broken returns the rule that the current state breaks, or the empty string.
 func (m *Model) Broken() string {
 	if m.Wrong != "" {
 		return m.Wrong
@@ -734,12 +736,12 @@
 		if f.Class == "unsafe" && f.Effects > 1 {
 			return id + " takes effect twice"
 		}
-		if f.Ends["delivered"] && f.Ends["given up"] && f.Effects == 0 {
-			return id + " has two ends"
+		if f.Ends["delivered"] && f.Ends["abandoned"] && f.Effects == 0 {
+			return id + " has two outcomes"
 		}
 		senders := 0
 		for _, p := range m.Procs {
-			if h := p.Held[id]; h != nil && p.Up && !h.Away && h.Adopting == "" && m.acts(p) {
+			if h := p.Held[id]; h != nil && p.Up && !h.Away && h.Adopting == "" && m.mayAct(p) {
 				senders++
 			}
 		}
@@ -747,13 +749,13 @@
 			return fmt.Sprintf("%d forwarders may send %s", senders, id)
 		}
 		if m.Setup.Owned && f.Told && len(f.Ends) == 0 && !m.owned(id) {
-			return id + " was taken on, has no end, and nobody has it, though a copy was kept"
+			return id + " was accepted and is not completed, but no folder holds it although a copy was kept"
 		}
 	}
 	return ""
 }
 
-// owned says whether a message is in a folder.
+// owned reports whether any folder holds a message.
 func (m *Model) owned(id string) bool {
 	for _, p := range m.Procs {
 		for _, x := range p.Folder.Log.Messages() {
--- a/internal/lab/cluster/model_test.go
+++ b/internal/lab/cluster/model_test.go
@@ -8,15 +8,15 @@
 	"mulleinbeam/internal/lab/explore"
 )
 
-// walks bounds what the tests walk; larklab cluster model goes further.
+// Bounds of the exploration in the tests; larklab cluster model explores further.
 const (
 	states = 4000
 	walks  = 500
 	moves  = 90
 )
 
-// In no order of crashes, lost folders, pauses and lost batches does an unsafe message take effect twice, may two forwarders send
-// one message, or is a message that was taken on nobody's.
+// Guards against orders of crashes, lost folders, pauses and lost batches in which an unsafe message takes effect twice, two forwarders
+// may send one message, or no forwarder owns an accepted message.
 func TestModel(t *testing.T) {
 	for name, s := range Worlds() {
 		t.Run(name, func(t *testing.T) {
@@ -36,8 +36,8 @@
 	}
 }
 
-// Each safeguard that is taken out is found to be missing.
-func TestModelFindsWhatIsMissing(t *testing.T) {
+// Guards against a model that cannot find defects: with any one safeguard removed, the exploration has to find a broken rule.
+func TestModelFindsRemovedSafeguards(t *testing.T) {
 	for fault, in := range map[Fault]string{
 		AckBeforeStored: "an owner dies with its folder", TakenBeforeFenced: "a lease runs out", NoLeaseLook: "a lease runs out",
 		BehindCounts: "an owner dies with its folder", MergeNever: "copies are rolled back", DropsEnded: "an id comes again",
@@ -45,7 +45,7 @@
 		t.Run(string(fault), func(t *testing.T) {
 			t.Parallel()
 			s := Worlds()[in]
-			if s.Fault, s.Whole = fault, true; s.Expired > 0 { // nothing else is needed for these
+			if s.Fault, s.Whole = fault, true; s.Expired > 0 { // these faults need neither a kill nor a second message
 				s.Messages, s.Kills = s.Messages[:1], 0
 			}
 			r := explore.RandomWalk(func() *Model { return NewModel(s) }, 100*walks, moves, 2)
