--- a/internal/lab/cluster/describe.go
+++ b/internal/lab/cluster/describe.go
@@ -18,7 +18,7 @@
 func (f *Fleet) Describe() string {
 	var out strings.Builder
 	for i, member := range f.Members {
-		if !member.running || member.stopped {
+		if !member.running || member.paused {
 			continue
 		}
 		_ = member.Signal(syscall.SIGUSR1) // it may be gone by now
--- a/internal/lab/cluster/fleet.go
+++ b/internal/lab/cluster/fleet.go
@@ -21,71 +21,72 @@
 	"mulleinbeam/internal/lab"
 )
 
-// Setup is a fleet.
+// Setup configures a Fleet.
 type Setup struct {
 	Members  int
-	Founders int // the first of them; 0 is 3, or all there are. They begin the council; it may have others later
-	Copies   int // 0 is 2
-	Zones    int // that members take in turn; 0 is 2
+	Founders int // the first members, initial voters of the control plane; 0 means 3, or all if there are fewer
+	Copies   int // 0 means 2
+	Zones    int // assigned to members in rotation; 0 means 2
 	Alone    []string
-	Extra    string // further lines of [cluster]
+	Extra    string // additional lines of [cluster]
 	Program  []string
 	Env      []string
 	Dir      string
 	Seed     uint64
 	Direct   bool   // no fault proxies between members
-	Off      bool   // no [cluster] at all: what it costs is measured against this
-	Settings string // further tables
+	Off      bool   // no [cluster] table; the baseline of cost measurements
+	Settings string // additional tables
 	Amend    func(configuration map[string]any)
-	Body     int64   // bytes of a message; 0 is 200
-	Sites    int     // partners of the one destination, one in each of so many zones; 0 is one in a zone of its own
-	Relays   int     // of the control plane; voters use none
-	Cores    float64 // of a member's processor; 0 is one
-	MemoryMB int     // of a member; 0 is the laboratory's default
-	Paths    bool    // members reach partners through fault proxies of their own
+	Body     int64   // bytes of a message; 0 means 200
+	Sites    int     // partners of the destination, one per zone; 0 means one partner in a zone of its own
+	Relays   int     // number of control plane relays; voters do not use them
+	Cores    float64 // processor cores of a member; 0 means one
+	MemoryMB int     // memory limit of a member; 0 means the laboratory's default
+	Paths    bool    // each member reaches the partners through its own fault proxies
 }
 
-// Member is one process with its folder.
+// Member is a forwarder process with its directory.
 type Member struct {
 	*lab.Forwarder
 	Name    string
-	Links   string // where its links listen
+	Links   string // address on which it accepts connections of other members
 	Dir     string
-	stopped bool
+	paused  bool
 	running bool
 }
 
-// State is its state folder.
+// State returns the path of the member's state folder.
 func (m *Member) State() string { return filepath.Join(m.Dir, "state") }
 
-// Fleet is the processes with what lies between them, one partner, an agent and clients that are seen by one checker.
+// Fleet runs member processes with the fault proxies between them, partners and a discovery agent. One checker
+// observes all clients, arrivals and delivery reports.
 type Fleet struct {
 	Setup
-	Partner  *lab.Endpoint // the first of
+	Partner  *lab.Endpoint // the first of Partners
 	Partners []*lab.Endpoint
 	Agent    *lab.Agent
 	Check    *lab.Checker
 	Members  []*Member
 
-	proxies map[[2]int]*FaultProxy
-	relays  []*relayProcess
-	paths   map[[2]int]*FaultProxy // of a member to a partner
-	agents  []*lab.Agent           // of members that have paths
-	mu      sync.Mutex
-	events  []string
-	began   time.Time
-	next    int
-	told    int                   // notices that the checker has seen,
-	saw     map[*lab.Endpoint]int // and arrivals
+	proxies         map[[2]int]*FaultProxy
+	relays          []*relayProcess
+	paths           map[[2]int]*FaultProxy // by member and partner
+	agents          []*lab.Agent           // of the members, if Paths is set
+	mu              sync.Mutex
+	events          []string
+	began           time.Time
+	lastMessage     int
+	checkedReports  int                   // delivery reports that the checker has processed
+	checkedArrivals map[*lab.Endpoint]int // arrivals that the checker has processed
 }
 
-// fleets counts those that this process has opened.
-var fleets atomic.Uint64
+// openedFleets counts the fleets that this process has opened.
+var openedFleets atomic.Uint64
 
-// Group is the partner's destination.
+// Group is the destination of the partners.
 const Group = 7
 
-// Open lays a fleet out; Start starts its members. Partner may be nil for one that answers 200 at once.
+// Open prepares a fleet without starting its members. A nil partner stands for one that answers 200 at once.
 func Open(s Setup, partner *lab.Endpoint) (*Fleet, error) {
 	if s.Founders == 0 {
 		s.Founders = min(3, s.Members)
@@ -102,7 +103,7 @@
 	partner.Group = Group
 	f := &Fleet{
 		Setup: s, Partner: partner, Partners: []*lab.Endpoint{partner}, Agent: &lab.Agent{}, Check: lab.NewChecker(), proxies: map[[2]int]*FaultProxy{}, paths: map[[2]int]*FaultProxy{}, began: time.Now(),
-		saw: map[*lab.Endpoint]int{},
+		checkedArrivals: map[*lab.Endpoint]int{},
 	}
 	if s.Sites > 0 {
 		partner.Name, partner.Zone = "p0", "z0"
@@ -119,8 +120,8 @@
 	if err := f.Agent.Listen(f.Partners...); err != nil {
 		return nil, err
 	}
-	fleet := fleets.Add(1)
-	host := func(i int) string { // of its own: no port there is taken by others' connections or listeners
+	fleet := openedFleets.Add(1)
+	host := func(i int) string { // a separate address, so that other connections and listeners take no port on it
 		return fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%64, (uint64(os.Getpid()/64)+fleet)%256, i+1)
 	}
 	for i := range s.Members {
@@ -128,7 +129,7 @@
 		if err != nil {
 			return nil, err
 		}
-		defer links.Close() // held until its member has chosen where it takes messages: else that could be the very same
+		defer links.Close() // kept open until the member has chosen its client port, which could otherwise be the same
 		f.Members = append(f.Members, &Member{Name: fmt.Sprintf("n%d", i), Links: links.Addr().String(), Dir: filepath.Join(s.Dir, fmt.Sprintf("n%d", i))})
 	}
 	if err := f.openRelays(); err != nil {
@@ -163,7 +164,7 @@
 	return f, nil
 }
 
-// agentOf is a member's: with paths one that says where its fault proxies are.
+// agentOf returns the discovery agent of a member. With Paths, the agent announces the member's fault proxies.
 func (f *Fleet) agentOf(i int) (*lab.Agent, error) {
 	if !f.Paths {
 		return f.Agent, nil
@@ -181,7 +182,7 @@
 	return agent, err
 }
 
-// settings is a member's own TOML.
+// settings returns the [cluster] settings of a member as TOML.
 func (f *Fleet) settings(i int) string {
 	if f.Off {
 		return ""
@@ -208,21 +209,21 @@
 	return b.String()
 }
 
-// Event books something that somebody saw.
+// Event records an event with the time since the fleet was opened.
 func (f *Fleet) Event(format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.events = append(f.events, fmt.Sprintf("%9.3f ", time.Since(f.began).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// Events are all that was seen, in their order.
+// Events returns the recorded events in order.
 func (f *Fleet) Events() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]string(nil), f.events...)
 }
 
-// Start starts members, side by side, and waits until each serves.
+// Start starts members concurrently and waits until each of them serves.
 func (f *Fleet) Start(members ...int) error {
 	errs := make([]error, len(members))
 	var wg sync.WaitGroup
@@ -240,7 +241,7 @@
 	return errors.Join(errs...)
 }
 
-// All are all members' numbers.
+// All returns the indexes of all members.
 func (f *Fleet) All() (all []int) {
 	for i := range f.Members {
 		all = append(all, i)
@@ -248,7 +249,7 @@
 	return all
 }
 
-// Kill ends a member at once.
+// Kill ends a member with SIGKILL.
 func (f *Fleet) Kill(i int) error {
 	m := f.Members[i]
 	f.Event("n%d: SIGKILL", i)
@@ -256,56 +257,56 @@
 		return nil
 	}
 	m.running = false
-	if m.stopped {
-		m.stopped = false
+	if m.paused {
+		m.paused = false
 	}
 	_ = m.End(syscall.SIGKILL)
 	return nil
 }
 
-// Stop has a member end by itself.
+// Stop shuts a member down with SIGTERM.
 func (f *Fleet) Stop(i int) error {
 	f.Event("n%d: SIGTERM", i)
 	f.Members[i].running = false
 	return f.Members[i].End(syscall.SIGTERM)
 }
 
-// Pause stops a member where it is; Wake lets it go on.
+// Pause suspends a member with SIGSTOP until Wake.
 func (f *Fleet) Pause(i int) error {
 	f.Event("n%d: SIGSTOP", i)
-	f.Members[i].stopped = true
+	f.Members[i].paused = true
 	return f.Members[i].Signal(syscall.SIGSTOP)
 }
 
-// Wake lets a paused member go on.
+// Wake resumes a paused member.
 func (f *Fleet) Wake(i int) error {
 	f.Event("n%d: SIGCONT", i)
-	f.Members[i].stopped = false
+	f.Members[i].paused = false
 	return f.Members[i].Signal(syscall.SIGCONT)
 }
 
-// LoseFolder takes a dead member's folder away.
+// LoseFolder deletes the state folder of a member that does not run.
 func (f *Fleet) LoseFolder(i int) error {
 	f.Event("n%d: folder lost", i)
 	return errors.Join(os.RemoveAll(f.Members[i].State()), os.MkdirAll(f.Members[i].State(), 0o700))
 }
 
-// SaveFolder keeps a dead member's folder as it is now, for RollBack.
+// SaveFolder copies the state folder of a member that does not run, for RollBack.
 func (f *Fleet) SaveFolder(i int) error {
 	m := f.Members[i]
 	return errors.Join(os.RemoveAll(m.Dir+"/saved"), os.CopyFS(m.Dir+"/saved", os.DirFS(m.State())))
 }
 
-// RollBack puts a dead member's folder back to what SaveFolder kept.
+// RollBack restores the state folder that SaveFolder copied.
 func (f *Fleet) RollBack(i int) error {
 	m := f.Members[i]
 	f.Event("n%d: folder rolled back", i)
 	return errors.Join(os.RemoveAll(m.State()), os.CopyFS(m.State(), os.DirFS(m.Dir+"/saved")))
 }
 
-// Damage flips a bit in the middle of what a dead member's folder of copies holds.
+// Damage flips a bit in the middle of the largest file of replicas of a member that does not run.
 func (f *Fleet) Damage(i int) error {
-	f.Event("n%d: copies damaged", i)
+	f.Event("n%d: replicas damaged", i)
 	var path string
 	var held []byte
 	err := filepath.WalkDir(filepath.Join(f.Members[i].State(), "copies"), func(p string, d fs.DirEntry, err error) error {
@@ -319,7 +320,7 @@
 		return err
 	})
 	if err != nil || path == "" {
-		return errors.Join(err, fmt.Errorf("cluster: n%d has no copies: %q", i, path))
+		return errors.Join(err, fmt.Errorf("cluster: n%d has no replicas: %q", i, path))
 	}
 	file, err := os.OpenFile(path, os.O_WRONLY, 0)
 	if err != nil {
@@ -330,18 +331,19 @@
 	return errors.Join(err, file.Close())
 }
 
-// Proxy is what carries the connections that one member makes to another.
+// Proxy returns the fault proxy for connections that one member makes to another.
 func (f *Fleet) Proxy(from, to int) *FaultProxy { return f.proxies[[2]int{from, to}] }
 
-// Stall has nothing pass from one member to another, without a word, until it is taken back: neither what it sends on its own
-// connections nor what it answers on the other's.
+// Stall silently blocks data from one member to another, or lifts the block: requests on connections of the sender and
+// responses on connections of the receiver.
 func (f *Fleet) Stall(from, to int, on bool) {
 	f.Event("link n%d to n%d: stalled %v", from, to, on)
 	f.proxies[[2]int{from, to}].Set(There, Way{Stall: on})
 	f.proxies[[2]int{to, from}].Set(Back, Way{Stall: on})
 }
 
-// Split cuts a group of members off from all others, both ways, with resets; Heal takes all faults of links back.
+// Split partitions a group of members from all others: connections are reset in both directions and new ones refused,
+// until Heal.
 func (f *Fleet) Split(group ...int) {
 	f.Event("split: %v from the rest", group)
 	in := map[int]bool{}
@@ -355,14 +357,14 @@
 	}
 }
 
-// Cut resets the links between two members, both ways, and lets no new ones come up.
+// Cut resets the connections between two members in both directions and refuses new ones.
 func (f *Fleet) Cut(a, b int) {
 	f.Event("links n%d and n%d: cut", a, b)
 	f.proxies[[2]int{a, b}].Refuse(true, true)
 	f.proxies[[2]int{b, a}].Refuse(true, true)
 }
 
-// CutPaths has calls of members to partners' sites reset, or wait without a word, until Heal.
+// CutPaths resets calls from members to partners' sites, or with silent stalls them, until Heal.
 func (f *Fleet) CutPaths(members, sites []int, silent bool) {
 	f.Event("paths of %v to %v: cut, silent %v", members, sites, silent)
 	for _, i := range members {
@@ -376,7 +378,7 @@
 	}
 }
 
-// Heal takes all faults of links and paths back.
+// Heal removes all faults of links and paths.
 func (f *Fleet) Heal() {
 	f.Event("links healed")
 	for _, all := range []map[[2]int]*FaultProxy{f.proxies, f.paths} {
@@ -388,16 +390,16 @@
 	}
 }
 
-// Hand hands a message in at a member, and books what its client heard.
+// Hand sends a new message to a member and records the answer to the client.
 func (f *Fleet) Hand(i int, class string, left time.Duration) (id string, a lab.Answer) {
 	f.mu.Lock()
-	f.next++
-	id = fmt.Sprintf("%s-%d", class, f.next)
+	f.lastMessage++
+	id = fmt.Sprintf("%s-%d", class, f.lastMessage)
 	f.mu.Unlock()
 	return id, f.HandAs(i, id, class, left)
 }
 
-// HandAs hands a message of a given id in.
+// HandAs sends a message with a given id to a member and records the answer to the client.
 func (f *Fleet) HandAs(i int, id, class string, left time.Duration) lab.Answer {
 	h := lab.Handover{ID: id, Key: "key-" + id, Class: class, Destination: Group, Left: left, Body: lab.Content{Seed: uint64(len(id)), Size: cmp.Or(f.Body, 200)}}
 	c, err := lab.Dial(f.Members[i].Address())
@@ -411,19 +413,19 @@
 	return a
 }
 
-// Look asks a member what it knows.
+// Look returns the status of a member.
 func (f *Fleet) Look(i int) (node.Status, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	return node.GetStatus(ctx, f.Members[i].Links)
 }
 
-// Await looks at a member until something holds of it.
+// Await polls the status of a member until holds returns true.
 func (f *Fleet) Await(ctx context.Context, i int, what string, holds func(node.Status) bool) error {
 	return await(ctx, f, i, what, node.GetStatus, holds)
 }
 
-// Order has the council decide something, whichever member passes it on.
+// Order submits a command to the control plane through any running member and retries until it is decided.
 func (f *Fleet) Order(ctx context.Context, c controlplane.Command) error {
 	for {
 		var r controlplane.Response
@@ -439,7 +441,7 @@
 				return nil
 			}
 			if err != nil && ctx.Err() == nil {
-				err = nil // the next one
+				err = nil // try the next member
 			}
 		}
 		if err != nil || !lab.Sleep(ctx, 10*time.Millisecond) {
@@ -448,7 +450,7 @@
 	}
 }
 
-// await looks at a member until something holds of it. It ends only with the member, or with who waits.
+// await polls a member until holds returns true or ctx ends.
 func await[T any](ctx context.Context, f *Fleet, i int, what string, look func(ctx context.Context, address string) (T, error), holds func(T) bool) error {
 	for {
 		call, cancel := context.WithTimeout(ctx, 2*time.Second)
@@ -463,18 +465,18 @@
 	}
 }
 
-// AwaitPlan looks at where a member sees traffic go until something holds of it.
+// AwaitPlan polls the traffic plan of a member until holds returns true.
 func (f *Fleet) AwaitPlan(ctx context.Context, i int, what string, holds func(node.PlanStatus) bool) error {
 	return await(ctx, f, i, what, node.GetPlan, holds)
 }
 
-// AwaitFacts looks at what a member knows of partners until something holds of it.
+// AwaitFacts polls the observations that a member holds until holds returns true.
 func (f *Fleet) AwaitFacts(ctx context.Context, i int, what string, holds func(node.ObservationStatus) bool) error {
 	return await(ctx, f, i, what, node.GetObservations, holds)
 }
 
-// AwaitCopied waits until each of the members may act, speaks in the council if it is a founder, and has as many counted keepers as the
-// members that run allow, who say themselves that they have all that it has.
+// AwaitCopied waits until each of the members may act, votes if it is a voter, and has as many in-sync replicas as
+// the number of running members allows. The replicas themselves must report that they hold all records.
 func (f *Fleet) AwaitCopied(ctx context.Context, members ...int) error {
 	running := 0
 	for _, m := range f.Members {
@@ -483,14 +485,14 @@
 		}
 	}
 	for _, i := range members {
-		err := f.Await(ctx, i, "copies that count", func(s node.Status) bool {
-			level := 0
+		err := f.Await(ctx, i, "in-sync replicas", func(s node.Status) bool {
+			inSync := 0
 			for _, k := range s.Keepers {
 				if k.Counts && k.Has == k.Of && k.Missed == 0 && f.has(k.Name, s.Life, k.Of) {
-					level++
+					inSync++
 				}
 			}
-			return s.MayAct && !s.Silent && level >= min(f.Copies, running)-1
+			return s.MayAct && !s.Silent && inSync >= min(f.Copies, running)-1
 		})
 		if err != nil {
 			return err
@@ -499,8 +501,8 @@
 	return nil
 }
 
-// has says whether a member has the copy of a life up to an index.
-func (f *Fleet) has(name string, life controlplane.Incarnation, index uint64) bool {
+// has reports whether a member holds the replica of an incarnation up to an index.
+func (f *Fleet) has(name string, incarnation controlplane.Incarnation, index uint64) bool {
 	for i, m := range f.Members {
 		if m.Name != name {
 			continue
@@ -510,7 +512,7 @@
 			return false
 		}
 		for _, c := range s.Copies {
-			if c.Life == life && c.Has >= index {
+			if c.Life == incarnation && c.Has >= index {
 				return true
 			}
 		}
@@ -518,11 +520,11 @@
 	return false
 }
 
-// AwaitDone waits until the council knows that whatever a member's life owed belongs to somebody.
-func (f *Fleet) AwaitDone(ctx context.Context, at int, name string, life uint64) error {
-	return f.Await(ctx, at, "taker of "+name, func(s node.Status) bool {
+// AwaitDone waits until the control plane records the takeover of a member's incarnation as done.
+func (f *Fleet) AwaitDone(ctx context.Context, at int, name string, incarnation uint64) error {
+	return f.Await(ctx, at, "takeover of "+name, func(s node.Status) bool {
 		for _, j := range s.State.Jobs {
-			if j.Life.Name == name && j.Life.Number == life {
+			if j.Life.Name == name && j.Life.Number == incarnation {
 				return j.Done
 			}
 		}
@@ -530,45 +532,45 @@
 	})
 }
 
-// AwaitSettled waits until nothing is held at the members that run, and nobody has a notice to tell.
+// AwaitSettled waits until the members hold no messages and all their delivery reports are acknowledged.
 func (f *Fleet) AwaitSettled(members ...int) error {
 	for _, i := range members {
 		if err := f.Members[i].AwaitCounter("in", "held", 0); err != nil {
 			return err
 		}
-		for told := false; !told; {
+		for reported := false; !reported; {
 			line, err := f.Members[i].Counters("notices")
 			if err != nil {
 				return err
 			}
-			told = line["handed_back"]+line["given_up"] == line["acknowledged"]
+			reported = line["handed_back"]+line["given_up"] == line["acknowledged"]
 		}
 	}
 	return nil
 }
 
-// Life is the number of a member's present life, as it knows it.
+// Life returns the number of a member's current incarnation as the member reports it.
 func (f *Fleet) Life(i int) (uint64, error) {
 	s, err := f.Look(i)
 	return s.Life.Number, err
 }
 
-// Broken holds what all sides saw against the rules.
+// Broken checks new arrivals and delivery reports and returns all violations found so far.
 func (f *Fleet) Broken() []string {
 	notices := f.Agent.Notices()
 	for _, p := range f.Partners {
 		arrivals := p.Arrivals()
-		f.Check.Saw(notices[f.told:], arrivals[f.saw[p]:])
-		f.told, f.saw[p] = len(notices), len(arrivals)
+		f.Check.Saw(notices[f.checkedReports:], arrivals[f.checkedArrivals[p]:])
+		f.checkedReports, f.checkedArrivals[p] = len(notices), len(arrivals)
 	}
 	return f.Check.Broken()
 }
 
-// Close ends everything.
+// Close ends all processes, proxies, agents and partners.
 func (f *Fleet) Close() {
 	for _, m := range f.Members {
 		if m.running {
-			if m.stopped {
+			if m.paused {
 				_ = m.Signal(syscall.SIGCONT)
 			}
 			m.Forwarder.Kill()
--- a/internal/lab/cluster/measure.go
+++ b/internal/lab/cluster/measure.go
@@ -18,7 +18,8 @@
 	"mulleinbeam/internal/lab/explore"
 )
 
-// Takeovers measures the time from a member's kill, with its folder, until the first of its messages goes on elsewhere.
+// Takeovers measures the time from the kill of a member, whose folder is lost too, to the first call for its message by
+// another member.
 type Takeovers struct {
 	Program []string
 	Env     []string
@@ -26,7 +27,7 @@
 	Out     io.Writer
 }
 
-// Run measures.
+// Run performs the kills and prints percentiles of the time.
 func (t Takeovers) Run(ctx context.Context) error {
 	dir, err := os.MkdirTemp("", "larklab-takeover-")
 	if err != nil {
@@ -47,7 +48,7 @@
 		mu.Unlock()
 		arrived <- c.ID
 		if !open.Load() {
-			<-closed // held until the member that called is dead
+			<-closed // held until the calling member is dead
 			return false
 		}
 		return c.Answer(200, "") == nil
@@ -68,7 +69,7 @@
 		return err
 	}
 	h := hdrhistogram.New(1, int64(time.Minute/time.Millisecond), 3)
-	defer func() { // also of a run that was cut short
+	defer func() { // printed also if the run was cut short
 		fmt.Fprintf(t.Out, "%d kills, from the kill to the first call elsewhere: p50 %d ms, p99 %d ms, longest %d ms\n", h.TotalCount(),
 			h.ValueAtQuantile(50), h.ValueAtQuantile(99), h.Max())
 	}()
@@ -79,26 +80,26 @@
 		if err := f.AwaitJobs(ctx, 0); err != nil {
 			return err
 		}
-		who := k % 5
-		life, err := f.Life(who)
+		victim := k % 5
+		incarnation, err := f.Life(victim)
 		if err != nil {
 			return err
 		}
 		open.Store(false)
 		closed = make(chan struct{})
-		id, a := f.Hand(who, "safe", 20*time.Second)
+		id, a := f.Hand(victim, "safe", 20*time.Second)
 		if a.Status != 202 {
 			return fmt.Errorf("kill %d: answered %d", k, a.Status)
 		}
 		for got := ""; got != id; {
 			got = <-arrived
 		}
-		if err := f.AwaitCopied(ctx, who); err != nil {
+		if err := f.AwaitCopied(ctx, victim); err != nil {
 			return err
 		}
 		open.Store(true)
 		at := time.Now()
-		if err := f.Kill(who); err != nil {
+		if err := f.Kill(victim); err != nil {
 			return err
 		}
 		close(closed)
@@ -110,20 +111,20 @@
 			}
 		}
 		_ = h.RecordValue(time.Since(at).Milliseconds())
-		if err := f.AwaitDone(ctx, (who+1)%5, f.Members[who].Name, life); err != nil {
+		if err := f.AwaitDone(ctx, (victim+1)%5, f.Members[victim].Name, incarnation); err != nil {
 			return err
 		}
-		if err := f.LoseFolder(who); err != nil {
+		if err := f.LoseFolder(victim); err != nil {
 			return err
 		}
-		if err := f.Start(who); err != nil {
+		if err := f.Start(victim); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Cost measures what copies cost one forwarder under closed-loop load, against the program without them.
+// Cost measures the cost of replication for one forwarder under closed-loop load, relative to the program without it.
 type Cost struct {
 	Program []string
 	Plain   []string
@@ -133,20 +134,20 @@
 	Out     io.Writer
 }
 
-// load is what one run has shown.
+// load is the result of one run.
 type load struct {
 	perSecond float64
-	cpu       float64 // microseconds a message, of the process that takes them
-	others    float64 // and of all others together
-	p50, p99  float64 // ms until the 202
+	cpu       float64 // microseconds per message, of the process that accepts them
+	others    float64 // microseconds per message, of all other members together
+	p50, p99  float64 // milliseconds until the 202
 }
 
 const (
 	clients    = 24
-	costWeight = 50000 // calls a second that the partner is listed with
+	costWeight = 50000 // capacity of the partner in discovery, in calls per second
 )
 
-// Run measures.
+// Run measures each number of copies and prints the results.
 func (c Cost) Run(ctx context.Context) error {
 	for range max(1, c.Rounds) {
 		var base load
@@ -162,7 +163,7 @@
 			if v.copies == 0 {
 				base = l
 			}
-			fmt.Fprintf(c.Out, "%-22s %7.0f messages/s (%.2f)  %6.0f us of processor a message (%.2f), all others %6.0f  202 after p50 %.2f ms, p99 %.2f ms (%.2f)\n",
+			fmt.Fprintf(c.Out, "%-22s %7.0f messages/s (%.2f)  %6.0f us of CPU per message (%.2f), all others %6.0f  202 after p50 %.2f ms, p99 %.2f ms (%.2f)\n",
 				v.name, l.perSecond, l.perSecond/base.perSecond, l.cpu, l.cpu/base.cpu, l.others, l.p50, l.p99, l.p99/base.p99)
 		}
 	}
@@ -177,12 +178,12 @@
 	defer os.RemoveAll(dir)
 	s := Setup{
 		Members: 3, Copies: copies, Program: c.Program, Env: c.Env, Dir: filepath.Join(dir, "f"), Seed: 1, Direct: delay == 0, Off: copies == 0,
-		Amend: busy,
+		Amend: highLoadSettings,
 	}
 	if copies == 0 {
 		s.Members, s.Program = 1, c.Plain
 	}
-	f, err := Open(s, &lab.Endpoint{Name: "p", Weight: costWeight}) // it is not what holds them up
+	f, err := Open(s, &lab.Endpoint{Name: "p", Weight: costWeight}) // the partner must not be the bottleneck
 	if err != nil {
 		return l, err
 	}
@@ -227,21 +228,21 @@
 	return l, nil
 }
 
-// busy lets a member hold and call much.
-func busy(conf map[string]any) {
+// highLoadSettings raises the limits on concurrent calls and held messages.
+func highLoadSettings(conf map[string]any) {
 	settings := conf["settings"].(map[string]any)
 	settings["family-info"].(map[string]any)["calls-out"] = 64
 	settings["limits"].(map[string]any)["most-held"] = 2000
 }
 
-// closedLoad is clients of one member that each hand a message in when they have the answer for the one before.
+// closedLoad runs clients of one member; each sends a message after the answer to the one before (closed loop).
 type closedLoad struct {
 	f  *Fleet
 	to int
 
 	mu    sync.Mutex
 	all   *hdrhistogram.Histogram // microseconds until a 202
-	fresh *hdrhistogram.Histogram // since it was last asked
+	fresh *hdrhistogram.Histogram // since the last call of since
 }
 
 func newLoad(f *Fleet, to int) *closedLoad {
@@ -249,7 +250,8 @@
 	return &closedLoad{f: f, to: to, all: h(), fresh: h()}
 }
 
-// since gives how many messages were taken on since it was last asked, and p99 of the time until their 202, in milliseconds.
+// since returns the number of messages accepted since its last call and p99 of the time until their 202 in
+// milliseconds.
 func (l *closedLoad) since() (n int64, p99 float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -257,7 +259,7 @@
 	return l.fresh.TotalCount(), float64(l.fresh.ValueAtQuantile(99)) / 1000
 }
 
-// run hands in until ctx ends.
+// run sends messages until ctx ends.
 func (l *closedLoad) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for k := range clients {
@@ -290,13 +292,13 @@
 			}
 		}
 		if a.Status == 503 {
-			lab.Sleep(ctx, time.Millisecond) // it is full for a moment
+			lab.Sleep(ctx, time.Millisecond) // temporarily full
 		}
 	}
 	client.Close()
 }
 
-// Worlds are the small ones that are walked. Each bound is one that its faults need.
+// Worlds returns the small models to explore. Each bound is as large as its faults need.
 func Worlds() map[string]ModelSetup {
 	return map[string]ModelSetup{
 		"an owner dies with its folder": {Messages: []string{"unsafe"}, Copies: 2, Kills: 2, Lost: 1, Owned: true},
@@ -307,7 +309,7 @@
 	}
 }
 
-// WalkModels walks each of them, up to so many states.
+// WalkModels explores each model up to a number of states.
 func WalkModels(most int, out io.Writer) error {
 	for name, s := range Worlds() {
 		began := time.Now()
@@ -320,23 +322,23 @@
 	return nil
 }
 
-// Catchup measures what it takes to bring a new keeper up to date under load, and what others' answers notice of it.
+// Catchup measures the catch-up of a new replica under load and its effect on the latency of clients.
 type Catchup struct {
 	Program []string
 	Env     []string
 	Extra   string        // lines of [cluster]
-	Length  time.Duration // of load before, and behind
+	Length  time.Duration // of load before and after the catch-up
 	Out     io.Writer
 }
 
-// Run measures: the counted keeper of a member under closed-loop load is drained, so that another gets all that there is.
+// Run drains the in-sync replica of a member under closed-loop load, so that another replica receives all records.
 func (c Catchup) Run(ctx context.Context) error {
 	dir, err := os.MkdirTemp("", "larklab-catchup-")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	f, err := Open(Setup{Members: 3, Program: c.Program, Env: c.Env, Dir: dir, Seed: 1, Direct: true, Amend: busy, Extra: c.Extra}, &lab.Endpoint{Name: "p", Weight: costWeight})
+	f, err := Open(Setup{Members: 3, Program: c.Program, Env: c.Env, Dir: dir, Seed: 1, Direct: true, Amend: highLoadSettings, Extra: c.Extra}, &lab.Endpoint{Name: "p", Weight: costWeight})
 	if err != nil {
 		return err
 	}
@@ -371,7 +373,7 @@
 	}
 	var fresh node.ReplicaStatus
 	most := memory
-	err = f.Await(ctx, 0, "another keeper", func(s node.Status) bool {
+	err = f.Await(ctx, 0, "another in-sync replica", func(s node.Status) bool {
 		if now, err := f.Members[0].Memory(); err == nil {
 			most = max(most, now)
 		}
@@ -404,7 +406,7 @@
 			}
 		}
 	}
-	fmt.Fprintf(c.Out, "%d messages and ended ids, counted after %d ms (%.0f a second), %d messages answered meanwhile; 202 after p99 %.2f ms before, %.2f meanwhile (%.2f), %.2f behind; memory %.1f MiB before, %.1f at the most\n",
+	fmt.Fprintf(c.Out, "%d messages and ended ids, in sync after %d ms (%.0f per second), %d messages answered meanwhile; p99 until the 202 %.2f ms before, %.2f meanwhile (%.2f), %.2f after; memory %.1f MiB before, %.1f at most\n",
 		content, took.Milliseconds(), float64(content)/took.Seconds(), n, before, meanwhile, meanwhile/before, after, float64(memory)/(1<<20), float64(most)/(1<<20))
 	return nil
 }
--- a/internal/lab/cluster/places.go
+++ b/internal/lab/cluster/places.go
@@ -13,7 +13,7 @@
 	"mulleinbeam/internal/lab"
 )
 
-// PlacesSettings are the tables of a fleet of so many members in four zones of two regions.
+// PlacesSettings returns the settings of a fleet in four zones of two regions.
 func PlacesSettings(members int) string {
 	return fmt.Sprintf(`
 [place]
@@ -28,24 +28,25 @@
 `, members)
 }
 
-// Meter counts a site's calls by the second, and the seconds in which it got more than twice what it can take; chance is allowed three.
+// Meter counts the calls of a site per second and records overloads: seconds with more than twice its capacity
+// plus three calls, which allow for chance.
 type Meter struct {
-	Warm   float64       // calls a second
-	Cold   float64       // share of that which it takes as it comes back,
-	Within time.Duration // and until it takes all
-
-	mu     sync.Mutex
-	back   time.Time // since when it is back; zero is always
-	begins time.Time // of the second that is counted
-	calls  float64
-	bears  float64 // in it
-	fell   []Overload
+	Warm   float64       // capacity in calls per second
+	Cold   float64       // share of Warm available when the site returns
+	Within time.Duration // time from the return to full capacity
+
+	mu        sync.Mutex
+	back      time.Time // time of the return; zero if never away
+	begins    time.Time // start of the current second
+	calls     float64
+	capacity  float64 // capacity in the current second
+	overloads []Overload
 }
 
-// Overload is a second in which a site got more than it bears.
+// Overload is a second in which a site received more calls than it can handle.
 type Overload struct {
-	After time.Duration // since the site came back; 0 where it was never away
-	Span  time.Duration // from the second's first call to the next second's
+	After time.Duration // time since the return of the site; 0 if it was never away
+	Span  time.Duration // from the first call of the second to that of the next
 	Calls float64
 	Bears float64
 }
@@ -54,14 +55,14 @@
 	return fmt.Sprintf("%.0f calls in %v, %v behind its return, of %.1f that it takes", o.Calls, o.Span.Round(time.Millisecond), o.After.Round(time.Millisecond), o.Bears)
 }
 
-// Back says that the site comes back, cold.
+// Back records the return of the site with cold capacity.
 func (m *Meter) Back() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.back, m.begins = time.Now(), time.Time{}
 }
 
-// Call counts one.
+// Call counts one call.
 func (m *Meter) Call() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -70,27 +71,27 @@
 		share = min(1, m.Cold+(1-m.Cold)*now.Sub(m.back).Seconds()/m.Within.Seconds())
 	}
 	if now.Sub(m.begins) >= time.Second {
-		if !m.begins.IsZero() && m.calls > 2*m.bears+3 {
-			o := Overload{Span: now.Sub(m.begins), Calls: m.calls, Bears: m.bears}
+		if !m.begins.IsZero() && m.calls > 2*m.capacity+3 {
+			o := Overload{Span: now.Sub(m.begins), Calls: m.calls, Bears: m.capacity}
 			if !m.back.IsZero() {
 				o.After = m.begins.Sub(m.back)
 			}
-			m.fell = append(m.fell, o)
+			m.overloads = append(m.overloads, o)
 		}
-		m.begins, m.calls, m.bears = now, 0, share*m.Warm
+		m.begins, m.calls, m.capacity = now, 0, share*m.Warm
 	}
 	m.calls++
 }
 
-// Fell are the seconds that had more than it bears.
+// Fell returns the recorded overloads.
 func (m *Meter) Fell() []Overload {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return slices.Clone(m.fell)
+	return slices.Clone(m.overloads)
 }
 
-// guarded has members keep to the users' rule of partners that come back, with its figures, as one of so many.
-func guarded(members int) func(map[string]any) {
+// withRecoveryRules returns an amendment that sets the rules for returning partners, for a number of members.
+func withRecoveryRules(members int) func(map[string]any) {
 	return func(conf map[string]any) {
 		settings := conf["settings"].(map[string]any)
 		settings["balancers"] = members
@@ -99,19 +100,19 @@
 	}
 }
 
-// siteRate is what each site of a trial takes, calls a second.
+// siteRate is the capacity of each site in a trial, in calls per second.
 const siteRate = 80
 
-// placeKinds are faults of places, beside those of processes and links.
+// placeKinds are the kinds of locality faults, in addition to those of processes and links.
 var placeKinds = []string{"site", "silent", "way", "region"}
 
-// sites is the trial's part that a fleet with places adds.
+// sites measures the load of each site in a trial with localities.
 type sites struct {
-	meters map[string]*Meter // by address
+	meters map[string]*Meter // keyed by address
 	mu     sync.Mutex
 }
 
-// count counts a call at its site.
+// count counts a call at the site that received it.
 func (s *sites) count(c *lab.Call) {
 	at := c.Conn.LocalAddr().String()
 	s.mu.Lock()
@@ -124,19 +125,19 @@
 	m.Call()
 }
 
-// fell says which sites were pushed over.
+// fell describes each overload of a site.
 func (s *sites) fell() (out []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for at, m := range s.meters {
 		for _, o := range m.Fell() {
-			out = append(out, fmt.Sprintf("the site at %s got more than it bears: %v", at, o))
+			out = append(out, fmt.Sprintf("the site at %s got more calls than it can handle: %v", at, o))
 		}
 	}
 	return out
 }
 
-// placeFault does one; what it gives takes it back.
+// placeFault injects a locality fault and returns the function that reverts it.
 func (f *Fleet) placeFault(kind string, who int, rng *rand.Rand) (back func() error) {
 	k := rng.IntN(len(f.Partners))
 	heal := func() error { f.Heal(); return nil }
@@ -165,10 +166,10 @@
 	return heal
 }
 
-// AwaitOnePlan waits until all members go by one plan in which nothing is down or cut off from its own zone.
+// AwaitOnePlan waits until each member obeys the plan that it holds, with no site down.
 func (f *Fleet) AwaitOnePlan(ctx context.Context) error {
 	for i := range f.Members {
-		err := f.AwaitPlan(ctx, i, "plan for all places", func(s node.PlanStatus) bool {
+		err := f.AwaitPlan(ctx, i, "plan with no site down", func(s node.PlanStatus) bool {
 			if s.Plan == nil || s.Obeys != s.Plan.Version {
 				return false
 			}
--- a/internal/lab/cluster/random.go
+++ b/internal/lab/cluster/random.go
@@ -132,7 +132,7 @@
 	setup := Setup{Members: t.Members, Copies: t.Copies, Alone: t.Alone, Program: t.Program, Env: t.Env, Dir: t.Dir, Seed: t.Seed}
 	if t.Places {
 		setup.Zones, setup.Sites, setup.Paths, setup.Settings = 4, 4, true, PlacesSettings(t.Members)
-		setup.Amend, partner.Weight = guarded(t.Members), siteRate
+		setup.Amend, partner.Weight = withRecoveryRules(t.Members), siteRate
 	}
 	f, err := Open(setup, partner)
 	if err != nil {
@@ -166,7 +166,7 @@
 	}
 	f.Heal()
 	for i, m := range f.Members {
-		if m.stopped {
+		if m.paused {
 			_ = f.Wake(i)
 		}
 		if !m.running && err == nil {
@@ -213,7 +213,7 @@
 func (f *Fleet) AwaitJobs(ctx context.Context, at int) error {
 	newest := uint64(0) // that any of them knows
 	for i, m := range f.Members {
-		if m.running && !m.stopped {
+		if m.running && !m.paused {
 			if s, err := f.Look(i); err == nil && s.State != nil {
 				newest = max(newest, s.State.Version)
 			}
@@ -372,7 +372,7 @@
 // startEnded does what a supervisor does: members that have ended because a sync failed are started again.
 func (f *Fleet) startEnded() error {
 	for i, m := range f.Members {
-		if !m.running || m.stopped || !strings.Contains(m.Log(), "this process ends, and the next goes on") {
+		if !m.running || m.paused || !strings.Contains(m.Log(), "this process ends, and the next goes on") {
 			continue
 		}
 		f.Event("n%d: ended by itself, %v", i, m.Wait())
--- a/internal/lab/cluster/relayprocess.go
+++ b/internal/lab/cluster/relayprocess.go
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// voters are the control plane's first.
+// voters returns the initial voters of the control plane.
 func (f *Fleet) voters() (out []controlplane.Voter) {
 	for _, m := range f.Members[:f.Founders] {
 		out = append(out, controlplane.Voter{Name: m.Name, Address: m.Links})
@@ -35,19 +35,19 @@
 	return out
 }
 
-// KillRelay ends a relay at once; StartRelay starts another in its place.
+// KillRelay ends a relay with SIGKILL.
 func (f *Fleet) KillRelay(i int) {
 	f.Event("relay %d: SIGKILL", i)
 	f.relays[i].kill()
 }
 
-// PauseRelay stops a relay where it is; WakeRelay lets it go on.
+// PauseRelay suspends a relay with SIGSTOP until WakeRelay.
 func (f *Fleet) PauseRelay(i int) error {
 	f.Event("relay %d: SIGSTOP", i)
 	return f.relays[i].cmd.Process.Signal(syscall.SIGSTOP)
 }
 
-// WakeRelay lets a paused relay go on.
+// WakeRelay resumes a paused relay.
 func (f *Fleet) WakeRelay(i int) error {
 	f.Event("relay %d: SIGCONT", i)
 	return f.relays[i].cmd.Process.Signal(syscall.SIGCONT)
@@ -59,7 +59,7 @@
 	return f.relays[i].start()
 }
 
-// relayProcess is a relay of the control plane as a process.
+// relayProcess runs a control plane relay as a process.
 type relayProcess struct {
 	command []string
 	env     []string
@@ -68,9 +68,9 @@
 	cmd     *exec.Cmd
 }
 
-// newRelayProcess chooses an address; nothing runs yet.
+// newRelayProcess chooses an address without starting the relay.
 func newRelayProcess(command, env []string, log string, i int, voters []controlplane.Voter) (*relayProcess, error) {
-	host := fmt.Sprintf("127.%d.%d.%d", 128+os.Getpid()%64, os.Getpid()/64%256, i+1) // of its own: nobody else takes a port there
+	host := fmt.Sprintf("127.%d.%d.%d", 128+os.Getpid()%64, os.Getpid()/64%256, i+1) // a separate address, on which nothing else takes a port
 	l, err := net.Listen("tcp", host+":0")
 	if err != nil {
 		return nil, err
@@ -83,7 +83,7 @@
 	return r, l.Close()
 }
 
-// start starts it, or another one in its place, and waits until it takes connections.
+// start starts or replaces the process and waits until it accepts connections.
 func (r *relayProcess) start() error {
 	out, err := os.OpenFile(r.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -104,13 +104,13 @@
 		if time.Since(began) > 10*time.Second {
 			return err
 		}
-		time.Sleep(hollowRetry)
+		time.Sleep(simulatedRetryInterval)
 	}
 }
 
 func (r *relayProcess) pid() int { return r.cmd.Process.Pid }
 
-// kill ends it at once, if it runs.
+// kill ends the process with SIGKILL if it was started.
 func (r *relayProcess) kill() {
 	if r.cmd != nil {
 		_ = r.cmd.Process.Kill()
--- a/internal/lab/cluster/scale.go
+++ b/internal/lab/cluster/scale.go
@@ -12,38 +12,38 @@
 	"mulleinbeam/internal/lab"
 )
 
-// Scale measures a control plane of real voters, and of real relays if there are any, with hollow members over loopback sockets: what a
-// member, the leader and a relay spend while changes are decided, and how long it takes until a change is known to every member, also while
-// processes fail.
+// Scale measures a control plane of real voters and, optionally, real relays with simulated members over loopback
+// sockets: the resource usage of a member, the leader and a relay under a stream of changes, and the time until every
+// member knows a change, also while processes fail.
 type Scale struct {
-	Program   []string // a voter's command
+	Program   []string // command of a voter
 	Env       []string
 	Relays    int
-	Narrow    bool // members watch themselves, the plan and the voters alone, which the program's own do not yet
-	Configure bool // changes are of the configuration, not of members
-	Faults    bool // play the faults behind the calm phase
+	Narrow    bool // members watch only themselves, the plan and the voters, which the program does not do yet
+	Configure bool // change the configuration instead of members
+	Faults    bool // inject faults after the calm phase
 	Sizes     []int
-	Joins     float64       // members that join in a second; 0 is as fast as they can
-	Rate      float64       // changes a second
-	Length    time.Duration // of the calm phase; of each other half
+	Joins     float64       // members that join per second; 0 is unlimited
+	Rate      float64       // changes per second
+	Length    time.Duration // of the calm phase; every other phase lasts half of it
 	Out       io.Writer
 }
 
 const (
-	scaleVoters   = 3
-	voterCores    = 2
-	voterMemoryMB = 2048
-	joinAtOnce    = 128
-	scalePatience = 2 * time.Minute
-	scaleZones    = 22
-	pauseFor      = 3 * time.Second // of a process that is stopped and goes on
+	scaleVoters        = 3
+	voterCores         = 2
+	voterMemoryMB      = 2048
+	maxConcurrentJoins = 128
+	scaleTimeout       = 2 * time.Minute
+	scaleZones         = 22
+	pauseDuration      = 3 * time.Second // how long a paused process is suspended
 )
 
 var errNotJoined = errors.New("not all members hold a lease")
 
 func zoneName(i int) string { return fmt.Sprintf("zone-%02d", i%scaleZones) }
 
-// Run measures each size with a control plane of its own, each within a bounded time.
+// Run measures each size with a separate control plane and a time limit.
 func (s Scale) Run(ctx context.Context) error {
 	for _, n := range s.Sizes {
 		if err := s.one(ctx, n); err != nil {
@@ -53,22 +53,22 @@
 	return nil
 }
 
-// scaleWorld is what one size is played with.
-type scaleWorld struct {
+// scaleRun holds the processes and members for one size.
+type scaleRun struct {
 	voters *Fleet
-	fleet  *hollowFleet
+	fleet  *simulatedFleet
 }
 
 func (s Scale) one(ctx context.Context, n int) error {
 	phases := s.phases()
-	ctx, cancel := context.WithTimeout(ctx, 2*scalePatience+time.Duration(len(phases)+2)*(s.Length+pauseFor))
+	ctx, cancel := context.WithTimeout(ctx, 2*scaleTimeout+time.Duration(len(phases)+2)*(s.Length+pauseDuration))
 	defer cancel()
 	dir, err := os.MkdirTemp("", "larklab-scale-")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	w := &scaleWorld{}
+	w := &scaleRun{}
 	defer w.close()
 	if err := s.open(ctx, w, dir, n); err != nil {
 		return err
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// open starts voters and relays, and lays the members out.
-func (s Scale) open(ctx context.Context, w *scaleWorld, dir string, n int) (err error) {
+// open starts voters and relays and creates the members.
+func (s Scale) open(ctx context.Context, w *scaleRun, dir string, n int) (err error) {
 	setup := Setup{
 		Members: scaleVoters, Program: s.Program, Env: s.Env, Dir: dir, Seed: 1, Direct: true, Relays: s.Relays, Cores: voterCores, MemoryMB: voterMemoryMB,
 	}
@@ -104,11 +104,11 @@
 	for i, r := range w.voters.relays {
 		relays = append(relays, controlplane.Relay{Zone: zoneName(i), Address: r.address})
 	}
-	w.fleet = newHollowFleet(n, w.voters.voters(), relays, s.Narrow, s.Configure)
+	w.fleet = newSimulatedFleet(n, w.voters.voters(), relays, s.Narrow, s.Configure)
 	return nil
 }
 
-func (w *scaleWorld) close() {
+func (w *scaleRun) close() {
 	if w.fleet != nil {
 		w.fleet.stop()
 	}
@@ -117,10 +117,10 @@
 	}
 }
 
-// play has changes decided while a phase lasts, and prints what it took.
-func (s Scale) play(ctx context.Context, w *scaleWorld, p phase) error {
-	w.fleet.forget()
-	lapses, lives := w.fleet.lapses()
+// play submits changes during a phase and prints the measurements.
+func (s Scale) play(ctx context.Context, w *scaleRun, p phase) error {
+	w.fleet.resetLatencies()
+	lapses, incarnations := w.fleet.lapses()
 	before, err := w.spent()
 	if err != nil {
 		return err
@@ -158,15 +158,15 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(s.Out, "  %-28s all members have reported the latest change %v behind it\n", p.name+":", reported.Round(time.Millisecond))
+		fmt.Fprintf(s.Out, "  %-28s all members have reported the latest change %v after it\n", p.name+":", reported.Round(time.Millisecond))
 	}
 	healing := time.Now()
 	if err := w.fleet.awaitLeases(ctx); err != nil {
 		return err
 	}
-	nowLapses, nowLives := w.fleet.lapses()
-	fmt.Fprintf(s.Out, "  %-28s %3d changes known after p50 %v, p99 %v, longest %v; %d leases lapsed, %d lives begun; all leases %v behind it\n",
-		p.name+":", changes, w.fleet.latency(50), w.fleet.latency(99), w.fleet.latency(100), nowLapses-lapses, nowLives-lives,
+	nowLapses, nowIncarnations := w.fleet.lapses()
+	fmt.Fprintf(s.Out, "  %-28s %3d changes known after p50 %v, p99 %v, longest %v; %d leases lapsed, %d incarnations begun; all leases held %v after it\n",
+		p.name+":", changes, w.fleet.latency(50), w.fleet.latency(99), w.fleet.latency(100), nowLapses-lapses, nowIncarnations-incarnations,
 		time.Since(healing).Round(time.Millisecond))
 	if p.fault == nil {
 		s.print(before, after, took, len(w.fleet.members))
@@ -174,10 +174,10 @@
 	return nil
 }
 
-// spent is what all have used so far.
+// spent is the cumulative resource usage of members, leader and relays.
 type spent struct{ members, leader, relays usage }
 
-func (w *scaleWorld) spent() (out spent, err error) {
+func (w *scaleRun) spent() (out spent, err error) {
 	leader, err := w.voters.leader()
 	if err != nil {
 		return out, err
@@ -194,7 +194,7 @@
 
 func (s Scale) print(before, after spent, took time.Duration, members int) {
 	seconds, n := took.Seconds(), float64(members)
-	fmt.Fprintf(s.Out, "    a member: %.0f B/s, %.5f cores, %.2f MB; the leader: %.3f cores, %.0f kB/s, %.1f MB",
+	fmt.Fprintf(s.Out, "    per member: %.0f B/s, %.5f cores, %.2f MB; the leader: %.3f cores, %.0f kB/s, %.1f MB",
 		(after.members.bytes-before.members.bytes)/seconds/n, (after.members.cpu-before.members.cpu)/seconds/n, after.members.memory/n/1e6,
 		(after.leader.cpu-before.leader.cpu)/seconds, (after.leader.bytes-before.leader.bytes)/seconds/1e3, after.leader.memory/1e6)
 	if s.Relays > 0 {
@@ -203,7 +203,7 @@
 	fmt.Fprintln(s.Out)
 }
 
-// leader is the process that leads.
+// leader returns the process id of the leader.
 func (f *Fleet) leader() (pid int, err error) {
 	i, err := f.leaderNumber()
 	if err != nil {
@@ -212,12 +212,12 @@
 	return f.Members[i].Pid(), nil
 }
 
-// leaderNumber is that of the member that leads.
+// leaderNumber returns the index of the leader.
 func (f *Fleet) leaderNumber() (int, error) {
 	for i := range f.Members {
 		s, err := f.Look(i)
 		if err != nil {
-			continue // it may be down
+			continue // the member may be down
 		}
 		for k, m := range f.Members {
 			if m.Name == s.Leader {
--- a/internal/lab/cluster/scalefaults.go
+++ b/internal/lab/cluster/scalefaults.go
@@ -8,14 +8,14 @@
 	"mulleinbeam/internal/lab"
 )
 
-// phase is a part of a measurement at one size.
+// phase is one part of the measurement of a fleet size.
 type phase struct {
 	name   string
 	length time.Duration
-	fault  func(ctx context.Context, w *scaleWorld) error // nil: nothing fails
+	fault  func(ctx context.Context, w *scaleRun) error // nil for no fault
 }
 
-// phases are the calm one, and the faults if they are asked for.
+// phases returns the calm phase and, if Faults is set, one phase per fault.
 func (s Scale) phases() []phase {
 	out := []phase{{"calm", s.Length, nil}}
 	if !s.Faults {
@@ -31,18 +31,18 @@
 		phase{"a voter is stopped for 3 s", half, pauseVoter}, phase{"the leader is killed", half, killLeader}, phase{"a zone restarts", half, restartZone})
 }
 
-func killRelay(_ context.Context, w *scaleWorld) error { w.voters.KillRelay(0); return nil }
+func killRelay(_ context.Context, w *scaleRun) error { w.voters.KillRelay(0); return nil }
 
-func startRelay(_ context.Context, w *scaleWorld) error { return w.voters.StartRelay(0) }
+func startRelay(_ context.Context, w *scaleRun) error { return w.voters.StartRelay(0) }
 
-func pauseRelay(ctx context.Context, w *scaleWorld) error {
+func pauseRelay(ctx context.Context, w *scaleRun) error {
 	last := len(w.voters.relays) - 1
 	err := w.voters.PauseRelay(last)
-	lab.Sleep(ctx, pauseFor)
+	lab.Sleep(ctx, pauseDuration)
 	return errors.Join(err, w.voters.WakeRelay(last))
 }
 
-func replaceRelays(_ context.Context, w *scaleWorld) error {
+func replaceRelays(_ context.Context, w *scaleRun) error {
 	for _, r := range w.voters.relays {
 		r.kill()
 	}
@@ -53,18 +53,18 @@
 	return err
 }
 
-func pauseVoter(ctx context.Context, w *scaleWorld) error {
+func pauseVoter(ctx context.Context, w *scaleRun) error {
 	leader, err := w.voters.leaderNumber()
 	if err != nil {
 		return err
 	}
 	other := (leader + 1) % scaleVoters
 	err = w.voters.Pause(other)
-	lab.Sleep(ctx, pauseFor)
+	lab.Sleep(ctx, pauseDuration)
 	return errors.Join(err, w.voters.Wake(other))
 }
 
-func killLeader(_ context.Context, w *scaleWorld) error {
+func killLeader(_ context.Context, w *scaleRun) error {
 	leader, err := w.voters.leaderNumber()
 	if err != nil {
 		return err
@@ -72,7 +72,7 @@
 	return errors.Join(w.voters.Kill(leader), w.voters.Start(leader))
 }
 
-func restartZone(_ context.Context, w *scaleWorld) error {
+func restartZone(_ context.Context, w *scaleRun) error {
 	w.fleet.restartZone(zoneName(0))
 	return nil
 }
--- a/internal/lab/cluster/spread.go
+++ b/internal/lab/cluster/spread.go
@@ -18,56 +18,56 @@
 	"mulleinbeam/internal/lab/eventqueue"
 )
 
-// Spreading plays how facts spread in a fleet of a size, in virtual time, with the program's own books.
+// Spreading simulates gossip of observations in a fleet in virtual time, with the program's observation store.
 type Spreading struct {
 	Members int
-	Seers   int // members that a partner tells to wait, at one moment
-	// Destinations is how many tell them to wait; 0 is one.
+	Seers   int // members that receive a Retry-After from a partner at the same time
+	// Destinations is the number of destinations that send a Retry-After; 0 means one.
 	Destinations int
-	Delay        time.Duration // one way, from half of it to one and a half
-	Loss         float64       // of pushes and answers
+	Delay        time.Duration // mean one-way delay; uniform from 0.5 to 1.5 times it
+	Loss         float64       // loss probability of pushes and replies
 	Beat         time.Duration
 	Length       time.Duration
 	Seed         uint64
 }
 
-// Spread is what came of it.
+// Spread is the result of a simulation.
 type Spread struct {
-	Half, All time.Duration // until so many members heeded the wait; below zero is not within the length
-	Bytes     float64       // sent a second by a member, on average over the length, as the links encode them
-	Burst     float64       // and in the busiest second
-	Quiet     float64       // and in the last second
-	Largest   int           // facts in one book, at the most
-	CPU       time.Duration // of this machine, a member and virtual second
+	Half, All time.Duration // until half and all of the members heeded the Retry-After; negative if not within the length
+	Bytes     float64       // mean bytes per second sent by a member, in the encoding of the links
+	Burst     float64       // bytes per member in the busiest second
+	Quiet     float64       // bytes per member in the last second
+	Largest   int           // most observations in one store
+	CPU       time.Duration // of this machine, per member and virtual second
 }
 
-const toldWait = 30 * time.Second
+const retryAfter = 30 * time.Second
 
-// spreading is one play.
-type spreading struct {
+// gossipRun is the state of one simulation.
+type gossipRun struct {
 	Spreading
 	Spread
-	agenda  eventqueue.Queue
-	rng     *rand.Rand
-	names   []string
-	number  map[string]int
-	books   []*observation.Store
-	spreads []*observation.Gossip
-	size    bytes.Buffer
-	enc     *gob.Encoder // as a connection that has carried pushes before
-	sent    []float64    // bytes, by second
-	heeds   []bool
-	heeding int
-	err     error
+	queue           eventqueue.Queue
+	rng             *rand.Rand
+	names           []string
+	number          map[string]int
+	stores          []*observation.Store
+	gossips         []*observation.Gossip
+	size            bytes.Buffer
+	enc             *gob.Encoder // with type information already sent, as on a used connection
+	sent            []float64    // bytes per virtual second
+	informed        []bool
+	informedMembers int
+	err             error
 }
 
-const toldAt = time.Second // when the partner speaks
+const retryAfterAt = time.Second // when the partner sends the Retry-After
 
-// Run plays it.
+// Run runs the simulation.
 func (s Spreading) Run() (Spread, error) {
-	p := &spreading{
+	p := &gossipRun{
 		Spreading: s, Spread: Spread{Half: -1, All: -1}, rng: rand.New(rand.NewPCG(s.Seed, 1)), number: map[string]int{},
-		sent: make([]float64, int(s.Length/time.Second)+1), heeds: make([]bool, s.Members),
+		sent: make([]float64, int(s.Length/time.Second)+1), informed: make([]bool, s.Members),
 	}
 	p.enc = gob.NewEncoder(&p.size)
 	if err := errors.Join(p.enc.Encode(node.GossipRequest{}), p.enc.Encode(node.GossipReply{})); err != nil {
@@ -75,17 +75,17 @@
 	}
 	for i := range s.Members {
 		name := fmt.Sprintf("forwarder-%04d", i)
-		book := observation.NewStore(observation.Config{Name: name, Epoch: 1, HalfLife: 10 * time.Second, MaxRetryAfter: time.Minute, MaxKeys: 4096})
+		store := observation.NewStore(observation.Config{Name: name, Epoch: 1, HalfLife: 10 * time.Second, MaxRetryAfter: time.Minute, MaxKeys: 4096})
 		p.names, p.number[name] = append(p.names, name), i
-		p.books, p.spreads = append(p.books, book), append(p.spreads, observation.NewGossip(book, p.rng.Uint64()))
+		p.stores, p.gossips = append(p.stores, store), append(p.gossips, observation.NewGossip(store, p.rng.Uint64()))
 	}
 	for i := range s.Members {
 		others := slices.DeleteFunc(slices.Clone(p.names), func(name string) bool { return name == p.names[i] })
-		p.beatAt(time.Duration(p.rng.Float64()*float64(s.Beat)), i, others)
+		p.scheduleTick(time.Duration(p.rng.Float64()*float64(s.Beat)), i, others)
 	}
 	began := time.Now()
 	for p.err == nil {
-		_, do, some := p.agenda.Next(s.Length - 1)
+		_, do, some := p.queue.Next(s.Length - 1)
 		if !some {
 			break
 		}
@@ -101,83 +101,83 @@
 	return p.Spread, p.err
 }
 
-// beatAt has a member tell at a moment, and then beat for beat.
-func (p *spreading) beatAt(now time.Duration, i int, others []string) {
-	p.agenda.Schedule(now, func() {
-		p.beatAt(now+p.Beat, i, others)
-		p.books[i].Expire(now, nil)
-		if i < p.Seers && now >= toldAt {
-			p.spreads[i].Enqueue(p.Members, p.books[i].LocalUpdates(now, p.seen(now))...)
+// scheduleTick schedules the next gossip round of a member, which schedules the one after it.
+func (p *gossipRun) scheduleTick(now time.Duration, i int, others []string) {
+	p.queue.Schedule(now, func() {
+		p.scheduleTick(now+p.Beat, i, others)
+		p.stores[i].Expire(now, nil)
+		if i < p.Seers && now >= retryAfterAt {
+			p.gossips[i].Enqueue(p.Members, p.stores[i].LocalUpdates(now, p.localCircuits(now))...)
 		}
-		p.note(i, now)
-		for _, push := range p.spreads[i].Tick(now, others) {
+		p.recordInformed(i, now)
+		for _, push := range p.gossips[i].Tick(now, others) {
 			what := node.GossipRequest{From: controlplane.Incarnation{Name: p.names[i], Number: 1}, Facts: push.Facts, Compare: push.Compare, Digest: push.Digest}
-			p.send(now, what, func(at time.Duration) { p.pushed(at, p.number[push.To], i, what) })
+			p.send(now, what, func(at time.Duration) { p.receivePush(at, p.number[push.To], i, what) })
 		}
 	})
 }
 
-// seen is what a member that was told to wait shows of it.
-func (p *spreading) seen(now time.Duration) (out []mb.LearnedCircuit) {
+// localCircuits returns the circuits of a member that received the Retry-After.
+func (p *gossipRun) localCircuits(now time.Duration) (out []mb.LearnedCircuit) {
 	for d := range mb.DestinationID(max(1, p.Destinations)) {
-		out = append(out, mb.LearnedCircuit{Destination: 7 + d, Wait: max(0, toldAt+toldWait-now), GuardFrom: -1, LastBad: -1, LastOK: -1})
+		out = append(out, mb.LearnedCircuit{Destination: 7 + d, Wait: max(0, retryAfterAt+retryAfter-now), GuardFrom: -1, LastBad: -1, LastOK: -1})
 	}
 	return out
 }
 
-// pushed is a push that has come; its answer goes back.
-func (p *spreading) pushed(now time.Duration, to, from int, push node.GossipRequest) {
-	p.take(now, to, push.Facts)
+// receivePush handles a push and sends the reply.
+func (p *gossipRun) receivePush(now time.Duration, to, from int, push node.GossipRequest) {
+	p.receive(now, to, push.Facts)
 	var a node.GossipReply
-	if push.Compare && push.Digest != p.books[to].Digest(now) {
-		a.Facts = p.books[to].Records(now)
+	if push.Compare && push.Digest != p.stores[to].Digest(now) {
+		a.Facts = p.stores[to].Records(now)
 	}
-	p.send(now, a, func(at time.Duration) { p.take(at, from, a.Facts) })
+	p.send(now, a, func(at time.Duration) { p.receive(at, from, a.Facts) })
 }
 
-// take has a member hear facts.
-func (p *spreading) take(now time.Duration, i int, list []observation.Record) {
+// receive adds observations to the store of a member.
+func (p *gossipRun) receive(now time.Duration, i int, list []observation.Record) {
 	for _, f := range list {
-		if news, _ := p.books[i].Add(now, f); news {
-			p.spreads[i].Enqueue(p.Members, f)
+		if news, _ := p.stores[i].Add(now, f); news {
+			p.gossips[i].Enqueue(p.Members, f)
 		}
 	}
-	p.Largest = max(p.Largest, len(p.books[i].Records(now)))
+	p.Largest = max(p.Largest, len(p.stores[i].Records(now)))
 }
 
-// send counts what goes out, and has it come a little later, if it is not lost.
-func (p *spreading) send(now time.Duration, what any, come func(at time.Duration)) {
+// send counts the bytes of a message and schedules its arrival unless it is lost.
+func (p *gossipRun) send(now time.Duration, what any, come func(at time.Duration)) {
 	p.size.Reset()
 	if err := p.enc.Encode(what); err != nil {
 		p.err = err
 		return
 	}
-	p.sent[int(now/time.Second)] += float64(p.size.Len()) + callHead
+	p.sent[int(now/time.Second)] += float64(p.size.Len()) + callHeaderBytes
 	if p.rng.Float64() >= p.Loss {
 		at := now + time.Duration((0.5+p.rng.Float64())*float64(p.Delay))
-		p.agenda.Schedule(at, func() { come(at) })
+		p.queue.Schedule(at, func() { come(at) })
 	}
 }
 
-// note books when a member heeds the wait for the first time.
-func (p *spreading) note(i int, now time.Duration) {
-	advice := p.books[i].Advice(now, nil)
-	if own := i < p.Seers && now >= toldAt; p.heeds[i] || !own && (len(advice) == 0 || advice[0].Wait <= 0) {
+// recordInformed records the time at which a member first heeds the Retry-After.
+func (p *gossipRun) recordInformed(i int, now time.Duration) {
+	advice := p.stores[i].Advice(now, nil)
+	if own := i < p.Seers && now >= retryAfterAt; p.informed[i] || !own && (len(advice) == 0 || advice[0].Wait <= 0) {
 		return
 	}
-	p.heeds[i] = true
-	if p.heeding++; p.heeding == (p.Members+1)/2 {
-		p.Half = now - toldAt
+	p.informed[i] = true
+	if p.informedMembers++; p.informedMembers == (p.Members+1)/2 {
+		p.Half = now - retryAfterAt
 	}
-	if p.heeding == p.Members {
-		p.All = now - toldAt
+	if p.informedMembers == p.Members {
+		p.All = now - retryAfterAt
 	}
 }
 
-// callHead is what a call's or an answer's head takes beside its content, in bytes.
-const callHead = 24
+// callHeaderBytes is the size of the header of a call or reply.
+const callHeaderBytes = 24
 
-// MeasureSpread plays sizes of fleets, over seeds, and prints the middle of each figure.
+// MeasureSpread runs simulations for fleet sizes and seeds and prints means, or maxima where the label says so.
 func MeasureSpread(sizes []int, seeds int, loss float64, out io.Writer) error {
 	for _, n := range sizes {
 		for _, seers := range []int{2, max(2, n/4)} {
@@ -196,7 +196,7 @@
 				total, burst, quiet, largest = total+r.Bytes, max(burst, r.Burst), quiet+r.Quiet, max(largest, r.Largest)
 			}
 			k := float64(seeds)
-			fmt.Fprintf(out, "%5d members, %4d told to wait: known by half after %3d ms, by all after %4d ms at the most (%d of %d not within the play); a member sends %5.0f B/s, in the busiest second %6.0f, before and after %4.0f; %d facts kept; %v of processor a member and second\n",
+			fmt.Fprintf(out, "%5d members, %4d with a Retry-After: known by half after %3d ms, by all after %4d ms at most (%d of %d not within the simulated time); a member sends %5.0f B/s, in the busiest second %6.0f, before and after %4.0f; %d observations per store; %v of CPU per member and second\n",
 				n, seers, int(half.Milliseconds())/seeds, all.Milliseconds(), missed, seeds, total/k, burst, quiet/k, largest, (cpu / time.Duration(seeds)).Round(time.Microsecond))
 		}
 	}
