--- a/internal/lab/cluster/places.go
+++ b/internal/lab/cluster/places.go
@@ -103,17 +103,17 @@
 // siteRate is the capacity of each site in a trial, in calls per second.
 const siteRate = 80
 
-// placeKinds are the kinds of locality faults, in addition to those of processes and links.
-var placeKinds = []string{"site", "silent", "way", "region"}
+// localityFaultKinds are the kinds of locality faults, in addition to those of processes and links.
+var localityFaultKinds = []string{"site", "silent", "way", "region"}
 
-// sites measures the load of each site in a trial with localities.
-type sites struct {
+// siteMeters measures the load of each site in a trial with localities.
+type siteMeters struct {
 	meters map[string]*Meter // keyed by address
 	mu     sync.Mutex
 }
 
 // count counts a call at the site that received it.
-func (s *sites) count(c *lab.Call) {
+func (s *siteMeters) count(c *lab.Call) {
 	at := c.Conn.LocalAddr().String()
 	s.mu.Lock()
 	m := s.meters[at]
@@ -125,8 +125,8 @@
 	m.Call()
 }
 
-// fell describes each overload of a site.
-func (s *sites) fell() (out []string) {
+// overloads describes each overload of a site.
+func (s *siteMeters) overloads() (out []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for at, m := range s.meters {
@@ -137,8 +137,8 @@
 	return out
 }
 
-// placeFault injects a locality fault and returns the function that reverts it.
-func (f *Fleet) placeFault(kind string, who int, rng *rand.Rand) (back func() error) {
+// injectLocalityFault injects a locality fault and returns the function that reverts it.
+func (f *Fleet) injectLocalityFault(kind string, who int, rng *rand.Rand) (back func() error) {
 	k := rng.IntN(len(f.Partners))
 	heal := func() error { f.Heal(); return nil }
 	switch kind {
--- a/internal/lab/cluster/random.go
+++ b/internal/lab/cluster/random.go
@@ -78,7 +78,7 @@
 	rng := rand.New(rand.NewPCG(t.Seed, 4))
 	kinds := kinds
 	if t.Places { // half and half
-		kinds = append(slices.Clone(kinds), append(append(slices.Clone(placeKinds), placeKinds...), placeKinds[:2]...)...)
+		kinds = append(slices.Clone(kinds), append(append(slices.Clone(localityFaultKinds), localityFaultKinds...), localityFaultKinds[:2]...)...)
 	}
 	if t.Disk != nil {
 		kinds = append(slices.Clone(kinds), diskKinds...)
@@ -108,7 +108,7 @@
 	if t.Log == nil {
 		t.Log = func(string, ...any) {}
 	}
-	places := &sites{meters: map[string]*Meter{}}
+	places := &siteMeters{meters: map[string]*Meter{}}
 	var served sync.Map
 	rng := rand.New(rand.NewPCG(t.Seed, 5))
 	var rmu sync.Mutex
@@ -179,7 +179,7 @@
 		}
 		stop()
 		asking.Wait()
-		out.Broken = append(out.Broken, places.fell()...)
+		out.Broken = append(out.Broken, places.overloads()...)
 	}
 	clients.Wait()
 	if err == nil {
@@ -323,7 +323,7 @@
 	case "disk", "disk everywhere", "disk and kill":
 		return t.diskFault(ctx, f, x)
 	default:
-		back := f.placeFault(x.kind, x.who, rand.New(rand.NewPCG(t.Seed, uint64(x.after))))
+		back := f.injectLocalityFault(x.kind, x.who, rand.New(rand.NewPCG(t.Seed, uint64(x.after))))
 		lab.Sleep(ctx, x.lasts)
 		return back()
 	}
--- a/internal/lab/cluster/simulatedfleet.go
+++ b/internal/lab/cluster/simulatedfleet.go
@@ -52,24 +52,24 @@
 	return h
 }
 
-// start joins all members with bounded concurrency, at aSecond members per second (0: unlimited), and waits until each
-// holds a lease.
-func (f *simulatedFleet) start(ctx context.Context, aSecond float64) (time.Duration, error) {
+// start joins all members with bounded concurrency, at perSecond members per second (0: unlimited), and waits until
+// each holds a lease.
+func (f *simulatedFleet) start(ctx context.Context, perSecond float64) (time.Duration, error) {
 	f.running, f.cancel = context.WithCancel(ctx)
 	began := time.Now()
-	turn := make(chan struct{}, maxConcurrentJoins)
+	joining := make(chan struct{}, maxConcurrentJoins)
 	for i, h := range f.members {
-		if aSecond > 0 && !lab.Sleep(ctx, time.Until(began.Add(time.Duration(float64(i)/aSecond*float64(time.Second))))) {
+		if perSecond > 0 && !lab.Sleep(ctx, time.Until(began.Add(time.Duration(float64(i)/perSecond*float64(time.Second))))) {
 			return 0, errNotJoined
 		}
 		select {
-		case turn <- struct{}{}:
+		case joining <- struct{}{}:
 		case <-ctx.Done():
 			return 0, errNotJoined
 		}
 		f.launch(h)
 		f.all.Go(func() {
-			defer func() { <-turn }()
+			defer func() { <-joining }()
 			for !h.holds() && lab.Sleep(f.running, simulatedRetryInterval) {
 			}
 		})
@@ -190,7 +190,7 @@
 		return
 	}
 	for v := h.recordedVersion + 1; v <= version; v++ {
-		if sent, some := f.sent[v]; some {
+		if sent, ok := f.sent[v]; ok {
 			_ = f.latencies.RecordValue(max(1, time.Since(sent).Milliseconds()))
 		}
 	}
--- a/internal/lab/cluster/spread.go
+++ b/internal/lab/cluster/spread.go
@@ -85,11 +85,11 @@
 	}
 	began := time.Now()
 	for p.err == nil {
-		_, do, some := p.queue.Next(s.Length - 1)
-		if !some {
+		_, run, ok := p.queue.Next(s.Length - 1)
+		if !ok {
 			break
 		}
-		do()
+		run()
 	}
 	n := float64(s.Members)
 	for _, b := range p.sent {
@@ -111,8 +111,8 @@
 		}
 		p.recordInformed(i, now)
 		for _, push := range p.gossips[i].Tick(now, others) {
-			what := node.GossipRequest{From: controlplane.Incarnation{Name: p.names[i], Number: 1}, Facts: push.Facts, Compare: push.Compare, Digest: push.Digest}
-			p.send(now, what, func(at time.Duration) { p.receivePush(at, p.number[push.To], i, what) })
+			request := node.GossipRequest{From: controlplane.Incarnation{Name: p.names[i], Number: 1}, Facts: push.Facts, Compare: push.Compare, Digest: push.Digest}
+			p.send(now, request, func(at time.Duration) { p.receivePush(at, p.number[push.To], i, request) })
 		}
 	})
 }
@@ -138,7 +138,7 @@
 // receive adds observations to the store of a member.
 func (p *gossipRun) receive(now time.Duration, i int, list []observation.Record) {
 	for _, f := range list {
-		if news, _ := p.stores[i].Add(now, f); news {
+		if isNew, _ := p.stores[i].Add(now, f); isNew {
 			p.gossips[i].Enqueue(p.Members, f)
 		}
 	}
@@ -146,16 +146,16 @@
 }
 
 // send counts the bytes of a message and schedules its arrival unless it is lost.
-func (p *gossipRun) send(now time.Duration, what any, come func(at time.Duration)) {
+func (p *gossipRun) send(now time.Duration, payload any, deliver func(at time.Duration)) {
 	p.size.Reset()
-	if err := p.enc.Encode(what); err != nil {
+	if err := p.enc.Encode(payload); err != nil {
 		p.err = err
 		return
 	}
 	p.sent[int(now/time.Second)] += float64(p.size.Len()) + callHeaderBytes
 	if p.rng.Float64() >= p.Loss {
 		at := now + time.Duration((0.5+p.rng.Float64())*float64(p.Delay))
-		p.queue.Schedule(at, func() { come(at) })
+		p.queue.Schedule(at, func() { deliver(at) })
 	}
 }
 
