--- a/internal/lab/cluster/describe.go
+++ b/internal/lab/cluster/describe.go
@@ -18,7 +18,7 @@
 func (f *Fleet) Describe() string {
 	var out strings.Builder
 	for i, member := range f.Members {
-		if !member.running || member.stopped {
+		if !member.running || member.paused {
 			continue
 		}
 		_ = member.Signal(syscall.SIGUSR1) // the process may have exited by now
--- a/internal/lab/cluster/random.go
+++ b/internal/lab/cluster/random.go
@@ -78,7 +78,7 @@
 	rng := rand.New(rand.NewPCG(t.Seed, 4))
 	kinds := kinds
 	if t.Places { // about as many faults of sites as of processes and links
-		kinds = append(slices.Clone(kinds), append(append(slices.Clone(placeKinds), placeKinds...), placeKinds[:2]...)...)
+		kinds = append(slices.Clone(kinds), append(append(slices.Clone(localityFaultKinds), localityFaultKinds...), localityFaultKinds[:2]...)...)
 	}
 	if t.Disk != nil {
 		kinds = append(slices.Clone(kinds), diskKinds...)
@@ -108,7 +108,7 @@
 	if t.Log == nil {
 		t.Log = func(string, ...any) {}
 	}
-	places := &sites{meters: map[string]*Meter{}}
+	places := &siteMeters{meters: map[string]*Meter{}}
 	var served sync.Map
 	rng := rand.New(rand.NewPCG(t.Seed, 5))
 	var rmu sync.Mutex
@@ -132,7 +132,7 @@
 	setup := Setup{Members: t.Members, Copies: t.Copies, Alone: t.Alone, Program: t.Program, Env: t.Env, Dir: t.Dir, Seed: t.Seed}
 	if t.Places {
 		setup.Zones, setup.Sites, setup.Paths, setup.Settings = 4, 4, true, PlacesSettings(t.Members)
-		setup.Amend, partner.Weight = guarded(t.Members), siteRate
+		setup.Amend, partner.Weight = withRecoveryRules(t.Members), siteRate
 	}
 	f, err := Open(setup, partner)
 	if err != nil {
@@ -166,7 +166,7 @@
 	}
 	f.Heal()
 	for i, m := range f.Members {
-		if m.stopped {
+		if m.paused {
 			_ = f.Wake(i)
 		}
 		if !m.running && err == nil {
@@ -179,7 +179,7 @@
 		}
 		stop()
 		checking.Wait()
-		out.Broken = append(out.Broken, places.fell()...)
+		out.Broken = append(out.Broken, places.overloads()...)
 	}
 	clients.Wait()
 	if err == nil {
@@ -214,7 +214,7 @@
 func (f *Fleet) AwaitJobs(ctx context.Context, at int) error {
 	newest := uint64(0) // newest state version that any member knows
 	for i, m := range f.Members {
-		if m.running && !m.stopped {
+		if m.running && !m.paused {
 			if s, err := f.Look(i); err == nil && s.State != nil {
 				newest = max(newest, s.State.Version)
 			}
@@ -324,7 +324,7 @@
 	case "disk", "disk everywhere", "disk and kill":
 		return t.diskFault(ctx, f, x)
 	default:
-		back := f.placeFault(x.kind, x.member, rand.New(rand.NewPCG(t.Seed, uint64(x.after))))
+		back := f.injectLocalityFault(x.kind, x.member, rand.New(rand.NewPCG(t.Seed, uint64(x.after))))
 		lab.Sleep(ctx, x.duration)
 		return back()
 	}
@@ -373,7 +373,7 @@
 // restartExited acts as a supervisor: it restarts the members that exited because a sync failed.
 func (f *Fleet) restartExited() error {
 	for i, m := range f.Members {
-		if !m.running || m.stopped || !strings.Contains(m.Log(), "this process ends, and the next goes on") {
+		if !m.running || m.paused || !strings.Contains(m.Log(), "this process ends, and the next goes on") {
 			continue
 		}
 		f.Event("n%d: exited by itself, %v", i, m.Wait())
