--- a/cmd/larkreach/larkreach_test.go
+++ b/cmd/larkreach/larkreach_test.go
@@ -514,7 +514,7 @@
 		"limits":       {func(s *testbed) { s.set(0, "limits", "sockets") }, "config: limits"},
 		"descriptors":  {func(s *testbed) { s.set(48, "limits", "sockets") }, "config: limits: 48 descriptors are too few"},
 		"a low limit":  {func(s *testbed) { s.files = 48 }, "config: limits: 48 descriptors are too few"},
-		"disk":         {func(s *testbed) { s.set(0.01, "limits", "disk_mb") }, "too few"},
+		"disk":         {func(s *testbed) { s.set(0.01, "limits", "disk_mb") }, "wal: disk limit of 10000 bytes is too small for segments"},
 		"settings":     {func(s *testbed) { s.set(0, "settings", "family-info", "calls-out") }, "Slots must be at least 1"},
 		"known list":   {func(s *testbed) { s.set([]any{map[string]any{"name": ""}}, "known", "endpoints") }, "config: known"},
 		"address used": {func(s *testbed) { s.set(s.address(), "listen") }, "address already in use"},
