--- a/internal/cluster/controlplane/rpc.go
+++ b/internal/cluster/controlplane/rpc.go
@@ -42,11 +42,11 @@
 
 // Meet returns how far this voter is.
 func (r RPC) Meet(m RejoinRequest, out *VoterStatus) error {
-	result := make(chan *lane, 1)
-	if !r.s.post(func() { result <- r.s.lanes[m.ID] }) {
+	result := make(chan *voterSender, 1)
+	if !r.s.post(func() { result <- r.s.senders[m.ID] }) {
 		return ErrNoLeader
 	}
-	var target *lane
+	var target *voterSender
 	select {
 	case target = <-result:
 	case <-r.s.done:
--- a/internal/cluster/controlplane/server.go
+++ b/internal/cluster/controlplane/server.go
@@ -65,16 +65,16 @@
 	pendingJoins        map[string]*pendingJoin   // by member name
 	ticks               int                       // during this leadership
 	selecting           map[Incarnation]bool      // takeover tasks whose replicas are being asked
-	lanes               map[uint64]*lane
-	laneVoters          []Voter        // the voters that lanes are for
-	laneSenders         sync.WaitGroup // goroutines of lanes
+	senders             map[uint64]*voterSender
+	senderVoters        []Voter        // the voters that senders are for
+	senderGroup         sync.WaitGroup // goroutines of senders
 	voterChangeUntil    time.Duration  // until then a change of the voters may be in progress
 	rejoining           bool
 	loggedLeader        string // the leader that was last logged
 }
 
-// lane is the outgoing queue and connection to another voter.
-type lane struct {
+// voterSender is the outgoing queue and connection to another voter.
+type voterSender struct {
 	Voter
 	peer   *links.Peer
 	out    chan []raftpb.Message
@@ -94,7 +94,7 @@
 		core: core, store: raftStore, timing: t, Dial: links.NewPeer, logger: logger, started: time.Now(), events: make(chan func(), 256),
 		done: make(chan struct{}), token: rand.Uint64(), ticket: rand.Uint64(), leases: Leases{Lease: t.Lease, Margin: t.Margin},
 		pendingCommands: map[uint64]func(Applied){}, pendingConfirmation: map[uint64][]leaseRequest{}, pendingJoins: map[string]*pendingJoin{},
-		selecting: map[Incarnation]bool{}, lanes: map[uint64]*lane{},
+		selecting: map[Incarnation]bool{}, senders: map[uint64]*voterSender{},
 	}
 }
 
@@ -102,7 +102,7 @@
 
 // Run serves until ctx ends. An error is a permanent disk failure, after which this voter must not send anything.
 func (s *Server) Run(ctx context.Context) (err error) {
-	defer s.laneSenders.Wait()
+	defer s.senderGroup.Wait()
 	defer close(s.done)
 	defer func() {
 		if r := recover(); r != nil { // Raft panics on an inconsistent log
@@ -114,7 +114,7 @@
 	tick := time.NewTicker(s.timing.Tick)
 	defer tick.Stop()
 	for {
-		s.syncLanes(ctx)
+		s.syncSenders(ctx)
 		select {
 		case f := <-s.events:
 			f()
@@ -142,42 +142,42 @@
 	}
 }
 
-// syncLanes keeps a lane to each of the other voters, and to nobody else.
-func (s *Server) syncLanes(ctx context.Context) {
-	if slices.Equal(s.laneVoters, s.core.Voters()) {
+// syncSenders keeps a sender to each of the other voters, and to nobody else.
+func (s *Server) syncSenders(ctx context.Context) {
+	if slices.Equal(s.senderVoters, s.core.Voters()) {
 		return // the common case
 	}
-	s.laneVoters = s.core.Voters()
+	s.senderVoters = s.core.Voters()
 	keep := map[uint64]bool{}
-	for _, v := range s.laneVoters {
+	for _, v := range s.senderVoters {
 		id := ID(v.Name)
 		if id == s.core.id || s.core.OutsideGroup() {
 			continue
 		}
 		keep[id] = true
-		if l := s.lanes[id]; l != nil && l.Address == v.Address {
+		if sender := s.senders[id]; sender != nil && sender.Address == v.Address {
 			continue
-		} else if l != nil {
-			l.cancel()
+		} else if sender != nil {
+			sender.cancel()
 		}
-		l := &lane{Voter: v, peer: s.Dial(v.Address), out: make(chan []raftpb.Message, 64)}
-		var laneCtx context.Context
-		laneCtx, l.cancel = context.WithCancel(ctx)
-		s.lanes[id] = l
-		s.laneSenders.Go(func() { s.sendMessages(laneCtx, id, l) })
+		sender := &voterSender{Voter: v, peer: s.Dial(v.Address), out: make(chan []raftpb.Message, 64)}
+		var senderCtx context.Context
+		senderCtx, sender.cancel = context.WithCancel(ctx)
+		s.senders[id] = sender
+		s.senderGroup.Go(func() { s.sendMessages(senderCtx, id, sender) })
 	}
-	for id, l := range s.lanes {
+	for id, sender := range s.senders {
 		if !keep[id] {
-			l.cancel()
-			delete(s.lanes, id)
+			sender.cancel()
+			delete(s.senders, id)
 		}
 	}
 }
 
 // otherPeers returns the connections to all other voters.
 func (s *Server) otherPeers() (out []*links.Peer) {
-	for _, l := range s.lanes {
-		out = append(out, l.peer)
+	for _, sender := range s.senders {
+		out = append(out, sender.peer)
 	}
 	return out
 }
@@ -225,11 +225,11 @@
 }
 
 // sendMessages sends messages to one voter, in order.
-func (s *Server) sendMessages(ctx context.Context, id uint64, l *lane) {
-	defer l.peer.Close()
+func (s *Server) sendMessages(ctx context.Context, id uint64, sender *voterSender) {
+	defer sender.peer.Close()
 	for {
 		select {
-		case batch := <-l.out:
+		case batch := <-sender.out:
 			var raw [][]byte
 			snapshot := false
 			for _, m := range batch {
@@ -241,7 +241,7 @@
 				snapshot = snapshot || m.Type == raftpb.MsgSnap
 			}
 			call, cancel := context.WithTimeout(ctx, messageTimeout)
-			err := l.peer.Call(call, "Council.Step", raw, new(bool))
+			err := sender.peer.Call(call, "Council.Step", raw, new(bool))
 			cancel()
 			if err != nil || snapshot {
 				s.post(func() {
@@ -283,8 +283,8 @@
 	}
 	for id, batch := range batches {
 		var out chan<- []raftpb.Message
-		if l := s.lanes[id]; l != nil {
-			out = l.out
+		if sender := s.senders[id]; sender != nil {
+			out = sender.out
 		}
 		select {
 		case out <- batch:
