--- a/cmd/larkreach/larkreach_test.go
+++ b/cmd/larkreach/larkreach_test.go
@@ -153,7 +153,7 @@
 		t.Errorf("exit: %v", err)
 	}
 	s.start() // nothing is left to resume
-	if strings.Contains(s.log.String(), "resumed what") {
+	if strings.Contains(s.log.String(), "resumed messages") {
 		t.Errorf("left over:\n%s", s.log)
 	}
 }
